--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use verbenaspool_platform::header;
-use verbenaspool_policy::dispatch::{Ask, Ending, Refusal, Resumes, retry::Bound};
+use verbenaspool_policy::dispatch::{
+    AttemptOutcome, PlacementRequest, Rejection, Resumption, retry_budget::RetryLimits,
+};
 use verbenaspool_state::{
     fingerprint::Fingerprint,
     route::{Kind, Route},
@@ -125,15 +127,15 @@
     }
 
     /// What the request asks of its service's queue.
-    pub fn ask(&self) -> Ask {
+    pub fn ask(&self) -> PlacementRequest {
         let streams = self.route.kind == Kind::Streaming;
-        Ask {
+        PlacementRequest {
             priority: self.priority,
             since: self.gateway.clock.now(),
             target: self.target,
             deadline: self.deadline,
             place_by: self.place_by(),
-            resumes: Resumes::No,
+            resumes: Resumption::None,
             beyond: self.beyond,
             gap: self.route.gap.filter(|_| streams),
             avoid: self.tried.borrow().clone(),
@@ -144,7 +146,7 @@
     ///
     /// # Errors
     /// There is no room, nor will there be in time.
-    pub async fn admit(&self, ask: Ask) -> Result<Permit, Refusal> {
+    pub async fn admit(&self, ask: PlacementRequest) -> Result<Permit, Rejection> {
         self.gateway.admit(&self.queue, ask).await
     }
 
@@ -159,7 +161,7 @@
     }
 
     /// What bounds repeats, and how many entries share it.
-    fn budget(&self) -> (Bound, usize) {
+    fn budget(&self) -> (RetryLimits, usize) {
         let now = self.gateway.clock.now();
         let bound = self.gateway.settings.borrow().bounds.retries();
         (bound, self.gateway.sharers(now))
@@ -190,17 +192,17 @@
         let id = permit.upstream.clone();
         // It may have waited for its permit.
         if self.barred().is_some() {
-            permit.release(Ending::Unknown);
+            permit.release(AttemptOutcome::Unknown);
             return Sent::Barred;
         }
         let (bound, entries) = self.budget();
         if self.sendings.get() > 0 && !self.queue.repeat(&bound, entries) {
-            permit.release(Ending::Unknown);
+            permit.release(AttemptOutcome::Unknown);
             return Sent::NotRun("no-budget");
         }
         self.tried.borrow_mut().push(id.clone());
         let Some(replica) = self.gateway.replica(&id) else {
-            permit.release(Ending::Unknown);
+            permit.release(AttemptOutcome::Unknown);
             return Sent::NotRun("upstream-gone");
         };
         let Ok(request) = self.request(&id, after) else {
@@ -298,11 +300,11 @@
     /// What silence tells of the upstream. A route may allow less time than its
     /// requests take: that the time is over then says nothing, and an upstream
     /// that was left alone for it would be missed by all other requests.
-    fn silence(&self, waited: Duration) -> Ending {
+    fn silence(&self, waited: Duration) -> AttemptOutcome {
         if waited >= self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR) {
-            Ending::Silent
+            AttemptOutcome::Silent
         } else {
-            Ending::Unknown
+            AttemptOutcome::Unknown
         }
     }
 
@@ -314,17 +316,17 @@
                 return Sent::Unknown("silent");
             }
             Waited::Slow => {
-                permit.release(Ending::Unknown);
+                permit.release(AttemptOutcome::Unknown);
                 return Sent::Unknown(relay::SLOW_REASON);
             }
             Waited::Answered(Err(Error::NotSent(_))) => {
-                permit.release(Ending::Unreached);
+                permit.release(AttemptOutcome::Unreached);
                 self.sendings.set(self.sendings.get() - 1);
                 self.unreached.set(self.unreached.get() + 1);
                 return Sent::NotRun("unreached");
             }
             Waited::Answered(Err(Error::Broken(_))) => {
-                permit.release(Ending::Bad);
+                permit.release(AttemptOutcome::Bad);
                 return Sent::Unknown(BROKEN_REASON);
             }
             Waited::Answered(Ok(response)) => response,
@@ -336,19 +338,19 @@
         // A late or doubled answer to another request may come where this one's
         // is due. Its connection goes with it.
         if !nameless && !header::belongs(response.headers(), self.said.id.as_ref()) {
-            permit.release(Ending::Bad);
+            permit.release(AttemptOutcome::Bad);
             return Sent::Unknown("not-its-answer");
         }
         if misdirected {
-            permit.release(Ending::Unreached);
+            permit.release(AttemptOutcome::Unreached);
             return Sent::NotRun("misdirected");
         }
         if said.not_run {
-            permit.release(Ending::Full);
+            permit.release(AttemptOutcome::Full);
             return Sent::NotRun("turned-away");
         }
         if status.is_success() && (!said.signed || said.encoded) {
-            permit.release(Ending::Bad);
+            permit.release(AttemptOutcome::Bad);
             return Sent::Unknown("not-the-upstreams-answer");
         }
         self.started.set(Some(self.gateway.clock.now()));
--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -10,12 +10,12 @@
 use slog::{Logger, info};
 use tokio::sync::oneshot;
 use verbenaspool_policy::dispatch::{
-    Ask, Dispatcher, Ending, Known, Refusal, Verdict,
-    fresh::Times,
-    line::Ticket,
-    retry::{Bound, Budget},
-    share::Customers,
-    slow::Silence,
+    AttemptOutcome, Dispatcher, PlacementRequest, Rejection, ServiceDiagnostics, Verdict,
+    customer_rate::CustomerRates,
+    retry_budget::{RetryBudget, RetryLimits},
+    retry_detection::RetryDetector,
+    slow::StallScope,
+    wait_queue::Ticket,
 };
 use verbenaspool_transport::clock::Clock;
 
@@ -27,9 +27,9 @@
     clock: Rc<dyn Clock>,
     log: Logger,
     dispatcher: RefCell<Dispatcher>,
-    budget: RefCell<Budget>,
-    times: RefCell<Times>,
-    customers: RefCell<Customers>,
+    budget: RefCell<RetryBudget>,
+    times: RefCell<RetryDetector>,
+    customers: RefCell<CustomerRates>,
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     next: Cell<Ticket>,
 }
@@ -41,14 +41,14 @@
     /// The upstream.
     pub upstream: Rc<str>,
     since: Duration,
-    ending: Cell<Ending>,
+    ending: Cell<AttemptOutcome>,
     /// Whether its agent is being asked for a slot.
     asking: Cell<bool>,
 }
 
 impl Permit {
     /// Says how the sending ended; without it, nothing is learnt.
-    pub fn release(self, ending: Ending) {
+    pub fn release(self, ending: AttemptOutcome) {
         self.ending.set(ending);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// What it means that a stream here has been silent since some time.
-    pub fn silence(&self, since: Duration) -> Silence {
+    pub fn silence(&self, since: Duration) -> StallScope {
         let now = self.queue.clock.now();
         let dispatcher = self.queue.dispatcher.borrow();
         dispatcher.silence(now, &self.upstream, since)
@@ -115,7 +115,7 @@
         if self.asking.get() {
             self.reserved();
         }
-        if self.ending.get() == Ending::Good {
+        if self.ending.get() == AttemptOutcome::Good {
             let lasted = self.queue.clock.now().saturating_sub(self.since);
             self.queue.dispatcher.borrow_mut().lasted(lasted);
         }
@@ -138,7 +138,7 @@
         self.verdict.close();
         if let Ok(Verdict::Send(upstream)) = self.verdict.try_recv() {
             self.queue.dispatcher.borrow_mut().reserved(&upstream);
-            self.queue.free(&upstream, Ending::Unknown);
+            self.queue.free(&upstream, AttemptOutcome::Unknown);
         }
     }
 }
@@ -191,7 +191,7 @@
             };
             if let Err(Verdict::Send(upstream)) = told {
                 dispatcher.reserved(&upstream);
-                dispatcher.ended(now, &upstream, Ending::Unknown);
+                dispatcher.ended(now, &upstream, AttemptOutcome::Unknown);
             }
         }
     }
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     /// There is no room, nor will there be in time.
-    pub async fn admit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Refusal> {
+    pub async fn admit(self: &Rc<Self>, ask: PlacementRequest) -> Result<Permit, Rejection> {
         let ticket = self.next.get() + 1;
         self.next.set(ticket);
         let (sender, verdict) = oneshot::channel();
@@ -216,10 +216,10 @@
                 queue: self.clone(),
                 upstream,
                 since: self.clock.now(),
-                ending: Cell::new(Ending::Unknown),
+                ending: Cell::new(AttemptOutcome::Unknown),
                 asking: Cell::new(true),
             }),
-            Ok(Verdict::Refuse(refusal)) => {
+            Ok(Verdict::Reject(refusal)) => {
                 let now = self.clock.now();
                 self.times.borrow_mut().refused(now, refusal.after);
                 Err(refusal)
@@ -229,7 +229,7 @@
     }
 
     /// Gives a permit at an upstream back.
-    fn free(&self, upstream: &str, ending: Ending) {
+    fn free(&self, upstream: &str, ending: AttemptOutcome) {
         if self.with(|dispatcher, now| dispatcher.ended(now, upstream, ending)) {
             info!(self.log, "Entry: A group takes no requests; one now and then will look.";
                 "service" => &*self.service, "upstream" => upstream,
@@ -238,7 +238,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&self, bound: &Bound) {
+    pub fn request(&self, bound: &RetryLimits) {
         let now = self.clock.now();
         self.budget.borrow_mut().request(now, bound);
     }
@@ -273,13 +273,13 @@
     }
 
     /// Whether a request may be sent once more, as things are now.
-    pub fn allows(&self, bound: &Bound, entries: usize) -> bool {
+    pub fn allows(&self, bound: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
         self.budget.borrow_mut().allows(now, bound, entries)
     }
 
     /// Whether a request may be sent once more; counts it if so.
-    pub fn repeat(&self, bound: &Bound, entries: usize) -> bool {
+    pub fn repeat(&self, bound: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
         self.budget.borrow_mut().repeat(now, bound, entries)
     }
@@ -296,7 +296,7 @@
     }
 
     /// What is known of the service now.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> ServiceDiagnostics {
         let now = self.clock.now();
         self.dispatcher.borrow().known(now)
     }
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use slog::{info, o, warn};
-use verbenaspool_policy::dispatch::Known;
+use verbenaspool_policy::dispatch::ServiceDiagnostics;
 use verbenaspool_state::fingerprint::Fingerprint;
 
 use super::gateway::Gateway;
@@ -22,7 +22,7 @@
     fingerprint: Option<Fingerprint>,
     /// What was known of the service when the request was placed or refused, or had its
     /// longest pause.
-    known: Known,
+    known: ServiceDiagnostics,
     /// Each upstream that it was sent to, and how that ended.
     sent: Vec<String>,
     /// When the first byte of the answer was passed on.
@@ -82,7 +82,7 @@
     }
 
     /// What is known of the service as the request is placed or refused.
-    pub fn known(&self, known: Known) {
+    pub fn known(&self, known: ServiceDiagnostics) {
         self.story.borrow_mut().known = known;
     }
 
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -15,7 +15,9 @@
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
 use verbenaspool_platform::header;
-use verbenaspool_policy::dispatch::{Ask, Ending, Resumes, slow::Silence};
+use verbenaspool_policy::dispatch::{
+    AttemptOutcome, PlacementRequest, Resumption, slow::StallScope,
+};
 use verbenaspool_transport::http::body::{self, Body};
 
 use super::{
@@ -118,22 +120,22 @@
                 Next::Data(bytes) => match self.take(&bytes) {
                     Ok(Some(events)) => return Some((Ok(Frame::data(events)), self)),
                     Ok(None) => {}
-                    Err(why) => match self.move_on(why, Ending::Bad).await {
+                    Err(why) => match self.move_on(why, AttemptOutcome::Bad).await {
                         Ok(()) => {}
                         Err(why) => return Some(self.fail(why)),
                     },
                 },
                 Next::End if self.events.is_whole() => {
-                    self.finish(Ending::Good);
+                    self.finish(AttemptOutcome::Good);
                     self.work.gateway.on_success(self.work.fingerprint);
                     self.work.record.end(200, "whole");
                     return None;
                 }
-                Next::End => match self.move_on(CUT_REASON, Ending::Bad).await {
+                Next::End => match self.move_on(CUT_REASON, AttemptOutcome::Bad).await {
                     Ok(()) => {}
                     Err(why) => return Some(self.fail(why)),
                 },
-                Next::Broken(why) => match self.move_on(why, Ending::Bad).await {
+                Next::Broken(why) => match self.move_on(why, AttemptOutcome::Bad).await {
                     Ok(()) => {}
                     Err(why) => return Some(self.fail(why)),
                 },
@@ -146,7 +148,7 @@
                     Err(why) => return Some(self.fail(why)),
                 },
                 Next::Late => {
-                    self.finish(Ending::Unknown);
+                    self.finish(AttemptOutcome::Unknown);
                     return Some(self.fail("timeout"));
                 }
             }
@@ -189,7 +191,8 @@
         if silent < STALL_TIMEOUT {
             return None;
         }
-        let waits = permit.silence(self.since) == Silence::All && silent < GROUP_STALL_TIMEOUT;
+        let waits =
+            permit.silence(self.since) == StallScope::Service && silent < GROUP_STALL_TIMEOUT;
         (!waits).then_some(Next::Silent)
     }
 
@@ -216,20 +219,24 @@
 
     /// What the stream asks for to go on elsewhere, until its caller leaves: an engine
     /// cuts off what stalls 1.5 s after the last event, half a second before that.
-    fn ask(&self, why: &'static str) -> Ask {
-        Ask {
+    fn ask(&self, why: &'static str) -> PlacementRequest {
+        PlacementRequest {
             place_by: self.work.leaves(self.since),
             resumes: if why == SLOW_REASON {
-                Resumes::Moved
+                Resumption::Moved
             } else {
-                Resumes::Broken
+                Resumption::Interrupted
             },
             ..self.work.ask()
         }
     }
 
     /// Goes on at another upstream, after the last whole event.
-    async fn move_on(&mut self, why: &'static str, ending: Ending) -> Result<(), &'static str> {
+    async fn move_on(
+        &mut self,
+        why: &'static str,
+        ending: AttemptOutcome,
+    ) -> Result<(), &'static str> {
         let from = self.permit.as_ref().map(|permit| permit.upstream.clone());
         self.work.record.sent(from.as_deref().unwrap_or("-"), why);
         self.finish(ending);
@@ -270,7 +277,7 @@
         let work = self.work.clone();
         let mut ask = self.ask(why);
         if let Some(permit) = &self.permit
-            && permit.silence(self.since) == Silence::Group
+            && permit.silence(self.since) == StallScope::Group
             && why == SILENT_REASON
         {
             ask.avoid.extend(permit.group_members());
@@ -300,9 +307,9 @@
         self.work.record.sent(from, why);
         // A slow upstream is known to be so by the report of its agent.
         let ending = if why == SLOW_REASON {
-            Ending::Unknown
+            AttemptOutcome::Unknown
         } else {
-            Ending::Silent
+            AttemptOutcome::Silent
         };
         self.finish(ending);
         if self.resume(permit).await {
@@ -323,7 +330,7 @@
         self.body = Some(Body::wrap(StreamBody::new(Box::pin(whole))));
     }
 
-    /// Resumes the stream at an upstream.
+    /// Resumption the stream at an upstream.
     async fn resume(&mut self, permit: Permit) -> bool {
         self.events.cut();
         let last = self.events.last();
@@ -340,18 +347,18 @@
     }
 
     /// Gives the permit at the present upstream back, and closes its connection.
-    fn finish(&mut self, ending: Ending) {
+    fn finish(&mut self, ending: AttemptOutcome) {
         if let Some(permit) = self.permit.take() {
             permit.release(ending);
         }
-        if ending != Ending::Good {
+        if ending != AttemptOutcome::Good {
             self.body = None;
         }
     }
 
     /// Breaks the answer off, so that it can't look whole.
     fn fail(mut self, why: &'static str) -> (Result<Frame<Bytes>, body::Error>, Self) {
-        self.finish(Ending::Unknown);
+        self.finish(AttemptOutcome::Unknown);
         self.work.record.end(200, why);
         self.over = true;
         (Err(Box::new(Broken(why))), self)
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use verbenaspool_platform::header;
-use verbenaspool_policy::dispatch::Ending;
+use verbenaspool_policy::dispatch::AttemptOutcome;
 use verbenaspool_state::{
     fingerprint::Fingerprint,
     route::{Customer, Kind, Table},
@@ -272,7 +272,7 @@
     clean(&mut parts.headers);
     let Ok(body) = Limited::new(body, MAX_BUFFERED_BYTES).collect().await else {
         let upstream = permit.upstream.clone();
-        permit.release(Ending::Bad);
+        permit.release(AttemptOutcome::Bad);
         work.record.sent(&upstream, "broken-off");
         work.detect_crash(&upstream).await;
         return Taken::Broken;
@@ -282,7 +282,11 @@
     if status.is_server_error() {
         // The time that the request had was over; the upstream may be well.
         let late = status == StatusCode::GATEWAY_TIMEOUT;
-        permit.release(if late { Ending::Unknown } else { Ending::Bad });
+        permit.release(if late {
+            AttemptOutcome::Unknown
+        } else {
+            AttemptOutcome::Bad
+        });
         // These statuses promise that the request didn't run, which this
         // upstream didn't say.
         if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -290,7 +294,7 @@
         }
         return Taken::Failed(response);
     }
-    permit.release(Ending::Good);
+    permit.release(AttemptOutcome::Good);
     work.gateway.on_success(work.fingerprint);
     let promises = [StatusCode::TOO_MANY_REQUESTS, StatusCode::REQUEST_TIMEOUT];
     if promises.contains(&status) {
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -18,7 +18,7 @@
 use monoio::net::udp::UdpSocket;
 use slog::debug;
 use tokio::sync::oneshot;
-use verbenaspool_policy::dispatch::{Ask, Refusal};
+use verbenaspool_policy::dispatch::{PlacementRequest, Rejection};
 use verbenaspool_protocol::{
     message::Message,
     reservation::{self, Answer},
@@ -125,7 +125,11 @@
     ///
     /// # Errors
     /// There is no room, nor will there be in time.
-    pub async fn admit(&self, queue: &Rc<ServiceQueue>, ask: Ask) -> Result<Permit, Refusal> {
+    pub async fn admit(
+        &self,
+        queue: &Rc<ServiceQueue>,
+        ask: PlacementRequest,
+    ) -> Result<Permit, Rejection> {
         let mut silent = 0;
         loop {
             let permit = queue.admit(ask.clone()).await?;
--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -6,7 +6,7 @@
 };
 
 use serde::{Deserialize, Serialize};
-use verbenaspool_policy::{dispatch::retry, quarantine};
+use verbenaspool_policy::{dispatch::retry_budget, quarantine};
 use verbenaspool_transport::log;
 
 /// The settings of one entry. What they don't name is ignored: they are written
@@ -92,8 +92,8 @@
     /// assert_eq!(bounds.retries().window.as_secs(), 10);
     /// ```
     #[must_use]
-    pub fn retries(&self) -> retry::Bound {
-        retry::Bound {
+    pub fn retries(&self) -> retry_budget::RetryLimits {
+        retry_budget::RetryLimits {
             ratio: self.retry_ratio,
             window: Duration::from_secs_f64(self.retry_window_s.max(0.1)),
             slack: self.retry_slack,
--- a/verbenaspool_policy/src/dispatch/room.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -7,7 +7,7 @@
 
 use verbenaspool_state::engine::Engine;
 
-use super::{Resumes, line::Waiting, upstream::Upstream};
+use super::{Resumption, upstream::Upstream, wait_queue::QueuedRequest};
 
 /// The part of an upstream's slots that is used even where passes are too slow
 /// for answers in time: a late answer is better for its caller than none.
@@ -45,7 +45,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use verbenaspool_policy::dispatch::room::bears_shifts;
+/// use verbenaspool_policy::dispatch::capacity::tolerates_shift;
 /// use verbenaspool_state::engine::Engine;
 ///
 /// let engine = Engine {
@@ -55,12 +55,12 @@
 ///     step_per_request: Duration::from_micros(797),
 ///     experts: None,
 /// };
-/// assert!(bears_shifts(&engine, 1.7, 0.15, 4.0));
-/// assert!(!bears_shifts(&engine, 1.7, 0.15, 6.0));
-/// assert!(bears_shifts(&engine, 3.0, 0.15, 6.0));
+/// assert!(tolerates_shift(&engine, 1.7, 0.15, 4.0));
+/// assert!(!tolerates_shift(&engine, 1.7, 0.15, 6.0));
+/// assert!(tolerates_shift(&engine, 3.0, 0.15, 6.0));
 /// ```
 #[must_use]
-pub fn bears_shifts(engine: &Engine, highest: f64, gap: f64, requests: f64) -> bool {
+pub fn tolerates_shift(engine: &Engine, highest: f64, gap: f64, requests: f64) -> bool {
     if highest <= 0.0 {
         return true;
     }
@@ -72,7 +72,7 @@
 
 /// How slow a group's passes would be with one request more.
 #[derive(Debug, Clone, Copy)]
-pub struct Slowness {
+pub struct GroupLoad {
     /// The pass, against what makes streams late, less some headroom.
     pub pass: f64,
     /// The same with one request a rank.
@@ -90,35 +90,35 @@
 
 /// What is known of when a request's answer comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lateness {
+pub enum AdmissionClass {
     /// It can be in time.
-    InTime,
+    OnTime,
     /// It would be refused if it weren't placed now: a late answer will do.
-    Over,
+    LastChance,
     /// It is beyond what its customer usually sends.
-    Beyond,
+    OverUsualRate,
     /// It can't be in time any more.
     Late,
     /// It has begun, and counts among the group's streams already.
-    Begun,
+    Moved,
     /// It had begun at an upstream that failed, and is late by that.
-    Broken,
+    Interrupted,
 }
 
-impl Lateness {
+impl AdmissionClass {
     /// How late a request that waits is; `over` where it would be refused if it weren't
     /// placed now.
     #[must_use]
-    pub fn of(waiting: &Waiting, over: bool) -> Self {
-        if waiting.ask.beyond && waiting.ask.resumes == Resumes::No {
-            return Self::Beyond;
+    pub fn of(waiting: &QueuedRequest, over: bool) -> Self {
+        if waiting.ask.beyond && waiting.ask.resumes == Resumption::None {
+            return Self::OverUsualRate;
         }
         match waiting.ask.resumes {
-            Resumes::Moved => Self::Begun,
-            Resumes::Broken => Self::Broken,
-            Resumes::No if waiting.late => Self::Late,
-            Resumes::No if over => Self::Over,
-            Resumes::No => Self::InTime,
+            Resumption::Moved => Self::Moved,
+            Resumption::Interrupted => Self::Interrupted,
+            Resumption::None if waiting.late => Self::Late,
+            Resumption::None if over => Self::LastChance,
+            Resumption::None => Self::OnTime,
         }
     }
 }
@@ -132,14 +132,14 @@
 pub fn cost(
     now: Duration,
     upstream: &Upstream,
-    group: Option<Slowness>,
-    lateness: Lateness,
+    group: Option<GroupLoad>,
+    lateness: AdmissionClass,
 ) -> Option<f64> {
     let distrust = upstream.trust.cost(now)?;
     let busy = f64::from(upstream.own + upstream.others);
     let slots = f64::from(upstream.slots.max(1));
     let Some(group) = group else {
-        let plain = if lateness == Lateness::Beyond {
+        let plain = if lateness == AdmissionClass::OverUsualRate {
             BEYOND_SLOTS_RATIO
         } else {
             PLAIN_REQUESTS_PER_SLOT
@@ -155,11 +155,13 @@
     let spare = group.returns && in_time && !group.short && group.pass <= LATE_PASS_RATIO;
     let room = busy < slots
         && match lateness {
-            Lateness::InTime => in_time,
-            Lateness::Beyond => in_time && group.used < BEYOND_SLOTS_RATIO,
-            Lateness::Over | Lateness::Broken => in_time || few_late || hopeless,
-            Lateness::Late => few_late || hopeless || spare,
-            Lateness::Begun => true,
+            AdmissionClass::OnTime => in_time,
+            AdmissionClass::OverUsualRate => in_time && group.used < BEYOND_SLOTS_RATIO,
+            AdmissionClass::LastChance | AdmissionClass::Interrupted => {
+                in_time || few_late || hopeless
+            }
+            AdmissionClass::Late => few_late || hopeless || spare,
+            AdmissionClass::Moved => true,
         };
     room.then_some(group.pass + busy / slots + distrust)
 }
--- a/verbenaspool_policy/src/dispatch/share.rs
+++ b/verbenaspool_policy/src/dispatch/customer_rate.rs
@@ -22,7 +22,7 @@
 /// and an entry sees a part of them only.
 const FREE_REQUESTS: f64 = 2.0;
 
-/// Customers that are remembered at most.
+/// CustomerRates that are remembered at most.
 const MAX_TRACKED_CUSTOMERS: usize = 4_096;
 
 /// Requests to one service that come to one entry, of one customer or of all.
@@ -54,14 +54,14 @@
 
 /// What customers send.
 #[derive(Debug, Default)]
-pub struct Customers {
+pub struct CustomerRates {
     rates: BTreeMap<Rc<str>, Rate>,
     all: Rate,
     /// When the first request came.
     since: Option<Duration>,
 }
 
-impl Customers {
+impl CustomerRates {
     /// Takes in a request; tells whether it is beyond what its customer usually sends.
     ///
     /// Callers come to other entries where one stops or a zone is left, so that all
@@ -70,9 +70,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::share::Customers;
+    /// use verbenaspool_policy::dispatch::customer_rate::CustomerRates;
     ///
-    /// let mut customers = Customers::default();
+    /// let mut customers = CustomerRates::default();
     /// let mut see = |ms, name: &str| customers.see(Duration::from_millis(ms), &name.into());
     /// for number in 0..100 {
     ///     assert!(!see(number * 200, "a") && !see(number * 200, "b"), "five a second");
--- a/verbenaspool_policy/src/dispatch/known.rs
+++ b/verbenaspool_policy/src/dispatch/diagnostics.rs
@@ -8,7 +8,7 @@
 
 /// What an entry knows of a service.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Known {
+pub struct ServiceDiagnostics {
     /// The longest that a pass of any group takes, as far as events show.
     pub pass: Duration,
     /// The pace of the slowest upstream that runs.
--- a/verbenaspool_policy/src/dispatch/domain.rs
+++ b/verbenaspool_policy/src/dispatch/failure_domain.rs
@@ -5,11 +5,11 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::{Dispatcher, Ending};
+use super::{AttemptOutcome, Dispatcher};
 
 /// Upstreams that stop together: a group, or one that is by itself.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Domain<'a> {
+enum FailureDomain<'a> {
     /// The ranks of a group.
     Group(u32),
     /// An upstream without a group.
@@ -23,7 +23,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.trust.learn(now, Ending::Unreached);
+        upstream.trust.learn(now, AttemptOutcome::Unreached);
         let group = upstream.group;
         let ranks = self.upstreams.values_mut();
         for rank in ranks.filter(|rank| group != 0 && rank.group == group) {
@@ -40,9 +40,9 @@
         let mut domains = BTreeMap::new();
         for (id, upstream) in self.upstreams.iter().filter(|(_, u)| u.ready) {
             let domain = if upstream.group == 0 {
-                Domain::Upstream(id)
+                FailureDomain::Upstream(id)
             } else {
-                Domain::Group(upstream.group)
+                FailureDomain::Group(upstream.group)
             };
             let trusted = upstream.trust.cost(now).is_some();
             let open = upstream.is_open(now) && !closed.contains(&upstream.group);
--- a/verbenaspool_policy/src/dispatch/trust.rs
+++ b/verbenaspool_policy/src/dispatch/health.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::Ending;
+use super::AttemptOutcome;
 
 /// How long an upstream is left alone at first: a restart takes longer, but a
 /// full queue is over sooner.
@@ -31,16 +31,16 @@
 
 /// One upstream's record.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Trust {
+pub struct UpstreamHealth {
     /// The part of answers that were bad, newer ones weighing more.
     bad: f64,
-    /// Times in a row that it was left alone.
+    /// RetryDetector in a row that it was left alone.
     rows: u32,
     /// Until when it is left alone.
     until: Duration,
 }
 
-impl Trust {
+impl UpstreamHealth {
     /// What distrust adds to the cost of sending; nothing while it is left alone.
     #[must_use]
     pub fn cost(&self, now: Duration) -> Option<f64> {
@@ -52,31 +52,31 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::{Ending, trust::Trust};
+    /// use verbenaspool_policy::dispatch::{AttemptOutcome, health::UpstreamHealth};
     ///
-    /// let mut trust = Trust::default();
-    /// trust.learn(Duration::ZERO, Ending::Silent);
+    /// let mut trust = UpstreamHealth::default();
+    /// trust.learn(Duration::ZERO, AttemptOutcome::Silent);
     /// assert_eq!(trust.cost(Duration::from_millis(10)), None);
     /// assert!(trust.cost(Duration::from_secs(1)).is_some());
     /// ```
-    pub fn learn(&mut self, now: Duration, ending: Ending) {
+    pub fn learn(&mut self, now: Duration, ending: AttemptOutcome) {
         match ending {
-            Ending::Good => {
+            AttemptOutcome::Good => {
                 self.bad *= 1.0 - NEWEST_WEIGHT;
                 self.rows = 0;
             }
-            Ending::Bad => {
+            AttemptOutcome::Bad => {
                 self.bad += (1.0 - self.bad) * NEWEST_WEIGHT;
                 if self.bad > MAX_FAILURE_RATIO {
                     self.rest(now);
                 }
             }
-            Ending::Silent | Ending::Unreached => {
+            AttemptOutcome::Silent | AttemptOutcome::Unreached => {
                 self.bad += (1.0 - self.bad) * NEWEST_WEIGHT;
                 self.rest(now);
             }
-            Ending::Full => self.rest(now),
-            Ending::Unknown => {}
+            AttemptOutcome::Full => self.rest(now),
+            AttemptOutcome::Unknown => {}
         }
     }
 
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -11,41 +11,41 @@
 //! and all the work is done for half of its worth. So the bound on streams, not
 //! the engine's slots, is what makes answers come in time.
 
-mod ask;
+mod availability;
+pub mod capacity;
 pub mod circuit;
-mod domain;
-pub mod fresh;
-mod group;
-mod known;
-pub mod line;
+pub mod customer_rate;
+mod diagnostics;
+mod failure_domain;
+pub mod health;
 pub mod outage;
-pub mod pass;
-mod place;
-pub mod retry;
-pub mod room;
+pub mod pass_pace;
+mod placement;
+mod request;
+pub mod retry_budget;
+pub mod retry_detection;
 pub mod service_time;
-pub mod share;
 pub mod slow;
-pub mod trust;
 mod upstream;
+pub mod wait_queue;
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use verbenaspool_state::{engine::Engine, replica};
 
-pub use self::{
-    ask::{Ask, Ending, Reason, Refusal, Resumes, Verdict},
-    known::{Known, Snapshot},
-};
 use self::{
     circuit::Circuit,
-    line::{Line, Ticket, Waiting},
+    health::UpstreamHealth,
     outage::Outage,
-    pass::Pass,
+    pass_pace::PassPace,
     service_time::ServiceTime,
-    slow::Silence,
-    trust::Trust,
+    slow::StallScope,
     upstream::Upstream,
+    wait_queue::{QueuedRequest, Ticket, WaitQueue},
+};
+pub use self::{
+    diagnostics::{ServiceDiagnostics, Snapshot},
+    request::{AttemptOutcome, PlacementRequest, RejectReason, Rejection, Resumption, Verdict},
 };
 
 /// How long an agent isn't asked again that was silent.
@@ -72,11 +72,11 @@
     /// The upstreams by identity.
     upstreams: BTreeMap<Rc<str>, Upstream>,
     /// Requests that wait.
-    line: Line,
+    line: WaitQueue,
     /// The pace of each group's passes.
-    passes: BTreeMap<u32, Pass>,
+    passes: BTreeMap<u32, PassPace>,
     /// The pace of all groups, for those of which nothing is known.
-    all: Pass,
+    all: PassPace,
     /// How long answers last.
     service_time: ServiceTime,
     /// Whether any upstream takes requests.
@@ -108,9 +108,9 @@
             zone,
             engine: None,
             upstreams: BTreeMap::new(),
-            line: Line::default(),
+            line: WaitQueue::default(),
             passes: BTreeMap::new(),
-            all: Pass::default(),
+            all: PassPace::default(),
             service_time: ServiceTime::default(),
             outage: Outage::default(),
             entries: 1,
@@ -235,7 +235,7 @@
         upstream.closed = (!open).then_some(now);
         if open && !before {
             // What it didn't answer while its group was broken says nothing of it.
-            upstream.trust = Trust::default();
+            upstream.trust = UpstreamHealth::default();
             if let Some(circuit) = self.circuits.get_mut(&group) {
                 circuit.taken();
             }
@@ -280,11 +280,11 @@
 
     /// What it means that a stream at an upstream has been silent since some time.
     #[must_use]
-    pub fn silence(&self, now: Duration, id: &str, since: Duration) -> Silence {
+    pub fn silence(&self, now: Duration, id: &str, since: Duration) -> StallScope {
         let group = self.upstreams.get(id).map_or(0, |upstream| upstream.group);
         if group == 0 {
             // No agent told of a group: the upstream stands by itself.
-            return Silence::Stuck;
+            return StallScope::Stream;
         }
         let mut others = self.open(now).filter(|(_, u)| u.group != group);
         let others_run = others.any(|(_, u)| self.takes(u.group));
@@ -323,12 +323,12 @@
     }
 
     /// Puts a request in line; [`Self::pump`] tells what becomes of it.
-    pub fn submit(&mut self, now: Duration, ticket: Ticket, ask: Ask) {
+    pub fn submit(&mut self, now: Duration, ticket: Ticket, ask: PlacementRequest) {
         let since = ask.since.min(now);
         let in_time = ask.target.saturating_sub(since).mul_f64(IN_TIME_WAIT_RATIO);
         let longest = self.service_time.wait(ask.deadline.saturating_sub(since));
         let until = since + longest.max(in_time);
-        self.line.join(Waiting {
+        self.line.join(QueuedRequest {
             ticket,
             late: ask.target <= since,
             since,
@@ -367,7 +367,7 @@
     }
 
     /// What becomes of one request; nothing, where it goes on waiting.
-    fn decide(&mut self, now: Duration, waiting: &Waiting) -> Option<Verdict> {
+    fn decide(&mut self, now: Duration, waiting: &QueuedRequest) -> Option<Verdict> {
         let (turn, service_time) = (self.service_time.turn(), self.service_time.estimate());
         let over = now >= self.outage.wait_until(now, waiting, turn, service_time);
         if let Some(id) = self.choose(now, waiting, over) {
@@ -387,7 +387,7 @@
             return None;
         }
         let left = waiting.ask.deadline.saturating_sub(now);
-        Some(Verdict::Refuse(self.refusal(now, left)))
+        Some(Verdict::Reject(self.refusal(now, left)))
     }
 
     /// Whether any upstream takes requests, as far as known.
@@ -402,15 +402,15 @@
 
     /// Why a request is refused now, and when its caller should come back, who has so
     /// much time left.
-    pub fn refusal(&mut self, now: Duration, left: Duration) -> Refusal {
+    pub fn refusal(&mut self, now: Duration, left: Duration) -> Rejection {
         let (reason, [soonest, latest]) = if self.is_open(now) {
-            (Reason::Full, self.service_time.full(left))
+            (RejectReason::Full, self.service_time.full(left))
         } else {
-            (Reason::Closed, self.service_time.away(left))
+            (RejectReason::Unavailable, self.service_time.away(left))
         };
         // Spread, so that those refused together don't come back together.
         let after = soonest + latest.saturating_sub(soonest).mul_f64(self.draw());
-        Refusal { reason, after }
+        Rejection { reason, after }
     }
 
     /// A number from 0 to 1, by Marsaglia's xorshift.
@@ -442,13 +442,13 @@
 
     /// Records how a sending ended. Tells whether the upstream's group counts as taking
     /// none from now on, and didn't before.
-    pub fn ended(&mut self, now: Duration, id: &str, ending: Ending) -> bool {
+    pub fn ended(&mut self, now: Duration, id: &str, ending: AttemptOutcome) -> bool {
         let Some((id, upstream)) = self.upstreams.get_key_value(id) else {
             return false;
         };
         let (id, group) = (id.clone(), upstream.group);
         let busy = f64::from(upstream.own + upstream.others);
-        let idle = busy < f64::from(upstream.slots) * room::MIN_USED_SLOTS;
+        let idle = busy < f64::from(upstream.slots) * capacity::MIN_USED_SLOTS;
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.own = upstream.own.saturating_sub(1);
             upstream.trust.learn(now, ending);
@@ -460,8 +460,8 @@
         let circuit = self.circuits.entry(group).or_default();
         let was_closed = circuit.is_closed();
         match ending {
-            Ending::Full if idle => circuit.turned_away(now),
-            Ending::Unreached => circuit.unreached(now, &id),
+            AttemptOutcome::Full if idle => circuit.turned_away(now),
+            AttemptOutcome::Unreached => circuit.unreached(now, &id),
             _ => {}
         }
         was_closed && !circuit.is_closed()
@@ -469,8 +469,8 @@
 
     /// What is known of the service, for the line that a request leaves in the log.
     #[must_use]
-    pub fn known(&self, now: Duration) -> Known {
-        let mut known = Known::default();
+    pub fn known(&self, now: Duration) -> ServiceDiagnostics {
+        let mut known = ServiceDiagnostics::default();
         let closed = self.closed_groups(now);
         for (id, upstream) in &self.upstreams {
             known.pass = known.pass.max(self.pass(now, id).unwrap_or_default());
@@ -490,7 +490,7 @@
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         let mut snapshot = Snapshot {
             waiting: self.line.len(),
-            pace: self.all.pace(now, pass::INITIAL_PACE),
+            pace: self.all.pace(now, pass_pace::INITIAL_PACE),
             ..Snapshot::default()
         };
         for (_, upstream) in self.open(now) {
--- a/verbenaspool_policy/src/dispatch/outage.rs
+++ b/verbenaspool_policy/src/dispatch/outage.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use super::{Resumes, line::Waiting};
+use super::{Resumption, wait_queue::QueuedRequest};
 
 /// How long a return takes at least: groups make their first passes on a bad map, and an
 /// entry that has just started knows no service time.
@@ -59,11 +59,11 @@
     pub fn wait_until(
         &self,
         now: Duration,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         turn: Duration,
         service_time: Duration,
     ) -> Duration {
-        if waiting.ask.resumes != Resumes::No {
+        if waiting.ask.resumes != Resumption::None {
             return waiting.until;
         }
         if self.on {
--- a/verbenaspool_policy/src/dispatch/pass.rs
+++ b/verbenaspool_policy/src/dispatch/pass_pace.rs
@@ -40,7 +40,7 @@
 
 /// The pace of one group.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pass {
+pub struct PassPace {
     /// The pace, where it is known, and when it was last learnt.
     learnt: Option<(f64, Duration)>,
     /// The same of the last few passes.
@@ -58,15 +58,15 @@
     pace + (ratio - pace) * weight
 }
 
-impl Pass {
+impl PassPace {
     /// Learns from a pause, given as a ratio to the pass by the configuration.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::pass::Pass;
+    /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = Pass::default();
+    /// let mut pass = PassPace::default();
     /// pass.learn(Duration::ZERO, 2.0);
     /// assert!((pass.pace(Duration::ZERO, 1.0) - 2.0).abs() < 1e-9);
     /// ```
@@ -95,9 +95,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::pass::Pass;
+    /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = Pass::default();
+    /// let mut pass = PassPace::default();
     /// pass.learn(Duration::ZERO, 2.0);
     /// pass.learn(Duration::from_secs(2), 1.0);
     /// assert!(pass.highest(Duration::from_secs(3)) > 1.9);
@@ -117,9 +117,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::pass::Pass;
+    /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = Pass::default();
+    /// let mut pass = PassPace::default();
     /// pass.learn(Duration::from_secs(1), 2.0);
     /// assert_eq!(pass.since(Duration::from_secs(1)), Some(2.0));
     /// assert_eq!(pass.since(Duration::from_secs(2)), None);
--- a/verbenaspool_policy/src/dispatch/place.rs
+++ b/verbenaspool_policy/src/dispatch/placement.rs
@@ -9,10 +9,9 @@
 
 use super::{
     Dispatcher,
-    line::Waiting,
-    pass,
-    room::{Lateness, Slowness, bears_shifts, cost},
-    slow,
+    capacity::{AdmissionClass, GroupLoad, cost, tolerates_shift},
+    pass_pace, slow,
+    wait_queue::QueuedRequest,
 };
 
 /// The part of the longest pause in time that a pass may be expected to take.
@@ -75,7 +74,7 @@
     pub(super) fn choose(
         &mut self,
         now: Duration,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         over: bool,
     ) -> Option<Rc<str>> {
         let ids: Vec<Rc<str>> = self.upstreams.keys().cloned().collect();
@@ -105,7 +104,7 @@
             let group = *slowness
                 .entry(group)
                 .or_insert_with(|| self.slowness(now, group, waiting));
-            let lateness = Lateness::of(waiting, over);
+            let lateness = AdmissionClass::of(waiting, over);
             let Some(cost) = cost(now, upstream, group, lateness) else {
                 continue;
             };
@@ -130,26 +129,26 @@
 
     /// How a group's passes would be with one request more; nothing for requests
     /// that aren't streams.
-    fn slowness(&self, now: Duration, group: u32, waiting: &Waiting) -> Option<Slowness> {
+    fn slowness(&self, now: Duration, group: u32, waiting: &QueuedRequest) -> Option<GroupLoad> {
         let engine = self.engine.as_ref()?;
         let gap = waiting.ask.gap?.as_secs_f64().max(1e-6);
         let pass = self.passes.get(&group).copied().unwrap_or_default();
         let returned = self.outage.returned(now, self.service_time.estimate());
         // A group returns with another map of experts than it had.
         let pace = match returned {
-            Some(returned) => pass.since(returned).unwrap_or(pass::INITIAL_PACE),
-            None => pass.pace(now, self.all.pace(now, pass::INITIAL_PACE)),
+            Some(returned) => pass.since(returned).unwrap_or(pass_pace::INITIAL_PACE),
+            None => pass.pace(now, self.all.pace(now, pass_pace::INITIAL_PACE)),
         };
         let mean = self.mean(group).max(self.fair_share(returned, group));
         let bound = gap * PASS_HEADROOM_RATIO;
         let with = |requests: f64| engine.pass(requests).as_secs_f64() * pace / bound;
         let short = self.short.is_some_and(|at| now < at + SHORTAGE_MEMORY);
-        Some(Slowness {
+        Some(GroupLoad {
             pass: with(mean + 1.0),
             least: with(1.0),
             returns: returned.is_some(),
             short,
-            shifts: bears_shifts(engine, pass.highest(now), gap, mean + 1.0),
+            shifts: tolerates_shift(engine, pass.highest(now), gap, mean + 1.0),
             used: mean / f64::from(engine.slots.max(1)),
         })
     }
--- a/verbenaspool_policy/src/dispatch/ask.rs
+++ b/verbenaspool_policy/src/dispatch/request.rs
@@ -4,7 +4,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// How urgent it is; 0 comes first.
     pub priority: u8,
     /// Since when it looks for a place.
@@ -16,7 +16,7 @@
     /// Until when it must be placed, or its caller leaves before the first event.
     pub place_by: Duration,
     /// Whether it is a stream that has begun and goes on elsewhere.
-    pub resumes: Resumes,
+    pub resumes: Resumption,
     /// Whether it is beyond what its customer usually sends.
     pub beyond: bool,
     /// The longest pause in time between its events, for streams.
@@ -27,13 +27,13 @@
 
 /// Whether a request is a stream that has begun and goes on elsewhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Resumes {
+pub enum Resumption {
     /// It isn't.
-    No,
+    None,
     /// It leaves an upstream where it holds others back.
     Moved,
     /// Its upstream failed or fell silent, so that it is late already.
-    Broken,
+    Interrupted,
 }
 
 /// What becomes of a request in line.
@@ -42,33 +42,33 @@
     /// It goes to this upstream.
     Send(Rc<str>),
     /// It is refused.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// Why a request is refused, and when to come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectReason,
     /// When there should be room.
     pub after: Duration,
 }
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// No upstream of the service runs.
-    Closed,
+    Unavailable,
     /// All upstreams have as much as they can do.
     Full,
 }
 
-impl Reason {
+impl RejectReason {
     /// The reason as logs and metrics name it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::Closed => "closed",
+            Self::Unavailable => "closed",
             Self::Full => "full",
         }
     }
@@ -76,7 +76,7 @@
 
 /// How one sending ended, as far as it tells something of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// It answered.
     Good,
     /// It failed, or its answer was no good.
--- a/verbenaspool_policy/src/dispatch/retry.rs
+++ b/verbenaspool_policy/src/dispatch/retry_budget.rs
@@ -10,7 +10,7 @@
 
 /// What the operator allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bound {
+pub struct RetryLimits {
     /// The part of requests that may be sent once more.
     pub ratio: f64,
     /// The window in which both are counted.
@@ -25,22 +25,22 @@
 
 /// Requests and repeats of one service at one entry.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     /// When requests came.
     requests: VecDeque<Duration>,
     /// When some were sent once more.
     repeats: VecDeque<Duration>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Counts a request.
-    pub fn request(&mut self, now: Duration, bound: &Bound) {
+    pub fn request(&mut self, now: Duration, bound: &RetryLimits) {
         forget(&mut self.requests, now, bound.window);
         self.requests.push_back(now);
     }
 
     /// Whether a request may be sent once more. `entries` is how many share the slack.
-    pub fn allows(&mut self, now: Duration, bound: &Bound, entries: usize) -> bool {
+    pub fn allows(&mut self, now: Duration, bound: &RetryLimits, entries: usize) -> bool {
         forget(&mut self.requests, now, bound.window);
         forget(&mut self.repeats, now, bound.window);
         #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^52.
@@ -57,14 +57,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::retry::{Bound, Budget};
+    /// use verbenaspool_policy::dispatch::retry_budget::{RetryLimits, RetryBudget};
     ///
-    /// let bound = Bound { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
-    /// let mut budget = Budget::default();
+    /// let bound = RetryLimits { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
+    /// let mut budget = RetryBudget::default();
     /// assert!(budget.repeat(Duration::ZERO, &bound, 1));
     /// assert!(!budget.repeat(Duration::ZERO, &bound, 1));
     /// ```
-    pub fn repeat(&mut self, now: Duration, bound: &Bound, entries: usize) -> bool {
+    pub fn repeat(&mut self, now: Duration, bound: &RetryLimits, entries: usize) -> bool {
         let allows = self.allows(now, bound, entries);
         if allows {
             self.repeats.push_back(now);
--- a/verbenaspool_policy/src/dispatch/fresh.rs
+++ b/verbenaspool_policy/src/dispatch/retry_detection.rs
@@ -32,12 +32,12 @@
 /// The longest time that another entry is believed callers give.
 const MAX_HINT: Duration = Duration::from_hours(1);
 
-/// Times that one entry tells another at most.
+/// RetryDetector that one entry tells another at most.
 pub const MAX_HINTS: usize = 12;
 
 /// The times that callers of one service gave lately.
 #[derive(Debug, Default)]
-pub struct Times {
+pub struct RetryDetector {
     /// How many gave so much, older ones weighing less.
     weights: BTreeMap<i32, f64>,
     sum: f64,
@@ -59,7 +59,7 @@
     Duration::from_secs_f64(STEP_RATIO.powi(step))
 }
 
-impl Times {
+impl RetryDetector {
     /// Takes in that a caller was refused and told to come back later.
     pub fn refused(&mut self, now: Duration, after: Duration) {
         self.unsettled = self.unsettled.max(now + after + RECONNECT_TIME);
@@ -71,9 +71,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::fresh::Times;
+    /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
     ///
-    /// let (mut times, full) = (Times::default(), Duration::from_secs(8));
+    /// let (mut times, full) = (RetryDetector::default(), Duration::from_secs(8));
     /// for request in 0..60 {
     ///     times.see(Duration::from_millis(request * 10), full);
     /// }
@@ -123,9 +123,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::fresh::Times;
+    /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
     ///
-    /// let mut times = Times::default();
+    /// let mut times = RetryDetector::default();
     /// times.hint([Duration::from_secs(8)].into_iter());
     /// let spent = times.see(Duration::ZERO, Duration::from_millis(5_500));
     /// assert!(spent > Duration::from_secs(2));
--- a/verbenaspool_policy/src/dispatch/slow.rs
+++ b/verbenaspool_policy/src/dispatch/slow.rs
@@ -37,13 +37,13 @@
 
 /// What the silence of a stream means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Silence {
+pub enum StallScope {
     /// The stream alone is silent.
-    Stuck,
+    Stream,
     /// Its whole group is silent, and other groups run.
     Group,
     /// Its whole group is silent, and no other one runs.
-    All,
+    Service,
 }
 
 /// Judges the silence of a stream by when it and its group had their last events.
@@ -51,19 +51,19 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use verbenaspool_policy::dispatch::slow::{Silence, judge};
+/// use verbenaspool_policy::dispatch::slow::{StallScope, judge};
 ///
 /// let (stream, group) = (Duration::from_secs(1), Duration::from_millis(1_005));
-/// assert_eq!(judge(stream, Some(group), false), Silence::All);
-/// assert_eq!(judge(stream, Some(group * 2), false), Silence::Stuck);
+/// assert_eq!(judge(stream, Some(group), false), StallScope::Service);
+/// assert_eq!(judge(stream, Some(group * 2), false), StallScope::Stream);
 /// ```
 #[must_use]
-pub fn judge(stream: Duration, group: Option<Duration>, others_run: bool) -> Silence {
+pub fn judge(stream: Duration, group: Option<Duration>, others_run: bool) -> StallScope {
     if group.is_some_and(|group| group > stream + PASS_EVENT_SKEW) {
-        Silence::Stuck
+        StallScope::Stream
     } else if others_run {
-        Silence::Group
+        StallScope::Group
     } else {
-        Silence::All
+        StallScope::Service
     }
 }
--- a/verbenaspool_policy/src/dispatch/upstream.rs
+++ b/verbenaspool_policy/src/dispatch/upstream.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_state::replica;
 
-use super::trust::Trust;
+use super::health::UpstreamHealth;
 
 /// How long an agent is believed that its rank's group is broken. It says so
 /// twice a second; one that is silent may be cut off while its rank serves.
@@ -42,7 +42,7 @@
     /// The group whose ranks make each pass together; 0 where it isn't known.
     pub group: u32,
     /// Whether it is worth sending to.
-    pub trust: Trust,
+    pub trust: UpstreamHealth,
     /// How many times longer than usual it takes for its work, as its agent says.
     pub pace: f64,
     /// When its agent said so.
@@ -109,7 +109,7 @@
             others: 0,
             fewer: None,
             group: 0,
-            trust: Trust::default(),
+            trust: UpstreamHealth::default(),
             pace: 1.0,
             said: Duration::ZERO,
             told: None,
--- a/verbenaspool_policy/src/dispatch/line.rs
+++ b/verbenaspool_policy/src/dispatch/wait_queue.rs
@@ -8,14 +8,14 @@
 
 use std::time::Duration;
 
-use super::{Ask, Resumes};
+use super::{PlacementRequest, Resumption};
 
 /// Names a waiting request.
 pub type Ticket = u64;
 
 /// A waiting request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Its name.
     pub ticket: Ticket,
     /// Whether its answer can't be in time any more.
@@ -27,16 +27,16 @@
     /// Until when it may wait.
     pub until: Duration,
     /// What it asks for.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
 }
 
 /// The waiting requests of a service.
 #[derive(Debug, Default)]
-pub struct Line(Vec<Waiting>);
+pub struct WaitQueue(Vec<QueuedRequest>);
 
-impl Line {
+impl WaitQueue {
     /// Adds a request.
-    pub fn join(&mut self, waiting: Waiting) {
+    pub fn join(&mut self, waiting: QueuedRequest) {
         let turn = turn(&waiting);
         let place = self.0.partition_point(|other| self::turn(other) <= turn);
         self.0.insert(place, waiting);
@@ -48,12 +48,12 @@
     }
 
     /// Takes all requests out, in the order of their turn.
-    pub fn take(&mut self) -> Vec<Waiting> {
+    pub fn take(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.0)
     }
 
     /// Puts those back that go on waiting, in the order of their turn.
-    pub fn restore(&mut self, kept: Vec<Waiting>) {
+    pub fn restore(&mut self, kept: Vec<QueuedRequest>) {
         self.0 = kept;
     }
 
@@ -71,8 +71,8 @@
 }
 
 /// What decides whose turn comes first; the least one does.
-fn turn(waiting: &Waiting) -> (bool, bool, u8, Duration) {
-    let late = waiting.late && waiting.ask.resumes != Resumes::Moved;
+fn turn(waiting: &QueuedRequest) -> (bool, bool, u8, Duration) {
+    let late = waiting.late && waiting.ask.resumes != Resumption::Moved;
     (
         late,
         waiting.ask.beyond,
--- a/verbenaspool_policy/tests/dispatch/back.rs
+++ b/verbenaspool_policy/tests/dispatch/back.rs
@@ -3,13 +3,14 @@
 use std::time::Duration;
 
 use verbenaspool_policy::dispatch::{
-    Ask, Dispatcher, Reason, Refusal, Resumes, Verdict, fresh::Times, service_time::ServiceTime,
+    Dispatcher, PlacementRequest, RejectReason, Rejection, Resumption, Verdict,
+    retry_detection::RetryDetector, service_time::ServiceTime,
 };
 
 use crate::world::{engine, ms, replica, stream};
 
 /// Callers of one service give 6.8 to 8 s each, evenly spread.
-fn give(times: &mut Times, from: u64, count: u64) {
+fn give(times: &mut RetryDetector, from: u64, count: u64) {
     for number in 0..count {
         let wait = ms(6_800 + (number * 379) % 1_200);
         assert_eq!(times.see(ms(from + number * 20), wait), Duration::ZERO);
@@ -20,7 +21,7 @@
 /// and were refused again at once while the group was about to return.
 #[test]
 fn who_came_back_is_known_by_the_time_that_is_left() {
-    let mut times = Times::default();
+    let mut times = RetryDetector::default();
     give(&mut times, 0, 200);
     times.refused(ms(4_000), ms(2_500));
     for left in [4_500, 5_000, 5_500] {
@@ -33,7 +34,7 @@
 /// Some callers give 3 s and others 15 s. Neither are taken for ones who came back.
 #[test]
 fn callers_with_other_times_are_new() {
-    let mut times = Times::default();
+    let mut times = RetryDetector::default();
     for number in 0..100 {
         let wait = if number % 4 == 0 { 3_000 } else { 15_000 };
         assert_eq!(times.see(ms(number * 20), ms(wait)), Duration::ZERO);
@@ -48,7 +49,7 @@
 /// what callers give at first.
 #[test]
 fn callers_who_come_back_teach_nothing() {
-    let mut times = Times::default();
+    let mut times = RetryDetector::default();
     give(&mut times, 0, 100);
     for number in 0..400 {
         let now = ms(2_000 + number * 20);
@@ -62,9 +63,9 @@
 /// attempts.
 #[test]
 fn an_entry_that_starts_knows_retries_by_what_its_peers_saw() {
-    let mut seasoned = Times::default();
+    let mut seasoned = RetryDetector::default();
     give(&mut seasoned, 0, 200);
-    let mut fresh = Times::default();
+    let mut fresh = RetryDetector::default();
     assert_eq!(
         fresh.see(ms(0), ms(5_000)),
         Duration::ZERO,
@@ -79,14 +80,14 @@
 /// may bring.
 #[test]
 fn times_of_peers_that_make_no_sense_are_dropped() {
-    let mut times = Times::default();
+    let mut times = RetryDetector::default();
     times.hint([Duration::ZERO, Duration::MAX].into_iter());
     assert_eq!(times.see(ms(0), ms(5_000)), Duration::ZERO);
     times.hint((1..1_000).map(|number| ms(number * 1_000)));
     assert_eq!(times.see(ms(10), ms(100_000)), Duration::ZERO);
 }
 
-/// Times to wait and to come back were fixed for callers with 8 s and answers of 2 s.
+/// RetryDetector to wait and to come back were fixed for callers with 8 s and answers of 2 s.
 /// They follow from both: nobody waits who can't be answered any more behind it, and all
 /// come back within the third of their time that they wait at most.
 #[test]
@@ -128,8 +129,8 @@
 }
 
 /// What one who came back asks for, with so much time left.
-fn back(now: u64, left: u64) -> Ask {
-    Ask {
+fn back(now: u64, left: u64) -> PlacementRequest {
+    PlacementRequest {
         target: ms(now.saturating_sub(1)),
         deadline: ms(now + left),
         place_by: ms(now + 1_200),
@@ -168,10 +169,10 @@
     assert_eq!(dispatcher.pump(ms(3_200)), []);
     runs(&mut dispatcher, 3_250, 4, false);
     let verdicts = dispatcher.pump(ms(3_301));
-    let [(1, Verdict::Refuse(Refusal { reason, .. }))] = verdicts[..] else {
+    let [(1, Verdict::Reject(Rejection { reason, .. }))] = verdicts[..] else {
         panic!("{verdicts:?}");
     };
-    assert_eq!(reason, Reason::Closed);
+    assert_eq!(reason, RejectReason::Unavailable);
 }
 
 /// Guards against retries that take all slots as a group returns, on its longest passes.
@@ -219,8 +220,8 @@
     }
     assert_eq!(dispatcher.pump(ms(2)).len(), 14);
     let late = back(10, 5_000);
-    let moved = Ask {
-        resumes: Resumes::Moved,
+    let moved = PlacementRequest {
+        resumes: Resumption::Moved,
         ..late.clone()
     };
     dispatcher.submit(ms(10), 20, late);
--- a/verbenaspool_policy/tests/dispatch/circuit.rs
+++ b/verbenaspool_policy/tests/dispatch/circuit.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use verbenaspool_policy::dispatch::{Dispatcher, Ending, Reason, Verdict};
+use verbenaspool_policy::dispatch::{AttemptOutcome, Dispatcher, RejectReason, Verdict};
 
 use crate::world::{engine, ms, replica, stream};
 
@@ -46,10 +46,10 @@
         match verdict(&mut dispatcher, now, ticket) {
             Some(Verdict::Send(id)) => {
                 tried += 1;
-                dispatcher.ended(ms(now + 1), &id, Ending::Unreached);
+                dispatcher.ended(ms(now + 1), &id, AttemptOutcome::Unreached);
             }
-            Some(Verdict::Refuse(refusal)) => {
-                assert_eq!(refusal.reason, Reason::Closed);
+            Some(Verdict::Reject(refusal)) => {
+                assert_eq!(refusal.reason, RejectReason::Unavailable);
                 assert!(refusal.after >= ms(2_000));
                 refused += 1;
             }
@@ -69,7 +69,7 @@
     let mut dispatcher = ranks(8);
     for ticket in 0..3 {
         let id = sent(&mut dispatcher, 0, ticket).expect("it is tried");
-        let opened = dispatcher.ended(ms(1), &id, Ending::Unreached);
+        let opened = dispatcher.ended(ms(1), &id, AttemptOutcome::Unreached);
         assert_eq!(opened, ticket == 2);
     }
     assert_eq!(sent(&mut dispatcher, 50, 10), None);
@@ -91,7 +91,7 @@
         let now = ticket * 10;
         let id = sent(&mut dispatcher, now, ticket).expect("others are there");
         if ["u0", "u1"].contains(&&*id) {
-            dispatcher.ended(ms(now + 5), &id, Ending::Unreached);
+            dispatcher.ended(ms(now + 5), &id, AttemptOutcome::Unreached);
         } else {
             dispatcher.taken(&id);
         }
@@ -106,7 +106,7 @@
         dispatcher.status(ms(0), &format!("u{number}"), 7, true, 1.0);
     }
     let id = sent(&mut dispatcher, 0, 0).expect("it is tried");
-    dispatcher.ended(ms(1), &id, Ending::Full);
+    dispatcher.ended(ms(1), &id, AttemptOutcome::Full);
     assert_eq!(sent(&mut dispatcher, 2, 1), None);
     dispatcher.status(ms(10), "u2", 7, false, 1.0);
     dispatcher.status(ms(20), "u2", 7, true, 1.0);
@@ -120,7 +120,7 @@
     let replicas: Vec<_> = (0..3).map(|n| replica(&format!("u{n}"), 6)).collect();
     dispatcher.members(replicas.iter());
     let id = sent(&mut dispatcher, 0, 0).expect("it is placed");
-    dispatcher.ended(ms(1), &id, Ending::Full);
+    dispatcher.ended(ms(1), &id, AttemptOutcome::Full);
     let other = sent(&mut dispatcher, 2, 1).expect("others take it");
     assert_ne!(other, id);
 }
--- a/verbenaspool_policy/tests/dispatch/crash.rs
+++ b/verbenaspool_policy/tests/dispatch/crash.rs
@@ -30,7 +30,7 @@
     dispatcher.leave(ticket);
     match verdicts.into_iter().find(|(other, _)| *other == ticket)?.1 {
         Verdict::Send(id) => Some(id),
-        Verdict::Refuse(_) => None,
+        Verdict::Reject(_) => None,
     }
 }
 
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -6,7 +6,7 @@
 };
 
 use verbenaspool_policy::{
-    dispatch::{Ask, Dispatcher, Ending, Verdict},
+    dispatch::{AttemptOutcome, Dispatcher, PlacementRequest, Verdict},
     slots::Slots,
 };
 use verbenaspool_state::{engine::Engine, replica::Replica};
@@ -104,7 +104,7 @@
     running: Vec<u32>,
     numbers: u64,
     events: BTreeMap<u64, VecDeque<Event>>,
-    asks: BTreeMap<u64, Ask>,
+    asks: BTreeMap<u64, PlacementRequest>,
     tickets: u64,
     outcome: Outcome,
 }
@@ -180,7 +180,7 @@
                 next += 1;
                 // One entry in four gets twice as much.
                 let number = if next % 5 < 2 { next % 15 * 4 } else { next };
-                let ask = Ask {
+                let ask = PlacementRequest {
                     gap: Some(ms(150)),
                     ..stream(self.now)
                 };
@@ -191,7 +191,7 @@
         self.outcome
     }
 
-    fn submit(&mut self, entry: usize, ask: Ask) {
+    fn submit(&mut self, entry: usize, ask: PlacementRequest) {
         self.tickets += 1;
         self.asks.insert(self.tickets, ask.clone());
         self.entries[entry].submit(ms(self.now), self.tickets, ask);
@@ -252,7 +252,7 @@
             self.status(entry, upstream);
         }
         self.entries[entry].reserved(&id);
-        self.entries[entry].ended(now, &id, Ending::Unknown);
+        self.entries[entry].ended(now, &id, AttemptOutcome::Unknown);
         if let Some(ask) = self.asks.remove(&ticket) {
             self.submit(entry, ask);
         }
@@ -273,7 +273,7 @@
                 Event::End(entry, upstream) => {
                     self.running[upstream] -= 1;
                     let id = self.replicas[upstream].id.clone();
-                    self.entries[entry].ended(ms(self.now), &id, Ending::Good);
+                    self.entries[entry].ended(ms(self.now), &id, AttemptOutcome::Good);
                 }
             }
         }
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -1,6 +1,6 @@
 //! Groups whose agents don't all report alike.
 
-use verbenaspool_policy::dispatch::{Dispatcher, Reason, Verdict};
+use verbenaspool_policy::dispatch::{Dispatcher, RejectReason, Verdict};
 
 use crate::world::{engine, ms, replica, stream};
 
@@ -49,7 +49,7 @@
     }
     for verdict in sent(&mut dispatcher, 1_110) {
         assert!(
-            matches!(verdict, Verdict::Refuse(refusal) if refusal.reason == Reason::Closed),
+            matches!(verdict, Verdict::Reject(refusal) if refusal.reason == RejectReason::Unavailable),
             "{verdict:?}"
         );
     }
@@ -68,7 +68,7 @@
     let verdicts = sent(&mut dispatcher, 110).into_iter();
     let used = verdicts.filter(|verdict| match verdict {
         Verdict::Send(id) => group.contains(&&**id),
-        Verdict::Refuse(_) => false,
+        Verdict::Reject(_) => false,
     });
     assert!(used.count() > 0);
 }
--- a/verbenaspool_policy/tests/dispatch/load.rs
+++ b/verbenaspool_policy/tests/dispatch/load.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use verbenaspool_policy::dispatch::{Ask, Dispatcher, Ending, Reason, Refusal, Verdict};
+use verbenaspool_policy::dispatch::{
+    AttemptOutcome, Dispatcher, PlacementRequest, RejectReason, Rejection, Verdict,
+};
 
 use crate::world::{Served, World, engine, ms, replica, stream};
 
@@ -80,7 +82,12 @@
     assert!(late * 3 < in_time, "{late} late, {in_time} in time");
 }
 
-fn place(dispatcher: &mut Dispatcher, now: Duration, ticket: u64, ask: Ask) -> Option<Verdict> {
+fn place(
+    dispatcher: &mut Dispatcher,
+    now: Duration,
+    ticket: u64,
+    ask: PlacementRequest,
+) -> Option<Verdict> {
     dispatcher.submit(now, ticket, ask);
     let verdicts = dispatcher.pump(now);
     verdicts
@@ -90,8 +97,8 @@
 }
 
 /// A plain request of the service.
-fn plain(now: u64) -> Ask {
-    Ask {
+fn plain(now: u64) -> PlacementRequest {
+    PlacementRequest {
         gap: None,
         ..stream(now)
     }
@@ -113,7 +120,11 @@
         };
         let failing = &*id == "bad";
         bad += u32::from(failing);
-        let ending = if failing { Ending::Bad } else { Ending::Good };
+        let ending = if failing {
+            AttemptOutcome::Bad
+        } else {
+            AttemptOutcome::Good
+        };
         dispatcher.ended(now, &id, ending);
     }
     assert!(bad < 30, "{bad} of 200 went to the failing upstream");
@@ -129,12 +140,12 @@
     dispatcher.members(replicas.iter());
     dispatcher.status(ms(0), "u0", 1, false, 1.0);
     let verdict = place(&mut dispatcher, ms(10), 1, stream(10));
-    let Some(Verdict::Refuse(Refusal { reason, after })) = verdict else {
+    let Some(Verdict::Reject(Rejection { reason, after })) = verdict else {
         panic!("{verdict:?}");
     };
-    assert_eq!(reason, Reason::Closed);
+    assert_eq!(reason, RejectReason::Unavailable);
     assert!(after >= ms(2_000) && after <= ms(2_667), "{after:?}");
-    let back = Ask {
+    let back = PlacementRequest {
         since: ms(2_500),
         target: ms(410),
         place_by: ms(4_100),
@@ -156,11 +167,11 @@
     for ticket in 1..=2 {
         assert!(place(&mut dispatcher, ms(0), ticket, plain(0)).is_some());
     }
-    let late = Ask {
+    let late = PlacementRequest {
         target: ms(1),
         ..plain(2)
     };
-    let urgent = Ask {
+    let urgent = PlacementRequest {
         priority: 0,
         ..plain(2)
     };
@@ -169,7 +180,7 @@
     }
     let mut order = Vec::new();
     for _ in 0..3 {
-        dispatcher.ended(ms(3), "u0", Ending::Good);
+        dispatcher.ended(ms(3), "u0", AttemptOutcome::Good);
         order.extend(dispatcher.pump(ms(3)).into_iter().map(|(ticket, _)| ticket));
     }
     assert_eq!(order, [5, 4, 3]);
@@ -185,9 +196,9 @@
     dispatcher.members([].iter());
     assert!(matches!(
         place(&mut dispatcher, ms(1), 2, plain(1)),
-        Some(Verdict::Refuse(_))
+        Some(Verdict::Reject(_))
     ));
-    dispatcher.ended(ms(2), "u0", Ending::Good);
+    dispatcher.ended(ms(2), "u0", AttemptOutcome::Good);
     dispatcher.members([].iter());
     assert_eq!(dispatcher.ids().count(), 0);
 }
@@ -209,7 +220,7 @@
     let Some((_, Verdict::Send(first))) = placed.into_iter().next() else {
         panic!("it is placed");
     };
-    dispatcher.ended(ms(2), &first, Ending::Full);
+    dispatcher.ended(ms(2), &first, AttemptOutcome::Full);
     let group = |id: &str| if ["u0", "u1"].contains(&id) { 1 } else { 2 };
     for ticket in 2..8 {
         let verdict = place(&mut dispatcher, ms(3), ticket, stream(3));
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaspool_policy::dispatch::{Ask, Dispatcher, Verdict};
+use verbenaspool_policy::dispatch::{Dispatcher, PlacementRequest, Verdict};
 use verbenaspool_state::engine::Engine;
 
 use crate::world::{engine, ms, replica, stream};
@@ -49,8 +49,8 @@
 }
 
 /// What a caller that was rejected asks for when it retries.
-fn retry(now: u64) -> Ask {
-    Ask {
+fn retry(now: u64) -> PlacementRequest {
+    PlacementRequest {
         target: ms(now - 2_000),
         deadline: ms(now + 5_500),
         place_by: ms(now + 1_500),
@@ -99,7 +99,7 @@
     entry.submit(ms(10_050), 1, stream(10_050));
     assert!(matches!(
         entry.pump(ms(10_051))[..],
-        [(1, Verdict::Refuse(_))]
+        [(1, Verdict::Reject(_))]
     ));
     entry.submit(ms(10_060), 2, retry(10_060));
     report(entry, 10_100, 4, true);
@@ -125,7 +125,7 @@
     entry.submit(ms(10_050), 1, stream(10_050));
     assert!(matches!(
         entry.pump(ms(10_051))[..],
-        [(1, Verdict::Refuse(_))]
+        [(1, Verdict::Reject(_))]
     ));
     report(entry, 10_100, 4, true);
     assert_eq!(entry.pump(ms(10_101)), []);
--- a/verbenaspool_policy/tests/dispatch/retry.rs
+++ b/verbenaspool_policy/tests/dispatch/retry.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use verbenaspool_policy::dispatch::retry::{Bound, Budget};
+use verbenaspool_policy::dispatch::retry_budget::{RetryBudget, RetryLimits};
 
-const BOUND: Bound = Bound {
+const BOUND: RetryLimits = RetryLimits {
     ratio: 0.2,
     window: Duration::from_secs(10),
     slack: 92.0,
@@ -14,7 +14,7 @@
 /// together within what the operator allows, though none hears of the others.
 #[test]
 fn entries_stay_within_the_bound_together() {
-    let mut budgets: Vec<Budget> = (0..4).map(|_| Budget::default()).collect();
+    let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::default()).collect();
     let mut repeats = 0;
     for request in 0..800_u64 {
         let now = Duration::from_millis(10 * request);
@@ -33,13 +33,13 @@
 /// What was sent once more is forgotten with its window.
 #[test]
 fn a_budget_comes_back() {
-    let mut budget = Budget::default();
-    let none = Bound {
+    let mut budget = RetryBudget::default();
+    let none = RetryLimits {
         ratio: 0.0,
         ..BOUND
     };
     let spend =
-        |budget: &mut Budget, now| (0..200).filter(|_| budget.repeat(now, &none, 1)).count();
+        |budget: &mut RetryBudget, now| (0..200).filter(|_| budget.repeat(now, &none, 1)).count();
     let first = spend(&mut budget, Duration::ZERO);
     assert_eq!(spend(&mut budget, Duration::from_secs(5)), 0);
     assert_eq!(spend(&mut budget, Duration::from_secs(11)), first);
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaspool_policy::dispatch::{Ask, Dispatcher, Resumes, Verdict};
+use verbenaspool_policy::dispatch::{Dispatcher, PlacementRequest, Resumption, Verdict};
 use verbenaspool_state::engine::Engine;
 
 use crate::world::{Served, World, engine, ms, replica, stream};
@@ -47,13 +47,13 @@
         dispatcher.pause(ms(number * 60), "u0", ms(55));
     }
     dispatcher.load(ms(1_200), "u0", 1, 11);
-    let broken = Ask {
+    let broken = PlacementRequest {
         target: ms(1_000),
-        resumes: Resumes::Broken,
+        resumes: Resumption::Interrupted,
         ..stream(1_210)
     };
-    let moved = Ask {
-        resumes: Resumes::Moved,
+    let moved = PlacementRequest {
+        resumes: Resumption::Moved,
         ..broken.clone()
     };
     for number in 20..25 {
--- a/verbenaspool_policy/tests/dispatch/slow.rs
+++ b/verbenaspool_policy/tests/dispatch/slow.rs
@@ -1,6 +1,6 @@
 //! A slow rank of a lock-stepped group, and streams that fall silent with their group.
 
-use verbenaspool_policy::dispatch::{Dispatcher, Verdict, slow::Silence};
+use verbenaspool_policy::dispatch::{Dispatcher, Verdict, slow::StallScope};
 
 use crate::world::{Served, World, engine, ms, replica, stream};
 
@@ -77,11 +77,14 @@
     let mut dispatcher = group(3);
     dispatcher.heard(ms(1_000), "u0");
     dispatcher.heard(ms(1_004), "u1");
-    assert_eq!(dispatcher.silence(ms(1_800), "u0", ms(1_000)), Silence::All);
+    assert_eq!(
+        dispatcher.silence(ms(1_800), "u0", ms(1_000)),
+        StallScope::Service
+    );
     dispatcher.heard(ms(1_700), "u1");
     assert_eq!(
         dispatcher.silence(ms(1_800), "u0", ms(1_000)),
-        Silence::Stuck
+        StallScope::Stream
     );
 }
 
@@ -95,7 +98,7 @@
     dispatcher.heard(ms(1_000), "u0");
     assert_eq!(
         dispatcher.silence(ms(1_800), "u0", ms(1_000)),
-        Silence::Group
+        StallScope::Group
     );
     assert_eq!(dispatcher.group_members("u0").len(), 2);
 }
@@ -109,6 +112,6 @@
     dispatcher.heard(ms(1_000), "u0");
     assert_eq!(
         dispatcher.silence(ms(1_800), "u0", ms(1_000)),
-        Silence::Stuck
+        StallScope::Stream
     );
 }
--- a/verbenaspool_policy/tests/dispatch/told.rs
+++ b/verbenaspool_policy/tests/dispatch/told.rs
@@ -1,7 +1,7 @@
 //! What agents say of their upstreams: words that can be believed, and others.
 
 use verbenaspool_policy::{
-    dispatch::{Dispatcher, Ending, Verdict},
+    dispatch::{AttemptOutcome, Dispatcher, Verdict},
     slots::Slots,
 };
 
@@ -61,7 +61,7 @@
     dispatcher.reserved("u0");
     dispatcher.load(ms(3), "u0", 3, 3);
     assert_eq!(busy(&dispatcher, 3), 3);
-    dispatcher.ended(ms(4), "u0", Ending::Good);
+    dispatcher.ended(ms(4), "u0", AttemptOutcome::Good);
     assert_eq!(busy(&dispatcher, 4), 2);
 }
 
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -3,7 +3,9 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
-use verbenaspool_policy::dispatch::{Ask, Dispatcher, Ending, Resumes, Verdict, share::Customers};
+use verbenaspool_policy::dispatch::{
+    AttemptOutcome, Dispatcher, PlacementRequest, Resumption, Verdict, customer_rate::CustomerRates,
+};
 use verbenaspool_state::{
     engine::Engine,
     replica::{Replica, State},
@@ -43,14 +45,14 @@
 }
 
 /// What a stream that comes now asks for.
-pub fn stream(now: u64) -> Ask {
-    Ask {
+pub fn stream(now: u64) -> PlacementRequest {
+    PlacementRequest {
         priority: 1,
         since: ms(now),
         target: ms(now + 400),
         deadline: ms(now + 8_000),
         place_by: ms(now + 1_600),
-        resumes: Resumes::No,
+        resumes: Resumption::None,
         beyond: false,
         gap: Some(ms(120)),
         avoid: Vec::new(),
@@ -109,7 +111,7 @@
     /// Who sent each stream, where that is told, and what each customer's callers got.
     owners: BTreeMap<u64, String>,
     pub got: BTreeMap<String, Served>,
-    customers: Vec<Customers>,
+    customers: Vec<CustomerRates>,
     next: u64,
     pass: u64,
     tickets: u64,
@@ -151,7 +153,7 @@
             came: BTreeMap::new(),
             owners: BTreeMap::new(),
             got: BTreeMap::new(),
-            customers: (0..entries).map(|_| Customers::default()).collect(),
+            customers: (0..entries).map(|_| CustomerRates::default()).collect(),
             next: 60,
             pass: 60,
             tickets: 0,
@@ -196,10 +198,10 @@
                 continue;
             }
             self.tickets += 1;
-            let ask = Ask {
+            let ask = PlacementRequest {
                 target: now,
                 place_by: now + ms(1_600),
-                resumes: Resumes::Moved,
+                resumes: Resumption::Moved,
                 avoid: vec![upstream],
                 ..stream(self.now)
             };
@@ -219,7 +221,7 @@
             Some(running) => std::mem::replace(&mut running.upstream, to),
             None => to,
         };
-        self.entries[entry].ended(now, &left, Ending::Unknown);
+        self.entries[entry].ended(now, &left, AttemptOutcome::Unknown);
     }
 
     /// Lets so many streams a second come to an entry, for some milliseconds.
@@ -254,7 +256,7 @@
                     let beyond = self.customers[entry].see(ms(self.now), &customer.into());
                     self.owners.insert(self.tickets + 1, customer.to_owned());
                     self.submit_ask(
-                        Ask {
+                        PlacementRequest {
                             beyond,
                             ..stream(self.now)
                         },
@@ -278,7 +280,7 @@
         self.submit_ask(stream(self.now), entry);
     }
 
-    fn submit_ask(&mut self, ask: Ask, entry: usize) {
+    fn submit_ask(&mut self, ask: PlacementRequest, entry: usize) {
         self.tickets += 1;
         self.came.insert(self.tickets, (entry, self.now));
         self.entries[entry].submit(ms(self.now), self.tickets, ask);
@@ -305,7 +307,7 @@
                         late: false,
                         came,
                     }),
-                    Verdict::Refuse(_) => self.tell_of(ticket, |served| served.refused += 1),
+                    Verdict::Reject(_) => self.tell_of(ticket, |served| served.refused += 1),
                 }
             }
         }
@@ -354,7 +356,7 @@
                 self.running.push(stream);
                 continue;
             }
-            self.entries[stream.entry].ended(now, &stream.upstream, Ending::Good);
+            self.entries[stream.entry].ended(now, &stream.upstream, AttemptOutcome::Good);
             if stream.late {
                 self.tell_of(stream.ticket, |served| served.late += 1);
             } else {
