--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -131,14 +131,14 @@
         let streams = self.route.kind == Kind::Streaming;
         PlacementRequest {
             priority: self.priority,
-            since: self.gateway.clock.now(),
+            queued_at: self.gateway.clock.now(),
             target: self.target,
             deadline: self.deadline,
             place_by: self.place_by(),
-            resumes: Resumption::None,
-            beyond: self.beyond,
-            gap: self.route.gap.filter(|_| streams),
-            avoid: self.tried.borrow().clone(),
+            resumption: Resumption::None,
+            over_usual_rate: self.beyond,
+            max_gap: self.route.gap.filter(|_| streams),
+            excluded: self.tried.borrow().clone(),
         }
     }
 
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -163,7 +163,7 @@
         self.source.replace(Some(object.clone()));
         for service in table.services() {
             let queue = self.queue(&service.name);
-            queue.with(|dispatcher, _| dispatcher.engine(service.engine.as_ref()));
+            queue.with(|dispatcher, _| dispatcher.set_engine(service.engine.as_ref()));
         }
         self.deal();
     }
@@ -217,7 +217,9 @@
         }
         for (service, list) in services {
             let queue = self.queue(&service);
-            queue.with(|dispatcher, _| dispatcher.members(list.iter().map(|replica| &**replica)));
+            queue.with(|dispatcher, _| {
+                dispatcher.set_upstreams(list.iter().map(|replica| &**replica))
+            });
         }
     }
 
@@ -270,11 +272,11 @@
         };
         drop(registry);
         let changed = self.queue(&upstream.service).with(|dispatcher, now| {
-            if !dispatcher.load(now, &upstream.id, status.number, status.requests) {
+            if !dispatcher.record_load(now, &upstream.id, status.number, status.requests) {
                 return false;
             }
             let (group, open, pace) = (status.group, status.open, status.pace.into());
-            dispatcher.status(now, &upstream.id, group, open, pace)
+            dispatcher.record_status(now, &upstream.id, group, open, pace)
         });
         if changed {
             info!(self.log, "Entry: A rank's group changed.";
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -276,7 +276,7 @@
         let mut flights = Vec::new();
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
-                flights.extend(dispatcher.flights(now).map(|(id, requests)| Flight {
+                flights.extend(dispatcher.in_flight(now).map(|(id, requests)| Flight {
                     upstream: digest::hash(id),
                     requests,
                 }));
@@ -327,10 +327,10 @@
         let sums = self.peers.borrow().flights(self.clock.now());
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
-                let ids: Vec<Rc<str>> = dispatcher.ids().cloned().collect();
+                let ids: Vec<Rc<str>> = dispatcher.upstream_ids().cloned().collect();
                 for id in ids {
                     let others = sums.get(&digest::hash(&id)).copied().unwrap_or(0);
-                    dispatcher.others(now, &id, others);
+                    dispatcher.set_peer_load(now, &id, others);
                 }
             });
         }
--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -55,26 +55,32 @@
     /// Whether the agent beside the upstream is to be asked before a request is sent.
     pub fn asks(&self) -> bool {
         let now = self.queue.clock.now();
-        self.queue.dispatcher.borrow().asks(now, &self.upstream)
+        self.queue
+            .dispatcher
+            .borrow()
+            .needs_reservation(now, &self.upstream)
     }
 
     /// Says that the request is on its way: the agent beside the upstream kept a slot
     /// for it, or wasn't asked.
     pub fn reserved(&self) {
         self.asking.set(false);
-        self.queue.dispatcher.borrow_mut().reserved(&self.upstream);
+        self.queue
+            .dispatcher
+            .borrow_mut()
+            .finish_reservation(&self.upstream);
     }
 
     /// Says that the agent beside the upstream didn't answer.
     pub fn unanswered(&self) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
-        dispatcher.unanswered(now, &self.upstream);
+        dispatcher.record_agent_timeout(now, &self.upstream);
     }
 
     /// Says that the upstream has begun to answer.
     pub fn on_response_started(&self) {
-        let taken = |dispatcher: &mut Dispatcher, _| dispatcher.taken(&self.upstream);
+        let taken = |dispatcher: &mut Dispatcher, _| dispatcher.record_accepted(&self.upstream);
         if self.queue.with(taken) {
             info!(self.queue.log, "Entry: A group takes requests again.";
                 "service" => &*self.queue.service, "upstream" => &*self.upstream);
@@ -85,9 +91,9 @@
     pub fn event(&self, pause: Option<Duration>) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
-        dispatcher.heard(now, &self.upstream);
+        dispatcher.record_event(now, &self.upstream);
         if let Some(pause) = pause {
-            dispatcher.pause(now, &self.upstream, pause);
+            dispatcher.record_pause(now, &self.upstream, pause);
         }
     }
 
@@ -101,7 +107,7 @@
     pub fn silence(&self, since: Duration) -> StallScope {
         let now = self.queue.clock.now();
         let dispatcher = self.queue.dispatcher.borrow();
-        dispatcher.silence(now, &self.upstream, since)
+        dispatcher.classify_stall(now, &self.upstream, since)
     }
 
     /// The upstreams of the same group.
@@ -117,7 +123,10 @@
         }
         if self.ending.get() == AttemptOutcome::Good {
             let lasted = self.queue.clock.now().saturating_sub(self.since);
-            self.queue.dispatcher.borrow_mut().lasted(lasted);
+            self.queue
+                .dispatcher
+                .borrow_mut()
+                .record_service_time(lasted);
         }
         self.queue.free(&self.upstream, self.ending.get());
     }
@@ -132,12 +141,15 @@
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        self.queue.dispatcher.borrow_mut().leave(self.ticket);
+        self.queue.dispatcher.borrow_mut().cancel(self.ticket);
         self.queue.waiting.borrow_mut().remove(&self.ticket);
         // A caller may leave just as its turn has come; its permit must come free.
         self.verdict.close();
         if let Ok(Verdict::Send(upstream)) = self.verdict.try_recv() {
-            self.queue.dispatcher.borrow_mut().reserved(&upstream);
+            self.queue
+                .dispatcher
+                .borrow_mut()
+                .finish_reservation(&upstream);
             self.queue.free(&upstream, AttemptOutcome::Unknown);
         }
     }
@@ -179,10 +191,10 @@
     pub fn pump(&self) {
         let now = self.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
-        if dispatcher.waiting() == 0 {
+        if dispatcher.waiting_count() == 0 {
             return;
         }
-        let verdicts = dispatcher.pump(now);
+        let verdicts = dispatcher.process_queue(now);
         let mut waiting = self.waiting.borrow_mut();
         for (ticket, verdict) in verdicts {
             let told = match waiting.remove(&ticket) {
@@ -190,8 +202,8 @@
                 None => Err(verdict),
             };
             if let Err(Verdict::Send(upstream)) = told {
-                dispatcher.reserved(&upstream);
-                dispatcher.ended(now, &upstream, AttemptOutcome::Unknown);
+                dispatcher.finish_reservation(&upstream);
+                dispatcher.finish_attempt(now, &upstream, AttemptOutcome::Unknown);
             }
         }
     }
@@ -221,7 +233,9 @@
             }),
             Ok(Verdict::Reject(refusal)) => {
                 let now = self.clock.now();
-                self.times.borrow_mut().refused(now, refusal.after);
+                self.times
+                    .borrow_mut()
+                    .record_rejection(now, refusal.retry_after);
                 Err(refusal)
             }
             Err(_) => unreachable!("a ticket is answered before its sender goes"),
@@ -230,7 +244,7 @@
 
     /// Gives a permit at an upstream back.
     fn free(&self, upstream: &str, ending: AttemptOutcome) {
-        if self.with(|dispatcher, now| dispatcher.ended(now, upstream, ending)) {
+        if self.with(|dispatcher, now| dispatcher.finish_attempt(now, upstream, ending)) {
             info!(self.log, "Entry: A group takes no requests; one now and then will look.";
                 "service" => &*self.service, "upstream" => upstream,
                 "because" => format!("{ending:?}"));
@@ -240,21 +254,21 @@
     /// Counts a request.
     pub fn request(&self, bound: &RetryLimits) {
         let now = self.clock.now();
-        self.budget.borrow_mut().request(now, bound);
+        self.budget.borrow_mut().record_request(now, bound);
     }
 
     /// How much of its time a caller had spent before it sent a request that says that
     /// it waits so long.
     pub fn spent(&self, wait: Duration) -> Duration {
         let now = self.clock.now();
-        self.times.borrow_mut().see(now, wait)
+        self.times.borrow_mut().observe(now, wait)
     }
 
     /// The times that many callers of the service give at first, in milliseconds.
     pub fn common_times(&self) -> Vec<u32> {
         let times = self.times.borrow();
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
-        times.common().map(ms).collect()
+        times.common_waits().map(ms).collect()
     }
 
     /// Takes in the times that many callers give at first, as another entry reports.
@@ -262,31 +276,31 @@
         let times = times_ms
             .iter()
             .map(|ms| Duration::from_millis((*ms).into()));
-        self.times.borrow_mut().hint(times);
+        self.times.borrow_mut().set_hints(times);
     }
 
     /// Takes in a request of a customer; tells whether it is beyond what the customer
     /// usually sends.
     pub fn beyond(&self, customer: &Rc<str>) -> bool {
         let now = self.clock.now();
-        self.customers.borrow_mut().see(now, customer)
+        self.customers.borrow_mut().observe(now, customer)
     }
 
     /// Whether a request may be sent once more, as things are now.
     pub fn allows(&self, bound: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
-        self.budget.borrow_mut().allows(now, bound, entries)
+        self.budget.borrow_mut().allows_retry(now, bound, entries)
     }
 
     /// Whether a request may be sent once more; counts it if so.
     pub fn repeat(&self, bound: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
-        self.budget.borrow_mut().repeat(now, bound, entries)
+        self.budget.borrow_mut().try_retry(now, bound, entries)
     }
 
     /// An upstream crashed.
     pub fn crashed(&self, upstream: &str) {
-        self.with(|dispatcher, now| dispatcher.crashed(now, upstream));
+        self.with(|dispatcher, now| dispatcher.record_crash(now, upstream));
     }
 
     /// Whether the service goes on if one more upstream crashes.
@@ -298,21 +312,25 @@
     /// What is known of the service now.
     pub fn known(&self) -> ServiceDiagnostics {
         let now = self.clock.now();
-        self.dispatcher.borrow().known(now)
+        self.dispatcher.borrow().diagnostics(now)
     }
 
     /// How long a pass of an upstream's group takes now, where that is known.
     pub fn pass(&self, upstream: &str) -> Option<Duration> {
         let now = self.clock.now();
-        self.dispatcher.borrow().pass(now, upstream)
+        self.dispatcher.borrow().pass_time(now, upstream)
     }
 
     /// When the caller of a request should come back that was turned away, if it waits
     /// so much longer.
     pub fn come_back(&self, left: Duration) -> Duration {
         let now = self.clock.now();
-        let after = self.dispatcher.borrow_mut().refusal(now, left).after;
-        self.times.borrow_mut().refused(now, after);
+        let after = self
+            .dispatcher
+            .borrow_mut()
+            .rejection(now, left)
+            .retry_after;
+        self.times.borrow_mut().record_rejection(now, after);
         after
     }
 }
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -147,11 +147,11 @@
             "version" => story.version, "sent" => story.sent.join("; "),
             "waits_ms" => story.waits.as_secs_f64() * 1e3,
             "beyond" => story.beyond, "spent_ms" => story.spent.as_secs_f64() * 1e3,
-            "pass_ms" => story.known.pass.as_secs_f64() * 1e3,
-            "slowest" => story.known.slowest,
-            "slowest_upstream" => story.known.upstream.as_deref().unwrap_or_default().to_owned(),
-            "said_ms" => story.known.age.as_secs_f64() * 1e3,
-            "closed" => story.known.closed,
+            "pass_ms" => story.known.longest_pass.as_secs_f64() * 1e3,
+            "slowest" => story.known.slowest_pace,
+            "slowest_upstream" => story.known.slowest_upstream.as_deref().unwrap_or_default().to_owned(),
+            "said_ms" => story.known.status_age.as_secs_f64() * 1e3,
+            "closed" => story.known.unavailable,
             "events" => story.events, "pause_ms" => pause_ms, "first_ms" => first_ms,
             "took_ms" => took_ms,
         ));
@@ -203,12 +203,12 @@
             gauge(
                 "verbenaspool_shunned",
                 "Upstreams that are left alone.",
-                snapshot.shunned.into(),
+                snapshot.ejected.into(),
             );
             gauge(
                 "verbenaspool_in_flight",
                 "Requests in flight at all entries.",
-                snapshot.busy.into(),
+                snapshot.in_flight.into(),
             );
             gauge(
                 "verbenaspool_pace",
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -222,7 +222,7 @@
     fn ask(&self, why: &'static str) -> PlacementRequest {
         PlacementRequest {
             place_by: self.work.leaves(self.since),
-            resumes: if why == SLOW_REASON {
+            resumption: if why == SLOW_REASON {
                 Resumption::Moved
             } else {
                 Resumption::Interrupted
@@ -280,7 +280,7 @@
             && permit.silence(self.since) == StallScope::Group
             && why == SILENT_REASON
         {
-            ask.avoid.extend(permit.group_members());
+            ask.excluded.extend(permit.group_members());
         }
         let Some(body) = &mut self.body else {
             return Ok(());
@@ -330,7 +330,7 @@
         self.body = Some(Body::wrap(StreamBody::new(Box::pin(whole))));
     }
 
-    /// Resumption the stream at an upstream.
+    /// Resumes the stream at an upstream.
     async fn resume(&mut self, permit: Permit) -> bool {
         self.events.cut();
         let last = self.events.last();
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -216,7 +216,7 @@
                 return Err(if work.exposed.get() {
                     Refused::unknown("unknown")
                 } else {
-                    Refused::later(refusal.reason.name(), refusal.after)
+                    Refused::later(refusal.reason.name(), refusal.retry_after)
                 });
             }
         };
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -217,7 +217,7 @@
         clock.sleep(TICK_INTERVAL).await;
         let entries = gateway.sharers_of_return();
         for queue in gateway.queues() {
-            queue.with(|dispatcher, now| dispatcher.share_among(now, entries));
+            queue.with(|dispatcher, now| dispatcher.update_entry_count(now, entries));
         }
         gateway.expire();
         let now = clock.now();
--- a/verbenaspool/src/direct/standing.rs
+++ b/verbenaspool/src/direct/standing.rs
@@ -60,8 +60,8 @@
             Service {
                 name: queue.service.to_string(),
                 upstreams: snapshot.upstreams,
-                shunned: snapshot.shunned,
-                busy: snapshot.busy,
+                shunned: snapshot.ejected,
+                busy: snapshot.in_flight,
                 waiting: snapshot.waiting,
                 pace: snapshot.pace,
             }
--- a/verbenaspool_policy/src/dispatch/availability.rs
+++ b/verbenaspool_policy/src/dispatch/availability.rs
@@ -15,27 +15,27 @@
 
 impl Dispatcher {
     /// The groups that run nothing, by the latest reports of most of their agents.
-    pub(super) fn closed_groups(&self, now: Duration) -> BTreeSet<u32> {
-        let mut ranks: BTreeMap<u32, [usize; 2]> = BTreeMap::new();
+    pub(super) fn down_groups(&self, now: Duration) -> BTreeSet<u32> {
+        let mut counts: BTreeMap<u32, [usize; 2]> = BTreeMap::new();
         let reported = self.upstreams.values().filter(|u| u.group != 0);
-        for upstream in reported.filter(|u| u.is_closed(now) || u.is_reported(now)) {
-            let [open, closed] = ranks.entry(upstream.group).or_default();
-            *if upstream.is_closed(now) {
-                closed
+        for upstream in reported.filter(|u| u.is_group_down(now) || u.has_fresh_status(now)) {
+            let [running, down] = counts.entry(upstream.group).or_default();
+            *if upstream.is_group_down(now) {
+                down
             } else {
-                open
+                running
             } += 1;
         }
-        let closed = ranks
+        let down = counts
             .into_iter()
-            .filter(|(_, [open, closed])| closed > open);
-        closed.map(|(group, _)| group).collect()
+            .filter(|(_, [running, down])| down > running);
+        down.map(|(group, _)| group).collect()
     }
 
     /// The upstreams that take requests, as far as they and the agents of their groups report.
-    pub(super) fn open(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, &Upstream)> {
-        let closed = self.closed_groups(now);
+    pub(super) fn available(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, &Upstream)> {
+        let down = self.down_groups(now);
         let upstreams = self.upstreams.iter();
-        upstreams.filter(move |(_, u)| u.is_open(now) && !closed.contains(&u.group))
+        upstreams.filter(move |(_, u)| u.is_available(now) && !down.contains(&u.group))
     }
 }
--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -11,15 +11,15 @@
 
 /// The part of an upstream's slots that is used even where passes are too slow
 /// for answers in time: a late answer is better for its caller than none.
-pub const MIN_USED_SLOTS: f64 = 0.5;
+pub const MIN_USED_SLOTS_RATIO: f64 = 0.5;
 
 /// The part of slots that a customer may take with what is beyond its usual. The rest is
 /// for the others, whose requests come unevenly.
-const BEYOND_SLOTS_RATIO: f64 = 0.6;
+const OVER_USUAL_RATE_SLOTS_RATIO: f64 = 0.6;
 
 /// Requests that a plain upstream may have for each of its slots. Those beyond
 /// its slots wait there, so that it never idles between two requests.
-const PLAIN_REQUESTS_PER_SLOT: f64 = 2.0;
+const UNGROUPED_REQUESTS_PER_SLOT: f64 = 2.0;
 
 /// The part of what ranks with all slots taken write that ranks must still write which
 /// leave room for shifts of popularity. A late answer is worth something to its caller:
@@ -31,7 +31,7 @@
 const LATE_PASS_RATIO: f64 = 0.85;
 
 /// The part of the longest pause in time that the longest pass may take.
-const LONGEST_PASS_RATIO: f64 = 0.95;
+const PEAK_PASS_RATIO: f64 = 0.95;
 
 /// Whether passes of a group whose ranks have so many requests are in time at the highest
 /// pace of late, where the gap between two events may be so long.
@@ -60,32 +60,34 @@
 /// assert!(tolerates_shift(&engine, 3.0, 0.15, 6.0));
 /// ```
 #[must_use]
-pub fn tolerates_shift(engine: &Engine, highest: f64, gap: f64, requests: f64) -> bool {
-    if highest <= 0.0 {
+pub fn tolerates_shift(engine: &Engine, peak_pace: f64, max_gap: f64, requests: f64) -> bool {
+    if peak_pace <= 0.0 {
         return true;
     }
-    let most = engine.writers(Duration::from_secs_f64(gap * LONGEST_PASS_RATIO / highest));
+    let max_requests = engine.writers(Duration::from_secs_f64(
+        max_gap * PEAK_PASS_RATIO / peak_pace,
+    ));
     let slots = f64::from(engine.slots);
-    let written = |requests: f64| requests / engine.pass(requests).as_secs_f64().max(1e-6);
-    requests <= most || written(most) < MIN_THROUGHPUT_RATIO * written(slots)
+    let throughput = |requests: f64| requests / engine.pass(requests).as_secs_f64().max(1e-6);
+    requests <= max_requests || throughput(max_requests) < MIN_THROUGHPUT_RATIO * throughput(slots)
 }
 
 /// How slow a group's passes would be with one request more.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupLoad {
     /// The pass, against what makes streams late, less some headroom.
-    pub pass: f64,
+    pub pass_ratio: f64,
     /// The same with one request a rank.
-    pub least: f64,
+    pub min_pass_ratio: f64,
     /// Whether the group has just returned from an outage.
-    pub returns: bool,
+    pub recovering: bool,
     /// Whether requests that could have been in time were rejected lately.
-    pub short: bool,
+    pub shortage: bool,
     /// Whether streams would be in time after the next shift of popularity as well, as
     /// far as that can be had.
-    pub shifts: bool,
+    pub tolerates_shift: bool,
     /// The part of the group's slots that is taken.
-    pub used: f64,
+    pub used_ratio: f64,
 }
 
 /// What is known of when a request's answer comes.
@@ -109,15 +111,15 @@
     /// How late a request that waits is; `over` where it would be refused if it weren't
     /// placed now.
     #[must_use]
-    pub fn of(waiting: &QueuedRequest, over: bool) -> Self {
-        if waiting.ask.beyond && waiting.ask.resumes == Resumption::None {
+    pub fn of(waiting: &QueuedRequest, last_chance: bool) -> Self {
+        if waiting.request.over_usual_rate && waiting.request.resumption == Resumption::None {
             return Self::OverUsualRate;
         }
-        match waiting.ask.resumes {
+        match waiting.request.resumption {
             Resumption::Moved => Self::Moved,
             Resumption::Interrupted => Self::Interrupted,
             Resumption::None if waiting.late => Self::Late,
-            Resumption::None if over => Self::LastChance,
+            Resumption::None if last_chance => Self::LastChance,
             Resumption::None => Self::OnTime,
         }
     }
@@ -133,35 +135,38 @@
     now: Duration,
     upstream: &Upstream,
     group: Option<GroupLoad>,
-    lateness: AdmissionClass,
+    class: AdmissionClass,
 ) -> Option<f64> {
-    let distrust = upstream.trust.cost(now)?;
-    let busy = f64::from(upstream.own + upstream.others);
+    let health_penalty = upstream.health.cost(now)?;
+    let busy = f64::from(upstream.own_requests + upstream.peer_requests);
     let slots = f64::from(upstream.slots.max(1));
     let Some(group) = group else {
-        let plain = if lateness == AdmissionClass::OverUsualRate {
-            BEYOND_SLOTS_RATIO
+        let max_requests_per_slot = if class == AdmissionClass::OverUsualRate {
+            OVER_USUAL_RATE_SLOTS_RATIO
         } else {
-            PLAIN_REQUESTS_PER_SLOT
+            UNGROUPED_REQUESTS_PER_SLOT
         };
-        let room = busy < slots * plain;
-        return room.then_some(busy / slots + distrust);
+        let room = busy < slots * max_requests_per_slot;
+        return room.then_some(busy / slots + health_penalty);
     };
-    let in_time = group.pass <= 1.0 && group.shifts;
-    let few = group.used < MIN_USED_SLOTS;
-    let few_late = few && !group.returns;
+    let on_time = group.pass_ratio <= 1.0 && group.tolerates_shift;
+    let below_min_use = group.used_ratio < MIN_USED_SLOTS_RATIO;
+    let late_allowed = below_min_use && !group.recovering;
     // Where passes are out of time with a single request a rank, none is in time anyhow.
-    let hopeless = few && group.least > 1.0;
-    let spare = group.returns && in_time && !group.short && group.pass <= LATE_PASS_RATIO;
+    let none_on_time = below_min_use && group.min_pass_ratio > 1.0;
+    let spare_capacity =
+        group.recovering && on_time && !group.shortage && group.pass_ratio <= LATE_PASS_RATIO;
     let room = busy < slots
-        && match lateness {
-            AdmissionClass::OnTime => in_time,
-            AdmissionClass::OverUsualRate => in_time && group.used < BEYOND_SLOTS_RATIO,
+        && match class {
+            AdmissionClass::OnTime => on_time,
+            AdmissionClass::OverUsualRate => {
+                on_time && group.used_ratio < OVER_USUAL_RATE_SLOTS_RATIO
+            }
             AdmissionClass::LastChance | AdmissionClass::Interrupted => {
-                in_time || few_late || hopeless
+                on_time || late_allowed || none_on_time
             }
-            AdmissionClass::Late => few_late || hopeless || spare,
+            AdmissionClass::Late => late_allowed || none_on_time || spare_capacity,
             AdmissionClass::Moved => true,
         };
-    room.then_some(group.pass + busy / slots + distrust)
+    room.then_some(group.pass_ratio + busy / slots + health_penalty)
 }
--- a/verbenaspool_policy/src/dispatch/circuit.rs
+++ b/verbenaspool_policy/src/dispatch/circuit.rs
@@ -16,34 +16,34 @@
 
 /// Ranks that can't be reached, one after the other, before their group counts as out
 /// of reach. A single one may have crashed, and its group says so by itself.
-const UNREACHABLE_RANKS: usize = 3;
+const MIN_UNREACHABLE_RANKS: usize = 3;
 
 /// What the ranks of one group answered lately.
 #[derive(Debug, Default)]
 pub struct Circuit {
     /// When the next request may look, where the group takes none.
-    probe: Option<Duration>,
+    next_probe: Option<Duration>,
     /// Ranks that couldn't be reached since one took a request.
-    unreached: BTreeSet<Rc<str>>,
+    unreachable_ranks: BTreeSet<Rc<str>>,
 }
 
 impl Circuit {
     /// Whether a request may be sent to the group now.
     #[must_use]
-    pub fn allows(&self, now: Duration) -> bool {
-        self.probe.is_none_or(|probe| now >= probe)
+    pub fn allows_request(&self, now: Duration) -> bool {
+        self.next_probe.is_none_or(|probe| now >= probe)
     }
 
     /// Whether the group takes requests, as far as known.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.probe.is_none()
+        self.next_probe.is_none()
     }
 
     /// A request is sent to the group.
-    pub fn sent(&mut self, now: Duration) {
-        if self.probe.is_some() {
-            self.probe = Some(now + PROBE_INTERVAL);
+    pub fn record_sent(&mut self, now: Duration) {
+        if self.next_probe.is_some() {
+            self.next_probe = Some(now + PROBE_INTERVAL);
         }
     }
 
@@ -55,28 +55,28 @@
     /// use verbenaspool_policy::dispatch::circuit::Circuit;
     ///
     /// let mut circuit = Circuit::default();
-    /// circuit.turned_away(Duration::ZERO);
-    /// assert!(!circuit.allows(Duration::ZERO));
-    /// circuit.taken();
-    /// assert!(circuit.allows(Duration::ZERO));
+    /// circuit.open(Duration::ZERO);
+    /// assert!(!circuit.allows_request(Duration::ZERO));
+    /// circuit.close();
+    /// assert!(circuit.allows_request(Duration::ZERO));
     /// ```
-    pub fn taken(&mut self) {
-        self.probe = None;
-        self.unreached.clear();
+    pub fn close(&mut self) {
+        self.next_probe = None;
+        self.unreachable_ranks.clear();
     }
 
     /// A rank with little to do turned a request away.
-    pub fn turned_away(&mut self, now: Duration) {
-        if self.probe.is_none() {
-            self.probe = Some(now + PROBE_INTERVAL);
+    pub fn open(&mut self, now: Duration) {
+        if self.next_probe.is_none() {
+            self.next_probe = Some(now + PROBE_INTERVAL);
         }
     }
 
     /// A rank couldn't be reached, or another process than the rank was there.
-    pub fn unreached(&mut self, now: Duration, rank: &Rc<str>) {
-        self.unreached.insert(rank.clone());
-        if self.unreached.len() >= UNREACHABLE_RANKS {
-            self.turned_away(now);
+    pub fn record_unreachable(&mut self, now: Duration, rank: &Rc<str>) {
+        self.unreachable_ranks.insert(rank.clone());
+        if self.unreachable_ranks.len() >= MIN_UNREACHABLE_RANKS {
+            self.open(now);
         }
     }
 }
--- a/verbenaspool_policy/src/dispatch/customer_rate.rs
+++ b/verbenaspool_policy/src/dispatch/customer_rate.rs
@@ -20,7 +20,7 @@
 
 /// Requests in that time that anybody may send: those of small customers come by chance,
 /// and an entry sees a part of them only.
-const FREE_REQUESTS: f64 = 2.0;
+const MIN_ALLOWED_REQUESTS: f64 = 2.0;
 
 /// CustomerRates that are remembered at most.
 const MAX_TRACKED_CUSTOMERS: usize = 4_096;
@@ -32,21 +32,21 @@
     usual: f64,
     /// Lately: all, and those that were taken as usual ones.
     recent: f64,
-    taken: f64,
-    at: Duration,
+    within_limit: f64,
+    updated_at: Duration,
 }
 
 impl Rate {
     /// Counts a request; tells how many usually come in the short time, given how much of
     /// the long one was seen.
-    fn count(&mut self, now: Duration, seen: f64) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        let fade = (-age / CURRENT_RATE_WINDOW.as_secs_f64()).exp();
-        self.recent = self.recent * fade + 1.0;
-        self.taken *= fade;
+    fn count(&mut self, now: Duration, observed_secs: f64) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let decay = (-age / CURRENT_RATE_WINDOW.as_secs_f64()).exp();
+        self.recent = self.recent * decay + 1.0;
+        self.within_limit *= decay;
         self.usual *= (-age / USUAL_RATE_WINDOW.as_secs_f64()).exp();
-        let usual = self.usual / seen * CURRENT_RATE_WINDOW.as_secs_f64();
+        let usual = self.usual / observed_secs * CURRENT_RATE_WINDOW.as_secs_f64();
         self.usual += 1.0;
         usual
     }
@@ -58,7 +58,7 @@
     rates: BTreeMap<Rc<str>, Rate>,
     all: Rate,
     /// When the first request came.
-    since: Option<Duration>,
+    started_at: Option<Duration>,
 }
 
 impl CustomerRates {
@@ -72,40 +72,41 @@
     ///
     /// use verbenaspool_policy::dispatch::customer_rate::CustomerRates;
     ///
-    /// let mut customers = CustomerRates::default();
-    /// let mut see = |ms, name: &str| customers.see(Duration::from_millis(ms), &name.into());
+    /// let mut rates = CustomerRates::default();
+    /// let mut observe = |ms, name: &str| rates.observe(Duration::from_millis(ms), &name.into());
     /// for number in 0..100 {
-    ///     assert!(!see(number * 200, "a") && !see(number * 200, "b"), "five a second");
+    ///     assert!(!observe(number * 200, "a") && !observe(number * 200, "b"), "five a second");
     /// }
-    /// assert!((0..100).any(|number| see(20_000 + number * 10, "a")), "a hundred a second");
+    /// assert!((0..100).any(|number| observe(20_000 + number * 10, "a")), "a hundred a second");
     /// ```
-    pub fn see(&mut self, now: Duration, customer: &Rc<str>) -> bool {
-        let since = *self.since.get_or_insert(now);
+    pub fn observe(&mut self, now: Duration, customer: &Rc<str>) -> bool {
+        let started_at = *self.started_at.get_or_insert(now);
         // An entry that has just started has seen a part of the long time only.
-        let seen = now
-            .saturating_sub(since)
+        let observed_secs = now
+            .saturating_sub(started_at)
             .max(CURRENT_RATE_WINDOW)
             .as_secs_f64();
-        let seen = USUAL_RATE_WINDOW.as_secs_f64()
-            * (1.0 - (-seen / USUAL_RATE_WINDOW.as_secs_f64()).exp());
-        let all = self.all.count(now, seen);
+        let observed_secs = USUAL_RATE_WINDOW.as_secs_f64()
+            * (1.0 - (-observed_secs / USUAL_RATE_WINDOW.as_secs_f64()).exp());
+        let all_usual = self.all.count(now, observed_secs);
         if self.rates.len() >= MAX_TRACKED_CUSTOMERS && !self.rates.contains_key(customer) {
-            self.forget();
+            self.evict_oldest();
         }
         let rate = self.rates.entry(customer.clone()).or_default();
-        let usual = rate.count(now, seen);
-        let others = (all - usual).max(1.0);
+        let usual = rate.count(now, observed_secs);
+        let others = (all_usual - usual).max(1.0);
         let growth = ((self.all.recent - rate.recent) / others).max(1.0);
-        let beyond = rate.taken + 1.0 > EXCESS_RATIO * growth * usual + FREE_REQUESTS;
-        if !beyond {
-            rate.taken += 1.0;
+        let over_limit =
+            rate.within_limit + 1.0 > EXCESS_RATIO * growth * usual + MIN_ALLOWED_REQUESTS;
+        if !over_limit {
+            rate.within_limit += 1.0;
         }
-        beyond
+        over_limit
     }
 
     /// Forgets the customer that was silent for longest.
-    fn forget(&mut self) {
-        let oldest = self.rates.iter().min_by_key(|(_, rate)| rate.at);
+    fn evict_oldest(&mut self) {
+        let oldest = self.rates.iter().min_by_key(|(_, rate)| rate.updated_at);
         if let Some(customer) = oldest.map(|(customer, _)| customer.clone()) {
             self.rates.remove(&customer);
         }
--- a/verbenaspool_policy/src/dispatch/diagnostics.rs
+++ b/verbenaspool_policy/src/dispatch/diagnostics.rs
@@ -10,15 +10,15 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceDiagnostics {
     /// The longest that a pass of any group takes, as far as events show.
-    pub pass: Duration,
+    pub longest_pass: Duration,
     /// The pace of the slowest upstream that runs.
-    pub slowest: f64,
+    pub slowest_pace: f64,
     /// That upstream.
-    pub upstream: Option<Rc<str>>,
+    pub slowest_upstream: Option<Rc<str>>,
     /// How old its agent's word is.
-    pub age: Duration,
+    pub status_age: Duration,
     /// Upstreams whose groups run nothing, as their agents said lately.
-    pub closed: u32,
+    pub unavailable: u32,
 }
 
 /// How a service stands.
@@ -27,9 +27,9 @@
     /// Upstreams that take requests.
     pub upstreams: u32,
     /// Those of them that nothing is sent to for now.
-    pub shunned: u32,
+    pub ejected: u32,
     /// Requests in flight, of all entries as far as known.
-    pub busy: u32,
+    pub in_flight: u32,
     /// Requests that wait here.
     pub waiting: usize,
     /// How much longer passes take than on even ranks.
--- a/verbenaspool_policy/src/dispatch/failure_domain.rs
+++ b/verbenaspool_policy/src/dispatch/failure_domain.rs
@@ -19,15 +19,15 @@
 impl Dispatcher {
     /// An upstream crashed. Its group makes no pass without it, so nothing is sent to any of
     /// its ranks until their agents report that it runs.
-    pub fn crashed(&mut self, now: Duration, id: &str) {
+    pub fn record_crash(&mut self, now: Duration, id: &str) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.trust.learn(now, AttemptOutcome::Unreached);
+        upstream.health.record(now, AttemptOutcome::Unreached);
         let group = upstream.group;
         let ranks = self.upstreams.values_mut();
         for rank in ranks.filter(|rank| group != 0 && rank.group == group) {
-            rank.closed = Some(now);
+            rank.group_down_at = Some(now);
         }
     }
 
@@ -36,7 +36,7 @@
     /// one has nothing to spare, and counts as if it had.
     #[must_use]
     pub fn can_lose_one(&self, now: Duration) -> bool {
-        let closed = self.closed_groups(now);
+        let down = self.down_groups(now);
         let mut domains = BTreeMap::new();
         for (id, upstream) in self.upstreams.iter().filter(|(_, u)| u.ready) {
             let domain = if upstream.group == 0 {
@@ -44,12 +44,12 @@
             } else {
                 FailureDomain::Group(upstream.group)
             };
-            let trusted = upstream.trust.cost(now).is_some();
-            let open = upstream.is_open(now) && !closed.contains(&upstream.group);
-            let runs = trusted && open && self.takes(upstream.group);
-            *domains.entry(domain).or_insert(false) |= runs;
+            let healthy = upstream.health.cost(now).is_some();
+            let available = upstream.is_available(now) && !down.contains(&upstream.group);
+            let running = healthy && available && self.circuit_closed(upstream.group);
+            *domains.entry(domain).or_insert(false) |= running;
         }
-        let running = domains.values().filter(|runs| **runs).count();
-        running >= domains.len().min(2)
+        let running_domains = domains.values().filter(|running| **running).count();
+        running_domains >= domains.len().min(2)
     }
 }
--- a/verbenaspool_policy/src/dispatch/health.rs
+++ b/verbenaspool_policy/src/dispatch/health.rs
@@ -33,18 +33,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UpstreamHealth {
     /// The part of answers that were bad, newer ones weighing more.
-    bad: f64,
+    failure_ratio: f64,
     /// RetryDetector in a row that it was left alone.
-    rows: u32,
+    consecutive_ejections: u32,
     /// Until when it is left alone.
-    until: Duration,
+    ejected_until: Duration,
 }
 
 impl UpstreamHealth {
     /// What distrust adds to the cost of sending; nothing while it is left alone.
     #[must_use]
     pub fn cost(&self, now: Duration) -> Option<f64> {
-        (now >= self.until).then_some(self.bad * FAILURE_PENALTY)
+        (now >= self.ejected_until).then_some(self.failure_ratio * FAILURE_PENALTY)
     }
 
     /// Learns from how a sending ended.
@@ -54,38 +54,40 @@
     ///
     /// use verbenaspool_policy::dispatch::{AttemptOutcome, health::UpstreamHealth};
     ///
-    /// let mut trust = UpstreamHealth::default();
-    /// trust.learn(Duration::ZERO, AttemptOutcome::Silent);
-    /// assert_eq!(trust.cost(Duration::from_millis(10)), None);
-    /// assert!(trust.cost(Duration::from_secs(1)).is_some());
+    /// let mut health = UpstreamHealth::default();
+    /// health.record(Duration::ZERO, AttemptOutcome::Silent);
+    /// assert_eq!(health.cost(Duration::from_millis(10)), None);
+    /// assert!(health.cost(Duration::from_secs(1)).is_some());
     /// ```
-    pub fn learn(&mut self, now: Duration, ending: AttemptOutcome) {
-        match ending {
+    pub fn record(&mut self, now: Duration, outcome: AttemptOutcome) {
+        match outcome {
             AttemptOutcome::Good => {
-                self.bad *= 1.0 - NEWEST_WEIGHT;
-                self.rows = 0;
+                self.failure_ratio *= 1.0 - NEWEST_WEIGHT;
+                self.consecutive_ejections = 0;
             }
             AttemptOutcome::Bad => {
-                self.bad += (1.0 - self.bad) * NEWEST_WEIGHT;
-                if self.bad > MAX_FAILURE_RATIO {
-                    self.rest(now);
+                self.failure_ratio += (1.0 - self.failure_ratio) * NEWEST_WEIGHT;
+                if self.failure_ratio > MAX_FAILURE_RATIO {
+                    self.eject(now);
                 }
             }
             AttemptOutcome::Silent | AttemptOutcome::Unreached => {
-                self.bad += (1.0 - self.bad) * NEWEST_WEIGHT;
-                self.rest(now);
+                self.failure_ratio += (1.0 - self.failure_ratio) * NEWEST_WEIGHT;
+                self.eject(now);
             }
-            AttemptOutcome::Full => self.rest(now),
+            AttemptOutcome::Full => self.eject(now),
             AttemptOutcome::Unknown => {}
         }
     }
 
     /// Leaves the upstream alone for a while.
-    fn rest(&mut self, now: Duration) {
-        if now < self.until {
+    fn eject(&mut self, now: Duration) {
+        if now < self.ejected_until {
             return;
         }
-        self.until = now + BASE_EJECTION_TIME * 2_u32.pow(self.rows.min(MAX_EJECTION_DOUBLINGS));
-        self.rows = self.rows.saturating_add(1);
+        self.ejected_until = now
+            + BASE_EJECTION_TIME
+                * 2_u32.pow(self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS));
+        self.consecutive_ejections = self.consecutive_ejections.saturating_add(1);
     }
 }
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -57,10 +57,10 @@
 
 /// How long a request may wait in line, as a part of the time in which its
 /// answer must begin: what is left goes for reading the prompt and two passes.
-const IN_TIME_WAIT_RATIO: f64 = 0.35;
+const ON_TIME_WAIT_RATIO: f64 = 0.35;
 
 /// Two to the 53rd, the numbers that a draw is taken from.
-const DRAW_RANGE: f64 = 9_007_199_254_740_992.0;
+const RANDOM_RANGE: f64 = 9_007_199_254_740_992.0;
 
 /// Decides for one service at one entry.
 #[derive(Debug)]
@@ -72,25 +72,25 @@
     /// The upstreams by identity.
     upstreams: BTreeMap<Rc<str>, Upstream>,
     /// Requests that wait.
-    line: WaitQueue,
+    queue: WaitQueue,
     /// The pace of each group's passes.
-    passes: BTreeMap<u32, PassPace>,
+    group_paces: BTreeMap<u32, PassPace>,
     /// The pace of all groups, for those of which nothing is known.
-    all: PassPace,
+    overall_pace: PassPace,
     /// How long answers last.
     service_time: ServiceTime,
     /// Whether any upstream takes requests.
     outage: Outage,
     /// How many entries share the upstreams, this one included.
-    entries: u32,
+    entry_count: u32,
     /// When a request that could have been in time found no room, or no upstream, last.
-    short: Option<Duration>,
+    last_shortage: Option<Duration>,
     /// When each group's streams had an event last.
-    heard: BTreeMap<u32, Duration>,
+    last_events: BTreeMap<u32, Duration>,
     /// Whether each group takes requests.
     circuits: BTreeMap<u32, Circuit>,
     /// Spreads choices that are as good as each other.
-    draws: u64,
+    random_state: u64,
 }
 
 impl Dispatcher {
@@ -100,7 +100,7 @@
     /// use verbenaspool_policy::dispatch::Dispatcher;
     ///
     /// let dispatcher = Dispatcher::new("a".into(), 1);
-    /// assert_eq!(dispatcher.ids().count(), 0);
+    /// assert_eq!(dispatcher.upstream_ids().count(), 0);
     /// ```
     #[must_use]
     pub fn new(zone: Rc<str>, seed: u64) -> Self {
@@ -108,45 +108,47 @@
             zone,
             engine: None,
             upstreams: BTreeMap::new(),
-            line: WaitQueue::default(),
-            passes: BTreeMap::new(),
-            all: PassPace::default(),
+            queue: WaitQueue::default(),
+            group_paces: BTreeMap::new(),
+            overall_pace: PassPace::default(),
             service_time: ServiceTime::default(),
             outage: Outage::default(),
-            entries: 1,
-            short: None,
-            heard: BTreeMap::new(),
+            entry_count: 1,
+            last_shortage: None,
+            last_events: BTreeMap::new(),
             circuits: BTreeMap::new(),
-            draws: seed | 1,
+            random_state: seed | 1,
         }
     }
 
     /// Takes over what the configuration says of the service's engines.
-    pub fn engine(&mut self, engine: Option<&Engine>) {
+    pub fn set_engine(&mut self, engine: Option<&Engine>) {
         self.engine = engine.cloned();
     }
 
     /// Takes in how many entries share the service's upstreams, this one included, and
     /// looks whether any upstream runs. To be called many times a second, also while no
     /// request waits: an outage would seem to end with the first request after it.
-    pub fn share_among(&mut self, now: Duration, entries: u32) {
-        self.entries = entries.max(1);
-        self.outage.observe(now, self.is_open(now));
+    pub fn update_entry_count(&mut self, now: Duration, entries: u32) {
+        self.entry_count = entries.max(1);
+        self.outage.observe(now, self.is_available(now));
     }
 
     /// Takes over the list of the service's upstreams.
-    pub fn members<'a>(&mut self, list: impl Iterator<Item = &'a replica::Replica>) {
-        let mut before = std::mem::take(&mut self.upstreams);
+    pub fn set_upstreams<'a>(&mut self, list: impl Iterator<Item = &'a replica::Replica>) {
+        let mut removed = std::mem::take(&mut self.upstreams);
         for replica in list {
-            let kept = before.remove(&replica.id);
-            let mut upstream = kept.unwrap_or_else(|| Upstream::new(replica));
+            let existing = removed.remove(&replica.id);
+            let mut upstream = existing.unwrap_or_else(|| Upstream::new(replica));
             upstream.ready = replica.state == replica::State::Ready;
             upstream.slots = replica.slots;
             self.upstreams.insert(replica.id.clone(), upstream);
         }
         // What still runs at those that are gone from the list is told by its end.
-        let busy = before.into_iter().filter(|(_, upstream)| upstream.own > 0);
-        for (id, mut upstream) in busy {
+        let draining = removed
+            .into_iter()
+            .filter(|(_, upstream)| upstream.own_requests > 0);
+        for (id, mut upstream) in draining {
             upstream.ready = false;
             self.upstreams.insert(id, upstream);
         }
@@ -156,29 +158,31 @@
     /// tells whether that can be believed.
     ///
     /// Messages that were overtaken, or that make no sense, say nothing.
-    pub fn load(&mut self, now: Duration, id: &str, number: u64, requests: u32) -> bool {
+    pub fn record_load(&mut self, now: Duration, id: &str, sequence: u64, requests: u32) -> bool {
         let upstream = self.upstreams.get_mut(id);
-        upstream.is_some_and(|upstream| upstream.load(now, number, requests))
+        upstream.is_some_and(|upstream| upstream.record_load(now, sequence, requests))
     }
 
     /// Whether the agent beside an upstream is to be asked before a request is sent.
     #[must_use]
-    pub fn asks(&self, now: Duration, id: &str) -> bool {
+    pub fn needs_reservation(&self, now: Duration, id: &str) -> bool {
         let upstream = self.upstreams.get(id);
-        upstream.is_some_and(|upstream| upstream.is_told(now) && !upstream.is_silent(now))
+        upstream.is_some_and(|upstream| {
+            upstream.has_fresh_load(now) && !upstream.is_agent_unresponsive(now)
+        })
     }
 
     /// The agent beside an upstream kept a slot for a request of this entry, or won't say.
-    pub fn reserved(&mut self, id: &str) {
+    pub fn finish_reservation(&mut self, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.asking = upstream.asking.saturating_sub(1);
+            upstream.reserving = upstream.reserving.saturating_sub(1);
         }
     }
 
     /// The agent beside an upstream didn't answer.
-    pub fn unanswered(&mut self, now: Duration, id: &str) {
+    pub fn record_agent_timeout(&mut self, now: Duration, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.silent = now + AGENT_BACKOFF;
+            upstream.agent_backoff_until = now + AGENT_BACKOFF;
         }
     }
 
@@ -190,69 +194,78 @@
     /// an upstream got nine streams where six were in time. So a place that
     /// another entry freed is left for a while, another one for each entry; the
     /// entry that freed it has it at once.
-    pub fn others(&mut self, now: Duration, id: &str, requests: u32) {
-        let wait = SLOT_REUSE_DELAY.mul_f64(self.draw());
+    pub fn set_peer_load(&mut self, now: Duration, id: &str, requests: u32) {
+        let delay = SLOT_REUSE_DELAY.mul_f64(self.random());
         let upstream = self.upstreams.get_mut(id);
-        let Some(upstream) = upstream.filter(|upstream| !upstream.is_told(now)) else {
+        let Some(upstream) = upstream.filter(|upstream| !upstream.has_fresh_load(now)) else {
             return;
         };
-        if requests >= upstream.others {
-            upstream.others = requests;
-            upstream.fewer = None;
+        if requests >= upstream.peer_requests {
+            upstream.peer_requests = requests;
+            upstream.pending_decrease = None;
             return;
         }
-        let until = upstream.fewer.map_or(now + wait, |(_, until)| until);
+        let until = upstream
+            .pending_decrease
+            .map_or(now + delay, |(_, until)| until);
         if now < until {
-            upstream.fewer = Some((requests, until));
+            upstream.pending_decrease = Some((requests, until));
         } else {
-            upstream.others = requests;
-            upstream.fewer = None;
+            upstream.peer_requests = requests;
+            upstream.pending_decrease = None;
         }
     }
 
     /// Believes what was left to be believed for a while.
-    fn believe(&mut self, now: Duration) {
+    fn apply_pending_decreases(&mut self, now: Duration) {
         for upstream in self.upstreams.values_mut() {
-            if let Some((requests, until)) = upstream.fewer
+            if let Some((requests, until)) = upstream.pending_decrease
                 && now >= until
             {
-                upstream.others = requests;
-                upstream.fewer = None;
+                upstream.peer_requests = requests;
+                upstream.pending_decrease = None;
             }
         }
     }
 
     /// Takes in which group an upstream belongs to, whether that runs and how slow
     /// the upstream is; tells whether it runs now and didn't before, or the reverse.
-    pub fn status(&mut self, now: Duration, id: &str, group: u32, open: bool, pace: f64) -> bool {
+    pub fn record_status(
+        &mut self,
+        now: Duration,
+        id: &str,
+        group: u32,
+        running: bool,
+        pace: f64,
+    ) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
         };
         upstream.group = group;
         upstream.pace = pace;
-        upstream.said = now;
-        let before = upstream.closed.is_none();
-        upstream.closed = (!open).then_some(now);
-        if open && !before {
+        upstream.status_at = now;
+        let was_running = upstream.group_down_at.is_none();
+        upstream.group_down_at = (!running).then_some(now);
+        if running && !was_running {
             // What it didn't answer while its group was broken says nothing of it.
-            upstream.trust = UpstreamHealth::default();
+            upstream.health = UpstreamHealth::default();
             if let Some(circuit) = self.circuits.get_mut(&group) {
-                circuit.taken();
+                circuit.close();
             }
         }
-        before != open
+        was_running != running
     }
 
     /// The requests of this entry at each upstream that has any, as far as no agent
     /// tells the others.
-    pub fn flights(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, u32)> {
-        let untold = move |u: &Upstream| u.own > 0 && !u.is_told(now);
-        let busy = self.upstreams.iter().filter(move |(_, u)| untold(u));
-        busy.map(|(id, upstream)| (id, upstream.own))
+    pub fn in_flight(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, u32)> {
+        let unreported = move |u: &Upstream| u.own_requests > 0 && !u.has_fresh_load(now);
+        let sending = self.upstreams.iter().filter(move |(_, u)| unreported(u));
+        sending.map(|(id, upstream)| (id, upstream.own_requests))
     }
 
     /// The identities of all upstreams.
-    pub fn ids(&self) -> impl Iterator<Item = &Rc<str>> {
+    pub fn upstream_ids(&self) -> impl Iterator<Item = &Rc<str>> {
         self.upstreams.keys()
     }
 
@@ -260,35 +273,39 @@
     /// go on elsewhere.
     #[must_use]
     pub fn is_slow(&self, now: Duration, id: &str) -> bool {
-        let quickest = self.quickest(now);
+        let fastest = self.fastest_pace(now);
         let pace = self.upstreams.get(id).map_or(1.0, |upstream| upstream.pace);
-        slow::is_slow(pace, quickest)
+        slow::is_slow(pace, fastest)
     }
 
     /// The pace of the quickest upstream that runs.
-    fn quickest(&self, now: Duration) -> f64 {
-        let paces = self.open(now).map(|(_, upstream)| upstream.pace);
+    fn fastest_pace(&self, now: Duration) -> f64 {
+        let paces = self.available(now).map(|(_, upstream)| upstream.pace);
         paces.fold(f64::INFINITY, f64::min)
     }
 
     /// A stream at an upstream got an event.
-    pub fn heard(&mut self, now: Duration, id: &str) {
+    pub fn record_event(&mut self, now: Duration, id: &str) {
         if let Some(upstream) = self.upstreams.get(id) {
-            self.heard.insert(upstream.group, now);
+            self.last_events.insert(upstream.group, now);
         }
     }
 
     /// What it means that a stream at an upstream has been silent since some time.
     #[must_use]
-    pub fn silence(&self, now: Duration, id: &str, since: Duration) -> StallScope {
+    pub fn classify_stall(&self, now: Duration, id: &str, since: Duration) -> StallScope {
         let group = self.upstreams.get(id).map_or(0, |upstream| upstream.group);
         if group == 0 {
             // No agent told of a group: the upstream stands by itself.
             return StallScope::Stream;
         }
-        let mut others = self.open(now).filter(|(_, u)| u.group != group);
-        let others_run = others.any(|(_, u)| self.takes(u.group));
-        slow::judge(since, self.heard.get(&group).copied(), others_run)
+        let mut others = self.available(now).filter(|(_, u)| u.group != group);
+        let other_groups_run = others.any(|(_, u)| self.circuit_closed(u.group));
+        slow::classify(
+            since,
+            self.last_events.get(&group).copied(),
+            other_groups_run,
+        )
     }
 
     /// The upstreams of the same group as one.
@@ -297,161 +314,184 @@
         let Some(upstream) = self.upstreams.get(id) else {
             return Vec::new();
         };
-        let group_members = self.upstreams.iter();
-        let group_members = group_members.filter(|(_, other)| other.group == upstream.group);
-        group_members.map(|(id, _)| id.clone()).collect()
+        let members = self.upstreams.iter();
+        let members = members.filter(|(_, other)| other.group == upstream.group);
+        members.map(|(id, _)| id.clone()).collect()
     }
 
     /// How long a pass of an upstream's group takes now.
     #[must_use]
-    pub fn pass(&self, now: Duration, id: &str) -> Option<Duration> {
+    pub fn pass_time(&self, now: Duration, id: &str) -> Option<Duration> {
         let (engine, upstream) = (self.engine.as_ref()?, self.upstreams.get(id)?);
-        let pace = self.passes.get(&upstream.group)?.pace(now, 1.0);
-        Some(engine.pass(self.mean(upstream.group)).mul_f64(pace))
+        let pace = self.group_paces.get(&upstream.group)?.pace(now, 1.0);
+        Some(
+            engine
+                .pass(self.mean_requests(upstream.group))
+                .mul_f64(pace),
+        )
     }
 
     /// Learns from a pause between two events of a stream.
-    pub fn pause(&mut self, now: Duration, id: &str, pause: Duration) {
+    pub fn record_pause(&mut self, now: Duration, id: &str, pause: Duration) {
         let (Some(engine), Some(upstream)) = (&self.engine, self.upstreams.get(id)) else {
             return;
         };
         let group = upstream.group;
-        let usual = engine.pass(self.mean(group));
-        let ratio = pause.as_secs_f64() / usual.as_secs_f64().max(1e-6);
-        self.passes.entry(group).or_default().learn(now, ratio);
-        self.all.learn(now, ratio);
-    }
-
-    /// Puts a request in line; [`Self::pump`] tells what becomes of it.
-    pub fn submit(&mut self, now: Duration, ticket: Ticket, ask: PlacementRequest) {
-        let since = ask.since.min(now);
-        let in_time = ask.target.saturating_sub(since).mul_f64(IN_TIME_WAIT_RATIO);
-        let longest = self.service_time.wait(ask.deadline.saturating_sub(since));
-        let until = since + longest.max(in_time);
-        self.line.join(QueuedRequest {
+        let configured = engine.pass(self.mean_requests(group));
+        let ratio = pause.as_secs_f64() / configured.as_secs_f64().max(1e-6);
+        self.group_paces
+            .entry(group)
+            .or_default()
+            .record(now, ratio);
+        self.overall_pace.record(now, ratio);
+    }
+
+    /// Puts a request in line; [`Self::process_queue`] tells what becomes of it.
+    pub fn submit(&mut self, now: Duration, ticket: Ticket, request: PlacementRequest) {
+        let queued_at = request.queued_at.min(now);
+        let on_time_wait = request
+            .target
+            .saturating_sub(queued_at)
+            .mul_f64(ON_TIME_WAIT_RATIO);
+        let max_wait = self
+            .service_time
+            .max_wait(request.deadline.saturating_sub(queued_at));
+        let until = queued_at + max_wait.max(on_time_wait);
+        self.queue.push(QueuedRequest {
             ticket,
-            late: ask.target <= since,
-            since,
-            in_time_until: since + in_time,
-            until: until.min(ask.deadline).min(ask.place_by),
-            ask,
+            late: request.target <= queued_at,
+            queued_at,
+            on_time_until: queued_at + on_time_wait,
+            until: until.min(request.deadline).min(request.place_by),
+            request,
         });
     }
 
     /// Takes a request out of line whose caller has left.
-    pub fn leave(&mut self, ticket: Ticket) {
-        self.line.leave(ticket);
+    pub fn cancel(&mut self, ticket: Ticket) {
+        self.queue.remove(ticket);
     }
 
     /// How many requests wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.line.len()
+    pub fn waiting_count(&self) -> usize {
+        self.queue.len()
     }
 
     /// Places and refuses what can be by now. A request that is placed counts as
     /// in flight from here on.
-    pub fn pump(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
-        self.believe(now);
-        self.outage.observe(now, self.is_open(now));
+    pub fn process_queue(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
+        self.apply_pending_decreases(now);
+        self.outage.observe(now, self.is_available(now));
         let mut verdicts = Vec::new();
-        let mut kept = Vec::new();
-        for waiting in self.line.take() {
+        let mut still_waiting = Vec::new();
+        for waiting in self.queue.take_all() {
             match self.decide(now, &waiting) {
                 Some(verdict) => verdicts.push((waiting.ticket, verdict)),
-                None => kept.push(waiting),
+                None => still_waiting.push(waiting),
             }
         }
-        self.line.restore(kept);
+        self.queue.restore(still_waiting);
         verdicts
     }
 
     /// What becomes of one request; nothing, where it goes on waiting.
     fn decide(&mut self, now: Duration, waiting: &QueuedRequest) -> Option<Verdict> {
-        let (turn, service_time) = (self.service_time.turn(), self.service_time.estimate());
-        let over = now >= self.outage.wait_until(now, waiting, turn, service_time);
-        if let Some(id) = self.choose(now, waiting, over) {
+        let (late_wait, service_time) =
+            (self.service_time.late_wait(), self.service_time.estimate());
+        let timed_out = now
+            >= self
+                .outage
+                .wait_until(now, waiting, late_wait, service_time);
+        if let Some(id) = self.choose_upstream(now, waiting, timed_out) {
             if let Some(upstream) = self.upstreams.get_mut(&id) {
-                upstream.own += 1;
-                upstream.asking += 1;
+                upstream.own_requests += 1;
+                upstream.reserving += 1;
                 if let Some(circuit) = self.circuits.get_mut(&upstream.group) {
-                    circuit.sent(now);
+                    circuit.record_sent(now);
                 }
             }
             return Some(Verdict::Send(id));
         }
         if !waiting.late {
-            self.short = Some(now);
+            self.last_shortage = Some(now);
         }
-        if !over {
+        if !timed_out {
             return None;
         }
-        let left = waiting.ask.deadline.saturating_sub(now);
-        Some(Verdict::Reject(self.refusal(now, left)))
+        let left = waiting.request.deadline.saturating_sub(now);
+        Some(Verdict::Reject(self.rejection(now, left)))
     }
 
     /// Whether any upstream takes requests, as far as known.
-    fn is_open(&self, now: Duration) -> bool {
-        self.open(now).any(|(_, u)| self.takes(u.group))
+    fn is_available(&self, now: Duration) -> bool {
+        self.available(now)
+            .any(|(_, u)| self.circuit_closed(u.group))
     }
 
     /// Whether a group takes requests, as far as its ranks' answers tell.
-    fn takes(&self, group: u32) -> bool {
+    fn circuit_closed(&self, group: u32) -> bool {
         self.circuits.get(&group).is_none_or(Circuit::is_closed)
     }
 
     /// Why a request is refused now, and when its caller should come back, who has so
     /// much time left.
-    pub fn refusal(&mut self, now: Duration, left: Duration) -> Rejection {
-        let (reason, [soonest, latest]) = if self.is_open(now) {
-            (RejectReason::Full, self.service_time.full(left))
+    pub fn rejection(&mut self, now: Duration, left: Duration) -> Rejection {
+        let (reason, [soonest, latest]) = if self.is_available(now) {
+            (RejectReason::Full, self.service_time.retry_after_full(left))
         } else {
-            (RejectReason::Unavailable, self.service_time.away(left))
+            (
+                RejectReason::Unavailable,
+                self.service_time.retry_after_outage(left),
+            )
         };
         // Spread, so that those refused together don't come back together.
-        let after = soonest + latest.saturating_sub(soonest).mul_f64(self.draw());
-        Rejection { reason, after }
+        let retry_after = soonest + latest.saturating_sub(soonest).mul_f64(self.random());
+        Rejection {
+            reason,
+            retry_after,
+        }
     }
 
     /// A number from 0 to 1, by Marsaglia's xorshift.
-    fn draw(&mut self) -> f64 {
-        self.draws ^= self.draws << 13;
-        self.draws ^= self.draws >> 7;
-        self.draws ^= self.draws << 17;
+    fn random(&mut self) -> f64 {
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
         #[allow(clippy::cast_precision_loss)] // 53 bits are left.
-        let part = (self.draws >> 11) as f64;
-        part / DRAW_RANGE
+        let value = (self.random_state >> 11) as f64;
+        value / RANDOM_RANGE
     }
 
     /// Learns how long an answer lasted that ended well.
-    pub fn lasted(&mut self, lasted: Duration) {
-        self.service_time.learn(lasted);
+    pub fn record_service_time(&mut self, duration: Duration) {
+        self.service_time.record(duration);
     }
 
     /// An upstream took a request: it has begun to answer. Tells whether its group
     /// counted as taking none before.
-    pub fn taken(&mut self, id: &str) -> bool {
+    pub fn record_accepted(&mut self, id: &str) -> bool {
         let group = self.upstreams.get(id).map(|upstream| upstream.group);
         let Some(circuit) = group.and_then(|group| self.circuits.get_mut(&group)) else {
             return false;
         };
         let was_open = !circuit.is_closed();
-        circuit.taken();
+        circuit.close();
         was_open
     }
 
     /// Records how a sending ended. Tells whether the upstream's group counts as taking
     /// none from now on, and didn't before.
-    pub fn ended(&mut self, now: Duration, id: &str, ending: AttemptOutcome) -> bool {
+    pub fn finish_attempt(&mut self, now: Duration, id: &str, outcome: AttemptOutcome) -> bool {
         let Some((id, upstream)) = self.upstreams.get_key_value(id) else {
             return false;
         };
         let (id, group) = (id.clone(), upstream.group);
-        let busy = f64::from(upstream.own + upstream.others);
-        let idle = busy < f64::from(upstream.slots) * capacity::MIN_USED_SLOTS;
+        let busy = f64::from(upstream.own_requests + upstream.peer_requests);
+        let idle = busy < f64::from(upstream.slots) * capacity::MIN_USED_SLOTS_RATIO;
         if let Some(upstream) = self.upstreams.get_mut(&id) {
-            upstream.own = upstream.own.saturating_sub(1);
-            upstream.trust.learn(now, ending);
+            upstream.own_requests = upstream.own_requests.saturating_sub(1);
+            upstream.health.record(now, outcome);
         }
         // Only engines make groups; other upstreams speak for themselves.
         if self.engine.is_none() {
@@ -459,9 +499,9 @@
         }
         let circuit = self.circuits.entry(group).or_default();
         let was_closed = circuit.is_closed();
-        match ending {
-            AttemptOutcome::Full if idle => circuit.turned_away(now),
-            AttemptOutcome::Unreached => circuit.unreached(now, &id),
+        match outcome {
+            AttemptOutcome::Full if idle => circuit.open(now),
+            AttemptOutcome::Unreached => circuit.record_unreachable(now, &id),
             _ => {}
         }
         was_closed && !circuit.is_closed()
@@ -469,34 +509,36 @@
 
     /// What is known of the service, for the line that a request leaves in the log.
     #[must_use]
-    pub fn known(&self, now: Duration) -> ServiceDiagnostics {
-        let mut known = ServiceDiagnostics::default();
-        let closed = self.closed_groups(now);
+    pub fn diagnostics(&self, now: Duration) -> ServiceDiagnostics {
+        let mut diagnostics = ServiceDiagnostics::default();
+        let down = self.down_groups(now);
         for (id, upstream) in &self.upstreams {
-            known.pass = known.pass.max(self.pass(now, id).unwrap_or_default());
-            if !upstream.is_open(now) || closed.contains(&upstream.group) {
-                known.closed += u32::from(upstream.ready);
-            } else if upstream.pace > known.slowest {
-                known.slowest = upstream.pace;
-                known.upstream = Some(id.clone());
-                known.age = now.saturating_sub(upstream.said);
+            diagnostics.longest_pass = diagnostics
+                .longest_pass
+                .max(self.pass_time(now, id).unwrap_or_default());
+            if !upstream.is_available(now) || down.contains(&upstream.group) {
+                diagnostics.unavailable += u32::from(upstream.ready);
+            } else if upstream.pace > diagnostics.slowest_pace {
+                diagnostics.slowest_pace = upstream.pace;
+                diagnostics.slowest_upstream = Some(id.clone());
+                diagnostics.status_age = now.saturating_sub(upstream.status_at);
             }
         }
-        known
+        diagnostics
     }
 
     /// How the service stands, for logs and metrics.
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         let mut snapshot = Snapshot {
-            waiting: self.line.len(),
-            pace: self.all.pace(now, pass_pace::INITIAL_PACE),
+            waiting: self.queue.len(),
+            pace: self.overall_pace.pace(now, pass_pace::INITIAL_PACE),
             ..Snapshot::default()
         };
-        for (_, upstream) in self.open(now) {
+        for (_, upstream) in self.available(now) {
             snapshot.upstreams += 1;
-            snapshot.busy += upstream.own + upstream.others;
-            snapshot.shunned += u32::from(upstream.trust.cost(now).is_none());
+            snapshot.in_flight += upstream.own_requests + upstream.peer_requests;
+            snapshot.ejected += u32::from(upstream.health.cost(now).is_none());
         }
         snapshot
     }
--- a/verbenaspool_policy/src/dispatch/outage.rs
+++ b/verbenaspool_policy/src/dispatch/outage.rs
@@ -19,18 +19,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outage {
     /// Whether none runs.
-    on: bool,
+    active: bool,
     /// When the last outage ended.
-    ended: Option<Duration>,
+    ended_at: Option<Duration>,
 }
 
 impl Outage {
     /// Records whether any upstream runs now.
-    pub fn observe(&mut self, now: Duration, runs: bool) {
-        if runs && self.on {
-            self.ended = Some(now);
+    pub fn observe(&mut self, now: Duration, available: bool) {
+        if available && self.active {
+            self.ended_at = Some(now);
         }
-        self.on = !runs;
+        self.active = !available;
     }
 
     /// When upstreams returned, if that is less than one answer's `service_time` ago, and
@@ -44,12 +44,12 @@
     /// let (second, mut outage) = (Duration::from_secs(1), Outage::default());
     /// outage.observe(second, false);
     /// outage.observe(second * 3, true);
-    /// assert_eq!(outage.returned(second * 4, second * 2), Some(second * 3));
-    /// assert_eq!(outage.returned(second * 6, second * 2), None);
+    /// assert_eq!(outage.recovering_since(second * 4, second * 2), Some(second * 3));
+    /// assert_eq!(outage.recovering_since(second * 6, second * 2), None);
     /// ```
     #[must_use]
-    pub fn returned(&self, now: Duration, service_time: Duration) -> Option<Duration> {
-        let ended = self.ended.filter(|_| !self.on);
+    pub fn recovering_since(&self, now: Duration, service_time: Duration) -> Option<Duration> {
+        let ended = self.ended_at.filter(|_| !self.active);
         ended.filter(|ended| now < *ended + service_time.max(MIN_RECOVERY_TIME))
     }
 
@@ -60,23 +60,23 @@
         &self,
         now: Duration,
         waiting: &QueuedRequest,
-        turn: Duration,
+        late_wait: Duration,
         service_time: Duration,
     ) -> Duration {
-        if waiting.ask.resumes != Resumption::None {
+        if waiting.request.resumption != Resumption::None {
             return waiting.until;
         }
-        if self.on {
+        if self.active {
             return if waiting.late { waiting.until } else { now };
         }
         if !waiting.late {
-            return waiting.until.min(waiting.in_time_until);
+            return waiting.until.min(waiting.on_time_until);
         }
-        let arrived_before = self.ended.is_some_and(|ended| waiting.since < ended);
-        if arrived_before || self.returned(now, service_time).is_some() {
+        let arrived_before = self.ended_at.is_some_and(|ended| waiting.queued_at < ended);
+        if arrived_before || self.recovering_since(now, service_time).is_some() {
             waiting.until
         } else {
-            waiting.until.min(waiting.since + turn)
+            waiting.until.min(waiting.queued_at + late_wait)
         }
     }
 }
--- a/verbenaspool_policy/src/dispatch/pass_pace.rs
+++ b/verbenaspool_policy/src/dispatch/pass_pace.rs
@@ -23,7 +23,7 @@
 
 /// How fast older pauses are forgotten for the highest pace: it lasts some passes behind a
 /// shift, and a single pass with many prompts is none.
-const SHORT_PACE_WINDOW: Duration = Duration::from_millis(200);
+const RECENT_PACE_WINDOW: Duration = Duration::from_millis(200);
 
 /// How long the highest pace is reckoned with in full: popularity shifts again by then.
 const PEAK_HOLD_TIME: Duration = Duration::from_secs(5);
@@ -42,18 +42,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PassPace {
     /// The pace, where it is known, and when it was last learnt.
-    learnt: Option<(f64, Duration)>,
+    mean: Option<(f64, Duration)>,
     /// The same of the last few passes.
-    quick: Option<(f64, Duration)>,
+    recent: Option<(f64, Duration)>,
     /// The highest that this was lately, and when.
-    highest: (f64, Duration),
+    peak: (f64, Duration),
 }
 
 /// Blends a new ratio into a pace that was learnt at some time.
 #[must_use]
-fn blend(pace: f64, learnt: Duration, now: Duration, ratio: f64, memory: Duration) -> f64 {
+fn blend(pace: f64, recorded_at: Duration, now: Duration, ratio: f64, window: Duration) -> f64 {
     let ratio = ratio.min(MAX_PACE);
-    let age = now.saturating_sub(learnt).as_secs_f64() / memory.as_secs_f64();
+    let age = now.saturating_sub(recorded_at).as_secs_f64() / window.as_secs_f64();
     let weight = (1.0 - (-age).exp()).max(MIN_SAMPLE_WEIGHT);
     pace + (ratio - pace) * weight
 }
@@ -66,22 +66,22 @@
     ///
     /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = PassPace::default();
-    /// pass.learn(Duration::ZERO, 2.0);
-    /// assert!((pass.pace(Duration::ZERO, 1.0) - 2.0).abs() < 1e-9);
+    /// let mut pace = PassPace::default();
+    /// pace.record(Duration::ZERO, 2.0);
+    /// assert!((pace.pace(Duration::ZERO, 1.0) - 2.0).abs() < 1e-9);
     /// ```
-    pub fn learn(&mut self, now: Duration, ratio: f64) {
-        let (pace, at) = self.learnt.unwrap_or((ratio.min(MAX_PACE), now));
-        self.learnt = Some((blend(pace, at, now, ratio, PACE_WINDOW), now));
+    pub fn record(&mut self, now: Duration, ratio: f64) {
+        let (pace, at) = self.mean.unwrap_or((ratio.min(MAX_PACE), now));
+        self.mean = Some((blend(pace, at, now, ratio, PACE_WINDOW), now));
         if ratio > MAX_SHIFT_PACE {
             return;
         }
-        let (quick, at) = self.quick.unwrap_or((ratio, now));
-        let quick = blend(quick, at, now, ratio, SHORT_PACE_WINDOW);
-        self.quick = Some((quick, now));
-        let highest = self.highest(now);
-        if quick >= highest * PEAK_RENEWAL_RATIO {
-            self.highest = (quick.max(highest * PEAK_RENEWAL_RATIO), now);
+        let (recent, at) = self.recent.unwrap_or((ratio, now));
+        let recent = blend(recent, at, now, ratio, RECENT_PACE_WINDOW);
+        self.recent = Some((recent, now));
+        let peak = self.peak(now);
+        if recent >= peak * PEAK_RENEWAL_RATIO {
+            self.peak = (recent.max(peak * PEAK_RENEWAL_RATIO), now);
         }
     }
 
@@ -97,19 +97,19 @@
     ///
     /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = PassPace::default();
-    /// pass.learn(Duration::ZERO, 2.0);
-    /// pass.learn(Duration::from_secs(2), 1.0);
-    /// assert!(pass.highest(Duration::from_secs(3)) > 1.9);
-    /// assert!(pass.highest(Duration::from_secs(20)) < 1.1);
+    /// let mut pace = PassPace::default();
+    /// pace.record(Duration::ZERO, 2.0);
+    /// pace.record(Duration::from_secs(2), 1.0);
+    /// assert!(pace.peak(Duration::from_secs(3)) > 1.9);
+    /// assert!(pace.peak(Duration::from_secs(20)) < 1.1);
     /// ```
     #[must_use]
-    pub fn highest(&self, now: Duration) -> f64 {
-        let (highest, at) = self.highest;
-        let over = now.saturating_sub(at).saturating_sub(PEAK_HOLD_TIME);
-        let left = (-over.as_secs_f64() / PEAK_DECAY_TIME.as_secs_f64()).exp();
-        let usual = self.quick.map_or(0.0, |(quick, _)| quick).min(highest);
-        usual + (highest - usual) * left
+    pub fn peak(&self, now: Duration) -> f64 {
+        let (peak, at) = self.peak;
+        let expired = now.saturating_sub(at).saturating_sub(PEAK_HOLD_TIME);
+        let remaining = (-expired.as_secs_f64() / PEAK_DECAY_TIME.as_secs_f64()).exp();
+        let recent = self.recent.map_or(0.0, |(recent, _)| recent).min(peak);
+        recent + (peak - recent) * remaining
     }
 
     /// The pace of the last few passes since a time; nothing where none was seen.
@@ -119,23 +119,23 @@
     ///
     /// use verbenaspool_policy::dispatch::pass_pace::PassPace;
     ///
-    /// let mut pass = PassPace::default();
-    /// pass.learn(Duration::from_secs(1), 2.0);
-    /// assert_eq!(pass.since(Duration::from_secs(1)), Some(2.0));
-    /// assert_eq!(pass.since(Duration::from_secs(2)), None);
+    /// let mut pace = PassPace::default();
+    /// pace.record(Duration::from_secs(1), 2.0);
+    /// assert_eq!(pace.recent_since(Duration::from_secs(1)), Some(2.0));
+    /// assert_eq!(pace.recent_since(Duration::from_secs(2)), None);
     /// ```
     #[must_use]
-    pub fn since(&self, since: Duration) -> Option<f64> {
-        let (quick, at) = self.quick?;
-        (at >= since).then_some(quick)
+    pub fn recent_since(&self, since: Duration) -> Option<f64> {
+        let (recent, at) = self.recent?;
+        (at >= since).then_some(recent)
     }
 
     /// The pace to reckon with; that of all groups where this one's is old.
     #[must_use]
-    pub fn pace(&self, now: Duration, all: f64) -> f64 {
-        match self.learnt {
+    pub fn pace(&self, now: Duration, fallback: f64) -> f64 {
+        match self.mean {
             Some((pace, at)) if now.saturating_sub(at) < PACE_WINDOW => pace,
-            _ => all,
+            _ => fallback,
         }
     }
 }
--- a/verbenaspool_policy/src/dispatch/placement.rs
+++ b/verbenaspool_policy/src/dispatch/placement.rs
@@ -35,7 +35,7 @@
 
 /// How long late requests take no room of a group that returns after one that could have
 /// been in time was rejected.
-const SHORTAGE_MEMORY: Duration = Duration::from_secs(1);
+const SHORTAGE_HOLD_TIME: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
     /// Requests that an upstream of a group has on average.
@@ -44,12 +44,12 @@
     /// that all ranks share: it depends on the group's requests, not on those of
     /// one rank. Reckoned rank by rank, the busiest one looks quickest for what
     /// it has, and gets more.
-    pub(super) fn mean(&self, group: u32) -> f64 {
+    pub(super) fn mean_requests(&self, group: u32) -> f64 {
         let ranks = self
             .upstreams
             .values()
             .filter(|u| u.group == group && u.ready);
-        let busy = ranks.map(|upstream| f64::from(upstream.own + upstream.others));
+        let busy = ranks.map(|upstream| f64::from(upstream.own_requests + upstream.peer_requests));
         let (sum, count) = busy.fold((0.0, 0.0), |(sum, count), busy| (sum + busy, count + 1.0));
         sum / f64::max(count, 1.0)
     }
@@ -59,67 +59,67 @@
     ///
     /// As upstreams return, each entry places its line in one moment, before it hears of
     /// the others.
-    fn fair_share(&self, returned: Option<Duration>, group: u32) -> f64 {
-        if returned.is_none() {
+    fn fair_share(&self, recovering_since: Option<Duration>, group: u32) -> f64 {
+        if recovering_since.is_none() {
             return 0.0;
         }
         let ranks = self.upstreams.values();
         let ranks = ranks.filter(|u| u.group == group && u.ready);
-        let own = ranks.map(|upstream| f64::from(upstream.own));
+        let own = ranks.map(|upstream| f64::from(upstream.own_requests));
         let (own, count) = own.fold((0.0, 0.0), |(sum, count), own| (sum + own, count + 1.0));
-        own * f64::from(self.entries) / f64::max(count, 1.0)
+        own * f64::from(self.entry_count) / f64::max(count, 1.0)
     }
 
     /// The best upstream with room for a request.
-    pub(super) fn choose(
+    pub(super) fn choose_upstream(
         &mut self,
         now: Duration,
         waiting: &QueuedRequest,
-        over: bool,
+        last_chance: bool,
     ) -> Option<Rc<str>> {
         let ids: Vec<Rc<str>> = self.upstreams.keys().cloned().collect();
-        let closed = self.closed_groups(now);
-        let mut slowness = BTreeMap::new();
-        let quickest = self.quickest(now);
+        let down = self.down_groups(now);
+        let mut group_loads = BTreeMap::new();
+        let fastest = self.fastest_pace(now);
         let mut best: Option<(f64, Rc<str>)> = None;
         for id in ids {
-            let tie = self.draw();
+            let tie = self.random();
             let Some(upstream) = self.upstreams.get(&id) else {
                 continue;
             };
-            if !upstream.is_open(now) || closed.contains(&upstream.group) {
+            if !upstream.is_available(now) || down.contains(&upstream.group) {
                 continue;
             }
-            if waiting.ask.avoid.contains(&id) {
+            if waiting.request.excluded.contains(&id) {
                 continue;
             }
-            if slow::is_slow(upstream.pace, quickest) {
+            if slow::is_slow(upstream.pace, fastest) {
                 continue;
             }
             let group = upstream.group;
             let circuit = self.circuits.get(&group);
-            if circuit.is_some_and(|circuit| !circuit.allows(now)) {
+            if circuit.is_some_and(|circuit| !circuit.allows_request(now)) {
                 continue;
             }
-            let group = *slowness
+            let group = *group_loads
                 .entry(group)
-                .or_insert_with(|| self.slowness(now, group, waiting));
-            let lateness = AdmissionClass::of(waiting, over);
-            let Some(cost) = cost(now, upstream, group, lateness) else {
+                .or_insert_with(|| self.group_load(now, group, waiting));
+            let class = AdmissionClass::of(waiting, last_chance);
+            let Some(cost) = cost(now, upstream, group, class) else {
                 continue;
             };
-            let far = if upstream.zone == self.zone {
+            let cross_zone = if upstream.zone == self.zone {
                 0.0
             } else {
                 CROSS_ZONE_PENALTY_SLOTS / f64::from(upstream.slots.max(1))
             };
-            let unsure = !upstream.is_told(now) || upstream.is_silent(now);
-            let unsure = if unsure {
+            let unresponsive = !upstream.has_fresh_load(now) || upstream.is_agent_unresponsive(now);
+            let unresponsive = if unresponsive {
                 UNRESPONSIVE_AGENT_PENALTY
             } else {
                 0.0
             };
-            let cost = cost + far + unsure + TIE_BREAK_SPREAD * tie;
+            let cost = cost + cross_zone + unresponsive + TIE_BREAK_SPREAD * tie;
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, id));
             }
@@ -129,27 +129,35 @@
 
     /// How a group's passes would be with one request more; nothing for requests
     /// that aren't streams.
-    fn slowness(&self, now: Duration, group: u32, waiting: &QueuedRequest) -> Option<GroupLoad> {
+    fn group_load(&self, now: Duration, group: u32, waiting: &QueuedRequest) -> Option<GroupLoad> {
         let engine = self.engine.as_ref()?;
-        let gap = waiting.ask.gap?.as_secs_f64().max(1e-6);
-        let pass = self.passes.get(&group).copied().unwrap_or_default();
-        let returned = self.outage.returned(now, self.service_time.estimate());
+        let max_gap = waiting.request.max_gap?.as_secs_f64().max(1e-6);
+        let pass_pace = self.group_paces.get(&group).copied().unwrap_or_default();
+        let recovering_since = self
+            .outage
+            .recovering_since(now, self.service_time.estimate());
         // A group returns with another map of experts than it had.
-        let pace = match returned {
-            Some(returned) => pass.since(returned).unwrap_or(pass_pace::INITIAL_PACE),
-            None => pass.pace(now, self.all.pace(now, pass_pace::INITIAL_PACE)),
+        let pace = match recovering_since {
+            Some(recovering_since) => pass_pace
+                .recent_since(recovering_since)
+                .unwrap_or(pass_pace::INITIAL_PACE),
+            None => pass_pace.pace(now, self.overall_pace.pace(now, pass_pace::INITIAL_PACE)),
         };
-        let mean = self.mean(group).max(self.fair_share(returned, group));
-        let bound = gap * PASS_HEADROOM_RATIO;
-        let with = |requests: f64| engine.pass(requests).as_secs_f64() * pace / bound;
-        let short = self.short.is_some_and(|at| now < at + SHORTAGE_MEMORY);
+        let mean = self
+            .mean_requests(group)
+            .max(self.fair_share(recovering_since, group));
+        let max_pass = max_gap * PASS_HEADROOM_RATIO;
+        let pass_ratio = |requests: f64| engine.pass(requests).as_secs_f64() * pace / max_pass;
+        let shortage = self
+            .last_shortage
+            .is_some_and(|at| now < at + SHORTAGE_HOLD_TIME);
         Some(GroupLoad {
-            pass: with(mean + 1.0),
-            least: with(1.0),
-            returns: returned.is_some(),
-            short,
-            shifts: tolerates_shift(engine, pass.highest(now), gap, mean + 1.0),
-            used: mean / f64::from(engine.slots.max(1)),
+            pass_ratio: pass_ratio(mean + 1.0),
+            min_pass_ratio: pass_ratio(1.0),
+            recovering: recovering_since.is_some(),
+            shortage,
+            tolerates_shift: tolerates_shift(engine, pass_pace.peak(now), max_gap, mean + 1.0),
+            used_ratio: mean / f64::from(engine.slots.max(1)),
         })
     }
 }
--- a/verbenaspool_policy/src/dispatch/request.rs
+++ b/verbenaspool_policy/src/dispatch/request.rs
@@ -8,7 +8,7 @@
     /// How urgent it is; 0 comes first.
     pub priority: u8,
     /// Since when it looks for a place.
-    pub since: Duration,
+    pub queued_at: Duration,
     /// Until when its answer must begin to be in time; past where it is late.
     pub target: Duration,
     /// When its caller gives up.
@@ -16,13 +16,13 @@
     /// Until when it must be placed, or its caller leaves before the first event.
     pub place_by: Duration,
     /// Whether it is a stream that has begun and goes on elsewhere.
-    pub resumes: Resumption,
+    pub resumption: Resumption,
     /// Whether it is beyond what its customer usually sends.
-    pub beyond: bool,
+    pub over_usual_rate: bool,
     /// The longest pause in time between its events, for streams.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Upstreams that it was sent to before.
-    pub avoid: Vec<Rc<str>>,
+    pub excluded: Vec<Rc<str>>,
 }
 
 /// Whether a request is a stream that has begun and goes on elsewhere.
@@ -51,7 +51,7 @@
     /// Why.
     pub reason: RejectReason,
     /// When there should be room.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Why a request is refused.
--- a/verbenaspool_policy/src/dispatch/retry_budget.rs
+++ b/verbenaspool_policy/src/dispatch/retry_budget.rs
@@ -29,27 +29,27 @@
     /// When requests came.
     requests: VecDeque<Duration>,
     /// When some were sent once more.
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
 impl RetryBudget {
     /// Counts a request.
-    pub fn request(&mut self, now: Duration, bound: &RetryLimits) {
-        forget(&mut self.requests, now, bound.window);
+    pub fn record_request(&mut self, now: Duration, limits: &RetryLimits) {
+        drop_expired(&mut self.requests, now, limits.window);
         self.requests.push_back(now);
     }
 
     /// Whether a request may be sent once more. `entries` is how many share the slack.
-    pub fn allows(&mut self, now: Duration, bound: &RetryLimits, entries: usize) -> bool {
-        forget(&mut self.requests, now, bound.window);
-        forget(&mut self.repeats, now, bound.window);
+    pub fn allows_retry(&mut self, now: Duration, limits: &RetryLimits, entries: usize) -> bool {
+        drop_expired(&mut self.requests, now, limits.window);
+        drop_expired(&mut self.retries, now, limits.window);
         #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^52.
-        let (requests, repeats, entries) = (
+        let (requests, retries, entries) = (
             self.requests.len() as f64,
-            self.repeats.len() as f64,
+            self.retries.len() as f64,
             entries.max(1) as f64,
         );
-        repeats + 1.0 <= BUDGET_USE_RATIO * (bound.ratio * requests + bound.slack / entries)
+        retries + 1.0 <= BUDGET_USE_RATIO * (limits.ratio * requests + limits.slack / entries)
     }
 
     /// Whether a request may be sent once more; counts it if so.
@@ -59,22 +59,22 @@
     ///
     /// use verbenaspool_policy::dispatch::retry_budget::{RetryLimits, RetryBudget};
     ///
-    /// let bound = RetryLimits { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
+    /// let limits = RetryLimits { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
     /// let mut budget = RetryBudget::default();
-    /// assert!(budget.repeat(Duration::ZERO, &bound, 1));
-    /// assert!(!budget.repeat(Duration::ZERO, &bound, 1));
+    /// assert!(budget.try_retry(Duration::ZERO, &limits, 1));
+    /// assert!(!budget.try_retry(Duration::ZERO, &limits, 1));
     /// ```
-    pub fn repeat(&mut self, now: Duration, bound: &RetryLimits, entries: usize) -> bool {
-        let allows = self.allows(now, bound, entries);
-        if allows {
-            self.repeats.push_back(now);
+    pub fn try_retry(&mut self, now: Duration, limits: &RetryLimits, entries: usize) -> bool {
+        let allowed = self.allows_retry(now, limits, entries);
+        if allowed {
+            self.retries.push_back(now);
         }
-        allows
+        allowed
     }
 }
 
 /// Drops what is older than the window.
-fn forget(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
+fn drop_expired(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
     while times
         .front()
         .is_some_and(|at| now.saturating_sub(*at) > window)
--- a/verbenaspool_policy/src/dispatch/retry_detection.rs
+++ b/verbenaspool_policy/src/dispatch/retry_detection.rs
@@ -14,10 +14,10 @@
 };
 
 /// Ratio between neighbouring steps of the histogram.
-const STEP_RATIO: f64 = 1.04;
+const BUCKET_RATIO: f64 = 1.04;
 
 /// Time constant by which older requests count less.
-const HISTORY_TIME: Duration = Duration::from_secs(30);
+const HISTORY_WINDOW: Duration = Duration::from_secs(30);
 
 /// The least share of requests with about the same time for it to be one that callers
 /// give at first. A few retry at once after a failure of a plain service.
@@ -27,7 +27,7 @@
 const MIN_SAMPLES: f64 = 50.0;
 
 /// How long after the end of their Retry-After callers may still arrive.
-const RECONNECT_TIME: Duration = Duration::from_secs(1);
+const RECONNECT_MARGIN: Duration = Duration::from_secs(1);
 
 /// The longest time that another entry is believed callers give.
 const MAX_HINT: Duration = Duration::from_hours(1);
@@ -40,29 +40,31 @@
 pub struct RetryDetector {
     /// How many gave so much, older ones weighing less.
     weights: BTreeMap<i32, f64>,
-    sum: f64,
-    at: Duration,
+    total_weight: f64,
+    decayed_at: Duration,
     /// Until when callers may come back that were refused.
-    unsettled: Duration,
+    retries_expected_until: Duration,
     /// What many callers give at first, as another entry says.
     hints: BTreeSet<i32>,
 }
 
 /// The step of a time.
 #[allow(clippy::cast_possible_truncation)] // Logarithms of times are small.
-fn step(time: Duration) -> i32 {
-    (time.as_secs_f64().max(1e-3).ln() / STEP_RATIO.ln()).round() as i32
+fn to_bucket(time: Duration) -> i32 {
+    (time.as_secs_f64().max(1e-3).ln() / BUCKET_RATIO.ln()).round() as i32
 }
 
 /// The time of a step.
-fn time(step: i32) -> Duration {
-    Duration::from_secs_f64(STEP_RATIO.powi(step))
+fn to_duration(bucket: i32) -> Duration {
+    Duration::from_secs_f64(BUCKET_RATIO.powi(bucket))
 }
 
 impl RetryDetector {
     /// Takes in that a caller was refused and told to come back later.
-    pub fn refused(&mut self, now: Duration, after: Duration) {
-        self.unsettled = self.unsettled.max(now + after + RECONNECT_TIME);
+    pub fn record_rejection(&mut self, now: Duration, after: Duration) {
+        self.retries_expected_until = self
+            .retries_expected_until
+            .max(now + after + RECONNECT_MARGIN);
     }
 
     /// Takes in a request whose caller waits so long; tells how much of its time the
@@ -73,44 +75,46 @@
     ///
     /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
     ///
-    /// let (mut times, full) = (RetryDetector::default(), Duration::from_secs(8));
+    /// let (mut detector, full) = (RetryDetector::default(), Duration::from_secs(8));
     /// for request in 0..60 {
-    ///     times.see(Duration::from_millis(request * 10), full);
+    ///     detector.observe(Duration::from_millis(request * 10), full);
     /// }
-    /// let spent = times.see(Duration::from_secs(1), Duration::from_millis(5_500));
+    /// let spent = detector.observe(Duration::from_secs(1), Duration::from_millis(5_500));
     /// assert!(spent > Duration::from_secs(2));
     /// ```
-    pub fn see(&mut self, now: Duration, wait: Duration) -> Duration {
-        let step = step(wait);
-        if now >= self.unsettled {
-            self.forget(now);
-            *self.weights.entry(step).or_default() += 1.0;
-            self.sum += 1.0;
+    pub fn observe(&mut self, now: Duration, wait: Duration) -> Duration {
+        let bucket = to_bucket(wait);
+        if now >= self.retries_expected_until {
+            self.decay(now);
+            *self.weights.entry(bucket).or_default() += 1.0;
+            self.total_weight += 1.0;
         }
-        if self.is_common(step) {
+        if self.is_common(bucket) {
             return Duration::ZERO;
         }
-        let full = if self.is_settled() {
-            let mut longer = self.weights.range(step..).map(|(longer, _)| *longer);
+        let full = if self.has_enough_samples() {
+            let mut longer = self.weights.range(bucket..).map(|(longer, _)| *longer);
             longer.find(|longer| self.is_common(*longer))
         } else {
-            self.hints.range(step..).next().copied()
+            self.hints.range(bucket..).next().copied()
         };
-        full.map_or(Duration::ZERO, |full| time(full).saturating_sub(wait))
+        full.map_or(Duration::ZERO, |full| {
+            to_duration(full).saturating_sub(wait)
+        })
     }
 
     /// Whether enough requests came to tell retries from them.
-    fn is_settled(&self) -> bool {
-        self.sum >= MIN_SAMPLES
+    fn has_enough_samples(&self) -> bool {
+        self.total_weight >= MIN_SAMPLES
     }
 
     /// The times that many callers give at first, for entries that know none.
-    pub fn common(&self) -> impl Iterator<Item = Duration> {
-        let settled = self.is_settled();
-        let steps = self.weights.keys().filter(move |_| settled);
-        steps
-            .filter(|step| self.is_common(**step))
-            .map(|step| time(*step))
+    pub fn common_waits(&self) -> impl Iterator<Item = Duration> {
+        let settled = self.has_enough_samples();
+        let buckets = self.weights.keys().filter(move |_| settled);
+        buckets
+            .filter(|bucket| self.is_common(**bucket))
+            .map(|bucket| to_duration(*bucket))
             .take(MAX_HINTS)
     }
 
@@ -125,41 +129,44 @@
     ///
     /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
     ///
-    /// let mut times = RetryDetector::default();
-    /// times.hint([Duration::from_secs(8)].into_iter());
-    /// let spent = times.see(Duration::ZERO, Duration::from_millis(5_500));
+    /// let mut detector = RetryDetector::default();
+    /// detector.set_hints([Duration::from_secs(8)].into_iter());
+    /// let spent = detector.observe(Duration::ZERO, Duration::from_millis(5_500));
     /// assert!(spent > Duration::from_secs(2));
     /// ```
-    pub fn hint(&mut self, times: impl Iterator<Item = Duration>) {
-        if self.is_settled() {
+    pub fn set_hints(&mut self, times: impl Iterator<Item = Duration>) {
+        if self.has_enough_samples() {
             return;
         }
         let sane = times.filter(|time| !time.is_zero() && *time <= MAX_HINT);
-        let steps: BTreeSet<i32> = sane.take(MAX_HINTS).map(step).collect();
-        if !steps.is_empty() {
-            self.hints = steps;
+        let buckets: BTreeSet<i32> = sane.take(MAX_HINTS).map(to_bucket).collect();
+        if !buckets.is_empty() {
+            self.hints = buckets;
         }
     }
 
     /// Whether many callers give about as much at first.
-    fn is_common(&self, step: i32) -> bool {
-        if !self.is_settled() {
-            return self.hints.is_empty() || self.hints.range(step - 1..=step + 1).next().is_some();
+    fn is_common(&self, bucket: i32) -> bool {
+        if !self.has_enough_samples() {
+            return self.hints.is_empty()
+                || self.hints.range(bucket - 1..=bucket + 1).next().is_some();
         }
-        let near = self.weights.range(step - 1..=step + 1);
-        near.map(|(_, weight)| weight).sum::<f64>() >= MIN_COMMON_SHARE * self.sum
+        let near = self.weights.range(bucket - 1..=bucket + 1);
+        near.map(|(_, weight)| weight).sum::<f64>() >= MIN_COMMON_SHARE * self.total_weight
     }
 
     /// Lets older requests count less.
-    fn forget(&mut self, now: Duration) {
-        let age = now.saturating_sub(self.at).as_secs_f64() / HISTORY_TIME.as_secs_f64();
+    fn decay(&mut self, now: Duration) {
+        let age = now.saturating_sub(self.decayed_at).as_secs_f64() / HISTORY_WINDOW.as_secs_f64();
         if age < 0.01 {
             return;
         }
-        self.at = now;
-        let fade = (-age).exp();
-        self.weights.values_mut().for_each(|weight| *weight *= fade);
+        self.decayed_at = now;
+        let decay = (-age).exp();
+        self.weights
+            .values_mut()
+            .for_each(|weight| *weight *= decay);
         self.weights.retain(|_, weight| *weight > 0.01);
-        self.sum = self.weights.values().sum();
+        self.total_weight = self.weights.values().sum();
     }
 }
--- a/verbenaspool_policy/src/dispatch/service_time.rs
+++ b/verbenaspool_policy/src/dispatch/service_time.rs
@@ -42,13 +42,13 @@
 
 impl ServiceTime {
     /// Learns from an answer that ended well.
-    pub fn learn(&mut self, lasted: Duration) {
-        let mean = self.0.unwrap_or(lasted);
-        self.0 = Some(mean.mul_f64(1.0 - NEWEST_WEIGHT) + lasted.mul_f64(NEWEST_WEIGHT));
+    pub fn record(&mut self, duration: Duration) {
+        let mean = self.0.unwrap_or(duration);
+        self.0 = Some(mean.mul_f64(1.0 - NEWEST_WEIGHT) + duration.mul_f64(NEWEST_WEIGHT));
     }
 
     /// What an answer lasts, for a caller with so much time left.
-    fn usual(self, left: Duration) -> Duration {
+    fn estimate_for(self, left: Duration) -> Duration {
         self.0.unwrap_or(left.mul_f64(UNKNOWN_TIME_RATIO))
     }
 
@@ -61,14 +61,14 @@
     /// use verbenaspool_policy::dispatch::service_time::ServiceTime;
     ///
     /// let mut service_time = ServiceTime::default();
-    /// service_time.learn(Duration::from_secs(2));
-    /// assert_eq!(service_time.wait(Duration::from_secs(1)), Duration::ZERO);
-    /// assert_eq!(service_time.wait(Duration::from_secs(4)), Duration::from_millis(1_600));
+    /// service_time.record(Duration::from_secs(2));
+    /// assert_eq!(service_time.max_wait(Duration::from_secs(1)), Duration::ZERO);
+    /// assert_eq!(service_time.max_wait(Duration::from_secs(4)), Duration::from_millis(1_600));
     /// ```
     #[must_use]
-    pub fn wait(self, left: Duration) -> Duration {
-        let room = left.saturating_sub(self.usual(left).mul_f64(SERVICE_TIME_MARGIN));
-        room.min(left.mul_f64(MAX_WAIT_RATIO))
+    pub fn max_wait(self, left: Duration) -> Duration {
+        let spare = left.saturating_sub(self.estimate_for(left).mul_f64(SERVICE_TIME_MARGIN));
+        spare.min(left.mul_f64(MAX_WAIT_RATIO))
     }
 
     /// How long an answer takes; the least time to come back where none has ended yet.
@@ -80,25 +80,25 @@
     /// How long a request that is late waits for its turn at upstreams that run: while
     /// it does so, one in seven of their answers ends.
     #[must_use]
-    pub fn turn(self) -> Duration {
+    pub fn late_wait(self) -> Duration {
         self.0.unwrap_or(MIN_RETRY_AFTER).mul_f64(LATE_WAIT_RATIO)
     }
 
     /// The shortest and the longest time after which a caller with so much time left is
     /// to come back to upstreams that are full.
     #[must_use]
-    pub fn full(self, left: Duration) -> [Duration; 2] {
-        let usual = self.usual(left).max(MIN_RETRY_AFTER);
-        RETRY_AFTER_FULL_RATIOS.map(|part| {
-            usual
-                .mul_f64(part)
+    pub fn retry_after_full(self, left: Duration) -> [Duration; 2] {
+        let estimate = self.estimate_for(left).max(MIN_RETRY_AFTER);
+        RETRY_AFTER_FULL_RATIOS.map(|ratio| {
+            estimate
+                .mul_f64(ratio)
                 .min(left.mul_f64(RETRY_AFTER_OUTAGE_RATIOS[1]))
         })
     }
 
     /// The same where no upstream of the service runs.
     #[must_use]
-    pub fn away(self, left: Duration) -> [Duration; 2] {
-        RETRY_AFTER_OUTAGE_RATIOS.map(|part| left.mul_f64(part))
+    pub fn retry_after_outage(self, left: Duration) -> [Duration; 2] {
+        RETRY_AFTER_OUTAGE_RATIOS.map(|ratio| left.mul_f64(ratio))
     }
 }
--- a/verbenaspool_policy/src/dispatch/slow.rs
+++ b/verbenaspool_policy/src/dispatch/slow.rs
@@ -31,8 +31,8 @@
 /// assert!(!slow::is_slow(4.8, 4.0));
 /// ```
 #[must_use]
-pub fn is_slow(pace: f64, quickest: f64) -> bool {
-    pace >= SLOW_RANK_RATIO * quickest
+pub fn is_slow(pace: f64, fastest: f64) -> bool {
+    pace >= SLOW_RANK_RATIO * fastest
 }
 
 /// What the silence of a stream means.
@@ -51,17 +51,21 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use verbenaspool_policy::dispatch::slow::{StallScope, judge};
+/// use verbenaspool_policy::dispatch::slow::{StallScope, classify};
 ///
 /// let (stream, group) = (Duration::from_secs(1), Duration::from_millis(1_005));
-/// assert_eq!(judge(stream, Some(group), false), StallScope::Service);
-/// assert_eq!(judge(stream, Some(group * 2), false), StallScope::Stream);
+/// assert_eq!(classify(stream, Some(group), false), StallScope::Service);
+/// assert_eq!(classify(stream, Some(group * 2), false), StallScope::Stream);
 /// ```
 #[must_use]
-pub fn judge(stream: Duration, group: Option<Duration>, others_run: bool) -> StallScope {
-    if group.is_some_and(|group| group > stream + PASS_EVENT_SKEW) {
+pub fn classify(
+    stream_event: Duration,
+    group_event: Option<Duration>,
+    other_groups_run: bool,
+) -> StallScope {
+    if group_event.is_some_and(|at| at > stream_event + PASS_EVENT_SKEW) {
         StallScope::Stream
-    } else if others_run {
+    } else if other_groups_run {
         StallScope::Group
     } else {
         StallScope::Service
--- a/verbenaspool_policy/src/dispatch/upstream.rs
+++ b/verbenaspool_policy/src/dispatch/upstream.rs
@@ -30,55 +30,55 @@
     /// Whether it takes new requests.
     pub ready: bool,
     /// Whether its group runs nothing, and since when that was said last.
-    pub closed: Option<Duration>,
+    pub group_down_at: Option<Duration>,
     /// Requests of this entry that it has.
-    pub own: u32,
+    pub own_requests: u32,
     /// Those of them for which its agent is being asked.
-    pub asking: u32,
+    pub reserving: u32,
     /// Requests of other entries that it has, as reckoned with.
-    pub others: u32,
+    pub peer_requests: u32,
     /// Fewer than that, as they said last, and from when on that is believed.
-    pub fewer: Option<(u32, Duration)>,
+    pub pending_decrease: Option<(u32, Duration)>,
     /// The group whose ranks make each pass together; 0 where it isn't known.
     pub group: u32,
     /// Whether it is worth sending to.
-    pub trust: UpstreamHealth,
+    pub health: UpstreamHealth,
     /// How many times longer than usual it takes for its work, as its agent says.
     pub pace: f64,
     /// When its agent said so.
-    pub said: Duration,
+    pub status_at: Duration,
     /// The number of the agent's last word on what it has, and when that came.
-    pub told: Option<(u64, Duration)>,
+    pub load_report: Option<(u64, Duration)>,
     /// Until when its agent isn't asked, which was silent.
-    pub silent: Duration,
+    pub agent_backoff_until: Duration,
 }
 
 impl Upstream {
     /// Whether it takes requests, as far as it and its agent say.
-    pub fn is_open(&self, now: Duration) -> bool {
-        self.ready && !self.is_closed(now)
+    pub fn is_available(&self, now: Duration) -> bool {
+        self.ready && !self.is_group_down(now)
     }
 
     /// Whether its agent reported lately that its group runs nothing.
-    pub fn is_closed(&self, now: Duration) -> bool {
-        let closed = |said: Duration| now.saturating_sub(said) < CLOSED_REPORT_TTL;
-        self.closed.is_some_and(closed)
+    pub fn is_group_down(&self, now: Duration) -> bool {
+        let recent = |at: Duration| now.saturating_sub(at) < CLOSED_REPORT_TTL;
+        self.group_down_at.is_some_and(recent)
     }
 
     /// Whether its agent reported lately whether its group runs.
-    pub fn is_reported(&self, now: Duration) -> bool {
-        self.group != 0 && now.saturating_sub(self.said) < CLOSED_REPORT_TTL
+    pub fn has_fresh_status(&self, now: Duration) -> bool {
+        self.group != 0 && now.saturating_sub(self.status_at) < CLOSED_REPORT_TTL
     }
 
     /// Whether its agent told lately what it has.
-    pub fn is_told(&self, now: Duration) -> bool {
-        let lately = |(_, at): (u64, Duration)| now.saturating_sub(at) < LOAD_REPORT_TTL;
-        self.told.is_some_and(lately)
+    pub fn has_fresh_load(&self, now: Duration) -> bool {
+        let recent = |(_, at): (u64, Duration)| now.saturating_sub(at) < LOAD_REPORT_TTL;
+        self.load_report.is_some_and(recent)
     }
 
     /// Whether its agent was silent when it was asked lately.
-    pub fn is_silent(&self, now: Duration) -> bool {
-        now < self.silent
+    pub fn is_agent_unresponsive(&self, now: Duration) -> bool {
+        now < self.agent_backoff_until
     }
 
     /// Takes in how many requests it has, by its agent; tells whether that is believed.
@@ -86,15 +86,17 @@
     /// Requests of this entry that the agent is being asked for aren't among them yet.
     /// Behind a silence any number is believed: an agent that was started again counts
     /// anew where the time of day was put back.
-    pub fn load(&mut self, now: Duration, number: u64, requests: u32) -> bool {
-        let overtaken =
-            |(last, at): (u64, Duration)| number <= last && now.saturating_sub(at) < REORDER_WINDOW;
-        if requests > MAX_REPORTED_REQUESTS || self.told.is_some_and(overtaken) {
+    pub fn record_load(&mut self, now: Duration, sequence: u64, requests: u32) -> bool {
+        let outdated = |(last, at): (u64, Duration)| {
+            sequence <= last && now.saturating_sub(at) < REORDER_WINDOW
+        };
+        if requests > MAX_REPORTED_REQUESTS || self.load_report.is_some_and(outdated) {
             return false;
         }
-        self.told = Some((number, now));
-        self.others = requests.saturating_sub(self.own.saturating_sub(self.asking));
-        self.fewer = None;
+        self.load_report = Some((sequence, now));
+        self.peer_requests =
+            requests.saturating_sub(self.own_requests.saturating_sub(self.reserving));
+        self.pending_decrease = None;
         true
     }
 
@@ -103,17 +105,17 @@
             zone: replica.zone.clone(),
             slots: replica.slots,
             ready: true,
-            closed: None,
-            own: 0,
-            asking: 0,
-            others: 0,
-            fewer: None,
+            group_down_at: None,
+            own_requests: 0,
+            reserving: 0,
+            peer_requests: 0,
+            pending_decrease: None,
             group: 0,
-            trust: UpstreamHealth::default(),
+            health: UpstreamHealth::default(),
             pace: 1.0,
-            said: Duration::ZERO,
-            told: None,
-            silent: Duration::ZERO,
+            status_at: Duration::ZERO,
+            load_report: None,
+            agent_backoff_until: Duration::ZERO,
         }
     }
 }
--- a/verbenaspool_policy/src/dispatch/wait_queue.rs
+++ b/verbenaspool_policy/src/dispatch/wait_queue.rs
@@ -21,13 +21,13 @@
     /// Whether its answer can't be in time any more.
     pub late: bool,
     /// Since when it waits.
-    pub since: Duration,
+    pub queued_at: Duration,
     /// Until when it must be placed for its answer to be in time.
-    pub in_time_until: Duration,
+    pub on_time_until: Duration,
     /// Until when it may wait.
     pub until: Duration,
     /// What it asks for.
-    pub ask: PlacementRequest,
+    pub request: PlacementRequest,
 }
 
 /// The waiting requests of a service.
@@ -36,19 +36,19 @@
 
 impl WaitQueue {
     /// Adds a request.
-    pub fn join(&mut self, waiting: QueuedRequest) {
-        let turn = turn(&waiting);
-        let place = self.0.partition_point(|other| self::turn(other) <= turn);
-        self.0.insert(place, waiting);
+    pub fn push(&mut self, waiting: QueuedRequest) {
+        let key = sort_key(&waiting);
+        let position = self.0.partition_point(|other| sort_key(other) <= key);
+        self.0.insert(position, waiting);
     }
 
     /// Takes a request out.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn remove(&mut self, ticket: Ticket) {
         self.0.retain(|waiting| waiting.ticket != ticket);
     }
 
     /// Takes all requests out, in the order of their turn.
-    pub fn take(&mut self) -> Vec<QueuedRequest> {
+    pub fn take_all(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.0)
     }
 
@@ -71,12 +71,12 @@
 }
 
 /// What decides whose turn comes first; the least one does.
-fn turn(waiting: &QueuedRequest) -> (bool, bool, u8, Duration) {
-    let late = waiting.late && waiting.ask.resumes != Resumption::Moved;
+fn sort_key(waiting: &QueuedRequest) -> (bool, bool, u8, Duration) {
+    let late = waiting.late && waiting.request.resumption != Resumption::Moved;
     (
         late,
-        waiting.ask.beyond,
-        waiting.ask.priority,
-        waiting.since,
+        waiting.request.over_usual_rate,
+        waiting.request.priority,
+        waiting.queued_at,
     )
 }
--- a/verbenaspool_policy/tests/dispatch/back.rs
+++ b/verbenaspool_policy/tests/dispatch/back.rs
@@ -13,7 +13,7 @@
 fn give(times: &mut RetryDetector, from: u64, count: u64) {
     for number in 0..count {
         let wait = ms(6_800 + (number * 379) % 1_200);
-        assert_eq!(times.see(ms(from + number * 20), wait), Duration::ZERO);
+        assert_eq!(times.observe(ms(from + number * 20), wait), Duration::ZERO);
     }
 }
 
@@ -23,12 +23,12 @@
 fn who_came_back_is_known_by_the_time_that_is_left() {
     let mut times = RetryDetector::default();
     give(&mut times, 0, 200);
-    times.refused(ms(4_000), ms(2_500));
+    times.record_rejection(ms(4_000), ms(2_500));
     for left in [4_500, 5_000, 5_500] {
-        let spent = times.see(ms(6_500), ms(left));
+        let spent = times.observe(ms(6_500), ms(left));
         assert!(spent > ms(800), "{left} ms left, {spent:?} spent");
     }
-    assert_eq!(times.see(ms(6_500), ms(7_000)), Duration::ZERO);
+    assert_eq!(times.observe(ms(6_500), ms(7_000)), Duration::ZERO);
 }
 
 /// Some callers give 3 s and others 15 s. Neither are taken for ones who came back.
@@ -37,12 +37,12 @@
     let mut times = RetryDetector::default();
     for number in 0..100 {
         let wait = if number % 4 == 0 { 3_000 } else { 15_000 };
-        assert_eq!(times.see(ms(number * 20), ms(wait)), Duration::ZERO);
+        assert_eq!(times.observe(ms(number * 20), ms(wait)), Duration::ZERO);
     }
-    times.refused(ms(2_000), ms(1_000));
-    assert!(times.see(ms(2_500), ms(10_000)) > ms(4_000));
-    assert!(times.see(ms(2_500), ms(2_000)) > ms(800));
-    assert_eq!(times.see(ms(2_500), ms(3_000)), Duration::ZERO);
+    times.record_rejection(ms(2_000), ms(1_000));
+    assert!(times.observe(ms(2_500), ms(10_000)) > ms(4_000));
+    assert!(times.observe(ms(2_500), ms(2_000)) > ms(800));
+    assert_eq!(times.observe(ms(2_500), ms(3_000)), Duration::ZERO);
 }
 
 /// An outage goes on, and nearly all who come were refused before. They don't become
@@ -53,10 +53,10 @@
     give(&mut times, 0, 100);
     for number in 0..400 {
         let now = ms(2_000 + number * 20);
-        times.refused(now, ms(2_500));
-        times.see(now, ms(5_000));
+        times.record_rejection(now, ms(2_500));
+        times.observe(now, ms(5_000));
     }
-    assert!(times.see(ms(11_000), ms(5_000)) > ms(800));
+    assert!(times.observe(ms(11_000), ms(5_000)) > ms(800));
 }
 
 /// Guards against an entry that starts during an outage and takes retries for first
@@ -67,13 +67,13 @@
     give(&mut seasoned, 0, 200);
     let mut fresh = RetryDetector::default();
     assert_eq!(
-        fresh.see(ms(0), ms(5_000)),
+        fresh.observe(ms(0), ms(5_000)),
         Duration::ZERO,
         "nothing is known"
     );
-    fresh.hint(seasoned.common());
-    assert!(fresh.see(ms(10), ms(5_000)) > ms(1_500));
-    assert_eq!(fresh.see(ms(20), ms(7_500)), Duration::ZERO);
+    fresh.set_hints(seasoned.common_waits());
+    assert!(fresh.observe(ms(10), ms(5_000)) > ms(1_500));
+    assert_eq!(fresh.observe(ms(20), ms(7_500)), Duration::ZERO);
 }
 
 /// Guards against times of peers that no caller gives, and against more than a digest
@@ -81,50 +81,53 @@
 #[test]
 fn times_of_peers_that_make_no_sense_are_dropped() {
     let mut times = RetryDetector::default();
-    times.hint([Duration::ZERO, Duration::MAX].into_iter());
-    assert_eq!(times.see(ms(0), ms(5_000)), Duration::ZERO);
-    times.hint((1..1_000).map(|number| ms(number * 1_000)));
-    assert_eq!(times.see(ms(10), ms(100_000)), Duration::ZERO);
+    times.set_hints([Duration::ZERO, Duration::MAX].into_iter());
+    assert_eq!(times.observe(ms(0), ms(5_000)), Duration::ZERO);
+    times.set_hints((1..1_000).map(|number| ms(number * 1_000)));
+    assert_eq!(times.observe(ms(10), ms(100_000)), Duration::ZERO);
 }
 
-/// RetryDetector to wait and to come back were fixed for callers with 8 s and answers of 2 s.
+/// Times to wait and to come back were fixed for callers with 8 s and answers of 2 s.
 /// They follow from both: nobody waits who can't be answered any more behind it, and all
 /// come back within the third of their time that they wait at most.
 #[test]
 fn waits_and_returns_follow_the_time_left() {
     for (left, lasts) in [(1_500, 15), (3_000, 500), (8_000, 2_000), (15_000, 2_000)] {
         let mut service_time = ServiceTime::default();
-        service_time.learn(ms(lasts));
+        service_time.record(ms(lasts));
         let (left, lasts) = (ms(left), ms(lasts));
-        let wait = service_time.wait(left);
+        let wait = service_time.max_wait(left);
         assert!(wait + lasts < left, "{wait:?} of {left:?}");
-        for [soonest, latest] in [service_time.full(left), service_time.away(left)] {
+        for [soonest, latest] in [
+            service_time.retry_after_full(left),
+            service_time.retry_after_outage(left),
+        ] {
             assert!(
                 soonest < latest && latest <= left / 3,
                 "{left:?}: {latest:?}"
             );
         }
-        assert!(service_time.away(left)[0] > left / 4);
+        assert!(service_time.retry_after_outage(left)[0] > left / 4);
     }
     let mut long = ServiceTime::default();
-    long.learn(ms(2_000));
-    assert_eq!(long.wait(ms(2_000)), Duration::ZERO);
+    long.record(ms(2_000));
+    assert_eq!(long.max_wait(ms(2_000)), Duration::ZERO);
 }
 
 /// An entry before so many ranks of one group, with answers of 2 s.
 fn group(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
-    dispatcher.lasted(ms(2_000));
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
+    dispatcher.record_service_time(ms(2_000));
     dispatcher
 }
 
 /// Tells that the group runs, or doesn't.
 fn runs(dispatcher: &mut Dispatcher, now: u64, count: u32, open: bool) {
     for number in 0..count {
-        dispatcher.status(ms(now), &format!("u{number}"), 7, open, 1.0);
+        dispatcher.record_status(ms(now), &format!("u{number}"), 7, open, 1.0);
     }
 }
 
@@ -147,11 +150,11 @@
         let mut dispatcher = group(4);
         runs(&mut dispatcher, 2_000, 4, false);
         dispatcher.submit(ms(2_100), 1, back(2_100, left));
-        let verdicts = dispatcher.pump(ms(2_110));
+        let verdicts = dispatcher.process_queue(ms(2_110));
         assert_eq!(verdicts.is_empty(), placed, "{left} ms left: {verdicts:?}");
         if placed {
             runs(&mut dispatcher, 3_000, 4, true);
-            let verdicts = dispatcher.pump(ms(3_001));
+            let verdicts = dispatcher.process_queue(ms(3_001));
             assert!(
                 matches!(verdicts[..], [(1, Verdict::Send(_))]),
                 "{verdicts:?}"
@@ -166,9 +169,9 @@
     let mut dispatcher = group(4);
     runs(&mut dispatcher, 2_000, 4, false);
     dispatcher.submit(ms(2_100), 1, back(2_100, 5_300));
-    assert_eq!(dispatcher.pump(ms(3_200)), []);
+    assert_eq!(dispatcher.process_queue(ms(3_200)), []);
     runs(&mut dispatcher, 3_250, 4, false);
-    let verdicts = dispatcher.pump(ms(3_301));
+    let verdicts = dispatcher.process_queue(ms(3_301));
     let [(1, Verdict::Reject(Rejection { reason, .. }))] = verdicts[..] else {
         panic!("{verdicts:?}");
     };
@@ -183,7 +186,7 @@
     for ticket in 0..100 {
         dispatcher.submit(ms(2_100), ticket, back(2_100, 5_300));
     }
-    assert_eq!(dispatcher.pump(ms(2_200)), []);
+    assert_eq!(dispatcher.process_queue(ms(2_200)), []);
     runs(&mut dispatcher, 2_300, 4, true);
     let sent = |verdicts: &[(u64, Verdict)]| {
         let sent = verdicts
@@ -191,19 +194,19 @@
             .filter(|(_, v)| matches!(v, Verdict::Send(_)));
         sent.count()
     };
-    let placed = sent(&dispatcher.pump(ms(2_301)));
+    let placed = sent(&dispatcher.process_queue(ms(2_301)));
     assert!((1..=4 * 12 / 2).contains(&placed), "{placed}");
     // What can be in time still finds a place beside them, as far as passes allow.
     for ticket in 200..204 {
         dispatcher.submit(ms(2_302), ticket, stream(2_302));
     }
-    assert_eq!(sent(&dispatcher.pump(ms(2_303))), 4);
+    assert_eq!(sent(&dispatcher.process_queue(ms(2_303))), 4);
     // As passes turn out short the others have their turn, as far as there are slots.
-    dispatcher.pause(ms(2_400), "u0", engine().pass(3.0));
-    let later = sent(&dispatcher.pump(ms(2_401)));
+    dispatcher.record_pause(ms(2_400), "u0", engine().pass(3.0));
+    let later = sent(&dispatcher.process_queue(ms(2_401)));
     assert!(placed + 4 + later > 4 * 12 / 2, "{placed}, {later}");
     // Nobody waits until the caller leaves.
-    let verdicts = dispatcher.pump(ms(3_301));
+    let verdicts = dispatcher.process_queue(ms(3_301));
     assert_eq!(verdicts.len(), 100 - placed - later);
 }
 
@@ -214,19 +217,19 @@
 fn a_stream_that_has_begun_is_placed_beyond_half_of_the_slots() {
     let mut dispatcher = group(2);
     runs(&mut dispatcher, 0, 2, true);
-    dispatcher.pause(ms(1), "u0", engine().pass(0.0));
+    dispatcher.record_pause(ms(1), "u0", engine().pass(0.0));
     for ticket in 0..14 {
         dispatcher.submit(ms(1), ticket, stream(1));
     }
-    assert_eq!(dispatcher.pump(ms(2)).len(), 14);
+    assert_eq!(dispatcher.process_queue(ms(2)).len(), 14);
     let late = back(10, 5_000);
     let moved = PlacementRequest {
-        resumes: Resumption::Moved,
+        resumption: Resumption::Moved,
         ..late.clone()
     };
     dispatcher.submit(ms(10), 20, late);
     dispatcher.submit(ms(10), 21, moved);
-    let verdicts = dispatcher.pump(ms(11));
+    let verdicts = dispatcher.process_queue(ms(11));
     assert!(
         matches!(verdicts[..], [(21, Verdict::Send(_))]),
         "{verdicts:?}"
--- a/verbenaspool_policy/tests/dispatch/circuit.rs
+++ b/verbenaspool_policy/tests/dispatch/circuit.rs
@@ -10,17 +10,17 @@
 fn ranks(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
     dispatcher
 }
 
 /// What becomes of a new request now.
 fn verdict(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Verdict> {
     dispatcher.submit(ms(now), ticket, stream(now));
-    let verdicts = dispatcher.pump(ms(now));
+    let verdicts = dispatcher.process_queue(ms(now));
     let found = verdicts.into_iter().find(|(other, _)| *other == ticket);
-    dispatcher.leave(ticket);
+    dispatcher.cancel(ticket);
     found.map(|(_, verdict)| verdict)
 }
 
@@ -46,11 +46,11 @@
         match verdict(&mut dispatcher, now, ticket) {
             Some(Verdict::Send(id)) => {
                 tried += 1;
-                dispatcher.ended(ms(now + 1), &id, AttemptOutcome::Unreached);
+                dispatcher.finish_attempt(ms(now + 1), &id, AttemptOutcome::Unreached);
             }
             Some(Verdict::Reject(refusal)) => {
                 assert_eq!(refusal.reason, RejectReason::Unavailable);
-                assert!(refusal.after >= ms(2_000));
+                assert!(refusal.retry_after >= ms(2_000));
                 refused += 1;
             }
             None => panic!("a request that can't be served in time waits"),
@@ -69,13 +69,13 @@
     let mut dispatcher = ranks(8);
     for ticket in 0..3 {
         let id = sent(&mut dispatcher, 0, ticket).expect("it is tried");
-        let opened = dispatcher.ended(ms(1), &id, AttemptOutcome::Unreached);
+        let opened = dispatcher.finish_attempt(ms(1), &id, AttemptOutcome::Unreached);
         assert_eq!(opened, ticket == 2);
     }
     assert_eq!(sent(&mut dispatcher, 50, 10), None);
     let first = sent(&mut dispatcher, 110, 11).expect("one looks");
     assert_eq!(sent(&mut dispatcher, 120, 12), None);
-    assert!(dispatcher.taken(&first));
+    assert!(dispatcher.record_accepted(&first));
     for ticket in 20..30 {
         assert!(sent(&mut dispatcher, 130, ticket).is_some());
     }
@@ -91,9 +91,9 @@
         let now = ticket * 10;
         let id = sent(&mut dispatcher, now, ticket).expect("others are there");
         if ["u0", "u1"].contains(&&*id) {
-            dispatcher.ended(ms(now + 5), &id, AttemptOutcome::Unreached);
+            dispatcher.finish_attempt(ms(now + 5), &id, AttemptOutcome::Unreached);
         } else {
-            dispatcher.taken(&id);
+            dispatcher.record_accepted(&id);
         }
     }
 }
@@ -103,13 +103,13 @@
 fn an_agents_word_opens_a_group() {
     let mut dispatcher = ranks(4);
     for number in 0..4 {
-        dispatcher.status(ms(0), &format!("u{number}"), 7, true, 1.0);
+        dispatcher.record_status(ms(0), &format!("u{number}"), 7, true, 1.0);
     }
     let id = sent(&mut dispatcher, 0, 0).expect("it is tried");
-    dispatcher.ended(ms(1), &id, AttemptOutcome::Full);
+    dispatcher.finish_attempt(ms(1), &id, AttemptOutcome::Full);
     assert_eq!(sent(&mut dispatcher, 2, 1), None);
-    dispatcher.status(ms(10), "u2", 7, false, 1.0);
-    dispatcher.status(ms(20), "u2", 7, true, 1.0);
+    dispatcher.record_status(ms(10), "u2", 7, false, 1.0);
+    dispatcher.record_status(ms(20), "u2", 7, true, 1.0);
     assert!(sent(&mut dispatcher, 21, 2).is_some());
 }
 
@@ -118,9 +118,9 @@
 fn a_plain_upstream_speaks_for_itself() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..3).map(|n| replica(&format!("u{n}"), 6)).collect();
-    dispatcher.members(replicas.iter());
+    dispatcher.set_upstreams(replicas.iter());
     let id = sent(&mut dispatcher, 0, 0).expect("it is placed");
-    dispatcher.ended(ms(1), &id, AttemptOutcome::Full);
+    dispatcher.finish_attempt(ms(1), &id, AttemptOutcome::Full);
     let other = sent(&mut dispatcher, 2, 1).expect("others take it");
     assert_ne!(other, id);
 }
--- a/verbenaspool_policy/tests/dispatch/crash.rs
+++ b/verbenaspool_policy/tests/dispatch/crash.rs
@@ -14,11 +14,11 @@
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let ids = 0..count * RANKS;
     let replicas: Vec<_> = ids.clone().map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
     for number in ids {
         let group = 1 + number / RANKS;
-        dispatcher.status(ms(0), &format!("u{number}"), group, true, 1.0);
+        dispatcher.record_status(ms(0), &format!("u{number}"), group, true, 1.0);
     }
     dispatcher
 }
@@ -26,8 +26,8 @@
 /// Where a request is sent now.
 fn sent(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Rc<str>> {
     dispatcher.submit(ms(now), ticket, stream(now));
-    let verdicts = dispatcher.pump(ms(now));
-    dispatcher.leave(ticket);
+    let verdicts = dispatcher.process_queue(ms(now));
+    dispatcher.cancel(ticket);
     match verdicts.into_iter().find(|(other, _)| *other == ticket)?.1 {
         Verdict::Send(id) => Some(id),
         Verdict::Reject(_) => None,
@@ -39,14 +39,14 @@
 #[test]
 fn the_group_of_a_crashed_rank_gets_nothing_until_it_runs() {
     let mut dispatcher = groups(2);
-    dispatcher.crashed(ms(10), "u1");
+    dispatcher.record_crash(ms(10), "u1");
     for ticket in 0..4 {
         let id = sent(&mut dispatcher, 20, ticket).expect("the other group runs");
         let number: u32 = id[1..].parse().expect("a number");
         assert!(number >= RANKS, "{id} is of the group that lost a rank");
     }
     for number in 0..RANKS {
-        dispatcher.status(ms(900), &format!("u{number}"), 1, true, 1.0);
+        dispatcher.record_status(ms(900), &format!("u{number}"), 1, true, 1.0);
     }
     let ids: Vec<_> = (30..34)
         .filter_map(|ticket| sent(&mut dispatcher, 1_000, ticket))
@@ -59,10 +59,10 @@
 fn a_service_with_one_of_two_groups_left_can_lose_none() {
     let mut dispatcher = groups(2);
     assert!(dispatcher.can_lose_one(ms(5)));
-    dispatcher.crashed(ms(10), "u1");
+    dispatcher.record_crash(ms(10), "u1");
     assert!(!dispatcher.can_lose_one(ms(10)));
     for number in 0..RANKS {
-        dispatcher.status(ms(900), &format!("u{number}"), 1, true, 1.0);
+        dispatcher.record_status(ms(900), &format!("u{number}"), 1, true, 1.0);
     }
     assert!(dispatcher.can_lose_one(ms(1_000)));
 }
@@ -73,7 +73,7 @@
     let dispatcher = groups(1);
     assert!(dispatcher.can_lose_one(ms(5)));
     let mut dispatcher = groups(3);
-    dispatcher.crashed(ms(10), "u1");
+    dispatcher.record_crash(ms(10), "u1");
     assert!(dispatcher.can_lose_one(ms(10)));
 }
 
@@ -81,9 +81,9 @@
 fn upstreams_without_groups_count_one_by_one() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..3).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.members(replicas.iter());
-    dispatcher.crashed(ms(10), "u0");
+    dispatcher.set_upstreams(replicas.iter());
+    dispatcher.record_crash(ms(10), "u0");
     assert!(dispatcher.can_lose_one(ms(10)));
-    dispatcher.crashed(ms(20), "u1");
+    dispatcher.record_crash(ms(20), "u1");
     assert!(!dispatcher.can_lose_one(ms(20)));
 }
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -115,8 +115,8 @@
 
 fn entry(number: usize, replicas: &[Replica]) -> Dispatcher {
     let mut entry = Dispatcher::new(zone(number).as_str().into(), 7 + number as u64);
-    entry.engine(Some(&engine()));
-    entry.members(replicas.iter());
+    entry.set_engine(Some(&engine()));
+    entry.set_upstreams(replicas.iter());
     entry
 }
 
@@ -181,7 +181,7 @@
                 // One entry in four gets twice as much.
                 let number = if next % 5 < 2 { next % 15 * 4 } else { next };
                 let ask = PlacementRequest {
-                    gap: Some(ms(150)),
+                    max_gap: Some(ms(150)),
                     ..stream(self.now)
                 };
                 self.submit(number % ENTRIES, ask);
@@ -200,7 +200,7 @@
 
     fn pump(&mut self, entry: usize) {
         let now = ms(self.now);
-        for (ticket, verdict) in self.entries[entry].pump(now) {
+        for (ticket, verdict) in self.entries[entry].process_queue(now) {
             let Verdict::Send(id) = verdict else {
                 self.asks.remove(&ticket);
                 self.outcome.refused += 1;
@@ -208,7 +208,7 @@
             };
             let upstream = self.number(&id);
             let rude = self.fault == Fault::RudeEntry && entry == 0;
-            if self.entries[entry].asks(now, &id) && !rude {
+            if self.entries[entry].needs_reservation(now, &id) && !rude {
                 self.later(WAY, Event::Ask(entry, ticket, upstream));
             } else {
                 self.send(entry, ticket, upstream);
@@ -224,7 +224,7 @@
     fn send(&mut self, entry: usize, ticket: u64, upstream: usize) {
         self.asks.remove(&ticket);
         let id = self.replicas[upstream].id.clone();
-        self.entries[entry].reserved(&id);
+        self.entries[entry].finish_reservation(&id);
         self.later(WAY, Event::Arrive(entry, upstream));
     }
 
@@ -232,7 +232,7 @@
         self.numbers += 1;
         let id: Rc<str> = self.replicas[upstream].id.clone();
         let requests = self.agents[upstream].requests();
-        let believed = self.entries[entry].load(ms(self.now), &id, self.numbers, requests);
+        let believed = self.entries[entry].record_load(ms(self.now), &id, self.numbers, requests);
         assert!(believed);
     }
 
@@ -241,9 +241,9 @@
         let id = self.replicas[upstream].id.clone();
         if !self.speaks(upstream) {
             // What a timeout shows; the next agent is asked in its place.
-            self.entries[entry].unanswered(now, &id);
+            self.entries[entry].record_agent_timeout(now, &id);
         } else if self.agents[upstream].grant(now, SLOTS) {
-            self.entries[entry].reserved(&id);
+            self.entries[entry].finish_reservation(&id);
             self.status(entry, upstream);
             self.asks.remove(&ticket);
             self.later(WAY * 2, Event::Arrive(entry, upstream));
@@ -251,8 +251,8 @@
         } else {
             self.status(entry, upstream);
         }
-        self.entries[entry].reserved(&id);
-        self.entries[entry].ended(now, &id, AttemptOutcome::Unknown);
+        self.entries[entry].finish_reservation(&id);
+        self.entries[entry].finish_attempt(now, &id, AttemptOutcome::Unknown);
         if let Some(ask) = self.asks.remove(&ticket) {
             self.submit(entry, ask);
         }
@@ -273,7 +273,7 @@
                 Event::End(entry, upstream) => {
                     self.running[upstream] -= 1;
                     let id = self.replicas[upstream].id.clone();
-                    self.entries[entry].ended(ms(self.now), &id, AttemptOutcome::Good);
+                    self.entries[entry].finish_attempt(ms(self.now), &id, AttemptOutcome::Good);
                 }
             }
         }
@@ -294,8 +294,8 @@
         let running: u32 = self.running.iter().sum();
         let pass = engine().pass(f64::from(running) / f64::from(UPSTREAMS));
         for entry in 0..ENTRIES {
-            self.entries[entry].pause(now, &self.replicas[0].id, pass);
-            if self.entries[entry].waiting() > 0 {
+            self.entries[entry].record_pause(now, &self.replicas[0].id, pass);
+            if self.entries[entry].waiting_count() > 0 {
                 self.pump(entry);
             }
         }
@@ -328,7 +328,10 @@
         let now = ms(self.now);
         let mut sums: BTreeMap<Rc<str>, u32> = BTreeMap::new();
         let flights = |entry: &Dispatcher| -> BTreeMap<Rc<str>, u32> {
-            entry.flights(now).map(|(id, n)| (id.clone(), n)).collect()
+            entry
+                .in_flight(now)
+                .map(|(id, n)| (id.clone(), n))
+                .collect()
         };
         let each: Vec<_> = self.entries.iter().map(flights).collect();
         for (id, requests) in each.iter().flatten() {
@@ -338,7 +341,7 @@
             for replica in &self.replicas {
                 let sum = sums.get(&replica.id).copied().unwrap_or(0);
                 let own = own.get(&replica.id).copied().unwrap_or(0);
-                entry.others(now, &replica.id, sum - own);
+                entry.set_peer_load(now, &replica.id, sum - own);
             }
         }
     }
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -8,8 +8,8 @@
 fn entry() -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..8).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
     for rank in 0..8 {
         report(&mut dispatcher, 0, rank, true);
     }
@@ -18,7 +18,7 @@
 
 /// The agent beside a rank reports whether its group runs.
 fn report(dispatcher: &mut Dispatcher, now: u64, rank: u32, open: bool) {
-    dispatcher.status(ms(now), &format!("u{rank}"), 1 + rank / 4, open, 1.0);
+    dispatcher.record_status(ms(now), &format!("u{rank}"), 1 + rank / 4, open, 1.0);
 }
 
 /// Where requests go that come now.
@@ -26,7 +26,7 @@
     for ticket in 0..12 {
         dispatcher.submit(ms(now), ticket, stream(now));
     }
-    let verdicts = dispatcher.pump(ms(now)).into_iter();
+    let verdicts = dispatcher.process_queue(ms(now)).into_iter();
     verdicts.map(|(_, verdict)| verdict).collect()
 }
 
--- a/verbenaspool_policy/tests/dispatch/load.rs
+++ b/verbenaspool_policy/tests/dispatch/load.rs
@@ -89,7 +89,7 @@
     ask: PlacementRequest,
 ) -> Option<Verdict> {
     dispatcher.submit(now, ticket, ask);
-    let verdicts = dispatcher.pump(now);
+    let verdicts = dispatcher.process_queue(now);
     verdicts
         .into_iter()
         .find(|(t, _)| *t == ticket)
@@ -99,7 +99,7 @@
 /// A plain request of the service.
 fn plain(now: u64) -> PlacementRequest {
     PlacementRequest {
-        gap: None,
+        max_gap: None,
         ..stream(now)
     }
 }
@@ -110,7 +110,7 @@
 fn a_failing_upstream_is_left_alone() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas = [replica("bad", 6), replica("good", 6)];
-    dispatcher.members(replicas.iter());
+    dispatcher.set_upstreams(replicas.iter());
     let mut bad = 0;
     for ticket in 0..200 {
         let now = ms(10 * ticket);
@@ -125,7 +125,7 @@
         } else {
             AttemptOutcome::Good
         };
-        dispatcher.ended(now, &id, ending);
+        dispatcher.finish_attempt(now, &id, ending);
     }
     assert!(bad < 30, "{bad} of 200 went to the failing upstream");
 }
@@ -136,26 +136,30 @@
 fn while_nothing_runs_callers_come_back_once() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas = [replica("u0", 12)];
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
-    dispatcher.status(ms(0), "u0", 1, false, 1.0);
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
+    dispatcher.record_status(ms(0), "u0", 1, false, 1.0);
     let verdict = place(&mut dispatcher, ms(10), 1, stream(10));
-    let Some(Verdict::Reject(Rejection { reason, after })) = verdict else {
+    let Some(Verdict::Reject(Rejection {
+        reason,
+        retry_after: after,
+    })) = verdict
+    else {
         panic!("{verdict:?}");
     };
     assert_eq!(reason, RejectReason::Unavailable);
     assert!(after >= ms(2_000) && after <= ms(2_667), "{after:?}");
     let back = PlacementRequest {
-        since: ms(2_500),
+        queued_at: ms(2_500),
         target: ms(410),
         place_by: ms(4_100),
         ..stream(10)
     };
     // Its agent goes on saying so.
-    dispatcher.status(ms(2_400), "u0", 1, false, 1.0);
+    dispatcher.record_status(ms(2_400), "u0", 1, false, 1.0);
     assert_eq!(place(&mut dispatcher, ms(2_500), 2, back), None);
-    dispatcher.status(ms(2_600), "u0", 1, true, 1.0);
-    let verdicts = dispatcher.pump(ms(2_600));
+    dispatcher.record_status(ms(2_600), "u0", 1, true, 1.0);
+    let verdicts = dispatcher.process_queue(ms(2_600));
     assert_eq!(verdicts, [(2, Verdict::Send("u0".into()))]);
 }
 
@@ -163,7 +167,7 @@
 #[test]
 fn who_can_still_be_in_time_goes_first() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
-    dispatcher.members([replica("u0", 1)].iter());
+    dispatcher.set_upstreams([replica("u0", 1)].iter());
     for ticket in 1..=2 {
         assert!(place(&mut dispatcher, ms(0), ticket, plain(0)).is_some());
     }
@@ -180,8 +184,13 @@
     }
     let mut order = Vec::new();
     for _ in 0..3 {
-        dispatcher.ended(ms(3), "u0", AttemptOutcome::Good);
-        order.extend(dispatcher.pump(ms(3)).into_iter().map(|(ticket, _)| ticket));
+        dispatcher.finish_attempt(ms(3), "u0", AttemptOutcome::Good);
+        order.extend(
+            dispatcher
+                .process_queue(ms(3))
+                .into_iter()
+                .map(|(ticket, _)| ticket),
+        );
     }
     assert_eq!(order, [5, 4, 3]);
 }
@@ -191,16 +200,16 @@
 #[test]
 fn a_leaving_upstream_ends_what_it_has() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
-    dispatcher.members([replica("u0", 6)].iter());
+    dispatcher.set_upstreams([replica("u0", 6)].iter());
     assert!(place(&mut dispatcher, ms(0), 1, plain(0)).is_some());
-    dispatcher.members([].iter());
+    dispatcher.set_upstreams([].iter());
     assert!(matches!(
         place(&mut dispatcher, ms(1), 2, plain(1)),
         Some(Verdict::Reject(_))
     ));
-    dispatcher.ended(ms(2), "u0", AttemptOutcome::Good);
-    dispatcher.members([].iter());
-    assert_eq!(dispatcher.ids().count(), 0);
+    dispatcher.finish_attempt(ms(2), "u0", AttemptOutcome::Good);
+    dispatcher.set_upstreams([].iter());
+    assert_eq!(dispatcher.upstream_ids().count(), 0);
 }
 
 /// All processes are started again, and requests come before the groups have
@@ -210,17 +219,17 @@
 fn a_group_that_turns_away_is_left_alone_as_a_whole() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..4).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
     for (number, group) in [(0, 1), (1, 1), (2, 2), (3, 2)] {
-        dispatcher.status(ms(0), &format!("u{number}"), group, true, 1.0);
+        dispatcher.record_status(ms(0), &format!("u{number}"), group, true, 1.0);
     }
     dispatcher.submit(ms(1), 1, stream(1));
-    let placed = dispatcher.pump(ms(1));
+    let placed = dispatcher.process_queue(ms(1));
     let Some((_, Verdict::Send(first))) = placed.into_iter().next() else {
         panic!("it is placed");
     };
-    dispatcher.ended(ms(2), &first, AttemptOutcome::Full);
+    dispatcher.finish_attempt(ms(2), &first, AttemptOutcome::Full);
     let group = |id: &str| if ["u0", "u1"].contains(&id) { 1 } else { 2 };
     for ticket in 2..8 {
         let verdict = place(&mut dispatcher, ms(3), ticket, stream(3));
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -30,9 +30,9 @@
     let replicas: Vec<_> = (0..ranks).map(|n| replica(&format!("u{n}"), 10)).collect();
     let entry = |number: u32| {
         let mut entry = Dispatcher::new("a".into(), u64::from(number) + 1);
-        entry.engine(Some(&heavy()));
-        entry.members(replicas.iter());
-        entry.share_among(ms(0), count);
+        entry.set_engine(Some(&heavy()));
+        entry.set_upstreams(replicas.iter());
+        entry.update_entry_count(ms(0), count);
         report(&mut entry, 10_000, ranks, false);
         entry
     };
@@ -43,8 +43,8 @@
 fn report(entry: &mut Dispatcher, now: u64, ranks: u32, open: bool) {
     for number in 0..ranks {
         let id = format!("u{number}");
-        entry.load(ms(now), &id, now, 0);
-        entry.status(ms(now), &id, 7, open, 1.0);
+        entry.record_load(ms(now), &id, now, 0);
+        entry.record_status(ms(now), &id, 7, open, 1.0);
     }
 }
 
@@ -54,7 +54,7 @@
         target: ms(now - 2_000),
         deadline: ms(now + 5_500),
         place_by: ms(now + 1_500),
-        gap: Some(GAP),
+        max_gap: Some(GAP),
         ..stream(now)
     }
 }
@@ -73,13 +73,13 @@
     for (count, ranks) in [(4, 32), (15, 64), (60, 192)] {
         let mut placed = 0;
         for entry in &mut entries(count, ranks) {
-            entry.lasted(ms(2_000));
+            entry.record_service_time(ms(2_000));
             for ticket in 0..60 {
                 entry.submit(ms(10_100), ticket, retry(10_100));
             }
-            assert_eq!(entry.pump(ms(10_110)), []);
+            assert_eq!(entry.process_queue(ms(10_110)), []);
             report(entry, 10_500, ranks, true);
-            placed += sent(&entry.pump(ms(10_501)));
+            placed += sent(&entry.process_queue(ms(10_501)));
         }
         let mean = f64::from(placed) / f64::from(ranks);
         let pass = heavy().pass(mean).mul_f64(FORMED_PACE);
@@ -95,22 +95,26 @@
 #[test]
 fn retries_wait_while_new_requests_are_rejected() {
     let entry = &mut entries(1, 4)[0];
-    entry.lasted(ms(2_000));
+    entry.record_service_time(ms(2_000));
     entry.submit(ms(10_050), 1, stream(10_050));
     assert!(matches!(
-        entry.pump(ms(10_051))[..],
+        entry.process_queue(ms(10_051))[..],
         [(1, Verdict::Reject(_))]
     ));
     entry.submit(ms(10_060), 2, retry(10_060));
     report(entry, 10_100, 4, true);
-    assert_eq!(entry.pump(ms(10_101)), [], "one was rejected just now");
+    assert_eq!(
+        entry.process_queue(ms(10_101)),
+        [],
+        "one was rejected just now"
+    );
     entry.submit(ms(10_110), 3, stream(10_110));
-    let verdicts = entry.pump(ms(10_111));
+    let verdicts = entry.process_queue(ms(10_111));
     assert!(
         matches!(verdicts[..], [(3, Verdict::Send(_))]),
         "{verdicts:?}"
     );
-    let verdicts = entry.pump(ms(11_200));
+    let verdicts = entry.process_queue(ms(11_200));
     assert!(
         matches!(verdicts[..], [(2, Verdict::Send(_))]),
         "{verdicts:?}"
@@ -124,13 +128,17 @@
     let entry = &mut entries(1, 4)[0];
     entry.submit(ms(10_050), 1, stream(10_050));
     assert!(matches!(
-        entry.pump(ms(10_051))[..],
+        entry.process_queue(ms(10_051))[..],
         [(1, Verdict::Reject(_))]
     ));
     report(entry, 10_100, 4, true);
-    assert_eq!(entry.pump(ms(10_101)), []);
+    assert_eq!(entry.process_queue(ms(10_101)), []);
     entry.submit(ms(10_690), 2, retry(10_690));
-    assert_eq!(entry.pump(ms(10_700)), [], "one was rejected just now");
+    assert_eq!(
+        entry.process_queue(ms(10_700)),
+        [],
+        "one was rejected just now"
+    );
 }
 
 /// Guards against an outage that ends while nobody waits and seems to end with the next
@@ -139,11 +147,11 @@
 fn an_outage_is_over_when_upstreams_run_though_nobody_waits() {
     let entry = &mut entries(60, 4)[0];
     entry.submit(ms(10_050), 100, stream(10_050));
-    assert_eq!(entry.pump(ms(10_051)).len(), 1, "it is rejected");
+    assert_eq!(entry.process_queue(ms(10_051)).len(), 1, "it is rejected");
     report(entry, 10_500, 4, true);
-    entry.share_among(ms(10_510), 60);
+    entry.update_entry_count(ms(10_510), 60);
     for ticket in 0..8 {
         entry.submit(ms(20_000), ticket, stream(20_000));
     }
-    assert_eq!(sent(&entry.pump(ms(20_001))), 8);
+    assert_eq!(sent(&entry.process_queue(ms(20_001))), 8);
 }
--- a/verbenaspool_policy/tests/dispatch/retry.rs
+++ b/verbenaspool_policy/tests/dispatch/retry.rs
@@ -20,8 +20,8 @@
         let now = Duration::from_millis(10 * request);
         let number = usize::from(request % 3 == 0);
         let budget = &mut budgets[number];
-        budget.request(now, &BOUND);
-        repeats += u32::from(budget.repeat(now, &BOUND, 4));
+        budget.record_request(now, &BOUND);
+        repeats += u32::from(budget.try_retry(now, &BOUND, 4));
     }
     assert!(
         f64::from(repeats) <= 0.2 * 800.0 + 92.0,
@@ -38,8 +38,9 @@
         ratio: 0.0,
         ..BOUND
     };
-    let spend =
-        |budget: &mut RetryBudget, now| (0..200).filter(|_| budget.repeat(now, &none, 1)).count();
+    let spend = |budget: &mut RetryBudget, now| {
+        (0..200).filter(|_| budget.try_retry(now, &none, 1)).count()
+    };
     let first = spend(&mut budget, Duration::ZERO);
     assert_eq!(spend(&mut budget, Duration::from_secs(5)), 0);
     assert_eq!(spend(&mut budget, Duration::from_secs(11)), first);
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -40,31 +40,31 @@
 #[test]
 fn streams_of_a_group_that_broke_take_no_room_from_others() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members([replica("u0", 12)].iter());
-    dispatcher.status(ms(0), "u0", 7, true, 1.0);
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams([replica("u0", 12)].iter());
+    dispatcher.record_status(ms(0), "u0", 7, true, 1.0);
     for number in 0..20 {
-        dispatcher.pause(ms(number * 60), "u0", ms(55));
+        dispatcher.record_pause(ms(number * 60), "u0", ms(55));
     }
-    dispatcher.load(ms(1_200), "u0", 1, 11);
+    dispatcher.record_load(ms(1_200), "u0", 1, 11);
     let broken = PlacementRequest {
         target: ms(1_000),
-        resumes: Resumption::Interrupted,
+        resumption: Resumption::Interrupted,
         ..stream(1_210)
     };
     let moved = PlacementRequest {
-        resumes: Resumption::Moved,
+        resumption: Resumption::Moved,
         ..broken.clone()
     };
     for number in 20..25 {
-        dispatcher.pause(ms(number * 60), "u0", ms(115));
+        dispatcher.record_pause(ms(number * 60), "u0", ms(115));
     }
     dispatcher.submit(ms(1_500), 1, broken);
-    assert_eq!(dispatcher.pump(ms(1_500)), []);
+    assert_eq!(dispatcher.process_queue(ms(1_500)), []);
     dispatcher.submit(ms(1_500), 2, moved);
-    let placed = dispatcher.pump(ms(1_500));
+    let placed = dispatcher.process_queue(ms(1_500));
     assert_eq!(placed, [(2, Verdict::Send("u0".into()))]);
-    dispatcher.load(ms(1_600), "u0", 2, 3);
-    let placed = dispatcher.pump(ms(1_600));
+    dispatcher.record_load(ms(1_600), "u0", 2, 3);
+    let placed = dispatcher.process_queue(ms(1_600));
     assert_eq!(placed, [(1, Verdict::Send("u0".into()))]);
 }
--- a/verbenaspool_policy/tests/dispatch/slow.rs
+++ b/verbenaspool_policy/tests/dispatch/slow.rs
@@ -8,10 +8,10 @@
 fn group(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members(replicas.iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams(replicas.iter());
     for number in 0..count {
-        dispatcher.status(ms(0), &format!("u{number}"), 7, true, 1.0);
+        dispatcher.record_status(ms(0), &format!("u{number}"), 7, true, 1.0);
     }
     dispatcher
 }
@@ -61,10 +61,10 @@
 fn ranks_that_are_all_slow_serve() {
     let mut dispatcher = group(3);
     for number in 0..3 {
-        dispatcher.status(ms(1), &format!("u{number}"), 7, true, 6.0);
+        dispatcher.record_status(ms(1), &format!("u{number}"), 7, true, 6.0);
     }
     dispatcher.submit(ms(2), 1, stream(2));
-    let verdicts = dispatcher.pump(ms(2));
+    let verdicts = dispatcher.process_queue(ms(2));
     assert!(matches!(verdicts[..], [(1, Verdict::Send(_))]));
     assert!(!dispatcher.is_slow(ms(2), "u0"));
 }
@@ -75,15 +75,15 @@
 #[test]
 fn streams_that_are_silent_together_stay() {
     let mut dispatcher = group(3);
-    dispatcher.heard(ms(1_000), "u0");
-    dispatcher.heard(ms(1_004), "u1");
+    dispatcher.record_event(ms(1_000), "u0");
+    dispatcher.record_event(ms(1_004), "u1");
     assert_eq!(
-        dispatcher.silence(ms(1_800), "u0", ms(1_000)),
+        dispatcher.classify_stall(ms(1_800), "u0", ms(1_000)),
         StallScope::Service
     );
-    dispatcher.heard(ms(1_700), "u1");
+    dispatcher.record_event(ms(1_700), "u1");
     assert_eq!(
-        dispatcher.silence(ms(1_800), "u0", ms(1_000)),
+        dispatcher.classify_stall(ms(1_800), "u0", ms(1_000)),
         StallScope::Stream
     );
 }
@@ -93,11 +93,11 @@
 fn streams_of_a_silent_group_go_to_another_one() {
     let mut dispatcher = group(4);
     for number in 2..4 {
-        dispatcher.status(ms(0), &format!("u{number}"), 8, true, 1.0);
+        dispatcher.record_status(ms(0), &format!("u{number}"), 8, true, 1.0);
     }
-    dispatcher.heard(ms(1_000), "u0");
+    dispatcher.record_event(ms(1_000), "u0");
     assert_eq!(
-        dispatcher.silence(ms(1_800), "u0", ms(1_000)),
+        dispatcher.classify_stall(ms(1_800), "u0", ms(1_000)),
         StallScope::Group
     );
     assert_eq!(dispatcher.group_members("u0").len(), 2);
@@ -108,10 +108,10 @@
 #[test]
 fn an_upstream_without_a_group_is_judged_by_itself() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
-    dispatcher.members([replica("u0", 12), replica("u1", 12)].iter());
-    dispatcher.heard(ms(1_000), "u0");
+    dispatcher.set_upstreams([replica("u0", 12), replica("u1", 12)].iter());
+    dispatcher.record_event(ms(1_000), "u0");
     assert_eq!(
-        dispatcher.silence(ms(1_800), "u0", ms(1_000)),
+        dispatcher.classify_stall(ms(1_800), "u0", ms(1_000)),
         StallScope::Stream
     );
 }
--- a/verbenaspool_policy/tests/dispatch/told.rs
+++ b/verbenaspool_policy/tests/dispatch/told.rs
@@ -10,14 +10,14 @@
 /// An entry before one upstream with six slots.
 fn entry() -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
-    dispatcher.engine(Some(&engine()));
-    dispatcher.members([replica("u0", 6)].iter());
+    dispatcher.set_engine(Some(&engine()));
+    dispatcher.set_upstreams([replica("u0", 6)].iter());
     dispatcher
 }
 
 /// The requests that the entry reckons with at its upstream.
 fn busy(dispatcher: &Dispatcher, now: u64) -> u32 {
-    dispatcher.snapshot(ms(now)).busy
+    dispatcher.snapshot(ms(now)).in_flight
 }
 
 /// An agent's words come out of order, twice, from an earlier process, or are nonsense:
@@ -37,10 +37,10 @@
         (400, 1, 2, 2),
     ];
     for (now, number, requests, reckoned) in cases {
-        dispatcher.load(ms(now), "u0", number, requests);
+        dispatcher.record_load(ms(now), "u0", number, requests);
         assert_eq!(busy(&dispatcher, now), reckoned, "at {now}");
     }
-    assert!(!dispatcher.load(ms(500), "another", 9, 1));
+    assert!(!dispatcher.record_load(ms(500), "another", 9, 1));
 }
 
 /// A word that comes while the entry itself is asking doesn't hold its request yet; one
@@ -49,19 +49,19 @@
 #[test]
 fn a_request_for_which_an_agent_is_asked_counts_once() {
     let mut dispatcher = entry();
-    dispatcher.load(ms(0), "u0", 1, 2);
+    dispatcher.record_load(ms(0), "u0", 1, 2);
     dispatcher.submit(ms(1), 1, stream(1));
     assert_eq!(
-        dispatcher.pump(ms(1)),
+        dispatcher.process_queue(ms(1)),
         [(1, Verdict::Send("u0".into()))],
         "there is room"
     );
-    dispatcher.load(ms(2), "u0", 2, 2);
+    dispatcher.record_load(ms(2), "u0", 2, 2);
     assert_eq!(busy(&dispatcher, 2), 3);
-    dispatcher.reserved("u0");
-    dispatcher.load(ms(3), "u0", 3, 3);
+    dispatcher.finish_reservation("u0");
+    dispatcher.record_load(ms(3), "u0", 3, 3);
     assert_eq!(busy(&dispatcher, 3), 3);
-    dispatcher.ended(ms(4), "u0", AttemptOutcome::Good);
+    dispatcher.finish_attempt(ms(4), "u0", AttemptOutcome::Good);
     assert_eq!(busy(&dispatcher, 4), 2);
 }
 
@@ -70,23 +70,23 @@
 #[test]
 fn other_entries_count_where_no_agent_speaks() {
     let mut dispatcher = entry();
-    dispatcher.load(ms(0), "u0", 1, 2);
-    dispatcher.others(ms(100), "u0", 6);
+    dispatcher.record_load(ms(0), "u0", 1, 2);
+    dispatcher.set_peer_load(ms(100), "u0", 6);
     assert_eq!(busy(&dispatcher, 100), 2);
-    assert!(dispatcher.asks(ms(100), "u0"));
-    dispatcher.others(ms(10_000), "u0", 6);
+    assert!(dispatcher.needs_reservation(ms(100), "u0"));
+    dispatcher.set_peer_load(ms(10_000), "u0", 6);
     assert_eq!(busy(&dispatcher, 10_000), 6);
-    assert!(!dispatcher.asks(ms(10_000), "u0"));
+    assert!(!dispatcher.needs_reservation(ms(10_000), "u0"));
 }
 
 /// An agent that was silent isn't asked again at once.
 #[test]
 fn a_silent_agent_is_left_alone_for_a_while() {
     let mut dispatcher = entry();
-    dispatcher.load(ms(0), "u0", 1, 2);
-    dispatcher.unanswered(ms(10), "u0");
-    assert!(!dispatcher.asks(ms(400), "u0"));
-    assert!(dispatcher.asks(ms(600), "u0"));
+    dispatcher.record_load(ms(0), "u0", 1, 2);
+    dispatcher.record_agent_timeout(ms(10), "u0");
+    assert!(!dispatcher.needs_reservation(ms(400), "u0"));
+    assert!(dispatcher.needs_reservation(ms(600), "u0"));
 }
 
 /// A slot that was granted counts until a report can show the request, and no longer:
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -48,14 +48,14 @@
 pub fn stream(now: u64) -> PlacementRequest {
     PlacementRequest {
         priority: 1,
-        since: ms(now),
+        queued_at: ms(now),
         target: ms(now + 400),
         deadline: ms(now + 8_000),
         place_by: ms(now + 1_600),
-        resumes: Resumption::None,
-        beyond: false,
-        gap: Some(ms(120)),
-        avoid: Vec::new(),
+        resumption: Resumption::None,
+        over_usual_rate: false,
+        max_gap: Some(ms(120)),
+        excluded: Vec::new(),
     }
 }
 
@@ -138,8 +138,8 @@
             .collect();
         let entry = |number: usize| {
             let mut entry = Dispatcher::new("a".into(), 77 + number as u64);
-            entry.engine(Some(engine));
-            entry.members(replicas.iter());
+            entry.set_engine(Some(engine));
+            entry.set_upstreams(replicas.iter());
             entry
         };
         Self {
@@ -183,7 +183,7 @@
         for (id, (pace, since)) in &self.paces {
             if self.now == since + HEARD {
                 for entry in &mut self.entries {
-                    entry.status(now, id, 0, true, *pace);
+                    entry.record_status(now, id, 0, true, *pace);
                 }
             }
         }
@@ -201,8 +201,8 @@
             let ask = PlacementRequest {
                 target: now,
                 place_by: now + ms(1_600),
-                resumes: Resumption::Moved,
-                avoid: vec![upstream],
+                resumption: Resumption::Moved,
+                excluded: vec![upstream],
                 ..stream(self.now)
             };
             self.entries[entry].submit(now, self.tickets, ask);
@@ -221,7 +221,7 @@
             Some(running) => std::mem::replace(&mut running.upstream, to),
             None => to,
         };
-        self.entries[entry].ended(now, &left, AttemptOutcome::Unknown);
+        self.entries[entry].finish_attempt(now, &left, AttemptOutcome::Unknown);
     }
 
     /// Lets so many streams a second come to an entry, for some milliseconds.
@@ -253,11 +253,11 @@
                 if *due >= 1.0 {
                     *due -= 1.0;
                     let entry = number % self.entries.len();
-                    let beyond = self.customers[entry].see(ms(self.now), &customer.into());
+                    let beyond = self.customers[entry].observe(ms(self.now), &customer.into());
                     self.owners.insert(self.tickets + 1, customer.to_owned());
                     self.submit_ask(
                         PlacementRequest {
-                            beyond,
+                            over_usual_rate: beyond,
                             ..stream(self.now)
                         },
                         entry,
@@ -292,7 +292,7 @@
         let now = ms(self.now);
         self.hear_paces();
         for number in 0..self.entries.len() {
-            for (ticket, verdict) in self.entries[number].pump(now) {
+            for (ticket, verdict) in self.entries[number].process_queue(now) {
                 if let Some(stream) = self.moving.remove(&ticket) {
                     self.moved(number, stream, verdict);
                     continue;
@@ -325,13 +325,18 @@
         let flights: Vec<BTreeMap<Rc<str>, u32>> = self
             .entries
             .iter()
-            .map(|entry| entry.flights(now).map(|(id, n)| (id.clone(), n)).collect())
+            .map(|entry| {
+                entry
+                    .in_flight(now)
+                    .map(|(id, n)| (id.clone(), n))
+                    .collect()
+            })
             .collect();
         for (number, entry) in self.entries.iter_mut().enumerate() {
             for id in &self.ids {
                 let others = flights.iter().enumerate().filter(|(n, _)| *n != number);
                 let sum = others.filter_map(|(_, flights)| flights.get(id)).sum();
-                entry.others(ms(self.now), id, sum);
+                entry.set_peer_load(ms(self.now), id, sum);
             }
         }
     }
@@ -348,7 +353,7 @@
                 stream.late |= self.now > stream.came + 400;
             } else {
                 stream.late |= took > 120;
-                self.entries[stream.entry].pause(now, &stream.upstream, ms(took));
+                self.entries[stream.entry].record_pause(now, &stream.upstream, ms(took));
             }
         }
         for stream in running {
@@ -356,7 +361,7 @@
                 self.running.push(stream);
                 continue;
             }
-            self.entries[stream.entry].ended(now, &stream.upstream, AttemptOutcome::Good);
+            self.entries[stream.entry].finish_attempt(now, &stream.upstream, AttemptOutcome::Good);
             if stream.late {
                 self.tell_of(stream.ticket, |served| served.late += 1);
             } else {
