--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -19,7 +19,7 @@
 
 /// Requests that a plain upstream may have for each of its slots. Those beyond
 /// its slots wait there, so that it never idles between two requests.
-const UNGROUPED_REQUESTS_PER_SLOT: f64 = 2.0;
+const MAX_REQUESTS_PER_SLOT: f64 = 2.0;
 
 /// The part of what ranks with all slots taken write that ranks must still write which
 /// leave room for shifts of popularity. A late answer is worth something to its caller:
@@ -144,7 +144,7 @@
         let max_requests_per_slot = if class == AdmissionClass::OverUsualRate {
             OVER_USUAL_RATE_SLOTS_RATIO
         } else {
-            UNGROUPED_REQUESTS_PER_SLOT
+            MAX_REQUESTS_PER_SLOT
         };
         let room = busy < slots * max_requests_per_slot;
         return room.then_some(busy / slots + health_penalty);
--- a/verbenaspool_policy/src/dispatch/customer_rate.rs
+++ b/verbenaspool_policy/src/dispatch/customer_rate.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
     /// Over a long time, older ones weighing less.
-    usual: f64,
+    long_term: f64,
     /// Lately: all, and those that were taken as usual ones.
     recent: f64,
     within_limit: f64,
@@ -45,9 +45,9 @@
         let decay = (-age / CURRENT_RATE_WINDOW.as_secs_f64()).exp();
         self.recent = self.recent * decay + 1.0;
         self.within_limit *= decay;
-        self.usual *= (-age / USUAL_RATE_WINDOW.as_secs_f64()).exp();
-        let usual = self.usual / observed_secs * CURRENT_RATE_WINDOW.as_secs_f64();
-        self.usual += 1.0;
+        self.long_term *= (-age / USUAL_RATE_WINDOW.as_secs_f64()).exp();
+        let usual = self.long_term / observed_secs * CURRENT_RATE_WINDOW.as_secs_f64();
+        self.long_term += 1.0;
         usual
     }
 }
--- a/verbenaspool_policy/src/dispatch/retry_detection.rs
+++ b/verbenaspool_policy/src/dispatch/retry_detection.rs
@@ -30,7 +30,7 @@
 const RECONNECT_MARGIN: Duration = Duration::from_secs(1);
 
 /// The longest time that another entry is believed callers give.
-const MAX_HINT: Duration = Duration::from_hours(1);
+const MAX_HINTED_WAIT: Duration = Duration::from_hours(1);
 
 /// RetryDetector that one entry tells another at most.
 pub const MAX_HINTS: usize = 12;
@@ -45,7 +45,7 @@
     /// Until when callers may come back that were refused.
     retries_expected_until: Duration,
     /// What many callers give at first, as another entry says.
-    hints: BTreeSet<i32>,
+    hinted_buckets: BTreeSet<i32>,
 }
 
 /// The step of a time.
@@ -61,10 +61,10 @@
 
 impl RetryDetector {
     /// Takes in that a caller was refused and told to come back later.
-    pub fn record_rejection(&mut self, now: Duration, after: Duration) {
+    pub fn record_rejection(&mut self, now: Duration, retry_after: Duration) {
         self.retries_expected_until = self
             .retries_expected_until
-            .max(now + after + RECONNECT_MARGIN);
+            .max(now + retry_after + RECONNECT_MARGIN);
     }
 
     /// Takes in a request whose caller waits so long; tells how much of its time the
@@ -92,14 +92,14 @@
         if self.is_common(bucket) {
             return Duration::ZERO;
         }
-        let full = if self.has_enough_samples() {
+        let initial = if self.has_enough_samples() {
             let mut longer = self.weights.range(bucket..).map(|(longer, _)| *longer);
             longer.find(|longer| self.is_common(*longer))
         } else {
-            self.hints.range(bucket..).next().copied()
+            self.hinted_buckets.range(bucket..).next().copied()
         };
-        full.map_or(Duration::ZERO, |full| {
-            to_duration(full).saturating_sub(wait)
+        initial.map_or(Duration::ZERO, |initial| {
+            to_duration(initial).saturating_sub(wait)
         })
     }
 
@@ -138,21 +138,25 @@
         if self.has_enough_samples() {
             return;
         }
-        let sane = times.filter(|time| !time.is_zero() && *time <= MAX_HINT);
-        let buckets: BTreeSet<i32> = sane.take(MAX_HINTS).map(to_bucket).collect();
+        let plausible = times.filter(|time| !time.is_zero() && *time <= MAX_HINTED_WAIT);
+        let buckets: BTreeSet<i32> = plausible.take(MAX_HINTS).map(to_bucket).collect();
         if !buckets.is_empty() {
-            self.hints = buckets;
+            self.hinted_buckets = buckets;
         }
     }
 
     /// Whether many callers give about as much at first.
     fn is_common(&self, bucket: i32) -> bool {
         if !self.has_enough_samples() {
-            return self.hints.is_empty()
-                || self.hints.range(bucket - 1..=bucket + 1).next().is_some();
+            return self.hinted_buckets.is_empty()
+                || self
+                    .hinted_buckets
+                    .range(bucket - 1..=bucket + 1)
+                    .next()
+                    .is_some();
         }
-        let near = self.weights.range(bucket - 1..=bucket + 1);
-        near.map(|(_, weight)| weight).sum::<f64>() >= MIN_COMMON_SHARE * self.total_weight
+        let adjacent = self.weights.range(bucket - 1..=bucket + 1);
+        adjacent.map(|(_, weight)| weight).sum::<f64>() >= MIN_COMMON_SHARE * self.total_weight
     }
 
     /// Lets older requests count less.
--- a/verbenaspool_policy/src/dispatch/upstream.rs
+++ b/verbenaspool_policy/src/dispatch/upstream.rs
@@ -8,7 +8,7 @@
 
 /// How long an agent is believed that its rank's group is broken. It says so
 /// twice a second; one that is silent may be cut off while its rank serves.
-const CLOSED_REPORT_TTL: Duration = Duration::from_millis(1_600);
+const STATUS_REPORT_TTL: Duration = Duration::from_millis(1_600);
 
 /// How long the word of an agent counts on what its upstream has, in place of what other
 /// entries say. Agents of other zones speak each four seconds.
@@ -61,13 +61,13 @@
 
     /// Whether its agent reported lately that its group runs nothing.
     pub fn is_group_down(&self, now: Duration) -> bool {
-        let recent = |at: Duration| now.saturating_sub(at) < CLOSED_REPORT_TTL;
+        let recent = |at: Duration| now.saturating_sub(at) < STATUS_REPORT_TTL;
         self.group_down_at.is_some_and(recent)
     }
 
     /// Whether its agent reported lately whether its group runs.
     pub fn has_fresh_status(&self, now: Duration) -> bool {
-        self.group != 0 && now.saturating_sub(self.status_at) < CLOSED_REPORT_TTL
+        self.group != 0 && now.saturating_sub(self.status_at) < STATUS_REPORT_TTL
     }
 
     /// Whether its agent told lately what it has.
--- a/verbenaspool_policy/src/dispatch/wait_queue.rs
+++ b/verbenaspool_policy/src/dispatch/wait_queue.rs
@@ -53,8 +53,8 @@
     }
 
     /// Puts those back that go on waiting, in the order of their turn.
-    pub fn restore(&mut self, kept: Vec<QueuedRequest>) {
-        self.0 = kept;
+    pub fn restore(&mut self, waiting: Vec<QueuedRequest>) {
+        self.0 = waiting;
     }
 
     /// How many requests wait.
