--- a/verbenaspool_policy/src/dispatch/availability.rs
+++ b/verbenaspool_policy/src/dispatch/availability.rs
@@ -1,9 +1,9 @@
-//! Which upstreams run, by the reports of the agents beside them.
+//! Which upstreams run, by the reports of their agents.
 //!
-//! Load: a group that runs nothing while some of its ranks can't say so, as their instances
-//! are frozen or cut off. Ranks make passes together, so what most of a group's agents
-//! report lately holds for all of its ranks: a request that is sent to the silent one waits
-//! until its caller leaves.
+//! When a group is down, some of its ranks may be unable to report it, because their
+//! instances are frozen or cut off. Ranks run passes together, so the recent reports of the
+//! majority of a group's agents apply to all of its ranks. Otherwise requests sent to a
+//! silent rank would wait there until their callers leave.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
 use super::{Dispatcher, upstream::Upstream};
 
 impl Dispatcher {
-    /// The groups that run nothing, by the latest reports of most of their agents.
+    /// The groups that are down by the latest reports of most of their agents.
     pub(super) fn down_groups(&self, now: Duration) -> BTreeSet<u32> {
         let mut counts: BTreeMap<u32, [usize; 2]> = BTreeMap::new();
         let reported = self.upstreams.values().filter(|u| u.group != 0);
@@ -32,7 +32,8 @@
         down.map(|(group, _)| group).collect()
     }
 
-    /// The upstreams that take requests, as far as they and the agents of their groups report.
+    /// The upstreams that take requests, as far as they and the agents of their groups
+    /// report.
     pub(super) fn available(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, &Upstream)> {
         let down = self.down_groups(now);
         let upstreams = self.upstreams.iter();
--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -1,7 +1,7 @@
-//! Whether an upstream has room for a request, and what sending it there costs.
+//! Whether an upstream has capacity for a request, and the cost of sending it there.
 //!
-//! Load: engines that have more slots than they can serve in time. What bounds streams is
-//! the pass that they make; slots bound only what is late anyhow.
+//! Engines have more slots than they can serve on time. The number of streams is limited by
+//! their pass time; slots only limit late requests.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use super::{Resumption, upstream::Upstream, wait_queue::QueuedRequest};
 
-/// The part of an upstream's slots that is used even where passes are too slow
-/// for answers in time: a late answer is better for its caller than none.
+/// The share of an upstream's slots that is used even if passes are too slow for answers on
+/// time: a late answer is better for its caller than none.
 pub const MIN_USED_SLOTS_RATIO: f64 = 0.5;
 
-/// The part of slots that a customer may take with what is beyond its usual. The rest is
-/// for the others, whose requests come unevenly.
+/// The share of slots available to requests over their customer's usual rate. The rest is
+/// kept for other customers, whose requests arrive unevenly.
 const OVER_USUAL_RATE_SLOTS_RATIO: f64 = 0.6;
 
-/// Requests that a plain upstream may have for each of its slots. Those beyond
-/// its slots wait there, so that it never idles between two requests.
+/// Requests per slot where pass time sets no limit. The excess waits at the upstream, so
+/// that it isn't idle between two requests.
 const MAX_REQUESTS_PER_SLOT: f64 = 2.0;
 
-/// The part of what ranks with all slots taken write that ranks must still write which
-/// leave room for shifts of popularity. A late answer is worth something to its caller:
-/// more than a quarter of them isn't given up so that the others are in time.
+/// The share of the throughput at full slots that must remain if streams are limited to
+/// tolerate shifts of expert popularity. A late answer still has some value, so no more
+/// than a quarter of the throughput is given up to have the others on time.
 const MIN_THROUGHPUT_RATIO: f64 = 0.75;
 
-/// The part of the passes in time up to which requests that are late are placed; the rest
-/// is left to those that can be in time.
+/// The share of the longest pass on time up to which late requests are placed. The rest is
+/// kept for requests that can be on time.
 const LATE_PASS_RATIO: f64 = 0.85;
 
-/// The part of the longest pause in time that the longest pass may take.
+/// The share of the longest time between events that the longest pass may take.
 const PEAK_PASS_RATIO: f64 = 0.95;
 
-/// Whether passes of a group whose ranks have so many requests are in time at the highest
-/// pace of late, where the gap between two events may be so long.
+/// Whether a group with `requests` per rank still has its passes on time at its recent peak
+/// pace, with at most `max_gap` seconds between two events.
 ///
-/// Load: popularity that shifts each few seconds, near saturation. Passes take nearly
-/// twice as long until the map follows, and each stream that runs then has a pause out of
-/// time: two in three of all streams, with answers of 2 s. With five streams a rank in
-/// place of six none has. Where that would take too many away, as with engines whose
-/// passes hardly depend on their streams, all are taken as if popularity stood still.
+/// Near saturation, expert popularity may shift every few seconds. Passes then take nearly
+/// twice as long until the expert map follows, and every running stream has a late event:
+/// two in three of all streams, with answers of 2 s. With five streams per rank instead of
+/// six none is late. If that limit would cost too much throughput, as with engines whose
+/// pass time hardly depends on the number of streams, the limit isn't applied.
 ///
 /// ```
 /// use std::time::Duration;
@@ -72,43 +72,43 @@
     requests <= max_requests || throughput(max_requests) < MIN_THROUGHPUT_RATIO * throughput(slots)
 }
 
-/// How slow a group's passes would be with one request more.
+/// The pass time of a group with one request more.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupLoad {
-    /// The pass, against what makes streams late, less some headroom.
+    /// The pass time relative to the longest one on time, less some headroom.
     pub pass_ratio: f64,
-    /// The same with one request a rank.
+    /// The same with one request per rank.
     pub min_pass_ratio: f64,
     /// Whether the group has just returned from an outage.
     pub recovering: bool,
-    /// Whether requests that could have been in time were rejected lately.
+    /// Whether requests that could have been on time were recently rejected.
     pub shortage: bool,
-    /// Whether streams would be in time after the next shift of popularity as well, as
-    /// far as that can be had.
+    /// Whether streams stay on time after the next shift of expert popularity, or the limit
+    /// that this takes would cost too much throughput.
     pub tolerates_shift: bool,
-    /// The part of the group's slots that is taken.
+    /// The share of the group's slots in use.
     pub used_ratio: f64,
 }
 
-/// What is known of when a request's answer comes.
+/// How strictly a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionClass {
-    /// It can be in time.
+    /// It can be on time.
     OnTime,
-    /// It would be refused if it weren't placed now: a late answer will do.
+    /// It is rejected unless it is placed now, so a late answer is acceptable.
     LastChance,
-    /// It is beyond what its customer usually sends.
+    /// It exceeds its customer's usual rate.
     OverUsualRate,
-    /// It can't be in time any more.
+    /// It can't be on time any more.
     Late,
-    /// It has begun, and counts among the group's streams already.
+    /// A started stream that already counts among the group's streams.
     Moved,
-    /// It had begun at an upstream that failed, and is late by that.
+    /// A started stream whose upstream failed, which makes it late.
     Interrupted,
 }
 
 impl AdmissionClass {
-    /// How late a request that waits is; `over` where it would be refused if it weren't
+    /// The class of a queued request. `last_chance` tells that it is rejected unless it is
     /// placed now.
     #[must_use]
     pub fn of(waiting: &QueuedRequest, last_chance: bool) -> Self {
@@ -125,11 +125,11 @@
     }
 }
 
-/// What sending a request to an upstream costs; nothing, where it has no room.
+/// The cost of sending a request to an upstream, or nothing if there is no capacity.
 ///
-/// What is late leaves some room to what can be in time. After the return of a group it
-/// is placed only where passes stay in time with it and nothing that can be in time lacks
-/// room: those who waited would take all of it, on the longest passes there are.
+/// Late requests leave some capacity to those that can be on time. After an outage they are
+/// placed only if passes stay on time and no request that can be on time lacks capacity.
+/// Otherwise the backlog would fill the group while its passes are at their longest.
 #[must_use]
 pub fn cost(
     now: Duration,
@@ -152,7 +152,7 @@
     let on_time = group.pass_ratio <= 1.0 && group.tolerates_shift;
     let below_min_use = group.used_ratio < MIN_USED_SLOTS_RATIO;
     let late_allowed = below_min_use && !group.recovering;
-    // Where passes are out of time with a single request a rank, none is in time anyhow.
+    // If passes are late even with a single request per rank, no stream is on time anyway.
     let none_on_time = below_min_use && group.min_pass_ratio > 1.0;
     let spare_capacity =
         group.recovering && on_time && !group.shortage && group.pass_ratio <= LATE_PASS_RATIO;
--- a/verbenaspool_policy/src/dispatch/circuit.rs
+++ b/verbenaspool_policy/src/dispatch/circuit.rs
@@ -1,29 +1,29 @@
-//! Whether the ranks of a group take requests at all, by what they answer.
+//! Circuit breaker of a group, driven by the answers of its ranks.
 //!
-//! Load: a group that has broken, or forms anew after a restart of everything, turns
-//! all requests away, and so does a zone that is cut off. Each request may be sent to
-//! few upstreams. Without this, hundreds of requests spend their sendings in a moment
-//! on ranks that can't run anything, and the retry budget with them; their callers,
-//! who come back once, are told to do so before there is anything to come back to.
-//! So one rank's refusal speaks for its group: a single request goes there now and
-//! then to look, until one is taken or the rank's agent says that the group runs.
+//! A group that is down, is forming again after a full restart, or is in a zone that was
+//! cut off rejects all requests. Each request may only be sent to a few upstreams. Without
+//! a circuit breaker hundreds of requests would use up their attempts and the retry budget
+//! within a moment on ranks that can't run anything. Their callers retry once, and would do
+//! so before the group is back. One rank's rejection therefore counts for its group: only
+//! single probe requests are sent to it, until one is accepted or the rank's agent reports
+//! that the group runs.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
-/// Interval between requests that probe whether a group takes requests again. A probe
-/// is lost to its caller if it is the last attempt.
+/// Interval between requests that probe whether a group takes requests again. A probe is
+/// lost to its caller if it is the last attempt.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Ranks that can't be reached, one after the other, before their group counts as out
-/// of reach. A single one may have crashed, and its group says so by itself.
+/// The number of unreachable ranks that opens the circuit. A single one may have crashed,
+/// which its group reports by itself.
 const MIN_UNREACHABLE_RANKS: usize = 3;
 
-/// What the ranks of one group answered lately.
+/// The circuit breaker of one group.
 #[derive(Debug, Default)]
 pub struct Circuit {
-    /// When the next request may look, where the group takes none.
+    /// When the next probe may be sent; `None` while the circuit is closed.
     next_probe: Option<Duration>,
-    /// Ranks that couldn't be reached since one took a request.
+    /// Ranks that couldn't be reached since one accepted a request.
     unreachable_ranks: BTreeSet<Rc<str>>,
 }
 
@@ -40,14 +40,15 @@
         self.next_probe.is_none()
     }
 
-    /// A request is sent to the group.
+    /// Records that a request was sent to the group.
     pub fn record_sent(&mut self, now: Duration) {
         if self.next_probe.is_some() {
             self.next_probe = Some(now + PROBE_INTERVAL);
         }
     }
 
-    /// A rank took a request, or its agent says that the group runs.
+    /// Closes the circuit: a rank accepted a request, or its agent reported that the group
+    /// runs.
     ///
     /// ```
     /// use std::time::Duration;
@@ -65,14 +66,16 @@
         self.unreachable_ranks.clear();
     }
 
-    /// A rank with little to do turned a request away.
+    /// Opens the circuit: a rank with spare slots rejected a request, or several couldn't
+    /// be reached.
     pub fn open(&mut self, now: Duration) {
         if self.next_probe.is_none() {
             self.next_probe = Some(now + PROBE_INTERVAL);
         }
     }
 
-    /// A rank couldn't be reached, or another process than the rank was there.
+    /// Records that a rank couldn't be reached, or that another process answered at its
+    /// address.
     pub fn record_unreachable(&mut self, now: Duration, rank: &Rc<str>) {
         self.unreachable_ranks.insert(rank.clone());
         if self.unreachable_ranks.len() >= MIN_UNREACHABLE_RANKS {
--- a/verbenaspool_policy/src/dispatch/customer_rate.rs
+++ b/verbenaspool_policy/src/dispatch/customer_rate.rs
@@ -1,44 +1,44 @@
-//! Whether a customer sends far more than it usually does.
+//! Detects customers that send far more than they usually do.
 //!
-//! Load: one customer of forty sends many times its usual for some seconds. Without this
-//! it takes the slots of all, and everybody's requests are refused alike, those of
-//! customers who do as always too. So what a customer sends beyond half more than its
-//! usual is placed only as long as upstreams have room to spare, once the others are
-//! placed; its usual part is served as before. Where all customers send more, each is as
-//! far beyond its usual as the others, and none is held back.
+//! When one of forty customers sends many times its usual rate for some seconds, it would
+//! take the slots of all, and requests of every customer would be rejected alike. Requests
+//! beyond 1.5 times a customer's usual rate are therefore only placed if upstreams have
+//! spare capacity after all others are placed. Its usual part is served as before. If all
+//! customers send more, each exceeds its usual rate by as much as the others, and none is
+//! held back.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-/// How fast it is forgotten what a customer usually sends.
+/// Time constant of a customer's usual rate.
 const USUAL_RATE_WINDOW: Duration = Duration::from_secs(30);
 
-/// Over which time it is counted what a customer sends now.
+/// Time constant of a customer's current rate.
 const CURRENT_RATE_WINDOW: Duration = Duration::from_secs(2);
 
-/// How many times its usual a customer may send and be served like the others.
+/// How many times its usual rate a customer may send without being held back.
 const EXCESS_RATIO: f64 = 1.5;
 
-/// Requests in that time that anybody may send: those of small customers come by chance,
-/// and an entry sees a part of them only.
+/// Requests in [`CURRENT_RATE_WINDOW`] that are allowed in any case: those of small
+/// customers arrive at random, and an entry only sees a part of them.
 const MIN_ALLOWED_REQUESTS: f64 = 2.0;
 
-/// CustomerRates that are remembered at most.
+/// The most customers that are tracked.
 const MAX_TRACKED_CUSTOMERS: usize = 4_096;
 
-/// Requests to one service that come to one entry, of one customer or of all.
+/// Requests for one service at one entry, of one customer or of all.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
-    /// Over a long time, older ones weighing less.
+    /// Requests over the long window, with older ones weighing less.
     long_term: f64,
-    /// Lately: all, and those that were taken as usual ones.
+    /// Requests over the short window: all of them, and those within the limit.
     recent: f64,
     within_limit: f64,
     updated_at: Duration,
 }
 
 impl Rate {
-    /// Counts a request; tells how many usually come in the short time, given how much of
-    /// the long one was seen.
+    /// Counts a request. Returns how many requests usually arrive in the short window.
+    /// `observed_secs` is the part of the long window that was observed.
     fn count(&mut self, now: Duration, observed_secs: f64) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now;
@@ -52,20 +52,21 @@
     }
 }
 
-/// What customers send.
+/// The request rates of a service's customers.
 #[derive(Debug, Default)]
 pub struct CustomerRates {
     rates: BTreeMap<Rc<str>, Rate>,
     all: Rate,
-    /// When the first request came.
+    /// When the first request arrived.
     started_at: Option<Duration>,
 }
 
 impl CustomerRates {
-    /// Takes in a request; tells whether it is beyond what its customer usually sends.
+    /// Records a request. Returns whether it exceeds its customer's usual rate.
     ///
-    /// Callers come to other entries where one stops or a zone is left, so that all
-    /// customers of an entry send more at once. What the others send more, each may.
+    /// When another entry stops or a zone is left, its callers come to this entry, and all
+    /// customers send more at once. A customer's limit therefore grows with the rate of the
+    /// others.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,7 +82,7 @@
     /// ```
     pub fn observe(&mut self, now: Duration, customer: &Rc<str>) -> bool {
         let started_at = *self.started_at.get_or_insert(now);
-        // An entry that has just started has seen a part of the long time only.
+        // An entry that has just started has only observed a part of the long window.
         let observed_secs = now
             .saturating_sub(started_at)
             .max(CURRENT_RATE_WINDOW)
@@ -104,7 +105,7 @@
         over_limit
     }
 
-    /// Forgets the customer that was silent for longest.
+    /// Forgets the customer that hasn't sent a request for the longest time.
     fn evict_oldest(&mut self) {
         let oldest = self.rates.iter().min_by_key(|(_, rate)| rate.updated_at);
         if let Some(customer) = oldest.map(|(customer, _)| customer.clone()) {
--- a/verbenaspool_policy/src/dispatch/diagnostics.rs
+++ b/verbenaspool_policy/src/dispatch/diagnostics.rs
@@ -1,37 +1,37 @@
-//! What an entry knows of a service at one moment, for the logs.
+//! The state of a service at an entry, for logs and metrics.
 //!
-//! A caller complains hours later that a stream stuttered or was refused. What decided
-//! it was the state of a group of ranks, of which nothing is left by then but what the
-//! request's own line says.
+//! When a caller reports hours later that a stream stuttered or was rejected, the state of
+//! the rank group that caused it is gone. The log line of the request is the only place
+//! that keeps it.
 
 use std::{rc::Rc, time::Duration};
 
-/// What an entry knows of a service.
+/// The state of a service at the time of a request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceDiagnostics {
-    /// The longest that a pass of any group takes, as far as events show.
+    /// The longest pass time of any group, measured by events.
     pub longest_pass: Duration,
-    /// The pace of the slowest upstream that runs.
+    /// The pace of the slowest available upstream.
     pub slowest_pace: f64,
-    /// That upstream.
+    /// The slowest available upstream.
     pub slowest_upstream: Option<Rc<str>>,
-    /// How old its agent's word is.
+    /// The age of the status report of that upstream's agent.
     pub status_age: Duration,
-    /// Upstreams whose groups run nothing, as their agents said lately.
+    /// Number of upstreams whose groups are down, by recent reports of their agents.
     pub unavailable: u32,
 }
 
-/// How a service stands.
+/// A summary of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Snapshot {
-    /// Upstreams that take requests.
+    /// Number of available upstreams.
     pub upstreams: u32,
-    /// Those of them that nothing is sent to for now.
+    /// Number of available upstreams that get no requests for now, because they failed.
     pub ejected: u32,
-    /// Requests in flight, of all entries as far as known.
+    /// Requests in flight from all entries, as far as known.
     pub in_flight: u32,
-    /// Requests that wait here.
+    /// Requests queued at this entry.
     pub waiting: usize,
-    /// How much longer passes take than on even ranks.
+    /// Measured pass time as a multiple of the time with evenly loaded ranks.
     pub pace: f64,
 }
--- a/verbenaspool_policy/src/dispatch/failure_domain.rs
+++ b/verbenaspool_policy/src/dispatch/failure_domain.rs
@@ -1,13 +1,14 @@
-//! Which upstreams fail together, and whether a service can afford to lose some.
+//! Which upstreams fail together, and whether a service can lose some of them.
 //!
-//! Load: a request that may have crashed an upstream. Ranks of a group stop with any one of
-//! them, so the next crash may take the last group that runs, and with it the whole service.
+//! All ranks of a group stop when one of them crashes. If a request may have crashed an
+//! upstream, sending it again may stop the last running group, and with it the whole
+//! service.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{AttemptOutcome, Dispatcher};
 
-/// Upstreams that stop together: a group, or one that is by itself.
+/// Upstreams that fail together.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureDomain<'a> {
     /// The ranks of a group.
@@ -17,8 +18,8 @@
 }
 
 impl Dispatcher {
-    /// An upstream crashed. Its group makes no pass without it, so nothing is sent to any of
-    /// its ranks until their agents report that it runs.
+    /// Records the crash of an upstream. Its group can't run passes without it, so no rank
+    /// of the group gets requests until its agent reports that the group runs.
     pub fn record_crash(&mut self, now: Duration, id: &str) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -31,9 +32,9 @@
         }
     }
 
-    /// Whether the service goes on if the next upstream crashes that gets a request: another
-    /// group runs, or another upstream where there are no groups. A service that has a single
-    /// one has nothing to spare, and counts as if it had.
+    /// Whether the service survives the crash of the next upstream that gets a request,
+    /// because another group (or another upstream, without groups) runs. A service with a
+    /// single failure domain has no spare one, and counts as able to lose it.
     #[must_use]
     pub fn can_lose_one(&self, now: Duration) -> bool {
         let down = self.down_groups(now);
--- a/verbenaspool_policy/src/dispatch/health.rs
+++ b/verbenaspool_policy/src/dispatch/health.rs
@@ -1,53 +1,51 @@
-//! Whether an upstream is worth sending to, by what it answered.
+//! Ejects failing upstreams, judging by their answers.
 //!
-//! Load: an upstream that fails fast looks idle, so the least busy one is the
-//! broken one, and it gets more and more. One that fell silent keeps whatever
-//! it is sent. Both are left alone for a while, longer each time in a row, and
-//! are tried again after that. Health checks cost the upstream a slot and may be
-//! false, so answers alone decide.
+//! An upstream that fails fast looks idle, so least-busy placement would send it more and
+//! more. A stalled one never finishes what it is sent. Both are ejected for a time that
+//! grows with each consecutive ejection, and are tried again after it. Health checks would
+//! cost a slot and may be wrong, so only answers count.
 
 use std::time::Duration;
 
 use super::AttemptOutcome;
 
-/// How long an upstream is left alone at first: a restart takes longer, but a
-/// full queue is over sooner.
+/// The first ejection time. A restart takes longer, but a full queue drains sooner.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(400);
 
-/// Doublings of that at most, to about six seconds: callers' time budgets are
-/// about as long, and an upstream that is back should be found within one.
+/// The ejection time doubles at most this often, to about six seconds. Callers' time
+/// budgets are about as long, and an upstream that is back should be found within one.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
-/// The weight of the newest answer in the part of answers that were good.
+/// The weight of the newest answer in the failure ratio.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// What a failing part adds to the cost of sending: an upstream that fails half
-/// of its requests ranks behind one with all slots taken twice.
+/// The penalty for an upstream that fails everything. One that fails half of its requests
+/// ranks behind one with all slots taken twice.
 const FAILURE_PENALTY: f64 = 4.0;
 
-/// The failing part beyond which an upstream is left alone. A service whose
-/// requests fail by themselves once in seven must not lose all its upstreams.
+/// An upstream with a higher failure ratio is ejected. A service of which one in seven
+/// requests fails by itself must not lose all its upstreams.
 const MAX_FAILURE_RATIO: f64 = 0.5;
 
-/// One upstream's record.
+/// Outcomes of attempts at one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UpstreamHealth {
-    /// The part of answers that were bad, newer ones weighing more.
+    /// The share of failed answers, with newer ones weighing more.
     failure_ratio: f64,
-    /// RetryDetector in a row that it was left alone.
+    /// Number of consecutive ejections.
     consecutive_ejections: u32,
-    /// Until when it is left alone.
+    /// The end of the current ejection.
     ejected_until: Duration,
 }
 
 impl UpstreamHealth {
-    /// What distrust adds to the cost of sending; nothing while it is left alone.
+    /// The penalty for past failures, or nothing while the upstream is ejected.
     #[must_use]
     pub fn cost(&self, now: Duration) -> Option<f64> {
         (now >= self.ejected_until).then_some(self.failure_ratio * FAILURE_PENALTY)
     }
 
-    /// Learns from how a sending ended.
+    /// Records the outcome of an attempt.
     ///
     /// ```
     /// use std::time::Duration;
@@ -80,7 +78,7 @@
         }
     }
 
-    /// Leaves the upstream alone for a while.
+    /// Ejects the upstream, unless it is ejected already.
     fn eject(&mut self, now: Duration) {
         if now < self.ejected_until {
             return;
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -1,15 +1,14 @@
-//! Where requests go that an entry sends straight to upstreams, and when.
+//! Placement of requests that an entry sends directly to upstreams.
 //!
-//! One [`Dispatcher`] decides for one service at one entry. It knows what the
-//! entry itself has in flight at each upstream, what its peers said that they
-//! have, and how long passes of the engines take. A request is placed at once,
-//! waits in line for a short while, or is refused with a time to come back.
+//! A [`Dispatcher`] decides for one service at one entry. It tracks the requests that this
+//! entry has in flight at each upstream, the load that peers and agents report, and how
+//! long engine passes take. A request is placed immediately, queued for a short time, or
+//! rejected with a time to retry.
 //!
-//! Load: engines that are asked for more than they can do from morning to night.
-//! Every stream of an engine gets one event a pass, and a pass takes longer the
-//! more streams there are. Without a bound on streams each of them is late,
-//! and all the work is done for half of its worth. So the bound on streams, not
-//! the engine's slots, is what makes answers come in time.
+//! Under sustained overload the number of streams has to be limited by pass time, not by
+//! the engine's slots. Every stream gets one event per pass, and a pass takes longer the
+//! more streams there are. Without that limit all streams miss their deadlines and the work
+//! done for them is largely wasted.
 
 mod availability;
 pub mod capacity;
@@ -48,53 +47,53 @@
     request::{AttemptOutcome, PlacementRequest, RejectReason, Rejection, Resumption, Verdict},
 };
 
-/// How long an agent isn't asked again that was silent.
+/// How long an agent that didn't answer isn't asked again.
 const AGENT_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How long a place that another entry freed is left at most. It spreads what
-/// entries do over several digests, which come each 40 ms or so.
+/// The longest delay before a slot that another entry freed is used. It spreads the
+/// reaction of the entries over several digests, which arrive about every 40 ms.
 const SLOT_REUSE_DELAY: Duration = Duration::from_millis(160);
 
-/// How long a request may wait in line, as a part of the time in which its
-/// answer must begin: what is left goes for reading the prompt and two passes.
+/// The longest wait in the queue for a request that can be on time, as a share of its time
+/// to the first event. The rest is needed for reading the prompt and two passes.
 const ON_TIME_WAIT_RATIO: f64 = 0.35;
 
-/// Two to the 53rd, the numbers that a draw is taken from.
+/// 2^53, the number of values that [`Dispatcher::random`] draws from.
 const RANDOM_RANGE: f64 = 9_007_199_254_740_992.0;
 
-/// Decides for one service at one entry.
+/// Places the requests of one service at one entry.
 #[derive(Debug)]
 pub struct Dispatcher {
-    /// The entry's zone.
+    /// The entry's availability zone.
     zone: Rc<str>,
-    /// The model engine of the service, where it has one.
+    /// The service's model engine, if it has one.
     engine: Option<Engine>,
-    /// The upstreams by identity.
+    /// Upstreams by id.
     upstreams: BTreeMap<Rc<str>, Upstream>,
-    /// Requests that wait.
+    /// Requests waiting for an upstream.
     queue: WaitQueue,
-    /// The pace of each group's passes.
+    /// Pass pace of each group.
     group_paces: BTreeMap<u32, PassPace>,
-    /// The pace of all groups, for those of which nothing is known.
+    /// Pass pace over all groups, used for groups without recent samples.
     overall_pace: PassPace,
-    /// How long answers last.
+    /// How long answers of the service take.
     service_time: ServiceTime,
-    /// Whether any upstream takes requests.
+    /// Whether any upstream is available, and since when.
     outage: Outage,
-    /// How many entries share the upstreams, this one included.
+    /// Number of entries that share the upstreams, including this one.
     entry_count: u32,
-    /// When a request that could have been in time found no room, or no upstream, last.
+    /// When a request that could have been on time last found no capacity or no upstream.
     last_shortage: Option<Duration>,
-    /// When each group's streams had an event last.
+    /// When a stream of each group last got an event.
     last_events: BTreeMap<u32, Duration>,
-    /// Whether each group takes requests.
+    /// Circuit breaker of each group.
     circuits: BTreeMap<u32, Circuit>,
-    /// Spreads choices that are as good as each other.
+    /// State of the random number generator for tie breaking and jitter.
     random_state: u64,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no upstream yet.
+    /// Creates a dispatcher without upstreams.
     ///
     /// ```
     /// use verbenaspool_policy::dispatch::Dispatcher;
@@ -121,20 +120,22 @@
         }
     }
 
-    /// Takes over what the configuration says of the service's engines.
+    /// Sets the configured engine of the service.
     pub fn set_engine(&mut self, engine: Option<&Engine>) {
         self.engine = engine.cloned();
     }
 
-    /// Takes in how many entries share the service's upstreams, this one included, and
-    /// looks whether any upstream runs. To be called many times a second, also while no
-    /// request waits: an outage would seem to end with the first request after it.
+    /// Sets how many entries share the service's upstreams, including this one, and checks
+    /// whether any upstream is available.
+    ///
+    /// Must be called many times a second, even while no request is queued: otherwise an
+    /// outage would appear to end with the first request after it.
     pub fn update_entry_count(&mut self, now: Duration, entries: u32) {
         self.entry_count = entries.max(1);
         self.outage.observe(now, self.is_available(now));
     }
 
-    /// Takes over the list of the service's upstreams.
+    /// Replaces the list of the service's upstreams.
     pub fn set_upstreams<'a>(&mut self, list: impl Iterator<Item = &'a replica::Replica>) {
         let mut removed = std::mem::take(&mut self.upstreams);
         for replica in list {
@@ -144,7 +145,7 @@
             upstream.slots = replica.slots;
             self.upstreams.insert(replica.id.clone(), upstream);
         }
-        // What still runs at those that are gone from the list is told by its end.
+        // Removed upstreams are kept until their last request has finished.
         let draining = removed
             .into_iter()
             .filter(|(_, upstream)| upstream.own_requests > 0);
@@ -154,16 +155,16 @@
         }
     }
 
-    /// Takes in how many requests an upstream has, by the word of the agent beside it;
-    /// tells whether that can be believed.
+    /// Records how many requests an upstream has, as reported by its agent. Returns whether
+    /// the report was accepted.
     ///
-    /// Messages that were overtaken, or that make no sense, say nothing.
+    /// Outdated and implausible reports are ignored.
     pub fn record_load(&mut self, now: Duration, id: &str, sequence: u64, requests: u32) -> bool {
         let upstream = self.upstreams.get_mut(id);
         upstream.is_some_and(|upstream| upstream.record_load(now, sequence, requests))
     }
 
-    /// Whether the agent beside an upstream is to be asked before a request is sent.
+    /// Whether a slot must be reserved with the upstream's agent before a request is sent.
     #[must_use]
     pub fn needs_reservation(&self, now: Duration, id: &str) -> bool {
         let upstream = self.upstreams.get(id);
@@ -172,28 +173,28 @@
         })
     }
 
-    /// The agent beside an upstream kept a slot for a request of this entry, or won't say.
+    /// Ends a pending reservation: the upstream's agent kept a slot for a request of this
+    /// entry, denied it, or wasn't asked.
     pub fn finish_reservation(&mut self, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.reserving = upstream.reserving.saturating_sub(1);
         }
     }
 
-    /// The agent beside an upstream didn't answer.
+    /// Records that the upstream's agent didn't answer a reservation.
     pub fn record_agent_timeout(&mut self, now: Duration, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.agent_backoff_until = now + AGENT_BACKOFF;
         }
     }
 
-    /// Takes over what other entries have in flight at an upstream, as they say.
-    /// What the agent beside it says goes before that.
+    /// Sets how many requests other entries have in flight at an upstream, by their
+    /// digests. Ignored while the upstream's agent reports its load.
     ///
-    /// Load: every entry has requests in line. A place that comes free is seen by
-    /// all of them in the same moment, and each would take it: with four entries
-    /// an upstream got nine streams where six were in time. So a place that
-    /// another entry freed is left for a while, another one for each entry; the
-    /// entry that freed it has it at once.
+    /// Every entry has requests queued and sees a freed slot at the same time. If all of
+    /// them used it, four entries would place nine streams on an upstream that serves six
+    /// on time. A decrease therefore takes effect after a random delay, different at each
+    /// entry. The entry that freed the slot can use it immediately.
     pub fn set_peer_load(&mut self, now: Duration, id: &str, requests: u32) {
         let delay = SLOT_REUSE_DELAY.mul_f64(self.random());
         let upstream = self.upstreams.get_mut(id);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Believes what was left to be believed for a while.
+    /// Applies decreases of peer load whose delay has passed.
     fn apply_pending_decreases(&mut self, now: Duration) {
         for upstream in self.upstreams.values_mut() {
             if let Some((requests, until)) = upstream.pending_decrease
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Takes in which group an upstream belongs to, whether that runs and how slow
-    /// the upstream is; tells whether it runs now and didn't before, or the reverse.
+    /// Records an upstream's group, whether the group runs and the upstream's pace. Returns
+    /// whether the group started or stopped running since the last report.
     pub fn record_status(
         &mut self,
         now: Duration,
@@ -247,7 +248,7 @@
         let was_running = upstream.group_down_at.is_none();
         upstream.group_down_at = (!running).then_some(now);
         if running && !was_running {
-            // What it didn't answer while its group was broken says nothing of it.
+            // Failures while the group was down say nothing about the upstream.
             upstream.health = UpstreamHealth::default();
             if let Some(circuit) = self.circuits.get_mut(&group) {
                 circuit.close();
@@ -256,21 +257,20 @@
         was_running != running
     }
 
-    /// The requests of this entry at each upstream that has any, as far as no agent
-    /// tells the others.
+    /// Requests of this entry at each upstream whose load isn't reported by its agent.
     pub fn in_flight(&self, now: Duration) -> impl Iterator<Item = (&Rc<str>, u32)> {
         let unreported = move |u: &Upstream| u.own_requests > 0 && !u.has_fresh_load(now);
         let sending = self.upstreams.iter().filter(move |(_, u)| unreported(u));
         sending.map(|(id, upstream)| (id, upstream.own_requests))
     }
 
-    /// The identities of all upstreams.
+    /// Ids of all upstreams.
     pub fn upstream_ids(&self) -> impl Iterator<Item = &Rc<str>> {
         self.upstreams.keys()
     }
 
-    /// Whether an upstream is slow beside others that run, so that its streams should
-    /// go on elsewhere.
+    /// Whether an upstream is so much slower than other available ones that its streams
+    /// should move elsewhere.
     #[must_use]
     pub fn is_slow(&self, now: Duration, id: &str) -> bool {
         let fastest = self.fastest_pace(now);
@@ -278,25 +278,26 @@
         slow::is_slow(pace, fastest)
     }
 
-    /// The pace of the quickest upstream that runs.
+    /// The pace of the fastest available upstream.
     fn fastest_pace(&self, now: Duration) -> f64 {
         let paces = self.available(now).map(|(_, upstream)| upstream.pace);
         paces.fold(f64::INFINITY, f64::min)
     }
 
-    /// A stream at an upstream got an event.
+    /// Records that a stream at an upstream got an event.
     pub fn record_event(&mut self, now: Duration, id: &str) {
         if let Some(upstream) = self.upstreams.get(id) {
             self.last_events.insert(upstream.group, now);
         }
     }
 
-    /// What it means that a stream at an upstream has been silent since some time.
+    /// Tells whether a stream that has had no event since `since` is stalled alone or with
+    /// its group.
     #[must_use]
     pub fn classify_stall(&self, now: Duration, id: &str, since: Duration) -> StallScope {
         let group = self.upstreams.get(id).map_or(0, |upstream| upstream.group);
         if group == 0 {
-            // No agent told of a group: the upstream stands by itself.
+            // Without a known group the upstream is judged by itself.
             return StallScope::Stream;
         }
         let mut others = self.available(now).filter(|(_, u)| u.group != group);
@@ -308,7 +309,7 @@
         )
     }
 
-    /// The upstreams of the same group as one.
+    /// Ids of all upstreams in the group of `id`, including `id`.
     #[must_use]
     pub fn group_members(&self, id: &str) -> Vec<Rc<str>> {
         let Some(upstream) = self.upstreams.get(id) else {
@@ -319,7 +320,7 @@
         members.map(|(id, _)| id.clone()).collect()
     }
 
-    /// How long a pass of an upstream's group takes now.
+    /// The current pass time of an upstream's group, if samples exist.
     #[must_use]
     pub fn pass_time(&self, now: Duration, id: &str) -> Option<Duration> {
         let (engine, upstream) = (self.engine.as_ref()?, self.upstreams.get(id)?);
@@ -331,7 +332,7 @@
         )
     }
 
-    /// Learns from a pause between two events of a stream.
+    /// Records the time between two events of a stream.
     pub fn record_pause(&mut self, now: Duration, id: &str, pause: Duration) {
         let (Some(engine), Some(upstream)) = (&self.engine, self.upstreams.get(id)) else {
             return;
@@ -346,7 +347,7 @@
         self.overall_pace.record(now, ratio);
     }
 
-    /// Puts a request in line; [`Self::process_queue`] tells what becomes of it.
+    /// Queues a request. [`Self::process_queue`] returns the verdict.
     pub fn submit(&mut self, now: Duration, ticket: Ticket, request: PlacementRequest) {
         let queued_at = request.queued_at.min(now);
         let on_time_wait = request
@@ -367,19 +368,19 @@
         });
     }
 
-    /// Takes a request out of line whose caller has left.
+    /// Removes a request whose caller has left.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
 
-    /// How many requests wait.
+    /// The number of queued requests.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Places and refuses what can be by now. A request that is placed counts as
-    /// in flight from here on.
+    /// Places or rejects every queued request that can be decided now. A placed request
+    /// counts as in flight from here on.
     pub fn process_queue(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
         self.apply_pending_decreases(now);
         self.outage.observe(now, self.is_available(now));
@@ -395,7 +396,7 @@
         verdicts
     }
 
-    /// What becomes of one request; nothing, where it goes on waiting.
+    /// Decides one request, or returns nothing if it continues to wait.
     fn decide(&mut self, now: Duration, waiting: &QueuedRequest) -> Option<Verdict> {
         let (late_wait, service_time) =
             (self.service_time.late_wait(), self.service_time.estimate());
@@ -423,19 +424,18 @@
         Some(Verdict::Reject(self.rejection(now, left)))
     }
 
-    /// Whether any upstream takes requests, as far as known.
+    /// Whether any upstream is known to take requests.
     fn is_available(&self, now: Duration) -> bool {
         self.available(now)
             .any(|(_, u)| self.circuit_closed(u.group))
     }
 
-    /// Whether a group takes requests, as far as its ranks' answers tell.
+    /// Whether a group takes requests, judging by the responses of its ranks.
     fn circuit_closed(&self, group: u32) -> bool {
         self.circuits.get(&group).is_none_or(Circuit::is_closed)
     }
 
-    /// Why a request is refused now, and when its caller should come back, who has so
-    /// much time left.
+    /// Builds the rejection for a caller that has `left` of its time.
     pub fn rejection(&mut self, now: Duration, left: Duration) -> Rejection {
         let (reason, [soonest, latest]) = if self.is_available(now) {
             (RejectReason::Full, self.service_time.retry_after_full(left))
@@ -445,7 +445,7 @@
                 self.service_time.retry_after_outage(left),
             )
         };
-        // Spread, so that those refused together don't come back together.
+        // Jitter, so that requests rejected together aren't retried together.
         let retry_after = soonest + latest.saturating_sub(soonest).mul_f64(self.random());
         Rejection {
             reason,
@@ -453,7 +453,7 @@
         }
     }
 
-    /// A number from 0 to 1, by Marsaglia's xorshift.
+    /// A random number in [0, 1), by Marsaglia's xorshift.
     fn random(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
@@ -463,13 +463,13 @@
         value / RANDOM_RANGE
     }
 
-    /// Learns how long an answer lasted that ended well.
+    /// Records how long a successful answer took.
     pub fn record_service_time(&mut self, duration: Duration) {
         self.service_time.record(duration);
     }
 
-    /// An upstream took a request: it has begun to answer. Tells whether its group
-    /// counted as taking none before.
+    /// Records that an upstream has started to answer. Returns whether this closed the
+    /// circuit of its group.
     pub fn record_accepted(&mut self, id: &str) -> bool {
         let group = self.upstreams.get(id).map(|upstream| upstream.group);
         let Some(circuit) = group.and_then(|group| self.circuits.get_mut(&group)) else {
@@ -480,8 +480,8 @@
         was_open
     }
 
-    /// Records how a sending ended. Tells whether the upstream's group counts as taking
-    /// none from now on, and didn't before.
+    /// Records the outcome of an attempt. Returns whether this opened the circuit of the
+    /// upstream's group.
     pub fn finish_attempt(&mut self, now: Duration, id: &str, outcome: AttemptOutcome) -> bool {
         let Some((id, upstream)) = self.upstreams.get_key_value(id) else {
             return false;
@@ -493,7 +493,7 @@
             upstream.own_requests = upstream.own_requests.saturating_sub(1);
             upstream.health.record(now, outcome);
         }
-        // Only engines make groups; other upstreams speak for themselves.
+        // Only engines form groups; other upstreams are judged one by one.
         if self.engine.is_none() {
             return false;
         }
@@ -507,7 +507,7 @@
         was_closed && !circuit.is_closed()
     }
 
-    /// What is known of the service, for the line that a request leaves in the log.
+    /// The state of the service, for the log line of a request.
     #[must_use]
     pub fn diagnostics(&self, now: Duration) -> ServiceDiagnostics {
         let mut diagnostics = ServiceDiagnostics::default();
@@ -527,7 +527,7 @@
         diagnostics
     }
 
-    /// How the service stands, for logs and metrics.
+    /// A summary of the service, for logs and metrics.
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         let mut snapshot = Snapshot {
--- a/verbenaspool_policy/src/dispatch/outage.rs
+++ b/verbenaspool_policy/src/dispatch/outage.rs
@@ -1,24 +1,24 @@
-//! How long requests wait for a service none of whose upstreams runs, or that has just
+//! How long requests wait while no upstream of a service runs, or just after upstreams have
 //! returned.
 //!
-//! Load: an outage of seconds, as when the groups of a service lose a zone. New requests
-//! are rejected, since their callers do better to retry; retries wait for the return,
-//! since most callers retry once. As upstreams return, every entry has a line of them and
-//! knows nothing of what the others place, so each takes its own share until the first
-//! answers have ended.
+//! During an outage of seconds, such as one where the groups of a service lose a zone, new
+//! requests are rejected, because their callers do better to retry. Retries wait for the
+//! service to return, because most callers retry only once. When upstreams return, every
+//! entry has a backlog and doesn't know yet what the others place, so each entry only uses
+//! its own share until the first answers have ended.
 
 use std::time::Duration;
 
 use super::{Resumption, wait_queue::QueuedRequest};
 
-/// How long a return takes at least: groups make their first passes on a bad map, and an
-/// entry that has just started knows no service time.
+/// The shortest recovery: groups make their first passes on an unbalanced expert map, and
+/// an entry that has just started knows no service time.
 const MIN_RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// Whether the upstreams of a service run, and since when.
+/// Whether the upstreams of a service run, and when the last outage ended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outage {
-    /// Whether none runs.
+    /// Whether no upstream runs.
     active: bool,
     /// When the last outage ended.
     ended_at: Option<Duration>,
@@ -33,8 +33,8 @@
         self.active = !available;
     }
 
-    /// When upstreams returned, if that is less than one answer's `service_time` ago, and
-    /// at least while their passes settle.
+    /// When upstreams returned, while the service still recovers. Recovery lasts for one
+    /// `service_time`, but at least until passes have settled.
     ///
     /// ```
     /// use std::time::Duration;
@@ -53,8 +53,8 @@
         ended.filter(|ended| now < *ended + service_time.max(MIN_RECOVERY_TIME))
     }
 
-    /// Until when a request waits. `turn` is how long a late one waits at upstreams that
-    /// have long been running.
+    /// Until when a request waits. `late_wait` is how long a late one waits for upstreams
+    /// that have been running for long.
     #[must_use]
     pub fn wait_until(
         &self,
--- a/verbenaspool_policy/src/dispatch/pass_pace.rs
+++ b/verbenaspool_policy/src/dispatch/pass_pace.rs
@@ -1,55 +1,55 @@
-//! How long passes of a group take, learnt from the events that pass through.
+//! Estimates how long passes of a group take, from the time between events.
 //!
-//! The configuration tells what a pass takes on even ranks. What it takes in
-//! truth depends on which experts are in demand and how they are placed, which
-//! changes within seconds, and on slow ranks. All of that shows in the pauses
-//! between events: their ratio to the pass by the configuration is the pace.
+//! The configuration gives the pass time for evenly loaded ranks. The actual pass time also
+//! depends on slow ranks, and on which experts are in demand and where they are placed,
+//! which changes within seconds. The ratio of the time between two events to the configured
+//! pass time is called the pace.
 
 use std::time::Duration;
 
-/// The pace of engines of which nothing is known: with experts in turn on the ranks,
-/// passes take several times longer than on even ranks.
+/// The pace assumed for a group without samples. With experts placed round-robin, passes
+/// take several times longer than with evenly loaded ranks.
 pub const INITIAL_PACE: f64 = 2.5;
 
-/// Time constant of the mean pace, well below the time between shifts of popularity.
+/// Time constant of the mean pace, well below the time between shifts of expert popularity.
 const PACE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The weight of one pause at least, so that the first ones count.
+/// The minimum weight of a sample, so that the first ones count.
 const MIN_SAMPLE_WEIGHT: f64 = 0.04;
 
-/// Pauses this many times longer than usual are stalls, which say nothing of
-/// the next pass.
+/// Higher samples are stalls, which say nothing about the next pass.
 const MAX_PACE: f64 = 12.0;
 
-/// How fast older pauses are forgotten for the highest pace: it lasts some passes behind a
-/// shift, and a single pass with many prompts is none.
+/// Time constant of the recent pace, from which the peak is taken. It covers a few passes,
+/// so that a shift of expert popularity shows but a single pass with many prompts doesn't.
 const RECENT_PACE_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long the highest pace is reckoned with in full: popularity shifts again by then.
+/// How long the peak pace applies in full. Popularity can be expected to shift again within
+/// this time.
 const PEAK_HOLD_TIME: Duration = Duration::from_secs(5);
 
-/// The part of the highest pace from which on another one counts as high as well.
+/// A pace of at least this share of the peak renews it.
 const PEAK_RENEWAL_RATIO: f64 = 0.9;
 
-/// How fast it is forgotten after that.
+/// Time constant by which the peak decays after [`PEAK_HOLD_TIME`].
 const PEAK_DECAY_TIME: Duration = Duration::from_secs(2);
 
-/// The highest ratio that a shift of popularity brings about. Experts in turn on the
-/// ranks make passes three times longer; what lasts longer is a stall.
+/// The highest pace caused by a shift of popularity. Experts placed round-robin make passes
+/// three times longer; anything above is a stall.
 const MAX_SHIFT_PACE: f64 = 4.0;
 
-/// The pace of one group.
+/// The pace of one group, or of all groups.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PassPace {
-    /// The pace, where it is known, and when it was last learnt.
+    /// The mean pace, and when it was last updated.
     mean: Option<(f64, Duration)>,
-    /// The same of the last few passes.
+    /// The pace of the last few passes, and when it was last updated.
     recent: Option<(f64, Duration)>,
-    /// The highest that this was lately, and when.
+    /// The recent peak of that pace, and when it was reached.
     peak: (f64, Duration),
 }
 
-/// Blends a new ratio into a pace that was learnt at some time.
+/// Updates an exponentially weighted mean with a new sample.
 #[must_use]
 fn blend(pace: f64, recorded_at: Duration, now: Duration, ratio: f64, window: Duration) -> f64 {
     let ratio = ratio.min(MAX_PACE);
@@ -59,7 +59,7 @@
 }
 
 impl PassPace {
-    /// Learns from a pause, given as a ratio to the pass by the configuration.
+    /// Records a sample: the time between two events, divided by the configured pass time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The highest pace of the last few seconds; 0 where nothing is known.
+    /// The peak pace of the last few seconds; 0 without samples.
     ///
-    /// Load: popularity that shifts each few seconds, near saturation. Until the group's
-    /// map follows, passes take nearly twice as long, and every stream that runs in that
-    /// second has a pause out of time. A group that is filled up to what usual passes
-    /// bear has no answer in time then; with a little less in it all of them are.
+    /// Near saturation, expert popularity may shift every few seconds. Until the group's
+    /// expert map follows, passes take nearly twice as long, and every stream that runs in
+    /// that second has a late event. A group filled to the capacity of its usual passes has
+    /// no answer on time then, whereas with slightly fewer streams all of them are.
     ///
     /// ```
     /// use std::time::Duration;
@@ -112,7 +112,7 @@
         recent + (peak - recent) * remaining
     }
 
-    /// The pace of the last few passes since a time; nothing where none was seen.
+    /// The pace of the last few passes, if one was seen at or after `since`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -130,7 +130,7 @@
         (at >= since).then_some(recent)
     }
 
-    /// The pace to reckon with; that of all groups where this one's is old.
+    /// The mean pace, or `fallback` without a recent sample.
     #[must_use]
     pub fn pace(&self, now: Duration, fallback: f64) -> f64 {
         match self.mean {
--- a/verbenaspool_policy/src/dispatch/placement.rs
+++ b/verbenaspool_policy/src/dispatch/placement.rs
@@ -1,9 +1,9 @@
-//! Which upstream a request goes to.
+//! The choice of an upstream for a request.
 //!
-//! Load: streams on lock-stepped ranks. A pass takes the longer the more streams a group
-//! has, and every stream gets one event a pass, so what a group can bear is a matter of
-//! its passes. Among upstreams that bear one more, the least busy goes first, with a
-//! preference for those nearby and for those whose agents answer.
+//! On lock-stepped ranks every stream gets one event per pass, and a pass takes longer the
+//! more streams the group has. The capacity of a group is therefore limited by its pass
+//! time. Among the upstreams with capacity the least busy one is chosen, with a preference
+//! for the entry's own zone and for upstreams whose agents respond.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -14,36 +14,35 @@
     wait_queue::QueuedRequest,
 };
 
-/// The part of the longest pause in time that a pass may be expected to take.
-/// Passes differ by the prompts that are read in them: a third more than the
-/// mean is common, and one late pass makes a stream late.
+/// The share of the longest time between events that an average pass may take. Passes vary
+/// with the prompts that are read in them: a third above the mean is common, and a single
+/// late pass makes a stream late.
 const PASS_HEADROOM_RATIO: f64 = 0.8;
 
-/// Slots that an upstream in the entry's own zone may have less free than one elsewhere
-/// before the latter is better: bytes between zones are paid for, and each event of a
-/// stream crosses again. Ranks of a group wait for each other, so that one request more
-/// or less at one of them costs its callers next to nothing.
+/// How many more free slots an upstream in another zone needs to be preferred over one in
+/// the entry's own zone. Traffic between zones is billed, and each event of a stream
+/// crosses again. Ranks of a group wait for each other, so one request more or less on a
+/// rank hardly matters to callers.
 const CROSS_ZONE_PENALTY_SLOTS: f64 = 1.5;
 
-/// What it adds to the cost of sending that an upstream's agent is silent: its instance
-/// may be frozen, and what it has is known by other entries' digests only, so that many
-/// entries would take the same free slot. Any other upstream with room goes before it.
+/// Added to the cost of an upstream whose agent doesn't respond. Its instance may be
+/// frozen, and its load is only known from other entries' digests, so that many entries
+/// would use the same free slot. Any other upstream with capacity is preferred.
 const UNRESPONSIVE_AGENT_PENALTY: f64 = 2.0;
 
-/// How far choices that are as good as each other are spread.
+/// Random cost that spreads requests over equally good upstreams.
 const TIE_BREAK_SPREAD: f64 = 0.01;
 
-/// How long late requests take no room of a group that returns after one that could have
-/// been in time was rejected.
+/// How long late requests aren't admitted to a recovering group after a request that could
+/// have been on time was rejected.
 const SHORTAGE_HOLD_TIME: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// Requests that an upstream of a group has on average.
+    /// The mean number of requests per upstream of a group.
     ///
-    /// Ranks make each pass together, and most of a pass is the work of experts
-    /// that all ranks share: it depends on the group's requests, not on those of
-    /// one rank. Reckoned rank by rank, the busiest one looks quickest for what
-    /// it has, and gets more.
+    /// Ranks run each pass together, and most of its time is spent on experts that all
+    /// ranks share, so it depends on the requests of the whole group. Computed per rank,
+    /// the busiest rank would seem the fastest for its load, and would get more.
     pub(super) fn mean_requests(&self, group: u32) -> f64 {
         let ranks = self
             .upstreams
@@ -54,11 +53,11 @@
         sum / f64::max(count, 1.0)
     }
 
-    /// What upstreams of a group would have on average if every entry sent as much as this
-    /// one, just after an outage; 0 otherwise.
+    /// The mean number of requests per upstream of a group if every entry sent as many as
+    /// this one. Zero unless the service recovers from an outage.
     ///
-    /// As upstreams return, each entry places its line in one moment, before it hears of
-    /// the others.
+    /// When upstreams return, each entry places its backlog at once, before it receives the
+    /// digests of the others.
     fn fair_share(&self, recovering_since: Option<Duration>, group: u32) -> f64 {
         if recovering_since.is_none() {
             return 0.0;
@@ -70,7 +69,8 @@
         own * f64::from(self.entry_count) / f64::max(count, 1.0)
     }
 
-    /// The best upstream with room for a request.
+    /// The upstream with the lowest cost among those with capacity for a request.
+    /// `last_chance` tells that the request is rejected unless it is placed now.
     pub(super) fn choose_upstream(
         &mut self,
         now: Duration,
@@ -127,8 +127,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// How a group's passes would be with one request more; nothing for requests
-    /// that aren't streams.
+    /// The load of a group with one request more, or nothing if pass time doesn't limit the
+    /// request.
     fn group_load(&self, now: Duration, group: u32, waiting: &QueuedRequest) -> Option<GroupLoad> {
         let engine = self.engine.as_ref()?;
         let max_gap = waiting.request.max_gap?.as_secs_f64().max(1e-6);
@@ -136,7 +136,8 @@
         let recovering_since = self
             .outage
             .recovering_since(now, self.service_time.estimate());
-        // A group returns with another map of experts than it had.
+        // After an outage a group has a different expert map, so earlier samples don't
+        // apply.
         let pace = match recovering_since {
             Some(recovering_since) => pass_pace
                 .recent_since(recovering_since)
--- a/verbenaspool_policy/src/dispatch/request.rs
+++ b/verbenaspool_policy/src/dispatch/request.rs
@@ -1,70 +1,70 @@
-//! What requests ask for, what becomes of them, and what their ends tell.
+//! Placement requests, verdicts and attempt outcomes.
 
 use std::{rc::Rc, time::Duration};
 
-/// What a request asks for.
+/// A request to be placed on an upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRequest {
-    /// How urgent it is; 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Since when it looks for a place.
+    /// When it was queued.
     pub queued_at: Duration,
-    /// Until when its answer must begin to be in time; past where it is late.
+    /// When its answer must begin to be on time. A request past it is late.
     pub target: Duration,
     /// When its caller gives up.
     pub deadline: Duration,
-    /// Until when it must be placed, or its caller leaves before the first event.
+    /// The latest placement with which the first event arrives before the caller leaves.
     pub place_by: Duration,
-    /// Whether it is a stream that has begun and goes on elsewhere.
+    /// Whether this continues a stream that has already started.
     pub resumption: Resumption,
-    /// Whether it is beyond what its customer usually sends.
+    /// Whether it exceeds its customer's usual rate.
     pub over_usual_rate: bool,
-    /// The longest pause in time between its events, for streams.
+    /// For streams, the longest time between two events that is still on time.
     pub max_gap: Option<Duration>,
-    /// Upstreams that it was sent to before.
+    /// Upstreams that it must not be sent to, such as those tried before.
     pub excluded: Vec<Rc<str>>,
 }
 
-/// Whether a request is a stream that has begun and goes on elsewhere.
+/// Whether a request continues a stream that has already started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resumption {
-    /// It isn't.
+    /// A new request.
     None,
-    /// It leaves an upstream where it holds others back.
+    /// A stream that leaves a slow upstream, where it delays other streams.
     Moved,
-    /// Its upstream failed or fell silent, so that it is late already.
+    /// A stream whose upstream failed or stalled, which makes it late already.
     Interrupted,
 }
 
-/// What becomes of a request in line.
+/// The decision on a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to this upstream.
+    /// Send it to this upstream.
     Send(Rc<str>),
-    /// It is refused.
+    /// Reject it.
     Reject(Rejection),
 }
 
-/// Why a request is refused, and when to come back.
+/// Why a request is rejected, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why it is rejected.
     pub reason: RejectReason,
-    /// When there should be room.
+    /// When capacity is expected.
     pub retry_after: Duration,
 }
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// No upstream of the service runs.
+    /// No upstream of the service is running.
     Unavailable,
-    /// All upstreams have as much as they can do.
+    /// All upstreams are at capacity.
     Full,
 }
 
 impl RejectReason {
-    /// The reason as logs and metrics name it.
+    /// The value of the reason in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -74,19 +74,19 @@
     }
 }
 
-/// How one sending ended, as far as it tells something of the upstream.
+/// The outcome of one attempt, as far as it says something about the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered.
+    /// The upstream answered.
     Good,
-    /// It failed, or its answer was no good.
+    /// The attempt failed, or its answer was unusable.
     Bad,
-    /// It fell silent.
+    /// The upstream stopped responding.
     Silent,
-    /// It said that it had no room.
+    /// The upstream rejected the request for lack of capacity.
     Full,
-    /// It couldn't be connected to, or another process was there.
+    /// The connection failed, or another process answered at the address.
     Unreached,
-    /// Nothing is to be learnt, as when the caller left.
+    /// Nothing can be concluded, for example because the caller left.
     Unknown,
 }
--- a/verbenaspool_policy/src/dispatch/retry_budget.rs
+++ b/verbenaspool_policy/src/dispatch/retry_budget.rs
@@ -1,45 +1,45 @@
-//! How often requests may be sent to a second upstream.
+//! Limits how often requests are sent to a second upstream.
 //!
-//! Load: upstreams that fail because they have too much to do. Each failure that
-//! is sent once more adds load, so a failing service would stay down after its
-//! cause is gone. All entries together may send a part of their requests once
-//! more; each keeps to its own part of that by itself, so that no word between
-//! them is needed and none can be late.
+//! If upstreams fail because they are overloaded, every retry adds load, and the service
+//! would stay down after the cause is gone. The limit applies to all entries together. Each
+//! entry keeps to its share without coordination, so that no message can be missing or
+//! late.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// What the operator allows.
+/// The limits set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// The part of requests that may be sent once more.
+    /// Retries allowed as a share of requests.
     pub ratio: f64,
-    /// The window in which both are counted.
+    /// The window in which requests and retries are counted.
     pub window: Duration,
-    /// What may be sent once more beyond that, by all entries together.
+    /// Additional retries allowed in the window, for all entries together.
     pub slack: f64,
 }
 
-/// The part of what is allowed that is used: a repeat is counted when it
-/// arrives, and may arrive in another window than it was sent in.
+/// The share of the limit that is used. A retry is counted when it arrives, which may be in
+/// a later window than the one it was sent in.
 const BUDGET_USE_RATIO: f64 = 0.7;
 
-/// Requests and repeats of one service at one entry.
+/// Requests and retries of one service at one entry.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    /// When requests came.
+    /// Times of requests.
     requests: VecDeque<Duration>,
-    /// When some were sent once more.
+    /// Times of retries.
     retries: VecDeque<Duration>,
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Duration, limits: &RetryLimits) {
         drop_expired(&mut self.requests, now, limits.window);
         self.requests.push_back(now);
     }
 
-    /// Whether a request may be sent once more. `entries` is how many share the slack.
+    /// Whether a request may be retried now. `entries` is the number of entries that share
+    /// the slack.
     pub fn allows_retry(&mut self, now: Duration, limits: &RetryLimits, entries: usize) -> bool {
         drop_expired(&mut self.requests, now, limits.window);
         drop_expired(&mut self.retries, now, limits.window);
@@ -52,7 +52,7 @@
         retries + 1.0 <= BUDGET_USE_RATIO * (limits.ratio * requests + limits.slack / entries)
     }
 
-    /// Whether a request may be sent once more; counts it if so.
+    /// Records a retry if it is allowed. Returns whether it is.
     ///
     /// ```
     /// use std::time::Duration;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Drops what is older than the window.
+/// Drops times older than the window.
 fn drop_expired(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
     while times
         .front()
--- a/verbenaspool_policy/src/dispatch/retry_detection.rs
+++ b/verbenaspool_policy/src/dispatch/retry_detection.rs
@@ -1,74 +1,74 @@
 //! Detects retried requests by their remaining deadline.
 //!
-//! Load: an outage or an overload, in which callers that were rejected come back. Nothing
-//! else marks a retry, so a request whose caller waits for well less than most callers do
-//! at first counts as one. It can't be answered in time, but most callers retry once, so
-//! it should wait rather than be rejected again.
+//! During an outage or overload, rejected callers retry. Nothing marks a retry, so a
+//! request whose caller waits considerably less than most callers do at first counts as
+//! one. It can't be answered on time, but most callers retry once, so it should wait
+//! instead of being rejected again.
 //!
 //! How long callers wait at first isn't configured. It is observed while no retries are
-//! due, and entries that haven't seen enough requests learn it from their peers.
+//! expected, and entries that haven't seen enough requests learn it from their peers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-/// Ratio between neighbouring steps of the histogram.
+/// Ratio between adjacent buckets of the histogram.
 const BUCKET_RATIO: f64 = 1.04;
 
 /// Time constant by which older requests count less.
 const HISTORY_WINDOW: Duration = Duration::from_secs(30);
 
-/// The least share of requests with about the same time for it to be one that callers
-/// give at first. A few retry at once after a failure of a plain service.
+/// The smallest share of requests with about the same wait for it to be an initial one. A
+/// few callers retry at once after a failure of a plain service.
 const MIN_COMMON_SHARE: f64 = 0.03;
 
-/// Requests that a judgement rests on at least.
+/// The (decayed) number of requests needed to classify others.
 const MIN_SAMPLES: f64 = 50.0;
 
 /// How long after the end of their Retry-After callers may still arrive.
 const RECONNECT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The longest time that another entry is believed callers give.
+/// The longest wait accepted from another entry.
 const MAX_HINTED_WAIT: Duration = Duration::from_hours(1);
 
-/// RetryDetector that one entry tells another at most.
+/// The most waits that one entry sends to another.
 pub const MAX_HINTS: usize = 12;
 
-/// The times that callers of one service gave lately.
+/// A histogram of the waits that callers of one service recently announced.
 #[derive(Debug, Default)]
 pub struct RetryDetector {
-    /// How many gave so much, older ones weighing less.
+    /// Number of requests by bucket, with older ones weighing less.
     weights: BTreeMap<i32, f64>,
     total_weight: f64,
     decayed_at: Duration,
-    /// Until when callers may come back that were refused.
+    /// Until when rejected callers may retry.
     retries_expected_until: Duration,
-    /// What many callers give at first, as another entry says.
+    /// Buckets of the common initial waits reported by another entry.
     hinted_buckets: BTreeSet<i32>,
 }
 
-/// The step of a time.
+/// The histogram bucket of a wait.
 #[allow(clippy::cast_possible_truncation)] // Logarithms of times are small.
 fn to_bucket(time: Duration) -> i32 {
     (time.as_secs_f64().max(1e-3).ln() / BUCKET_RATIO.ln()).round() as i32
 }
 
-/// The time of a step.
+/// The wait that a histogram bucket stands for.
 fn to_duration(bucket: i32) -> Duration {
     Duration::from_secs_f64(BUCKET_RATIO.powi(bucket))
 }
 
 impl RetryDetector {
-    /// Takes in that a caller was refused and told to come back later.
+    /// Records that a caller was rejected with a Retry-After.
     pub fn record_rejection(&mut self, now: Duration, retry_after: Duration) {
         self.retries_expected_until = self
             .retries_expected_until
             .max(now + retry_after + RECONNECT_MARGIN);
     }
 
-    /// Takes in a request whose caller waits so long; tells how much of its time the
-    /// caller had spent before at least, nothing for one that comes for the first time.
+    /// Records a request whose caller waits for `wait`. Returns how much of its time the
+    /// caller must at least have spent before, which is zero for a first attempt.
     ///
     /// ```
     /// use std::time::Duration;
@@ -103,12 +103,12 @@
         })
     }
 
-    /// Whether enough requests came to tell retries from them.
+    /// Whether enough requests were seen to tell retries apart.
     fn has_enough_samples(&self) -> bool {
         self.total_weight >= MIN_SAMPLES
     }
 
-    /// The times that many callers give at first, for entries that know none.
+    /// The common initial waits, for entries that don't know them.
     pub fn common_waits(&self) -> impl Iterator<Item = Duration> {
         let settled = self.has_enough_samples();
         let buckets = self.weights.keys().filter(move |_| settled);
@@ -118,11 +118,11 @@
             .take(MAX_HINTS)
     }
 
-    /// Takes in the times that many callers give at first by another entry's count. They
-    /// stand in for what this one hasn't seen yet.
+    /// Sets the common initial waits as seen by another entry. They are used until this
+    /// entry has seen enough requests.
     ///
-    /// An entry that is started during an outage sees mostly retries, and can't tell them
-    /// from first attempts by itself.
+    /// An entry that starts during an outage mostly sees retries, and can't tell them from
+    /// first attempts without hints.
     ///
     /// ```
     /// use std::time::Duration;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Whether many callers give about as much at first.
+    /// Whether about this wait is a common initial one.
     fn is_common(&self, bucket: i32) -> bool {
         if !self.has_enough_samples() {
             return self.hinted_buckets.is_empty()
--- a/verbenaspool_policy/src/dispatch/service_time.rs
+++ b/verbenaspool_policy/src/dispatch/service_time.rs
@@ -1,59 +1,55 @@
-//! How long answers of a service last, and what follows for those who wait or come back.
+//! Estimates how long answers of a service take, and derives waits and retry times.
 //!
-//! Load: a service whose upstreams are full or away. Who is refused comes back once, and
-//! who came back waits; how long either may take depends on the time that the caller has
-//! left and on how long an answer lasts. Callers give 1.5 s to one service and 8 s to
-//! another, and an answer takes 15 ms here and 2 s there, so none of it is a fixed time.
+//! When upstreams are at capacity or down, rejected callers retry once, and retries wait in
+//! the queue. Both times depend on the time that the caller has left and on how long an
+//! answer takes. Callers give 1.5 s to one service and 8 s to another, and an answer takes
+//! 15 ms or 2 s, so no fixed time fits.
 
 use std::time::Duration;
 
-/// The weight of the newest answer in the mean: the last ten or so count.
+/// The weight of the newest answer in the mean: about the last ten count.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// What an answer is taken to last before one has ended, as a part of the time that the
-/// caller has.
+/// The service time assumed before an answer has ended, as a share of the caller's time.
 const UNKNOWN_TIME_RATIO: f64 = 0.25;
 
-/// The part of its caller's time that a late request may wait.
+/// The share of its caller's time that a late request may wait.
 const MAX_WAIT_RATIO: f64 = 0.55;
 
 /// Time kept for the answer of a request that waited, as a multiple of the service time.
 const SERVICE_TIME_MARGIN: f64 = 1.2;
 
-/// Retry-After during an outage, as parts of the time that the caller has left: as late
-/// as callers honour it, since nobody knows when the outage ends.
+/// Range of Retry-After during an outage, as a share of the time that the caller has left.
+/// It is as late as callers honour it, because nobody knows when the outage ends.
 const RETRY_AFTER_OUTAGE_RATIOS: [f64; 2] = [0.29, 0.33];
 
-/// When to come back to full upstreams, in times of what an answer lasts: sooner, the
-/// same answers still run; later, others took their places.
+/// Range of Retry-After at capacity, as a multiple of the service time. Sooner, the same
+/// answers are still running; later, others have taken their slots.
 const RETRY_AFTER_FULL_RATIOS: [f64; 2] = [0.3, 1.0];
 
-/// How long a late request waits for a turn at upstreams that run, in times of what an
-/// answer lasts.
+/// How long a late request waits for running upstreams, as a multiple of the service time.
 const LATE_WAIT_RATIO: f64 = 0.15;
 
-/// The least time after which a refused caller is to come back to full upstreams.
-/// Entries hear each other's requests within 0.1 s.
+/// The shortest Retry-After at capacity. Entries receive each other's digests within 0.1 s.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How long answers of one service last.
+/// The mean service time, if an answer has ended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceTime(Option<Duration>);
 
 impl ServiceTime {
-    /// Learns from an answer that ended well.
+    /// Records how long a successful answer took.
     pub fn record(&mut self, duration: Duration) {
         let mean = self.0.unwrap_or(duration);
         self.0 = Some(mean.mul_f64(1.0 - NEWEST_WEIGHT) + duration.mul_f64(NEWEST_WEIGHT));
     }
 
-    /// What an answer lasts, for a caller with so much time left.
+    /// The service time, estimated from the caller's remaining time if no answer has ended.
     fn estimate_for(self, left: Duration) -> Duration {
         self.0.unwrap_or(left.mul_f64(UNKNOWN_TIME_RATIO))
     }
 
-    /// How long a caller may wait for its turn who has so much time left, and can't be
-    /// answered in time any more.
+    /// How long a late request may wait if its caller has `left` of its time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -71,21 +67,21 @@
         spare.min(left.mul_f64(MAX_WAIT_RATIO))
     }
 
-    /// How long an answer takes; the least time to come back where none has ended yet.
+    /// The service time, or the shortest Retry-After if no answer has ended.
     #[must_use]
     pub fn estimate(self) -> Duration {
         self.0.unwrap_or(MIN_RETRY_AFTER)
     }
 
-    /// How long a request that is late waits for its turn at upstreams that run: while
-    /// it does so, one in seven of their answers ends.
+    /// How long a late request waits for running upstreams. One in seven of their answers
+    /// ends within that time.
     #[must_use]
     pub fn late_wait(self) -> Duration {
         self.0.unwrap_or(MIN_RETRY_AFTER).mul_f64(LATE_WAIT_RATIO)
     }
 
-    /// The shortest and the longest time after which a caller with so much time left is
-    /// to come back to upstreams that are full.
+    /// The shortest and the longest Retry-After at capacity, if the caller has `left` of
+    /// its time.
     #[must_use]
     pub fn retry_after_full(self, left: Duration) -> [Duration; 2] {
         let estimate = self.estimate_for(left).max(MIN_RETRY_AFTER);
@@ -96,7 +92,7 @@
         })
     }
 
-    /// The same where no upstream of the service runs.
+    /// The same during an outage.
     #[must_use]
     pub fn retry_after_outage(self, left: Duration) -> [Duration; 2] {
         RETRY_AFTER_OUTAGE_RATIOS.map(|ratio| left.mul_f64(ratio))
--- a/verbenaspool_policy/src/dispatch/slow.rs
+++ b/verbenaspool_policy/src/dispatch/slow.rs
@@ -1,28 +1,28 @@
-//! Ranks that are slow, and what the silence of a stream means.
+//! Slow ranks and stalled streams.
 //!
-//! Load: one rank of a lock-stepped group that turns slow. Every pass waits for it, so
-//! one rank that is 12 times slow makes the streams of all ranks late, and whatever is
-//! sent to it keeps it in each pass. Nothing may be placed there, and its streams go on
-//! at other ranks, while the group's agents take its experts away: a rank without
-//! streams and experts holds nobody back.
+//! Every pass of a lock-stepped group waits for its slowest rank. A single rank that is 12
+//! times slower makes the streams of all ranks late, and any stream sent to it keeps it
+//! part of each pass. It must get no new streams, and its streams move to other ranks while
+//! the group's agents move its experts away: a rank without streams and experts delays
+//! nobody.
 //!
-//! Streams of a group get their events together. Where all of them are silent, moving
-//! one to another rank of the group gains nothing: it spends the stream's second
-//! sending and reads its prompt again. Only a stream that is silent while others of its
-//! group flow is stuck.
+//! Streams of a group get their events together. If all of them stall, moving one to
+//! another rank of the group gains nothing: it uses up the stream's second attempt, and its
+//! prompt is read again. Only a stream that stalls while others of its group continue is
+//! stuck by itself.
 
 use std::time::Duration;
 
-/// How many times longer than the quickest rank a rank may take before it counts as
-/// slow. Below, its part of a pass is as long as that of the busiest rank on map 0,
-/// which groups bear.
+/// A rank that is this many times slower than the fastest one counts as slow. Below, its
+/// part of a pass takes no longer than that of the busiest rank on expert map 0, which
+/// groups can bear.
 const SLOW_RANK_RATIO: f64 = 2.0;
 
-/// How much later than a stream others of its group must have got an event for that
-/// stream to be stuck: events of one pass arrive within a few milliseconds.
+/// How much later than a stream others of its group must have got an event for the stream
+/// to be stuck by itself. Events of one pass arrive within a few milliseconds.
 const PASS_EVENT_SKEW: Duration = Duration::from_millis(100);
 
-/// Whether a rank of this pace counts as slow beside the quickest one.
+/// Whether a rank with this pace counts as slow compared with the fastest one.
 ///
 /// ```
 /// use verbenaspool_policy::dispatch::slow;
@@ -35,18 +35,18 @@
     pace >= SLOW_RANK_RATIO * fastest
 }
 
-/// What the silence of a stream means.
+/// How far a stall extends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StallScope {
-    /// The stream alone is silent.
+    /// Only the stream is stalled.
     Stream,
-    /// Its whole group is silent, and other groups run.
+    /// The whole group is stalled, and other groups run.
     Group,
-    /// Its whole group is silent, and no other one runs.
+    /// The whole group is stalled, and no other group runs.
     Service,
 }
 
-/// Judges the silence of a stream by when it and its group had their last events.
+/// Classifies a stall by the times of the last event of the stream and of its group.
 ///
 /// ```
 /// use std::time::Duration;
--- a/verbenaspool_policy/src/dispatch/upstream.rs
+++ b/verbenaspool_policy/src/dispatch/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream of a service, as an entry knows it.
+//! The state of one upstream, as seen by an entry.
 
 use std::{rc::Rc, time::Duration};
 
@@ -6,18 +6,18 @@
 
 use super::health::UpstreamHealth;
 
-/// How long an agent is believed that its rank's group is broken. It says so
-/// twice a second; one that is silent may be cut off while its rank serves.
+/// How long an agent's report that its group is down or running stays valid. Agents report
+/// twice a second. An agent without recent reports may be cut off while its rank serves.
 const STATUS_REPORT_TTL: Duration = Duration::from_millis(1_600);
 
-/// How long the word of an agent counts on what its upstream has, in place of what other
-/// entries say. Agents of other zones speak each four seconds.
+/// How long an agent's load report takes precedence over the digests of other entries.
+/// Agents of other zones report every four seconds.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(9);
 
-/// How long one word of an agent may be overtaken by others.
+/// How long after a load report another one with a lower sequence number may still arrive.
 const REORDER_WINDOW: Duration = Duration::from_millis(300);
 
-/// Requests beyond which no upstream has any in its line.
+/// Larger request counts are implausible; no upstream queues as many.
 const MAX_REPORTED_REQUESTS: u32 = 10_000;
 
 /// One upstream of the service.
@@ -25,67 +25,67 @@
 pub struct Upstream {
     /// Its availability zone.
     pub zone: Rc<str>,
-    /// Requests that it processes at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new requests.
     pub ready: bool,
-    /// Whether its group runs nothing, and since when that was said last.
+    /// When its group was last reported to be down; `None` while the group runs.
     pub group_down_at: Option<Duration>,
-    /// Requests of this entry that it has.
+    /// Requests in flight from this entry.
     pub own_requests: u32,
-    /// Those of them for which its agent is being asked.
+    /// The part of `own_requests` with a pending reservation.
     pub reserving: u32,
-    /// Requests of other entries that it has, as reckoned with.
+    /// Requests in flight from other entries, as used for placement.
     pub peer_requests: u32,
-    /// Fewer than that, as they said last, and from when on that is believed.
+    /// A lower value of `peer_requests`, and when it takes effect.
     pub pending_decrease: Option<(u32, Duration)>,
-    /// The group whose ranks make each pass together; 0 where it isn't known.
+    /// The group whose ranks run passes in lock-step; 0 if unknown.
     pub group: u32,
-    /// Whether it is worth sending to.
+    /// Outcomes of recent attempts.
     pub health: UpstreamHealth,
-    /// How many times longer than usual it takes for its work, as its agent says.
+    /// How many times longer than usual its work takes, by its agent's report.
     pub pace: f64,
-    /// When its agent said so.
+    /// When its agent last reported group and pace.
     pub status_at: Duration,
-    /// The number of the agent's last word on what it has, and when that came.
+    /// Sequence number and time of the last load report.
     pub load_report: Option<(u64, Duration)>,
-    /// Until when its agent isn't asked, which was silent.
+    /// Until when its unresponsive agent isn't asked.
     pub agent_backoff_until: Duration,
 }
 
 impl Upstream {
-    /// Whether it takes requests, as far as it and its agent say.
+    /// Whether it takes requests, as far as it and its agent report.
     pub fn is_available(&self, now: Duration) -> bool {
         self.ready && !self.is_group_down(now)
     }
 
-    /// Whether its agent reported lately that its group runs nothing.
+    /// Whether its agent recently reported that its group is down.
     pub fn is_group_down(&self, now: Duration) -> bool {
         let recent = |at: Duration| now.saturating_sub(at) < STATUS_REPORT_TTL;
         self.group_down_at.is_some_and(recent)
     }
 
-    /// Whether its agent reported lately whether its group runs.
+    /// Whether its agent recently reported the state of its group.
     pub fn has_fresh_status(&self, now: Duration) -> bool {
         self.group != 0 && now.saturating_sub(self.status_at) < STATUS_REPORT_TTL
     }
 
-    /// Whether its agent told lately what it has.
+    /// Whether its agent recently reported its load.
     pub fn has_fresh_load(&self, now: Duration) -> bool {
         let recent = |(_, at): (u64, Duration)| now.saturating_sub(at) < LOAD_REPORT_TTL;
         self.load_report.is_some_and(recent)
     }
 
-    /// Whether its agent was silent when it was asked lately.
+    /// Whether its agent recently failed to answer a reservation.
     pub fn is_agent_unresponsive(&self, now: Duration) -> bool {
         now < self.agent_backoff_until
     }
 
-    /// Takes in how many requests it has, by its agent; tells whether that is believed.
+    /// Records a load report of its agent. Returns whether the report was accepted.
     ///
-    /// Requests of this entry that the agent is being asked for aren't among them yet.
-    /// Behind a silence any number is believed: an agent that was started again counts
-    /// anew where the time of day was put back.
+    /// The report doesn't include requests with a pending reservation. After
+    /// [`REORDER_WINDOW`] without reports any sequence number is accepted, because a
+    /// restarted agent may start lower if the system clock was set back.
     pub fn record_load(&mut self, now: Duration, sequence: u64, requests: u32) -> bool {
         let outdated = |(last, at): (u64, Duration)| {
             sequence <= last && now.saturating_sub(at) < REORDER_WINDOW
--- a/verbenaspool_policy/src/dispatch/wait_queue.rs
+++ b/verbenaspool_policy/src/dispatch/wait_queue.rs
@@ -1,36 +1,36 @@
-//! Requests that wait for an upstream, in the order of their turn.
+//! Requests that wait for an upstream, in the order in which they are placed.
 //!
-//! Load: more requests than room, all the time. Those that can still be answered
-//! in time go before those that can't, or every answer would come just too late, and
-//! streams that have begun go with them: one that stays on a slow rank holds back all.
-//! Behind them go requests beyond what their customer usually sends; among equals the
-//! more urgent go first, then those that came first.
+//! Under sustained overload requests that can still be on time are placed before late ones,
+//! as otherwise every answer would be slightly late. Streams that move off a slow rank are
+//! treated like requests that can be on time, because each of them delays the whole group.
+//! Requests over their customer's usual rate come after the others. Ties are broken by
+//! priority, then by arrival.
 
 use std::time::Duration;
 
 use super::{PlacementRequest, Resumption};
 
-/// Names a waiting request.
+/// Identifies a queued request.
 pub type Ticket = u64;
 
-/// A waiting request.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedRequest {
-    /// Its name.
+    /// Its identifier.
     pub ticket: Ticket,
-    /// Whether its answer can't be in time any more.
+    /// Whether its answer can't be on time any more.
     pub late: bool,
-    /// Since when it waits.
+    /// When it was queued.
     pub queued_at: Duration,
-    /// Until when it must be placed for its answer to be in time.
+    /// The latest placement with which its answer is on time.
     pub on_time_until: Duration,
-    /// Until when it may wait.
+    /// When it stops waiting.
     pub until: Duration,
-    /// What it asks for.
+    /// The request itself.
     pub request: PlacementRequest,
 }
 
-/// The waiting requests of a service.
+/// The queued requests of a service, in placement order.
 #[derive(Debug, Default)]
 pub struct WaitQueue(Vec<QueuedRequest>);
 
@@ -42,35 +42,35 @@
         self.0.insert(position, waiting);
     }
 
-    /// Takes a request out.
+    /// Removes a request, if it is queued.
     pub fn remove(&mut self, ticket: Ticket) {
         self.0.retain(|waiting| waiting.ticket != ticket);
     }
 
-    /// Takes all requests out, in the order of their turn.
+    /// Removes and returns all requests in placement order.
     pub fn take_all(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.0)
     }
 
-    /// Puts those back that go on waiting, in the order of their turn.
+    /// Puts back the requests that continue to wait, in placement order.
     pub fn restore(&mut self, waiting: Vec<QueuedRequest>) {
         self.0 = waiting;
     }
 
-    /// How many requests wait.
+    /// The number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no request waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// What decides whose turn comes first; the least one does.
+/// The placement order; lower keys come first.
 fn sort_key(waiting: &QueuedRequest) -> (bool, bool, u8, Duration) {
     let late = waiting.late && waiting.request.resumption != Resumption::Moved;
     (
