--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -218,7 +218,7 @@
         for (service, list) in services {
             let queue = self.queue(&service);
             queue.with(|dispatcher, _| {
-                dispatcher.set_upstreams(list.iter().map(|replica| &**replica))
+                dispatcher.set_upstreams(list.iter().map(|replica| &**replica));
             });
         }
     }
