--- a/verbenaspool_policy/src/dispatch/pass_pace.rs
+++ b/verbenaspool_policy/src/dispatch/pass_pace.rs
@@ -17,7 +17,7 @@
 /// The minimum weight of a sample, so that the first ones count.
 const MIN_SAMPLE_WEIGHT: f64 = 0.04;
 
-/// Higher samples are stalls, which say nothing about the next pass.
+/// Higher samples are stalls, which say nothing about the next pass. They are capped.
 const MAX_PACE: f64 = 12.0;
 
 /// Time constant of the recent pace, from which the peak is taken. It covers a few passes,
