--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -299,11 +299,11 @@
                     };
                     info!(self.log, "Group: A change of map pays.";
                         "moves" => plan.moves, "bytes" => plan.bytes,
-                        "skew_before" => plan.before, "skew_after" => plan.after);
+                        "skew_before" => plan.skew_before, "skew_after" => plan.skew_after);
                     add(&self.counts.moves, u64::from(plan.moves));
                     add(&self.counts.bytes, plan.bytes);
                     self.counts.slowdown.set(plan.slowdown);
-                    (plan.layers, plan.rate)
+                    (plan.layers, plan.bytes_per_second)
                 }
                 (Some(_), None) => return,
             }
--- a/verbenaspool_policy/benches/rebalance.rs
+++ b/verbenaspool_policy/benches/rebalance.rs
@@ -10,7 +10,7 @@
 
 use rand::{Rng as _, SeedableRng as _, rngs::SmallRng};
 use verbenaspool_policy::rebalancer::{
-    LINK, Rebalancer, history::History, packing::pack, sample::Sample, skew,
+    HOST_LINK_BYTES_PER_SECOND, Rebalancer, history::History, packing::pack, sample::Sample, skew,
 };
 use verbenaspool_state::{
     expert_map::{Layer, Map, Shape},
@@ -230,11 +230,11 @@
             Policy::Static => None,
             Policy::Skew | Policy::Cost => {
                 let plan = ours.decide(now, &map);
-                plan.map(|plan| (plan.layers, plan.rate as f64))
+                plan.map(|plan| (plan.layers, plan.bytes_per_second as f64))
             }
             Policy::EveryInterval => {
                 let pack = |loads: &Vec<f64>| pack(loads, shape);
-                let layers = history.expect().iter().map(pack).collect();
+                let layers = history.expected_loads().iter().map(pack).collect();
                 Some((layers, settings.bytes_a_second as f64))
             }
             Policy::GreedyLastSample => arrived.map(|sample| {
@@ -258,7 +258,7 @@
             staging = Some(Staging {
                 layers: new.layers,
                 left: (most * EXPERT_BYTES) as f64 / rate,
-                slowdown: (rate / LINK - SPARE).max(0.0),
+                slowdown: (rate / HOST_LINK_BYTES_PER_SECOND - SPARE).max(0.0),
             });
         }
     }
--- a/verbenaspool_policy/src/rebalancer/packing.rs
+++ b/verbenaspool_policy/src/rebalancer/packing.rs
@@ -34,71 +34,72 @@
 /// use verbenaspool_state::expert_map::{Layer, Shape};
 ///
 /// let shape = Shape { ranks: 2, experts: 2, layers: 1, slots: 1 };
-/// let held = Layer { ranks: vec![vec![1], vec![0]] };
-/// assert_eq!(repack(&[3.0, 2.0], shape, &held, 0.1), held);
+/// let current = Layer { ranks: vec![vec![1], vec![0]] };
+/// assert_eq!(repack(&[3.0, 2.0], shape, &current, 0.1), current);
 /// ```
 #[must_use]
-pub fn repack(loads: &[f64], shape: Shape, held: &Layer, slack: f64) -> Layer {
+pub fn repack(loads: &[f64], shape: Shape, current: &Layer, slack: f64) -> Layer {
     let ranks = usize::from(shape.ranks);
     let slots = usize::from(shape.slots);
     let slack = slack * loads.iter().sum::<f64>() / f64::from(shape.ranks.max(1));
-    let copies = replicate(loads, ranks, ranks * slots);
-    let mut parts: Vec<(f64, u16)> = Vec::with_capacity(ranks * slots);
+    let copies = copy_counts(loads, ranks, ranks * slots);
+    let mut shares: Vec<(f64, u16)> = Vec::with_capacity(ranks * slots);
     for (expert, (&load, &copies)) in (0..).zip(loads.iter().zip(&copies)) {
-        let part = load / f64::from(copies);
-        parts.extend((0..copies).map(|_| (part, expert)));
+        let share = load / f64::from(copies);
+        shares.extend((0..copies).map(|_| (share, expert)));
     }
-    parts.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+    shares.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let mut holders = vec![Vec::new(); loads.len()];
-    for (rank, experts) in held.ranks.iter().enumerate() {
+    for (rank, experts) in current.ranks.iter().enumerate() {
         for &expert in experts {
             holders[usize::from(expert)].push(rank);
         }
     }
-    let mut work = vec![0.0; ranks];
+    let mut rank_loads = vec![0.0; ranks];
     let mut layer = vec![Vec::with_capacity(slots); ranks];
-    let mut placed = vec![false; loads.len()];
-    for (part, expert) in parts {
-        let open = |rank: usize| {
+    let mut is_placed = vec![false; loads.len()];
+    for (share, expert) in shares {
+        let is_open = |rank: usize| {
             let experts: &Vec<u16> = &layer[rank];
             experts.len() < slots && !experts.contains(&expert)
         };
-        let mut lowest = None;
+        let mut least_busy = None;
         for rank in 0..ranks {
-            let lower = lowest.is_none_or(|lowest: usize| work[rank] < work[lowest]);
-            if lower && open(rank) {
-                lowest = Some(rank);
+            let lower = least_busy
+                .is_none_or(|least_busy: usize| rank_loads[rank] < rank_loads[least_busy]);
+            if lower && is_open(rank) {
+                least_busy = Some(rank);
             }
         }
-        let limit = lowest.map_or(0.0, |lowest| work[lowest] + slack);
-        let near = |rank: &&usize| work[**rank] <= limit && open(**rank);
-        let holder = holders[usize::from(expert)].iter().filter(near);
-        let holder = holder.min_by(|&&a, &&b| f64::total_cmp(&work[a], &work[b]));
-        let lowest = holder.copied().or(lowest);
+        let limit = least_busy.map_or(0.0, |least_busy| rank_loads[least_busy] + slack);
+        let within_slack = |rank: &&usize| rank_loads[**rank] <= limit && is_open(**rank);
+        let holder = holders[usize::from(expert)].iter().filter(within_slack);
+        let holder = holder.min_by(|&&a, &&b| f64::total_cmp(&rank_loads[a], &rank_loads[b]));
+        let least_busy = holder.copied().or(least_busy);
         // A further copy that fits nowhere is left out; a first copy always
         // finds a slot, since no rank can hold it yet and slots suffice, unless
         // later copies of others took them: then one of those makes room.
-        let rank = match lowest {
+        let rank = match least_busy {
             Some(rank) => rank,
-            None if placed[usize::from(expert)] => continue,
-            None => evict(&mut layer, loads.len()),
+            None if is_placed[usize::from(expert)] => continue,
+            None => evict_copy(&mut layer, loads.len()),
         };
         layer[rank].push(expert);
-        work[rank] += part;
-        placed[usize::from(expert)] = true;
+        rank_loads[rank] += share;
+        is_placed[usize::from(expert)] = true;
     }
     Layer { ranks: layer }
 }
 
 /// How many copies each expert gets: the next one always goes to the expert
 /// whose copies carry most.
-fn replicate(loads: &[f64], ranks: usize, slots: usize) -> Vec<u32> {
-    let most = u32::try_from(ranks).unwrap_or(u32::MAX);
+fn copy_counts(loads: &[f64], ranks: usize, slots: usize) -> Vec<u32> {
+    let max_copies = u32::try_from(ranks).unwrap_or(u32::MAX);
     let mut copies = vec![1_u32; loads.len()];
-    let part = |copies: &[u32], expert: usize| loads[expert] / f64::from(copies[expert]);
+    let share = |copies: &[u32], expert: usize| loads[expert] / f64::from(copies[expert]);
     for _ in loads.len()..slots {
-        let open = (0..loads.len()).filter(|&expert| copies[expert] < most);
-        let hottest = open.max_by(|&a, &b| part(&copies, a).total_cmp(&part(&copies, b)));
+        let candidates = (0..loads.len()).filter(|&expert| copies[expert] < max_copies);
+        let hottest = candidates.max_by(|&a, &b| share(&copies, a).total_cmp(&share(&copies, b)));
         let Some(expert) = hottest else {
             break;
         };
@@ -108,17 +109,18 @@
 }
 
 /// Takes the last copy of a replicated expert out and returns its rank.
-fn evict(layer: &mut [Vec<u16>], experts: usize) -> usize {
+fn evict_copy(layer: &mut [Vec<u16>], experts: usize) -> usize {
     let mut copies = vec![0; experts];
     for &expert in layer.iter().flatten() {
         copies[usize::from(expert)] += 1;
     }
-    let spare = |experts: &Vec<u16>| {
-        let spares = |&expert: &u16| copies[usize::from(expert)] > 1;
-        experts.iter().rposition(spares)
+    let last_replicated = |experts: &Vec<u16>| {
+        let is_replicated = |&expert: &u16| copies[usize::from(expert)] > 1;
+        experts.iter().rposition(is_replicated)
     };
     let found = layer.iter().enumerate().rev();
-    let mut found = found.filter_map(|(rank, experts)| spare(experts).map(|slot| (rank, slot)));
+    let mut found =
+        found.filter_map(|(rank, experts)| last_replicated(experts).map(|slot| (rank, slot)));
     // With all slots full and an expert unplaced, some expert stands twice.
     let (rank, slot) = found.next().expect("ranks times slots hold all experts");
     drop(found);
--- a/verbenaspool_policy/src/rebalancer/placement.rs
+++ b/verbenaspool_policy/src/rebalancer/placement.rs
@@ -13,7 +13,7 @@
     /// The load of each expert, in tokens a step.
     loads: Vec<f64>,
     /// The load of each rank.
-    work: Vec<f64>,
+    rank_loads: Vec<f64>,
     /// The slots of each rank.
     slots: usize,
 }
@@ -27,7 +27,7 @@
     ///
     /// let layer = Layer { ranks: vec![vec![0, 1], vec![1]] };
     /// let placement = Placement::new(&layer, &[4.0, 2.0], 2);
-    /// assert_eq!(placement.work(), [5.0, 1.0]);
+    /// assert_eq!(placement.rank_loads(), [5.0, 1.0]);
     /// ```
     #[must_use]
     pub fn new(layer: &Layer, loads: &[f64], slots: u16) -> Self {
@@ -41,37 +41,40 @@
             ranks: layer.ranks.clone(),
             holders,
             loads: loads.to_vec(),
-            work: Vec::new(),
+            rank_loads: Vec::new(),
             slots: usize::from(slots),
         };
-        let work = placement.ranks.iter().map(|experts| placement.sum(experts));
-        placement.work = work.collect();
+        let rank_loads = placement
+            .ranks
+            .iter()
+            .map(|experts| placement.total_share(experts));
+        placement.rank_loads = rank_loads.collect();
         placement
     }
 
     /// The load of each rank, in tokens a step.
     #[must_use]
-    pub fn work(&self) -> &[f64] {
-        &self.work
+    pub fn rank_loads(&self) -> &[f64] {
+        &self.rank_loads
     }
 
     /// The load of the rank that has most.
     #[must_use]
-    pub fn peak(&self) -> f64 {
-        self.work.iter().copied().fold(0.0, f64::max)
+    pub fn peak_load(&self) -> f64 {
+        self.rank_loads.iter().copied().fold(0.0, f64::max)
     }
 
     /// The load of all experts spread evenly over the ranks: no placement has a
     /// lower peak.
     #[must_use]
-    pub fn mean(&self) -> f64 {
-        let ranks = u32::try_from(self.work.len().max(1)).unwrap_or(u32::MAX);
+    pub fn mean_load(&self) -> f64 {
+        let ranks = u32::try_from(self.rank_loads.len().max(1)).unwrap_or(u32::MAX);
         self.loads.iter().sum::<f64>() / f64::from(ranks)
     }
 
     /// The placement as a layer of a map.
     #[must_use]
-    pub fn layer(&self) -> Layer {
+    pub fn to_layer(&self) -> Layer {
         Layer {
             ranks: self.ranks.clone(),
         }
@@ -79,13 +82,13 @@
 
     /// The experts on a rank.
     #[must_use]
-    pub fn on(&self, rank: u16) -> &[u16] {
+    pub fn experts_on(&self, rank: u16) -> &[u16] {
         &self.ranks[usize::from(rank)]
     }
 
     /// Whether a rank has a slot left.
     #[must_use]
-    pub fn has_room(&self, rank: u16) -> bool {
+    pub fn has_free_slot(&self, rank: u16) -> bool {
         self.ranks[usize::from(rank)].len() < self.slots
     }
 
@@ -97,15 +100,15 @@
 
     /// What an expert brings to a rank that holds it, given so many copies.
     #[must_use]
-    pub fn share(&self, expert: u16, copies: usize) -> f64 {
+    pub fn share_among(&self, expert: u16, copies: usize) -> f64 {
         let copies = u32::try_from(copies.max(1)).unwrap_or(u32::MAX);
         self.loads[usize::from(expert)] / f64::from(copies)
     }
 
     /// The expert's present share.
     #[must_use]
-    pub fn part(&self, expert: u16) -> f64 {
-        self.share(expert, self.copies(expert))
+    pub fn share(&self, expert: u16) -> f64 {
+        self.share_among(expert, self.copies(expert))
     }
 
     /// Whether a rank holds an expert.
@@ -115,38 +118,38 @@
     }
 
     /// Puts an expert on a rank.
-    pub fn put(&mut self, rank: u16, expert: u16) {
-        self.change(expert, |placement| {
+    pub fn add(&mut self, rank: u16, expert: u16) {
+        self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].push(expert);
             placement.holders[usize::from(expert)].push(rank);
         });
     }
 
     /// Takes an expert off a rank.
-    pub fn take(&mut self, rank: u16, expert: u16) {
-        self.change(expert, |placement| {
+    pub fn remove(&mut self, rank: u16, expert: u16) {
+        self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].retain(|&e| e != expert);
             placement.holders[usize::from(expert)].retain(|&r| r != rank);
         });
     }
 
     /// Changes who holds an expert and accounts for its load.
-    fn change(&mut self, expert: u16, change: impl FnOnce(&mut Self)) {
-        self.account(expert, -1.0);
-        change(self);
-        self.account(expert, 1.0);
+    fn update_holders(&mut self, expert: u16, update: impl FnOnce(&mut Self)) {
+        self.add_shares(expert, -1.0);
+        update(self);
+        self.add_shares(expert, 1.0);
     }
 
     /// Adds the expert's shares to its holders' work, or takes them off.
-    fn account(&mut self, expert: u16, sign: f64) {
-        let part = self.part(expert);
+    fn add_shares(&mut self, expert: u16, sign: f64) {
+        let share = self.share(expert);
         for &rank in &self.holders[usize::from(expert)] {
-            self.work[usize::from(rank)] += sign * part;
+            self.rank_loads[usize::from(rank)] += sign * share;
         }
     }
 
     /// The load that experts bring to a rank that holds them.
-    fn sum(&self, experts: &[u16]) -> f64 {
-        experts.iter().map(|&expert| self.part(expert)).sum()
+    fn total_share(&self, experts: &[u16]) -> f64 {
+        experts.iter().map(|&expert| self.share(expert)).sum()
     }
 }
--- a/verbenaspool_policy/src/rebalancer/sample.rs
+++ b/verbenaspool_policy/src/rebalancer/sample.rs
@@ -5,7 +5,7 @@
 
 /// The most tokens a step that a sample may claim for one expert. No engine
 /// batches as many; a larger number is an error or an overflow on the way.
-const MOST: u64 = 1 << 32;
+const MAX_TOKENS_PER_STEP: u64 = 1 << 32;
 
 /// What a group's engines counted over some steps.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -30,28 +30,28 @@
     /// # Errors
     ///
     /// Why it is ignored.
-    pub fn check(&self, shape: Shape, epoch: u64, seen: u64) -> Result<(), Ignored> {
+    pub fn check(&self, shape: Shape, epoch: u64, last_step: u64) -> Result<(), SampleError> {
         let experts = usize::from(shape.experts);
-        let fits = self.layers.iter().all(|layer| layer.len() == experts);
-        if !fits || self.layers.len() != usize::from(shape.layers) {
-            return Err(Ignored::Shape);
+        let layers_fit = self.layers.iter().all(|layer| layer.len() == experts);
+        if !layers_fit || self.layers.len() != usize::from(shape.layers) {
+            return Err(SampleError::ShapeMismatch);
         }
         if self.epoch < epoch {
             let sample = self.epoch;
-            return Err(Ignored::Stale { sample, epoch });
+            return Err(SampleError::StaleEpoch { sample, epoch });
         }
-        if self.step <= seen {
+        if self.step <= last_step {
             let step = self.step;
-            return Err(Ignored::Late { step, seen });
+            return Err(SampleError::StaleStep { step, last_step });
         }
-        let most = MOST * u64::from(self.steps);
+        let max_count = MAX_TOKENS_PER_STEP * u64::from(self.steps);
         let mut counts = self.layers.iter().flatten();
-        if let Some(&count) = counts.find(|&&count| count > most) {
-            return Err(Ignored::Huge { count });
+        if let Some(&count) = counts.find(|&&count| count > max_count) {
+            return Err(SampleError::ImplausibleCount { count });
         }
-        let empty = |layer: &Vec<u64>| layer.iter().all(|&count| count == 0);
-        if self.steps == 0 || self.layers.iter().any(empty) {
-            return Err(Ignored::Empty);
+        let is_empty = |layer: &Vec<u64>| layer.iter().all(|&count| count == 0);
+        if self.steps == 0 || self.layers.iter().any(is_empty) {
+            return Err(SampleError::NoTokens);
         }
         Ok(())
     }
@@ -59,33 +59,33 @@
 
 /// Why a sample is ignored. The group goes on with its map.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Ignored {
+pub enum SampleError {
     /// It counts other layers or experts than the group has.
     #[error("the sample counts other layers or experts than the group has")]
-    Shape,
+    ShapeMismatch,
     /// It was taken on an older map.
     #[error("the sample was taken on epoch {sample}, the group runs on {epoch}")]
-    Stale {
+    StaleEpoch {
         /// The sample's epoch.
         sample: u64,
         /// The epoch in force.
         epoch: u64,
     },
     /// A later one was used already.
-    #[error("the sample ends at step {step}, one up to {seen} was used already")]
-    Late {
+    #[error("the sample ends at step {step}, one up to {last_step} was used already")]
+    StaleStep {
         /// The sample's last step.
         step: u64,
         /// The last step used.
-        seen: u64,
+        last_step: u64,
     },
     /// A count is beyond what any engine does.
     #[error("{count} tokens for one expert can't be")]
-    Huge {
+    ImplausibleCount {
         /// The count.
         count: u64,
     },
     /// It covers no step, or a layer without a token.
     #[error("the sample holds no tokens")]
-    Empty,
+    NoTokens,
 }
--- a/verbenaspool_policy/src/rebalancer/search.rs
+++ b/verbenaspool_policy/src/rebalancer/search.rs
@@ -9,10 +9,10 @@
 /// How many of the least busy ranks are tried as the receiving end, and how many
 /// more of those that can give a slot. The least busy ones have the most room
 /// for load; all are tried only where none of these helps.
-const TRIED: usize = 8;
+const MAX_RECEIVERS_TRIED: usize = 8;
 
 /// A part of a rank's work below which a gain is rounding, not an improvement.
-const ROUNDING: f64 = 1e-9;
+const MIN_RELATIVE_GAIN: f64 = 1e-9;
 
 /// A change of who holds what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
         /// The receiving rank.
         to: u16,
         /// The expert that makes room.
-        out: Option<u16>,
+        evicted: Option<u16>,
     },
     /// The expert goes from one rank to a slot on another.
     Move {
@@ -68,15 +68,19 @@
     /// Carries the change out.
     pub fn apply(self, placement: &mut Placement) {
         match self {
-            Self::Copy { expert, to, out } => {
-                if let Some(out) = out {
-                    placement.take(to, out);
+            Self::Copy {
+                expert,
+                to,
+                evicted,
+            } => {
+                if let Some(evicted) = evicted {
+                    placement.remove(to, evicted);
                 }
-                placement.put(to, expert);
+                placement.add(to, expert);
             }
             Self::Move { expert, from, to } => {
-                placement.take(from, expert);
-                placement.put(to, expert);
+                placement.remove(from, expert);
+                placement.add(to, expert);
             }
             Self::Swap {
                 expert,
@@ -84,10 +88,10 @@
                 other,
                 to,
             } => {
-                placement.take(from, expert);
-                placement.take(to, other);
-                placement.put(from, other);
-                placement.put(to, expert);
+                placement.remove(from, expert);
+                placement.remove(to, other);
+                placement.add(from, other);
+                placement.add(to, expert);
             }
         }
     }
@@ -96,37 +100,42 @@
 /// The change that lowers the busiest rank most without making another rank
 /// as busy, counted for each expert that it loads; none where no change does.
 #[must_use]
-pub fn best(placement: &Placement) -> Option<Change> {
-    let work = placement.work();
-    let ranks = u16::try_from(work.len()).unwrap_or(u16::MAX);
-    let load = |rank: u16| work[usize::from(rank)];
+pub fn best_change(placement: &Placement) -> Option<Change> {
+    let rank_loads = placement.rank_loads();
+    let ranks = u16::try_from(rank_loads.len()).unwrap_or(u16::MAX);
+    let load = |rank: u16| rank_loads[usize::from(rank)];
     let busiest = (0..ranks).max_by(|&a, &b| load(a).total_cmp(&load(b)))?;
     let mut receivers: Vec<u16> = (0..ranks).filter(|&rank| rank != busiest).collect();
     receivers.sort_unstable_by(|&a, &b| load(a).total_cmp(&load(b)));
-    let yields = |&rank: &u16| {
-        let mut experts = placement.on(rank).iter();
-        placement.has_room(rank) || experts.any(|&expert| placement.copies(expert) > 1)
+    let can_free_slot = |&rank: &u16| {
+        let mut experts = placement.experts_on(rank).iter();
+        placement.has_free_slot(rank) || experts.any(|&expert| placement.copies(expert) > 1)
     };
-    let (near, far) = receivers.split_at(TRIED.min(receivers.len()));
-    let roomy = far.iter().copied().filter(yields).take(TRIED);
-    let first: Vec<u16> = near.iter().copied().chain(roomy).collect();
-    relieve(placement, busiest, &first).or_else(|| relieve(placement, busiest, far))
+    let (least_busy, others) = receivers.split_at(MAX_RECEIVERS_TRIED.min(receivers.len()));
+    let with_slots = others
+        .iter()
+        .copied()
+        .filter(can_free_slot)
+        .take(MAX_RECEIVERS_TRIED);
+    let first: Vec<u16> = least_busy.iter().copied().chain(with_slots).collect();
+    best_change_from(placement, busiest, &first)
+        .or_else(|| best_change_from(placement, busiest, others))
 }
 
 /// The best change that relieves a rank towards one of the receivers.
-fn relieve(placement: &Placement, busiest: u16, receivers: &[u16]) -> Option<Change> {
-    let load = placement.work()[usize::from(busiest)];
+fn best_change_from(placement: &Placement, busiest: u16, receivers: &[u16]) -> Option<Change> {
+    let busiest_load = placement.rank_loads()[usize::from(busiest)];
     let mut best: Option<(f64, Change)> = None;
-    let mut weigh = |change: Change, after: f64| {
-        let gain = (load - after) / f64::from(change.moves());
+    let mut evaluate = |change: Change, after: f64| {
+        let gain = (busiest_load - after) / f64::from(change.moves());
         let better = best.is_none_or(|(most, _)| gain > most);
-        if better && gain > ROUNDING * load {
+        if better && gain > MIN_RELATIVE_GAIN * busiest_load {
             best = Some((gain, change));
         }
     };
-    for &expert in placement.on(busiest) {
+    for &expert in placement.experts_on(busiest) {
         for &to in receivers {
-            consider(placement, busiest, expert, to, &mut weigh);
+            evaluate_changes(placement, busiest, expert, to, &mut evaluate);
         }
     }
     best.map(|(_, change)| change)
@@ -134,52 +143,64 @@
 
 /// Weighs the changes that relieve a rank of an expert towards another, each
 /// with the higher work of the two ranks after it.
-fn consider(
+fn evaluate_changes(
     placement: &Placement,
     from: u16,
     expert: u16,
     to: u16,
-    weigh: &mut impl FnMut(Change, f64),
+    evaluate: &mut impl FnMut(Change, f64),
 ) {
-    let work = |rank: u16| placement.work()[usize::from(rank)];
-    let part = placement.part(expert);
+    let load = |rank: u16| placement.rank_loads()[usize::from(rank)];
+    let share = placement.share(expert);
     if placement.holds(to, expert) {
         return;
     }
     let copies = placement.copies(expert);
-    let thinner = placement.share(expert, copies + 1);
-    let left = work(from) - (part - thinner);
-    if placement.has_room(to) {
-        let out = None;
-        let copy = Change::Copy { expert, to, out };
-        weigh(copy, left.max(work(to) + thinner));
+    let share_after_copy = placement.share_among(expert, copies + 1);
+    let load_after_copy = load(from) - (share - share_after_copy);
+    if placement.has_free_slot(to) {
+        let evicted = None;
+        let copy = Change::Copy {
+            expert,
+            to,
+            evicted,
+        };
+        evaluate(copy, load_after_copy.max(load(to) + share_after_copy));
         let moved = Change::Move { expert, from, to };
-        weigh(moved, (work(from) - part).max(work(to) + part));
+        evaluate(moved, (load(from) - share).max(load(to) + share));
     }
-    for &other in placement.on(to) {
-        let back = placement.part(other);
-        if !placement.has_room(to) && placement.copies(other) > 1 {
+    for &other in placement.experts_on(to) {
+        let other_share = placement.share(other);
+        if !placement.has_free_slot(to) && placement.copies(other) > 1 {
             // What the copy carried goes to the other holders of that expert;
             // the busiest rank may be one of them.
-            let more = placement.share(other, placement.copies(other) - 1) - back;
+            let share_growth =
+                placement.share_among(other, placement.copies(other) - 1) - other_share;
             let extra = if placement.holds(from, other) {
-                more
+                share_growth
             } else {
                 0.0
             };
-            let out = Some(other);
-            let copy = Change::Copy { expert, to, out };
-            weigh(copy, (left + extra).max(work(to) - back + thinner));
+            let evicted = Some(other);
+            let copy = Change::Copy {
+                expert,
+                to,
+                evicted,
+            };
+            evaluate(
+                copy,
+                (load_after_copy + extra).max(load(to) - other_share + share_after_copy),
+            );
         }
-        if back < part && !placement.holds(from, other) {
+        if other_share < share && !placement.holds(from, other) {
             let swap = Change::Swap {
                 expert,
                 from,
                 other,
                 to,
             };
-            let after = (work(from) - part + back).max(work(to) - back + part);
-            weigh(swap, after);
+            let after = (load(from) - share + other_share).max(load(to) - other_share + share);
+            evaluate(swap, after);
         }
     }
 }
--- a/verbenaspool_policy/tests/rebalancer.rs
+++ b/verbenaspool_policy/tests/rebalancer.rs
@@ -7,7 +7,7 @@
     Rebalancer,
     packing::{pack, repack},
     placement::Placement,
-    sample::{Ignored, Sample},
+    sample::{Sample, SampleError},
 };
 use verbenaspool_state::{
     expert_map::{Layer, Map, Shape},
@@ -71,22 +71,34 @@
         sample
     };
     let cases = [
-        (with(|s| s.layers[0].truncate(7)), Ignored::Shape),
-        (with(|s| s.layers.clear()), Ignored::Shape),
+        (
+            with(|s| s.layers[0].truncate(7)),
+            SampleError::ShapeMismatch,
+        ),
+        (with(|s| s.layers.clear()), SampleError::ShapeMismatch),
         (
             with(|s| s.epoch = 0),
-            Ignored::Stale {
+            SampleError::StaleEpoch {
                 sample: 0,
                 epoch: 1,
             },
         ),
-        (with(|s| s.step = 5), Ignored::Late { step: 5, seen: 5 }),
+        (
+            with(|s| s.step = 5),
+            SampleError::StaleStep {
+                step: 5,
+                last_step: 5,
+            },
+        ),
         (
             with(|s| s.layers[0][2] = u64::MAX),
-            Ignored::Huge { count: u64::MAX },
+            SampleError::ImplausibleCount { count: u64::MAX },
+        ),
+        (
+            with(|s| s.steps = 0),
+            SampleError::ImplausibleCount { count: 9 },
         ),
-        (with(|s| s.steps = 0), Ignored::Huge { count: 9 }),
-        (with(|s| s.layers[0].fill(0)), Ignored::Empty),
+        (with(|s| s.layers[0].fill(0)), SampleError::NoTokens),
     ];
     let mut rebalancer = rebalancer(Rebalancing::default());
     let map = Map::spread(1, SHAPE);
@@ -127,7 +139,7 @@
         .iter()
         .map(|&n| f64::from(u32::try_from(n).unwrap()))
         .collect();
-    let peak = |layer: &Layer| Placement::new(layer, &loads, SHAPE.slots).peak();
+    let peak = |layer: &Layer| Placement::new(layer, &loads, SHAPE.slots).peak_load();
     assert!(peak(&map.layers[0]) <= 1.01 * peak(&pack(&loads, SHAPE)));
 }
 
@@ -209,12 +221,12 @@
             layers: 1,
             slots: 3,
         };
-        ours += Placement::new(&pack(&loads, tight), &loads, 3).peak();
+        ours += Placement::new(&pack(&loads, tight), &loads, 3).peak_load();
         best += exhaustive(&loads, &mut (0..9).collect(), &mut Vec::new());
         let wide = Shape { slots: 5, ..tight };
         let placement = Placement::new(&pack(&loads, wide), &loads, 5);
-        with += placement.peak();
-        bound += placement.mean();
+        with += placement.peak_load();
+        bound += placement.mean_load();
     }
     assert!(ours / best < 1.05, "{}", ours / best);
     assert!(with / bound < 1.05, "{}", with / bound);
