--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -384,8 +384,8 @@
         };
         if let Some(relief) = relief {
             info!(self.log, "Agent: The map of experts is to change.";
-                "before" => relief.before, "after" => relief.after,
-                "copies" => relief.copies, "longest" => relief.longest);
+                "before" => relief.imbalance_before, "after" => relief.imbalance_after,
+                "copies" => relief.copies, "longest" => relief.max_rank_copies);
         }
         self.drive().await;
     }
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use verbenaspool_coordination::switch::Switch;
-use verbenaspool_policy::rebalancer::relief::{self, Bound, Relief};
+use verbenaspool_policy::rebalancer::incremental::{self, ChangeLimits, PlacementChange};
 use verbenaspool_protocol::member::{Choices, Difference, Held, Map, Move, places_hash};
 use verbenaspool_state::{engine::Experts, expert_map::Layer};
 
@@ -270,7 +270,7 @@
     }
 
     /// Begins a change, if one is worth it now.
-    pub fn decide(&mut self, now: Duration, experts: &Experts) -> Option<Relief> {
+    pub fn decide(&mut self, now: Duration, experts: &Experts) -> Option<PlacementChange> {
         if self.stands_in || !self.switch.is_ready(now) || !self.fits(experts) {
             return None;
         }
@@ -280,13 +280,14 @@
         }
         let (base, layers) = self.layers(experts)?;
         #[allow(clippy::cast_precision_loss)] // Groups are small.
-        let bound = Bound {
-            places: experts.places.into(),
-            spare: experts.spare.into(),
-            copies: copies(self.copying(now, &layers, base), experts.copy),
-            least: MIN_GAIN_PER_COPY_SECOND * experts.copy.as_secs_f64() / self.ranks.max(1) as f64,
+        let bound = ChangeLimits {
+            max_slots_per_rank: experts.places.into(),
+            max_new_per_layer: experts.spare.into(),
+            max_copies_per_rank: copies(self.copying(now, &layers, base), experts.copy),
+            min_gain_per_copy: MIN_GAIN_PER_COPY_SECOND * experts.copy.as_secs_f64()
+                / self.ranks.max(1) as f64,
         };
-        let relief = relief::relieve(&layers, &self.loads(experts)?, &self.paces, &bound)?;
+        let relief = incremental::plan_change(&layers, &self.loads(experts)?, &self.paces, &bound)?;
         let highest = self
             .switch
             .highest()
@@ -313,7 +314,7 @@
             hash: places_hash(&after),
             places: after,
         });
-        let longest = u32::try_from(relief.longest).unwrap_or(u32::MAX);
+        let longest = u32::try_from(relief.max_rank_copies).unwrap_or(u32::MAX);
         self.switch.start(now, version, experts.copy * longest);
         Some(relief)
     }
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -61,7 +61,7 @@
     assert_eq!(lead.decide(NOW, &EXPERTS), None, "nothing is known");
     lead.inherit(before, 2);
     let relief = lead.decide(NOW, &EXPERTS).expect("a change");
-    assert!(relief.after < 1.2, "{relief:?}");
+    assert!(relief.imbalance_after < 1.2, "{relief:?}");
 }
 
 /// Guards against a lead that waits for what ranks hold, or for reports that came before
--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -14,12 +14,12 @@
 //! so a load that swings to and fro doesn't look like one that stays.
 
 pub mod history;
+pub mod incremental;
+mod layer_search;
 pub mod packing;
 pub mod placement;
-pub mod relief;
 pub mod sample;
 pub mod search;
-mod set;
 
 use std::time::Duration;
 
--- a/verbenaspool_policy/tests/dispatch/relief.rs
+++ b/verbenaspool_policy/tests/dispatch/relief.rs
@@ -1,7 +1,7 @@
 //! Copies of experts that give the busiest ranks relief.
 
 use proptest::prelude::*;
-use verbenaspool_policy::rebalancer::relief::{Bound, relieve, unevenness};
+use verbenaspool_policy::rebalancer::incremental::{ChangeLimits, imbalance, plan_change};
 use verbenaspool_state::expert_map::{Layer, Map, Shape};
 
 const SHAPE: Shape = Shape {
@@ -11,11 +11,11 @@
     slots: 11,
 };
 
-const BOUND: Bound = Bound {
-    places: 11,
-    spare: 4,
-    copies: 1,
-    least: 0.025,
+const BOUND: ChangeLimits = ChangeLimits {
+    max_slots_per_rank: 11,
+    max_new_per_layer: 4,
+    max_copies_per_rank: 1,
+    min_gain_per_copy: 0.025,
 };
 
 /// Loads with a popularity that falls as measured, its order turned by set.
@@ -43,19 +43,19 @@
 fn few_copies_bring_most_of_the_relief() {
     let mut layers = layers(SHAPE);
     let loads = loads(SHAPE, 0);
-    let before = unevenness(&layers, &loads);
+    let before = imbalance(&layers, &loads);
     assert!(before > 2.5, "{before}");
     let mut copies = 0;
     for _ in 0..5 {
-        let Some(relief) = relieve(&layers, &loads, &[], &BOUND) else {
+        let Some(relief) = plan_change(&layers, &loads, &[], &BOUND) else {
             break;
         };
-        assert!(relief.after < relief.before);
-        assert!(relief.longest <= 1);
+        assert!(relief.imbalance_after < relief.imbalance_before);
+        assert!(relief.max_rank_copies <= 1);
         copies += relief.copies;
         layers = relief.layers;
     }
-    let after = unevenness(&layers, &loads);
+    let after = imbalance(&layers, &loads);
     assert!(
         after < 1.6,
         "{before} before, {after} after {copies} copies"
@@ -70,15 +70,15 @@
         ranks: vec![vec![0, 1], vec![2, 3]],
     }];
     let loads = [vec![10.0, 10.0, 1.0, 1.0]];
-    let bound = Bound {
-        places: 2,
-        spare: 1,
-        copies: 1,
-        least: 0.01,
+    let bound = ChangeLimits {
+        max_slots_per_rank: 2,
+        max_new_per_layer: 1,
+        max_copies_per_rank: 1,
+        min_gain_per_copy: 0.01,
     };
-    let relief = relieve(&held, &loads, &[], &bound).expect("an exchange helps");
-    assert_eq!((relief.copies, relief.longest), (2, 1));
-    assert!((relief.after - 1.0).abs() < 1e-6, "{relief:?}");
+    let relief = plan_change(&held, &loads, &[], &bound).expect("an exchange helps");
+    assert_eq!((relief.copies, relief.max_rank_copies), (2, 1));
+    assert!((relief.imbalance_after - 1.0).abs() < 1e-6, "{relief:?}");
 }
 
 /// A group of 32 ranks has one free place a rank and set, and its most popular expert
@@ -92,11 +92,11 @@
         layers: 12,
         slots: 5,
     };
-    let bound = Bound {
-        places: 5,
-        spare: 2,
-        copies: 2,
-        least: 0.001,
+    let bound = ChangeLimits {
+        max_slots_per_rank: 5,
+        max_new_per_layer: 2,
+        max_copies_per_rank: 2,
+        min_gain_per_copy: 0.001,
     };
     let loads: Vec<Vec<f64>> = (0..12)
         .map(|layer| {
@@ -107,13 +107,13 @@
         })
         .collect();
     let mut layers = layers(shape);
-    let before = unevenness(&layers, &loads);
+    let before = imbalance(&layers, &loads);
     for _ in 0..3 {
-        let relief = relieve(&layers, &loads, &[], &bound).expect("relief");
-        assert!(relief.longest <= 2);
+        let relief = plan_change(&layers, &loads, &[], &bound).expect("relief");
+        assert!(relief.max_rank_copies <= 2);
         layers = relief.layers;
     }
-    let after = unevenness(&layers, &loads);
+    let after = imbalance(&layers, &loads);
     assert!(
         before > 3.0 && after < 1.25,
         "{before} before, {after} after"
@@ -129,11 +129,11 @@
 };
 
 /// What may be copied while a rank is slow, or is empty.
-const ANEW: Bound = Bound {
-    places: 8,
-    spare: 3,
-    copies: 3,
-    least: 0.008,
+const ANEW: ChangeLimits = ChangeLimits {
+    max_slots_per_rank: 8,
+    max_new_per_layer: 3,
+    max_copies_per_rank: 3,
+    min_gain_per_copy: 0.008,
 };
 
 /// The work of the slowest rank in all sets over that of a mean one.
@@ -158,8 +158,11 @@
         let mut held = layers(NARROW);
         let loads = loads(NARROW, 0);
         for _ in 0..8 {
-            let bound = Bound { copies: 1, ..ANEW };
-            match relieve(&held, &loads, &[], &bound) {
+            let bound = ChangeLimits {
+                max_copies_per_rank: 1,
+                ..ANEW
+            };
+            match plan_change(&held, &loads, &[], &bound) {
                 Some(relief) => held = relief.layers,
                 None => break,
             }
@@ -169,8 +172,8 @@
             paces[*rank] = 12.0;
         }
         let before = slowest(&held, &loads, &paces);
-        let relief = relieve(&held, &loads, &paces, &ANEW).expect("relief");
-        assert!(relief.longest <= 3, "{relief:?}");
+        let relief = plan_change(&held, &loads, &paces, &ANEW).expect("relief");
+        assert!(relief.max_rank_copies <= 3, "{relief:?}");
         let after = slowest(&relief.layers, &loads, &paces);
         let bound = if slow.len() == 1 { 2.0 } else { 3.0 };
         assert!(
@@ -195,16 +198,16 @@
     let loads = loads(NARROW, 0);
     let mut paces = vec![1.0; 12];
     paces[5] = 12.0;
-    let mut held = relieve(&layers(NARROW), &loads, &paces, &ANEW)
+    let mut held = plan_change(&layers(NARROW), &loads, &paces, &ANEW)
         .expect("relief")
         .layers;
     for _ in 0..6 {
-        match relieve(&held, &loads, &[], &ANEW) {
+        match plan_change(&held, &loads, &[], &ANEW) {
             Some(relief) => held = relief.layers,
             None => break,
         }
     }
-    let even = unevenness(&held, &loads);
+    let even = imbalance(&held, &loads);
     assert!(even < 1.6, "{even}");
     let held_there: usize = held.iter().map(|layer| layer.ranks[5].len()).sum();
     assert!(held_there >= 8, "{held_there} places");
@@ -214,7 +217,7 @@
 #[test]
 fn an_even_load_is_left_alone() {
     let even = vec![vec![10.0; 64]; 6];
-    assert_eq!(relieve(&layers(SHAPE), &even, &[], &BOUND), None);
+    assert_eq!(plan_change(&layers(SHAPE), &even, &[], &BOUND), None);
 }
 
 proptest! {
@@ -233,9 +236,9 @@
             .map(|set| set.iter().map(|count| f64::from(*count)).collect())
             .collect();
         let mut held = layers(shape);
-        let bound = Bound { places: 8, spare, copies, least: 0.01 };
+        let bound = ChangeLimits { max_slots_per_rank: 8, max_new_per_layer: spare, max_copies_per_rank: copies, min_gain_per_copy: 0.01 };
         for _ in 0..4 {
-            let Some(relief) = relieve(&held, &loads, &[], &bound) else {
+            let Some(relief) = plan_change(&held, &loads, &[], &bound) else {
                 break;
             };
             let map = Map { epoch: 2, layers: relief.layers.clone() };
@@ -249,8 +252,8 @@
                 prop_assert!(new(0) <= spare && new(1) <= spare);
                 prop_assert!(new(0) + new(1) <= copies);
             }
-            let measured = unevenness(&relief.layers, &loads);
-            prop_assert!((measured - relief.after).abs() < 1e-6);
+            let measured = imbalance(&relief.layers, &loads);
+            prop_assert!((measured - relief.imbalance_after).abs() < 1e-6);
             held = relief.layers;
         }
     }
