--- a/verbenaspool_policy/benches/rebalance.rs
+++ b/verbenaspool_policy/benches/rebalance.rs
@@ -18,21 +18,21 @@
 };
 
 /// How long a step takes at no skew.
-const STEP: Duration = Duration::from_millis(25);
+const STEP_DURATION: Duration = Duration::from_millis(25);
 /// Steps of one interval.
-const STEPS: u32 = 200;
+const STEPS_PER_INTERVAL: u32 = 200;
 /// Intervals of one run: 20 minutes.
 const INTERVALS: u32 = 240;
 /// Steps of an interval on which skew is measured.
-const MEASURED: usize = 4;
+const MEASURED_STEPS_PER_INTERVAL: usize = 4;
 /// Layers that carry experts.
 const LAYERS: u16 = 4;
 /// The size of one expert's weights: three matrices of 7168 by 2048 bytes.
 const EXPERT_BYTES: u64 = 44_040_192;
 /// The part of the host links that steps leave free.
-const SPARE: f64 = 0.02;
+const SPARE_LINK_FRACTION: f64 = 0.02;
 /// How many tokens a rank brings into a step, each going to 8 experts.
-const TOKENS: f64 = 512.0 * 8.0;
+const EXPERT_TOKENS_PER_RANK: f64 = 512.0 * 8.0;
 
 /// How popularity goes.
 #[derive(Debug, Clone, Copy)]
@@ -65,26 +65,26 @@
     skews: Vec<f64>,
     moves: u64,
     bytes: u64,
-    delayed: f64,
+    delayed_tokens: f64,
     stall: Duration,
-    decisions: Vec<u128>,
+    decision_ns: Vec<u128>,
 }
 
 /// The popularity of experts over a run.
-struct Load {
+struct Workload {
     drift: Drift,
-    first: Vec<Vec<f64>>,
-    second: Vec<Vec<f64>>,
-    tokens: f64,
+    initial: Vec<Vec<f64>>,
+    target: Vec<Vec<f64>>,
+    tokens_per_step: f64,
 }
 
-impl Load {
+impl Workload {
     fn new(drift: Drift, shape: Shape, rng: &mut SmallRng) -> Self {
         let mut draw = || -> Vec<Vec<f64>> {
             let layer = |rng: &mut SmallRng| -> Vec<f64> {
                 let weights = (0..shape.experts).map(|_| match drift {
                     Drift::Uniform => 1.0,
-                    _ => (0.8 * normal(rng)).exp(),
+                    _ => (0.8 * standard_normal(rng)).exp(),
                 });
                 let weights: Vec<f64> = weights.collect();
                 let sum: f64 = weights.iter().sum();
@@ -92,51 +92,53 @@
             };
             (0..shape.layers).map(|_| layer(rng)).collect()
         };
-        let (first, mut second) = (draw(), draw());
+        let (initial, mut target) = (draw(), draw());
         if let Drift::Hot = drift {
-            second.clone_from(&first);
-            for layer in &mut second {
+            target.clone_from(&initial);
+            for layer in &mut target {
                 for part in layer.iter_mut() {
                     *part *= 0.9;
                 }
                 layer[3] += 0.1;
             }
         }
-        let tokens = TOKENS * f64::from(shape.ranks);
+        let tokens_per_step = EXPERT_TOKENS_PER_RANK * f64::from(shape.ranks);
         Self {
             drift,
-            first,
-            second,
-            tokens,
+            initial,
+            target,
+            tokens_per_step,
         }
     }
 
     /// The tokens of each expert in a step, at a part of the run.
-    fn at(&self, time: f64) -> Vec<Vec<f64>> {
-        let part = match self.drift {
+    fn loads_at(&self, time: f64) -> Vec<Vec<f64>> {
+        let target_share = match self.drift {
             Drift::Season => time,
             Drift::Festival => f64::from(time > 0.33),
             Drift::Oscillation => 0.5 - 0.5 * (time * 10.0 * std::f64::consts::TAU).cos(),
             Drift::Hot => f64::from(time > 0.25),
             Drift::Uniform => 0.0,
         };
-        let mix = |(a, b): (&f64, &f64)| self.tokens * (a * (1.0 - part) + b * part);
+        let mix = |(a, b): (&f64, &f64)| {
+            self.tokens_per_step * (a * (1.0 - target_share) + b * target_share)
+        };
         let layer = |(a, b): (&Vec<f64>, &Vec<f64>)| a.iter().zip(b).map(mix).collect();
-        self.first.iter().zip(&self.second).map(layer).collect()
+        self.initial.iter().zip(&self.target).map(layer).collect()
     }
 }
 
 /// A number drawn from the standard normal distribution.
-fn normal(rng: &mut SmallRng) -> f64 {
+fn standard_normal(rng: &mut SmallRng) -> f64 {
     let (a, b): (f64, f64) = (rng.random_range(f64::EPSILON..1.0), rng.random());
     (-2.0 * a.ln()).sqrt() * (b * std::f64::consts::TAU).cos()
 }
 
 /// Counts drawn around their mean, over so many steps.
-fn draw(loads: &[Vec<f64>], steps: f64, rng: &mut SmallRng) -> Vec<Vec<f64>> {
+fn sample_counts(loads: &[Vec<f64>], steps: f64, rng: &mut SmallRng) -> Vec<Vec<f64>> {
     let count = |&mean: &f64, rng: &mut SmallRng| {
         let mean = mean * steps;
-        (mean + mean.sqrt() * normal(rng)).max(0.0)
+        (mean + mean.sqrt() * standard_normal(rng)).max(0.0)
     };
     let layer =
         |layer: &Vec<f64>, rng: &mut SmallRng| layer.iter().map(|m| count(m, rng)).collect();
@@ -162,7 +164,7 @@
 /// A change that loads.
 struct Staging {
     layers: Vec<Layer>,
-    left: f64,
+    seconds_left: f64,
     slowdown: f64,
 }
 
@@ -175,49 +177,49 @@
 // Counts and bytes are far below 2^52, drawn counts not negative.
 fn run(drift: Drift, policy: Policy, shape: Shape) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(7);
-    let load = Load::new(drift, shape, &mut rng);
+    let workload = Workload::new(drift, shape, &mut rng);
     let settings = settings(policy);
-    let mut ours = Rebalancer::new(settings.clone(), shape, EXPERT_BYTES);
+    let mut rebalancer = Rebalancer::new(settings.clone(), shape, EXPERT_BYTES);
     let mut history = History::default();
     // All start from the map that is best for the first popularity.
-    let layers = load
-        .at(0.0)
+    let layers = workload
+        .loads_at(0.0)
         .iter()
         .map(|loads| pack(loads, shape))
         .collect();
     let mut map = Map { epoch: 1, layers };
     let mut staging: Option<Staging> = None;
     let mut outcome = Outcome::default();
-    let mut late: Option<Sample> = None;
+    let mut delayed_sample: Option<Sample> = None;
     for interval in 1..=INTERVALS {
-        let truth = load.at(f64::from(interval) / f64::from(INTERVALS));
-        for _ in 0..MEASURED {
-            let step = draw(&truth, 1.0, &mut rng);
+        let loads = workload.loads_at(f64::from(interval) / f64::from(INTERVALS));
+        for _ in 0..MEASURED_STEPS_PER_INTERVAL {
+            let step = sample_counts(&loads, 1.0, &mut rng);
             outcome.skews.push(skew(&map.layers, &step, shape));
         }
-        let counts = draw(&truth, f64::from(STEPS), &mut rng);
+        let counts = sample_counts(&loads, f64::from(STEPS_PER_INTERVAL), &mut rng);
         let count = |layer: &Vec<f64>| layer.iter().map(|&count| count as u64).collect();
         let sample = Sample {
             epoch: map.epoch,
-            step: u64::from(interval * STEPS),
-            steps: STEPS,
-            spare: SPARE,
+            step: u64::from(interval * STEPS_PER_INTERVAL),
+            steps: STEPS_PER_INTERVAL,
+            spare: SPARE_LINK_FRACTION,
             layers: counts.iter().map(count).collect(),
         };
-        let arrived = late.replace(sample).filter(|_| interval % 7 != 0);
+        let arrived = delayed_sample.replace(sample).filter(|_| interval % 7 != 0);
         if let Some(sample) = &arrived {
-            let _ = ours.observe(sample);
+            let _ = rebalancer.observe(sample);
             history.add(sample);
         }
-        let seconds = STEP.as_secs_f64() * f64::from(STEPS);
+        let seconds = STEP_DURATION.as_secs_f64() * f64::from(STEPS_PER_INTERVAL);
         if let Some(change) = &mut staging {
-            let loading = change.left.min(seconds);
+            let loading = change.seconds_left.min(seconds);
             let lost = loading * change.slowdown;
-            outcome.delayed += lost / STEP.as_secs_f64() * load.tokens;
+            outcome.delayed_tokens += lost / STEP_DURATION.as_secs_f64() * workload.tokens_per_step;
             outcome.stall += Duration::from_secs_f64(lost);
-            change.left -= loading;
+            change.seconds_left -= loading;
         }
-        if let Some(change) = staging.take_if(|change| change.left <= 0.0) {
+        if let Some(change) = staging.take_if(|change| change.seconds_left <= 0.0) {
             map.layers = change.layers;
             map.epoch += 1;
         }
@@ -229,7 +231,7 @@
         let next = match policy {
             Policy::Static => None,
             Policy::Skew | Policy::Cost => {
-                let plan = ours.decide(now, &map);
+                let plan = rebalancer.decide(now, &map);
                 plan.map(|plan| (plan.layers, plan.bytes_per_second as f64))
             }
             Policy::EveryInterval => {
@@ -244,7 +246,7 @@
                 (layers, settings.bytes_a_second as f64)
             }),
         };
-        outcome.decisions.push(start.elapsed().as_nanos());
+        outcome.decision_ns.push(start.elapsed().as_nanos());
         if let Some((layers, rate)) = next {
             let new = Map {
                 epoch: map.epoch,
@@ -257,8 +259,8 @@
             outcome.bytes += moves.iter().sum::<u64>() * EXPERT_BYTES;
             staging = Some(Staging {
                 layers: new.layers,
-                left: (most * EXPERT_BYTES) as f64 / rate,
-                slowdown: (rate / HOST_LINK_BYTES_PER_SECOND - SPARE).max(0.0),
+                seconds_left: (most * EXPERT_BYTES) as f64 / rate,
+                slowdown: (rate / HOST_LINK_BYTES_PER_SECOND - SPARE_LINK_FRACTION).max(0.0),
             });
         }
     }
@@ -266,7 +268,7 @@
 }
 
 /// The value below which this part of the values lie.
-fn quantile<T: Copy + PartialOrd>(values: &mut [T], part: f64) -> T {
+fn quantile<T: Copy + PartialOrd>(values: &mut [T], fraction: f64) -> T {
     values.sort_by(|a, b| a.partial_cmp(b).expect("no value is no number"));
     #[allow(
         clippy::cast_precision_loss,
@@ -274,7 +276,7 @@
         clippy::cast_sign_loss
     )]
     // An index of a short list.
-    let index = ((values.len() - 1) as f64 * part) as usize;
+    let index = ((values.len() - 1) as f64 * fraction) as usize;
     values[index]
 }
 
@@ -282,7 +284,7 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let json = arguments.iter().any(|argument| argument == "--json");
     // Any other argument names the cases to play.
-    let named: Vec<_> = arguments.iter().filter(|a| !a.starts_with("--")).collect();
+    let selected: Vec<_> = arguments.iter().filter(|a| !a.starts_with("--")).collect();
     let drifts = [
         Drift::Season,
         Drift::Festival,
@@ -306,24 +308,24 @@
         };
         for drift in drifts {
             let case = format!("{drift:?}-{ranks}").to_lowercase();
-            if !named.is_empty() && !named.contains(&&case) {
+            if !selected.is_empty() && !selected.contains(&&case) {
                 continue;
             }
             for (policy, name) in policies {
-                print(json, &case, name, run(drift, policy, shape));
+                print_outcome(json, &case, name, run(drift, policy, shape));
             }
         }
     }
 }
 
 #[allow(clippy::cast_precision_loss)] // A mean of a short list.
-fn print(json: bool, case: &str, policy: &str, mut outcome: Outcome) {
+fn print_outcome(json: bool, case: &str, policy: &str, mut outcome: Outcome) {
     let mean = outcome.skews.iter().sum::<f64>() / outcome.skews.len() as f64;
     let p50 = quantile(&mut outcome.skews, 0.5);
     let p99 = quantile(&mut outcome.skews, 0.99);
-    let ns = quantile(&mut outcome.decisions, 0.99);
+    let ns = quantile(&mut outcome.decision_ns, 0.99);
     let stall = outcome.stall.as_secs_f64() * 1e3;
-    let (moves, bytes, delayed) = (outcome.moves, outcome.bytes, outcome.delayed);
+    let (moves, bytes, delayed) = (outcome.moves, outcome.bytes, outcome.delayed_tokens);
     if json {
         println!(
             "{{\"case\":\"{case}\",\"policy\":\"{policy}\",\"skew_mean\":{mean:.4},\
--- a/verbenaspool_policy/tests/rebalancer.rs
+++ b/verbenaspool_policy/tests/rebalancer.rs
@@ -37,7 +37,7 @@
 
 /// Feeds the counts in turn, a sample each second, and returns how many changes
 /// came of it, all of them put in force at once.
-fn changes(settings: Rebalancing, counts: &[&[u64]], seconds: u64) -> (u32, Map) {
+fn run(settings: Rebalancing, counts: &[&[u64]], seconds: u64) -> (u32, Map) {
     let mut rebalancer = rebalancer(settings);
     let mut map = Map::spread(1, SHAPE);
     let mut changes = 0;
@@ -107,33 +107,33 @@
     for (sample, reason) in cases {
         assert_eq!(rebalancer.observe(&sample), Err(reason), "{sample:?}");
     }
-    let odd = with(|s| s.spare = f64::NAN);
-    assert_eq!(rebalancer.observe(&odd), Ok(()));
+    let not_a_number = with(|s| s.spare = f64::NAN);
+    assert_eq!(rebalancer.observe(&not_a_number), Ok(()));
 }
 
 /// Load swings between two sets of experts each second. Maps that chase it
 /// would be out of date when they are in force, and cost a load of weights each.
 #[test]
-fn swinging_load_is_not_chased() {
+fn oscillating_load_rarely_changes_the_map() {
     let low: &[u64] = &[900, 100, 900, 100, 900, 100, 900, 100];
     let high: &[u64] = &[100, 900, 100, 900, 100, 900, 100, 900];
     let settings = Rebalancing {
         pause_s: 5,
         ..Rebalancing::default()
     };
-    let (changes, _) = changes(settings, &[low, high], 300);
+    let (changes, _) = run(settings, &[low, high], 300);
     assert!(changes <= 3, "{changes}");
 }
 
 /// Popularity shifts once and stays: the map follows it once, not over and over.
 #[test]
-fn lasting_shift_is_followed_once() {
+fn lasting_shift_changes_the_map_once() {
     let shifted: &[u64] = &[4_000, 100, 100, 100, 2_000, 100, 100, 100];
     let settings = Rebalancing {
         pause_s: 5,
         ..Rebalancing::default()
     };
-    let (changes, map) = changes(settings, &[shifted], 300);
+    let (changes, map) = run(settings, &[shifted], 300);
     assert!((1..=2).contains(&changes), "{changes}");
     let loads: Vec<f64> = shifted
         .iter()
@@ -146,7 +146,7 @@
 /// A service that allows no delay moves nothing while its links are full, and
 /// loads no faster than what is spare otherwise.
 #[test]
-fn protected_service_is_not_delayed() {
+fn service_without_allowed_delay_is_not_slowed() {
     let settings = Rebalancing {
         most_delay: 0.0,
         pause_s: 1,
@@ -186,9 +186,9 @@
 }
 
 /// The lowest peak of all ways to put nine experts on three ranks of three slots.
-fn exhaustive(loads: &[f64], left: &mut Vec<usize>, filled: &mut Vec<f64>) -> f64 {
+fn lowest_peak(loads: &[f64], left: &mut Vec<usize>, rank_loads: &mut Vec<f64>) -> f64 {
     if left.is_empty() {
-        return filled.iter().copied().fold(0.0, f64::max);
+        return rank_loads.iter().copied().fold(0.0, f64::max);
     }
     let mut best = f64::INFINITY;
     let first = left.remove(0);
@@ -197,9 +197,9 @@
             let (second, third) = (left[a], left[b]);
             let mut rest: Vec<usize> = left.clone();
             rest.retain(|&expert| expert != second && expert != third);
-            filled.push(loads[first] + loads[second] + loads[third]);
-            best = best.min(exhaustive(loads, &mut rest, filled));
-            filled.pop();
+            rank_loads.push(loads[first] + loads[second] + loads[third]);
+            best = best.min(lowest_peak(loads, &mut rest, rank_loads));
+            rank_loads.pop();
         }
     }
     left.insert(0, first);
@@ -209,27 +209,35 @@
 /// Packings of small layers against the best of all placements, without spare
 /// slots; and with them against the even spread that none can beat.
 #[test]
-fn small_layers_come_close_to_the_best() {
+fn packing_is_close_to_optimal_on_small_layers() {
     let mut rng = SmallRng::seed_from_u64(11);
-    let (mut ours, mut best) = (0.0, 0.0);
-    let (mut with, mut bound) = (0.0, 0.0);
+    let (mut packed_peaks, mut lowest_peaks) = (0.0, 0.0);
+    let (mut replicated_peaks, mut mean_loads) = (0.0, 0.0);
     for _ in 0..200 {
         let loads: Vec<f64> = (0..9).map(|_| rng.random_range(1.0..10.0)).collect();
-        let tight = Shape {
+        let exact = Shape {
             ranks: 3,
             experts: 9,
             layers: 1,
             slots: 3,
         };
-        ours += Placement::new(&pack(&loads, tight), &loads, 3).peak_load();
-        best += exhaustive(&loads, &mut (0..9).collect(), &mut Vec::new());
-        let wide = Shape { slots: 5, ..tight };
-        let placement = Placement::new(&pack(&loads, wide), &loads, 5);
-        with += placement.peak_load();
-        bound += placement.mean_load();
+        packed_peaks += Placement::new(&pack(&loads, exact), &loads, 3).peak_load();
+        lowest_peaks += lowest_peak(&loads, &mut (0..9).collect(), &mut Vec::new());
+        let with_replicas = Shape { slots: 5, ..exact };
+        let placement = Placement::new(&pack(&loads, with_replicas), &loads, 5);
+        replicated_peaks += placement.peak_load();
+        mean_loads += placement.mean_load();
     }
-    assert!(ours / best < 1.05, "{}", ours / best);
-    assert!(with / bound < 1.05, "{}", with / bound);
+    assert!(
+        packed_peaks / lowest_peaks < 1.05,
+        "{}",
+        packed_peaks / lowest_peaks
+    );
+    assert!(
+        replicated_peaks / mean_loads < 1.05,
+        "{}",
+        replicated_peaks / mean_loads
+    );
 }
 
 /// Every packing is a map that a group takes, however the load lies.
