--- a/verbenaspool_policy/src/rebalancer/incremental.rs
+++ b/verbenaspool_policy/src/rebalancer/incremental.rs
@@ -1,52 +1,55 @@
-//! Which few experts to copy next, so that the busiest ranks get relief soon.
+//! Incremental rebalancing: a few expert copies at a time that relieve the
+//! busiest ranks soon.
 //!
-//! Load: popularity that shifts every few seconds. The most popular expert of a
-//! set gets up to a third of its work, so the rank that holds it keeps the whole
-//! group waiting, at about three times the mean. Copying one expert takes a rank
-//! 0.04 to 0.15 s, and a map that is packed anew would be ready when popularity
-//! has shifted again. So each change copies no more than a few experts a rank,
-//! those that shorten the pass most, and is followed by the next.
+//! It handles popularity that shifts every few seconds. The most popular expert
+//! of a layer gets up to a third of the layer's load, so the rank that holds it
+//! delays the whole group at about three times the mean. Copying one expert
+//! takes a rank 0.04 to 0.15 s, and a map that is repacked from scratch would
+//! be ready only after popularity has shifted again. So each change copies no
+//! more than a few experts per rank, those that shorten the forward pass most,
+//! and the next change follows.
 //!
-//! A pass waits, set after set, for the set's busiest rank: what counts is the
-//! sum over the sets of the busiest rank's work.
+//! In every layer, a forward pass waits for the busiest rank. The objective is
+//! therefore the sum over the layers of the busiest rank's time.
 
 use verbenaspool_state::expert_map::Layer;
 
 use super::layer_search::{LayerChange, LayerSearch};
 
-/// How a change may look.
+/// Limits of one change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangeLimits {
-    /// Experts of one set that a rank holds at most.
+    /// The most experts of one layer that a rank may hold.
     pub max_slots_per_rank: usize,
-    /// Experts of one set that may be new to a rank.
+    /// The most experts of one layer that may be new to a rank.
     pub max_new_per_layer: usize,
-    /// Experts of all sets together that may be new to a rank: the time that the
-    /// change takes.
+    /// The most experts over all layers that may be new to a rank. This bounds
+    /// the duration of the change.
     pub max_copies_per_rank: usize,
-    /// The least part of the pass that one copy has to save. Below it, copies
-    /// follow chance; measured choices differ by a few percent from one moment to
-    /// the next.
+    /// The smallest fraction of an evenly loaded forward pass that each copy has
+    /// to save. Below it, copies follow noise: measured expert selections differ
+    /// by a few percent from one moment to the next.
     pub min_gain_per_copy: f64,
 }
 
-/// A change that shortens passes.
+/// A change of placement that shortens forward passes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementChange {
     /// The new placement.
     pub layers: Vec<Layer>,
-    /// Experts to copy, over all ranks.
+    /// Number of experts to copy, over all ranks.
     pub copies: usize,
-    /// Experts that the rank with most copies has to copy.
+    /// Number of experts that the rank with the most copies has to copy.
     pub max_rank_copies: usize,
-    /// The sum of the busiest ranks' work over the sum of the means, before.
+    /// Imbalance before the change: the sum over the layers of the slowest
+    /// rank's time, divided by the sum of the even times.
     pub imbalance_before: f64,
-    /// The same afterwards.
+    /// Imbalance after the change.
     pub imbalance_after: f64,
 }
 
-/// The part by which the sum of the busiest ranks' work is above that of the
-/// means: 1 is even.
+/// Imbalance of a placement: the sum over the layers of the busiest rank's
+/// load, divided by the sum of the mean loads. 1 is perfectly balanced.
 #[must_use]
 pub fn imbalance(layers: &[Layer], loads: &[Vec<f64>]) -> f64 {
     let searches = layers
@@ -61,23 +64,29 @@
     if mean > 0.0 { peak / mean } else { 1.0 }
 }
 
-/// The change that shortens passes most within its bound, if one is worth it.
+/// Finds the change within the limits that shortens forward passes most, if one
+/// is worth its copies.
 ///
 /// ```
 /// use verbenaspool_policy::rebalancer::incremental::{ChangeLimits, plan_change};
 /// use verbenaspool_state::expert_map::Layer;
 ///
 /// let layers = [Layer { ranks: vec![vec![0, 1], vec![2]] }];
-/// let limits = ChangeLimits { max_slots_per_rank: 2, max_new_per_layer: 1, max_copies_per_rank: 1, min_gain_per_copy: 0.01 };
+/// let limits = ChangeLimits {
+///     max_slots_per_rank: 2,
+///     max_new_per_layer: 1,
+///     max_copies_per_rank: 1,
+///     min_gain_per_copy: 0.01,
+/// };
 /// let change = plan_change(&layers, &[vec![6.0, 1.0, 1.0]], &[1.0, 1.0], &limits).unwrap();
 /// assert!(change.layers[0].ranks[1].contains(&0));
 /// assert!((change.imbalance_after - 1.0).abs() < 0.01);
 /// ```
 ///
-/// `pace` tells how much longer each rank takes for its work than one that is well. A
-/// slow rank counts as busy by as much, so that its experts leave it, all of them if
-/// need be: in a group of 12 ranks one that is 12 times slow makes every pass last
-/// 0.7 s, where streams bear 0.12 s.
+/// `paces` holds the factor by which each rank is slower than a healthy one. A
+/// slow rank counts as busier by that factor, so experts move off it, all of
+/// them if necessary: in a group of 12 ranks, one that is 12 times slower makes
+/// every forward pass last 0.7 s, where streams tolerate 0.12 s.
 #[must_use]
 pub fn plan_change(
     layers: &[Layer],
@@ -122,8 +131,8 @@
             rank_exhausted |= copies_left[rank] == 0;
         }
         if rank_exhausted {
-            // Steps that were found for other sets may need a rank that has no
-            // time left.
+            // Candidates of other layers may need a rank that has no copies
+            // left.
             for (search, candidate) in searches.iter().zip(&mut candidates) {
                 let stale = candidate.is_some_and(|(_, change)| {
                     change.copying_ranks().any(|rank| copies_left[rank] == 0)
--- a/verbenaspool_policy/src/rebalancer/layer_search.rs
+++ b/verbenaspool_policy/src/rebalancer/layer_search.rs
@@ -1,56 +1,58 @@
-//! One set of experts while its placement is changed step by step.
+//! Local search over the placement of one layer's experts.
 
 use verbenaspool_state::expert_map::Layer;
 
 use super::incremental::ChangeLimits;
 
-/// The power to which ranks' work is raised before it is summed. The root of the
-/// sum stands for the busiest rank, and still tells apart how many others are
-/// nearly as busy: relief for one of two equals is then a gain as well, and a pass
-/// whose choices differ from the mean finds fewer ranks near the peak.
+/// Exponent of the norm over the ranks' times that approximates the slowest
+/// rank. Unlike the maximum, the norm also falls when one of two equally busy
+/// ranks is relieved, and it counts how many ranks are close to the peak: a
+/// forward pass whose expert selection differs from the mean then finds fewer
+/// of them.
 const NORM_EXPONENT: i32 = 12;
 
-/// The busiest ranks whose experts are tried in each step. With one alone the
-/// search ends where that rank can't be helped though others could.
+/// Number of busiest ranks whose experts are considered for each change. With
+/// only one, the search ends where that rank can't be relieved although others
+/// could.
 const MAX_BUSY_RANKS: usize = 2;
 
-/// What it costs that an expert only leaves a rank, in copies: nothing is copied, but
-/// the place is missed when popularity shifts back.
+/// Cost of removing an expert from a rank, in copies. Nothing is copied, but
+/// the copy is missing when popularity shifts back.
 const REMOVAL_COST_COPIES: f64 = 0.25;
 
-/// One step towards a better placement: what a busy rank and another one gain and
-/// lose.
+/// A change to a layer's placement that relieves a busy rank.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LayerChange {
     /// The busy rank.
     from: usize,
-    /// The other rank; the busy one itself where an expert only leaves it and the
-    /// other holders take over its part.
+    /// The other rank. Equal to `from` where an expert is only removed and its
+    /// other holders take over the load.
     to: usize,
-    /// The expert that is copied to the other rank.
+    /// The expert that is copied to `to`, or removed from `from` where both are
+    /// equal.
     expert: u16,
-    /// Whether it leaves the busy rank.
+    /// Whether `expert` is removed from `from`.
     removed: bool,
-    /// The expert that leaves the other rank for it, if one does.
+    /// The expert that `to` gives up for it, if any.
     evicted: Option<u16>,
-    /// Whether that one goes to the busy rank in exchange.
+    /// Whether `evicted` is copied to `from` in exchange.
     exchanged: bool,
 }
 
 impl LayerChange {
-    /// The ranks that copy an expert.
+    /// The ranks that have to copy an expert.
     pub fn copying_ranks(&self) -> impl Iterator<Item = usize> + use<> {
         let to = (!self.is_removal()).then_some(self.to);
         let exchanged = self.exchanged.then_some(self.from);
         to.into_iter().chain(exchanged)
     }
 
-    /// Whether an expert only leaves a rank, and nothing is copied.
+    /// Whether an expert is only removed from a rank, without any copy.
     fn is_removal(&self) -> bool {
         self.from == self.to
     }
 
-    /// What the step costs, in copies.
+    /// Cost of the change, in copies.
     fn cost(&self) -> f64 {
         match (self.is_removal(), self.exchanged) {
             (true, _) => REMOVAL_COST_COPIES,
@@ -60,26 +62,26 @@
     }
 }
 
-/// One set while its placement is changed.
+/// The placement of one layer's experts while it is being searched.
 #[derive(Debug, Clone)]
 pub struct LayerSearch {
     /// The experts of each rank.
     ranks: Vec<Vec<u16>>,
-    /// The experts of each rank before the first step.
+    /// The experts of each rank before the first change.
     initial_ranks: Vec<Vec<u16>>,
     /// The ranks that hold each expert.
     holders: Vec<Vec<usize>>,
-    /// The work that each expert brings.
+    /// The load of each expert.
     loads: Vec<f64>,
-    /// How much longer each rank takes for its work than a rank that is well.
+    /// Factor by which each rank is slower than a healthy one.
     paces: Vec<f64>,
-    /// The time that each rank takes for its work.
+    /// Load of each rank multiplied by its pace.
     rank_times: Vec<f64>,
 }
 
 impl LayerSearch {
-    /// The set as it is placed, with the work that each expert brings and the pace
-    /// of each rank; ranks of which none is told are well.
+    /// Starts from a layer's placement, the load of each expert and the pace of
+    /// each rank. A rank without a given pace counts as healthy.
     pub fn new(layer: &Layer, loads: &[f64], paces: &[f64]) -> Self {
         let mut holders = vec![Vec::new(); loads.len()];
         for (rank, experts) in layer.ranks.iter().enumerate() {
@@ -117,23 +119,23 @@
         &self.ranks
     }
 
-    /// The placement.
+    /// The placement with all applied changes.
     pub fn into_layer(self) -> Layer {
         Layer { ranks: self.ranks }
     }
 
-    /// How many experts are new to a rank.
+    /// Number of experts that a rank holds now but not at the start.
     pub fn new_experts(&self, rank: usize) -> usize {
         let new = |expert: &&u16| !self.initial_ranks[rank].contains(expert);
         self.ranks[rank].iter().filter(new).count()
     }
 
-    /// The time that the slowest rank takes for its work.
+    /// The time of the slowest rank.
     pub fn peak_time(&self) -> f64 {
         self.rank_times.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The mean time of a rank, were all of them well.
+    /// The time of each rank if all were healthy and evenly loaded.
     pub fn even_time(&self) -> f64 {
         let sum: f64 = self.loads.iter().sum();
         #[allow(clippy::cast_precision_loss)] // Groups are small.
@@ -141,7 +143,8 @@
         sum / ranks
     }
 
-    /// What an expert brings to each of its ranks, with so many more of them.
+    /// The load that an expert adds to each of its holders if their number
+    /// changes by `extra_holders`.
     fn share(&self, expert: u16, extra_holders: isize) -> f64 {
         let expert = usize::from(expert);
         let holders = self.holders[expert]
@@ -152,8 +155,8 @@
         self.loads[expert] / holders
     }
 
-    /// The step that shortens the pass most for each expert it copies, by more than
-    /// the `price` of a copy, and that gain.
+    /// The change with the largest gain per copy, together with that gain, if
+    /// it exceeds `min_gain`.
     pub fn best_change(
         &self,
         limits: &ChangeLimits,
@@ -179,7 +182,7 @@
         best
     }
 
-    /// The busiest ranks.
+    /// The [`MAX_BUSY_RANKS`] busiest ranks, busiest first.
     fn busiest(&self) -> Vec<usize> {
         let mut ranks: Vec<usize> = (0..self.rank_times.len()).collect();
         ranks.sort_by(|a, b| self.rank_times[*b].total_cmp(&self.rank_times[*a]));
@@ -187,12 +190,12 @@
         ranks
     }
 
-    /// Whether a rank can copy one more expert.
+    /// Whether a rank may copy one more expert.
     fn can_copy(&self, rank: usize, limits: &ChangeLimits, copies_left: &[usize]) -> bool {
         copies_left[rank] > 0 && self.new_experts(rank) < limits.max_new_per_layer
     }
 
-    /// Visits the steps that relieve a rank.
+    /// Visits the changes that relieve a rank.
     fn visit_changes_from(
         &self,
         from: usize,
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Visits the steps that relieve a rank by way of another one.
+    /// Visits the changes that shift load from one rank to another.
     fn visit_changes_between(
         &self,
         from: usize,
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Tells how a step changes the time of each rank.
+    /// Visits each rank whose time a change alters, with the difference.
     fn visit_time_changes(&self, change: &LayerChange, visit: &mut dyn FnMut(usize, f64)) {
         let mut visit = |rank: usize, delta: f64| visit(rank, delta * self.paces[rank]);
         if change.is_removal() {
@@ -299,7 +302,8 @@
         }
     }
 
-    /// Tells how the work of each rank changes when an expert leaves one of its holders.
+    /// Visits each rank whose load changes when an expert is removed from one
+    /// of its holders, with the difference.
     fn visit_removal(&self, expert: u16, from: usize, visit: &mut dyn FnMut(usize, f64)) {
         let (old, new) = (self.share(expert, 0), self.share(expert, -1));
         visit(from, -old);
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Takes a step.
+    /// Applies a change.
     pub fn apply(&mut self, change: &LayerChange) {
         let mut rank_times = std::mem::take(&mut self.rank_times);
         self.visit_time_changes(change, &mut |rank, delta| rank_times[rank] += delta);
@@ -339,14 +343,15 @@
     }
 }
 
-/// The busiest rank's work, smoothed, while the work of some ranks is varied.
+/// Smooth approximation of the slowest rank's time, evaluated for variations of
+/// the ranks' times.
 struct SmoothPeak<'a> {
     rank_times: &'a [f64],
     even_time: f64,
-    /// Each rank's work to the power.
+    /// Each rank's time over `even_time`, raised to [`NORM_EXPONENT`].
     powers: Vec<f64>,
     sum: f64,
-    /// What is added to ranks in the variation at hand.
+    /// Difference to each rank's time in the current variation.
     deltas: Vec<(usize, f64)>,
 }
 
@@ -366,12 +371,12 @@
         }
     }
 
-    /// The smoothed peak as the work is.
+    /// The smooth peak without any variation.
     fn current(&self) -> f64 {
         self.even_time * self.sum.max(0.0).powf(1.0 / f64::from(NORM_EXPONENT))
     }
 
-    /// Varies the work of a rank.
+    /// Adds a difference to a rank's time.
     fn vary(&mut self, rank: usize, delta: f64) {
         match self.deltas.iter_mut().find(|(other, _)| *other == rank) {
             Some((_, sum)) => *sum += delta,
@@ -379,7 +384,7 @@
         }
     }
 
-    /// The smoothed peak with the variation, which is dropped.
+    /// The smooth peak with the current variation, which is then reset.
     fn take_varied(&mut self) -> f64 {
         let mut sum = self.sum;
         for (rank, delta) in self.deltas.drain(..) {
