--- a/verbenaspool_policy/src/rebalancer/history.rs
+++ b/verbenaspool_policy/src/rebalancer/history.rs
@@ -1,46 +1,47 @@
-//! What the recent samples say about the load to come.
+//! Load forecast from recent samples.
 
 use std::collections::VecDeque;
 
 use super::sample::Sample;
 
-/// How many samples are kept. With one each few seconds they reach back some
-/// minutes: long enough to see an oscillation whole.
+/// Number of samples kept. At one sample every few seconds this covers several
+/// minutes, long enough to contain a full oscillation.
 const MAX_SAMPLES: usize = 36;
 
-/// The parts by which a sample counts less than the one after it: once for load
-/// that moves on, where only the newest count, and once for load that swings to
-/// and fro, where all do.
+/// Weight of a sample relative to the next newer one: the fast decay is for
+/// load that shifts, where only the newest samples matter, the slow one for
+/// load that oscillates, where all do.
 const DECAYS: [f64; 2] = [0.5, 0.95];
 
-/// How many samples ahead a forecast is judged: about as many as a map lasts at
-/// least before the next change.
+/// How many samples ahead forecasts are evaluated: about the shortest time that
+/// a map is in use before the next change.
 const FORECAST_HORIZON: usize = 12;
 
-/// The weight below which an older sample no longer counts.
+/// Weight below which an older sample is disregarded.
 const MIN_WEIGHT: f64 = 0.02;
 
-/// The part of the fast fade's error below which the slow one is clearly better.
-/// After a sudden shift both are about as wrong, and the fast one is needed.
+/// The slow decay is chosen if its forecast error is below this fraction of the
+/// fast one's. After a sudden shift both errors are similar, and the fast decay
+/// is needed.
 const SLOW_DECAY_ERROR_RATIO: f64 = 0.8;
 
-/// How many forecasts are judged.
+/// Number of past forecasts that are evaluated.
 const MAX_FORECASTS: usize = 8;
 
-/// The loads of one sample: tokens a step, by layer and expert.
+/// The loads of one sample, in tokens per step by layer and expert.
 type Loads = Vec<Vec<f64>>;
 
-/// The recent samples.
+/// The recent samples of a group.
 #[derive(Debug, Default)]
 pub struct History {
     /// The loads, newest first.
     samples: VecDeque<Loads>,
-    /// The fade that was found best with the newest sample.
+    /// The decay chosen when the newest sample arrived.
     decay: f64,
 }
 
 impl History {
-    /// Takes in a sample.
+    /// Adds a sample and chooses the decay anew.
     pub fn add(&mut self, sample: &Sample) {
         let steps = f64::from(sample.steps);
         #[allow(clippy::cast_precision_loss)] // Counts are far below 2^52.
@@ -52,28 +53,29 @@
         self.decay = self.choose_decay();
     }
 
-    /// How many samples are kept.
+    /// The number of samples in the history.
     #[must_use]
     pub fn len(&self) -> usize {
         self.samples.len()
     }
 
-    /// Whether there are none.
+    /// Whether the history has no samples.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
 
-    /// The expected load of each layer's experts.
+    /// The expected load of each layer's experts, in tokens per step.
     ///
-    /// Whether the newest samples or all tell most about the load to come is
-    /// found by what either would have forecast for the samples since.
+    /// The decay of the weights is the one whose past forecasts came closer to
+    /// the samples that followed.
     #[must_use]
     pub fn expected_loads(&self) -> Vec<Vec<f64>> {
         self.weighted_loads(self.decay, 0)
     }
 
-    /// The slow fade where its forecasts were clearly better, else the fast one.
+    /// Returns the slow decay if its forecasts were clearly better, else the
+    /// fast one.
     fn choose_decay(&self) -> f64 {
         let error = |decay: f64| -> f64 {
             let forecasts = self.samples.iter().take(MAX_FORECASTS).enumerate();
@@ -89,8 +91,8 @@
         if slow_is_better { slow } else { fast }
     }
 
-    /// The mean of the samples from one of this age on, each older one counting
-    /// less by the fade.
+    /// The weighted mean of the samples from index `age` on, where each older
+    /// sample has `decay` times the weight of the next newer one.
     fn weighted_loads(&self, decay: f64, age: usize) -> Vec<Vec<f64>> {
         let weights = std::iter::successors(Some(1.0), |weight| Some(weight * decay));
         let mut samples = weights.zip(self.samples.iter().skip(age));
@@ -112,7 +114,8 @@
         sums
     }
 
-    /// The weighted mean of what `judge` says about each sample.
+    /// The weighted mean of a metric that is evaluated on each sample by
+    /// itself.
     #[must_use]
     pub fn weighted_mean(&self, metric: impl Fn(&[Vec<f64>]) -> f64) -> f64 {
         let (mut sum, mut total) = (0.0, 0.0);
@@ -123,7 +126,7 @@
         sum / total
     }
 
-    /// The samples with their weights.
+    /// The samples with their weights, newest first.
     fn weighted_samples(&self) -> impl Iterator<Item = (f64, &Loads)> {
         let decay = self.decay;
         let weights = std::iter::successors(Some(1.0), move |weight| Some(weight * decay));
@@ -132,7 +135,7 @@
     }
 }
 
-/// How far two loads are apart.
+/// Sum of the absolute differences of two loads.
 fn distance(a: &Loads, b: &Loads) -> f64 {
     let pairs = a.iter().flatten().zip(b.iter().flatten());
     pairs.map(|(a, b)| (a - b).abs()).sum()
--- a/verbenaspool_policy/src/rebalancer/sample.rs
+++ b/verbenaspool_policy/src/rebalancer/sample.rs
@@ -1,35 +1,36 @@
-//! Tokens per expert, as engines report them: late, with gaps, sometimes wrong.
+//! Token counts per expert as reported by engines. They may arrive late, with
+//! gaps or with wrong values.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::expert_map::Shape;
 
-/// The most tokens a step that a sample may claim for one expert. No engine
-/// batches as many; a larger number is an error or an overflow on the way.
+/// Largest plausible number of tokens per step for one expert. No engine
+/// batches as many; a larger count is an error or an overflow on the way.
 const MAX_TOKENS_PER_STEP: u64 = 1 << 32;
 
-/// What a group's engines counted over some steps.
+/// Tokens per expert that a group's engines counted over a number of steps.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The epoch of the map that the steps ran on.
+    /// The epoch of the expert map that the steps ran on.
     pub epoch: u64,
-    /// The last of the steps.
+    /// The last step that the sample covers.
     pub step: u64,
-    /// How many steps there were.
+    /// The number of steps that the sample covers.
     pub steps: u32,
-    /// The part of the time for which the ranks' host links were not needed by
-    /// steps, 0 to 1. Loading within it delays nobody.
+    /// The fraction of time, 0 to 1, in which steps left the ranks' host links
+    /// idle. Loading weights within it delays no step.
     pub spare: f64,
-    /// The tokens that each expert of each layer got.
+    /// Token counts by layer and expert.
     pub layers: Vec<Vec<u64>>,
 }
 
 impl Sample {
-    /// Whether the sample can be used by a group of this layout that runs on
-    /// this epoch and has used samples up to this step.
+    /// Checks that the sample fits a group of this shape that runs on `epoch`
+    /// and has already used samples up to `last_step`.
     ///
     /// # Errors
     ///
-    /// Why it is ignored.
+    /// The reason for which the sample has to be ignored.
     pub fn check(&self, shape: Shape, epoch: u64, last_step: u64) -> Result<(), SampleError> {
         let experts = usize::from(shape.experts);
         let layers_fit = self.layers.iter().all(|layer| layer.len() == experts);
@@ -57,35 +58,35 @@
     }
 }
 
-/// Why a sample is ignored. The group goes on with its map.
+/// Why a sample is ignored. The group keeps its map.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SampleError {
-    /// It counts other layers or experts than the group has.
-    #[error("the sample counts other layers or experts than the group has")]
+    /// The sample's layers or experts don't match the group's shape.
+    #[error("sample has other layers or experts than the group")]
     ShapeMismatch,
-    /// It was taken on an older map.
-    #[error("the sample was taken on epoch {sample}, the group runs on {epoch}")]
+    /// The sample was taken on an older map.
+    #[error("sample was taken on epoch {sample}, but the group runs on epoch {epoch}")]
     StaleEpoch {
         /// The sample's epoch.
         sample: u64,
-        /// The epoch in force.
+        /// The group's current epoch.
         epoch: u64,
     },
-    /// A later one was used already.
-    #[error("the sample ends at step {step}, one up to {last_step} was used already")]
+    /// A sample that ends at the same step or later has been used already.
+    #[error("sample ends at step {step}, but samples up to step {last_step} have been used")]
     StaleStep {
         /// The sample's last step.
         step: u64,
-        /// The last step used.
+        /// The last step of the samples used so far.
         last_step: u64,
     },
-    /// A count is beyond what any engine does.
-    #[error("{count} tokens for one expert can't be")]
+    /// A count exceeds what any engine processes.
+    #[error("implausible count of {count} tokens for one expert")]
     ImplausibleCount {
         /// The count.
         count: u64,
     },
-    /// It covers no step, or a layer without a token.
-    #[error("the sample holds no tokens")]
+    /// The sample covers no step, or a layer has no tokens.
+    #[error("sample covers no step, or a layer without tokens")]
     NoTokens,
 }
