--- a/verbenaspool_policy/src/rebalancer/packing.rs
+++ b/verbenaspool_policy/src/rebalancer/packing.rs
@@ -1,21 +1,21 @@
-//! Packing from nothing: replicas for hot experts, then the longest processing
-//! time first.
+//! Packing from scratch: hot experts are replicated, then shares are placed by
+//! longest processing time first (LPT).
 //!
-//! It sets a group's first map and is the baseline that rebalances at every
-//! interval. By itself it ignores what is placed already, so nearly every
-//! expert moves; [`repack`] leaves experts where they are while that costs
-//! little evenness.
+//! [`pack`] ignores the current placement, so nearly every expert moves. It is
+//! the baseline that the benchmarks compare with: a policy that rebalances at
+//! every interval. [`repack`] keeps experts where they are while that costs
+//! little balance.
 
 use verbenaspool_state::expert_map::{Layer, Shape};
 
-/// Packs one layer's experts by their loads, in tokens a step.
+/// Packs one layer's experts by their loads, in tokens per step.
 ///
 /// ```
 /// use verbenaspool_policy::rebalancer::packing::pack;
 /// use verbenaspool_state::expert_map::Shape;
 ///
 /// let shape = Shape { ranks: 2, experts: 3, layers: 1, slots: 2 };
-/// // The hot expert stands on both ranks.
+/// // The hot expert is on both ranks.
 /// let layer = pack(&[10.0, 2.0, 2.0], shape);
 /// assert!(layer.ranks.iter().all(|experts| experts.contains(&0)));
 /// ```
@@ -25,9 +25,9 @@
     repack(loads, shape, &Layer { ranks }, 0.0)
 }
 
-/// Packs one layer's experts anew, but prefers a rank that holds the expert
-/// already, as long as that rank is by no more than `slack` busier than the
-/// least busy one; `slack` is a part of the mean work of a rank.
+/// Packs one layer's experts, preferring ranks that already hold an expert as
+/// long as their load exceeds that of the least busy rank by no more than
+/// `slack`, a fraction of the mean rank load.
 ///
 /// ```
 /// use verbenaspool_policy::rebalancer::packing::repack;
@@ -76,9 +76,10 @@
         let holder = holders[usize::from(expert)].iter().filter(within_slack);
         let holder = holder.min_by(|&&a, &&b| f64::total_cmp(&rank_loads[a], &rank_loads[b]));
         let least_busy = holder.copied().or(least_busy);
-        // A further copy that fits nowhere is left out; a first copy always
-        // finds a slot, since no rank can hold it yet and slots suffice, unless
-        // later copies of others took them: then one of those makes room.
+        // An additional copy that fits nowhere is left out. A first copy always
+        // finds a rank that doesn't hold the expert yet, and there are enough
+        // slots for all experts, but additional copies of other experts may
+        // have taken them: then one of those is evicted.
         let rank = match least_busy {
             Some(rank) => rank,
             None if is_placed[usize::from(expert)] => continue,
@@ -91,8 +92,8 @@
     Layer { ranks: layer }
 }
 
-/// How many copies each expert gets: the next one always goes to the expert
-/// whose copies carry most.
+/// Number of copies of each expert: each additional copy goes to the expert
+/// with the largest load per copy.
 fn copy_counts(loads: &[f64], ranks: usize, slots: usize) -> Vec<u32> {
     let max_copies = u32::try_from(ranks).unwrap_or(u32::MAX);
     let mut copies = vec![1_u32; loads.len()];
@@ -108,7 +109,8 @@
     copies
 }
 
-/// Takes the last copy of a replicated expert out and returns its rank.
+/// Removes one copy of a replicated expert, on the last rank that has one, and
+/// returns that rank.
 fn evict_copy(layer: &mut [Vec<u16>], experts: usize) -> usize {
     let mut copies = vec![0; experts];
     for &expert in layer.iter().flatten() {
@@ -121,8 +123,11 @@
     let found = layer.iter().enumerate().rev();
     let mut found =
         found.filter_map(|(rank, experts)| last_replicated(experts).map(|slot| (rank, slot)));
-    // With all slots full and an expert unplaced, some expert stands twice.
-    let (rank, slot) = found.next().expect("ranks times slots hold all experts");
+    // If all slots are taken and an expert isn't placed, some expert has
+    // several copies.
+    let (rank, slot) = found
+        .next()
+        .expect("a full layer with an unplaced expert has a replicated one");
     drop(found);
     layer[rank].remove(slot);
     rank
--- a/verbenaspool_policy/src/rebalancer/placement.rs
+++ b/verbenaspool_policy/src/rebalancer/placement.rs
@@ -1,25 +1,25 @@
-//! One layer's placement in the form that decisions work on: who holds what,
-//! and how much work each rank has.
+//! One layer's placement in the form that the search works on: the holders of
+//! each expert and the load of each rank.
 
 use verbenaspool_state::expert_map::Layer;
 
-/// A layer's experts on its ranks, with the load that they bring.
+/// The experts of a layer on its ranks, with the resulting loads.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// The experts on each rank.
     ranks: Vec<Vec<u16>>,
     /// The ranks that hold each expert.
     holders: Vec<Vec<u16>>,
-    /// The load of each expert, in tokens a step.
+    /// The load of each expert, in tokens per step.
     loads: Vec<f64>,
-    /// The load of each rank.
+    /// The load of each rank, in tokens per step.
     rank_loads: Vec<f64>,
-    /// The slots of each rank.
+    /// The number of slots per rank.
     slots: usize,
 }
 
 impl Placement {
-    /// The placement of a layer under the experts' loads.
+    /// Creates the placement of a layer under the experts' loads.
     ///
     /// ```
     /// use verbenaspool_policy::rebalancer::placement::Placement;
@@ -52,27 +52,27 @@
         placement
     }
 
-    /// The load of each rank, in tokens a step.
+    /// The load of each rank, in tokens per step.
     #[must_use]
     pub fn rank_loads(&self) -> &[f64] {
         &self.rank_loads
     }
 
-    /// The load of the rank that has most.
+    /// The load of the busiest rank.
     #[must_use]
     pub fn peak_load(&self) -> f64 {
         self.rank_loads.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The load of all experts spread evenly over the ranks: no placement has a
-    /// lower peak.
+    /// The load per rank if all experts were spread evenly, a lower bound of
+    /// the peak load of any placement.
     #[must_use]
     pub fn mean_load(&self) -> f64 {
         let ranks = u32::try_from(self.rank_loads.len().max(1)).unwrap_or(u32::MAX);
         self.loads.iter().sum::<f64>() / f64::from(ranks)
     }
 
-    /// The placement as a layer of a map.
+    /// The placement as a layer of an expert map.
     #[must_use]
     pub fn to_layer(&self) -> Layer {
         Layer {
@@ -86,26 +86,27 @@
         &self.ranks[usize::from(rank)]
     }
 
-    /// Whether a rank has a slot left.
+    /// Whether a rank has a free slot.
     #[must_use]
     pub fn has_free_slot(&self, rank: u16) -> bool {
         self.ranks[usize::from(rank)].len() < self.slots
     }
 
-    /// How many ranks hold an expert.
+    /// The number of ranks that hold an expert.
     #[must_use]
     pub fn copies(&self, expert: u16) -> usize {
         self.holders[usize::from(expert)].len()
     }
 
-    /// What an expert brings to a rank that holds it, given so many copies.
+    /// The load that an expert adds to each of its holders if it has `copies`
+    /// of them.
     #[must_use]
     pub fn share_among(&self, expert: u16, copies: usize) -> f64 {
         let copies = u32::try_from(copies.max(1)).unwrap_or(u32::MAX);
         self.loads[usize::from(expert)] / f64::from(copies)
     }
 
-    /// The expert's present share.
+    /// The load that an expert adds to each of its current holders.
     #[must_use]
     pub fn share(&self, expert: u16) -> f64 {
         self.share_among(expert, self.copies(expert))
@@ -117,7 +118,7 @@
         self.holders[usize::from(expert)].contains(&rank)
     }
 
-    /// Puts an expert on a rank.
+    /// Adds an expert to a rank.
     pub fn add(&mut self, rank: u16, expert: u16) {
         self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].push(expert);
@@ -125,7 +126,7 @@
         });
     }
 
-    /// Takes an expert off a rank.
+    /// Removes an expert from a rank.
     pub fn remove(&mut self, rank: u16, expert: u16) {
         self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].retain(|&e| e != expert);
@@ -133,14 +134,15 @@
         });
     }
 
-    /// Changes who holds an expert and accounts for its load.
+    /// Changes an expert's holders and updates the rank loads.
     fn update_holders(&mut self, expert: u16, update: impl FnOnce(&mut Self)) {
         self.add_shares(expert, -1.0);
         update(self);
         self.add_shares(expert, 1.0);
     }
 
-    /// Adds the expert's shares to its holders' work, or takes them off.
+    /// Adds the expert's share, multiplied by `sign`, to the load of each of
+    /// its holders.
     fn add_shares(&mut self, expert: u16, sign: f64) {
         let share = self.share(expert);
         for &rank in &self.holders[usize::from(expert)] {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The load that experts bring to a rank that holds them.
+    /// The load that a rank gets from the given experts.
     fn total_share(&self, experts: &[u16]) -> f64 {
         experts.iter().map(|&expert| self.share(expert)).sum()
     }
--- a/verbenaspool_policy/src/rebalancer/search.rs
+++ b/verbenaspool_policy/src/rebalancer/search.rs
@@ -1,48 +1,51 @@
-//! Improving a placement by few moves.
+//! Local search that improves a placement with few moves.
 //!
-//! A full packing moves nearly all experts for a peak that a handful of moves
-//! comes close to. So the search starts from the placement in force and takes,
-//! move by move, what lowers the busiest rank most.
+//! Packing from scratch moves nearly all experts for a peak load that a handful
+//! of moves comes close to. The search therefore starts from the current
+//! placement and takes, change by change, the one that lowers the busiest
+//! rank's load most.
 
 use super::placement::Placement;
 
-/// How many of the least busy ranks are tried as the receiving end, and how many
-/// more of those that can give a slot. The least busy ones have the most room
-/// for load; all are tried only where none of these helps.
+/// Number of least busy ranks that are tried as receivers, and number of
+/// further ranks with a free slot or a replicated expert to evict. The least
+/// busy ones can take the most load; all others are tried only if none of these
+/// helps.
 const MAX_RECEIVERS_TRIED: usize = 8;
 
-/// A part of a rank's work below which a gain is rounding, not an improvement.
+/// Gain, as a fraction of the busiest rank's load, below which it is a rounding
+/// error.
 const MIN_RELATIVE_GAIN: f64 = 1e-9;
 
-/// A change of who holds what.
+/// A change of an expert's holders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// The receiving rank gets a copy of the expert, in the place of a
-    /// replicated one where it has no slot left.
+    /// The receiving rank gets a copy of the expert, replacing a replicated
+    /// expert if it has no free slot.
     Copy {
         /// The expert.
         expert: u16,
         /// The receiving rank.
         to: u16,
-        /// The expert that makes room.
+        /// The replicated expert that is evicted to free a slot.
         evicted: Option<u16>,
     },
-    /// The expert goes from one rank to a slot on another.
+    /// The expert moves from one rank to a free slot on another.
     Move {
         /// The expert.
         expert: u16,
-        /// The rank that loses it.
+        /// The rank that gives the expert up.
         from: u16,
         /// The receiving rank.
         to: u16,
     },
-    /// Two ranks exchange an expert each.
+    /// Two ranks exchange one expert each.
     Swap {
         /// The expert of the busy rank.
         expert: u16,
         /// The busy rank.
         from: u16,
-        /// The other's expert.
+        /// The other rank's expert.
         other: u16,
         /// The other rank.
         to: u16,
@@ -50,7 +53,7 @@
 }
 
 impl Change {
-    /// How many experts have to be loaded for it.
+    /// Number of experts that have to be loaded.
     ///
     /// ```
     /// use verbenaspool_policy::rebalancer::search::Change;
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Carries the change out.
+    /// Applies the change to a placement.
     pub fn apply(self, placement: &mut Placement) {
         match self {
             Self::Copy {
@@ -97,8 +100,8 @@
     }
 }
 
-/// The change that lowers the busiest rank most without making another rank
-/// as busy, counted for each expert that it loads; none where no change does.
+/// The change that lowers the load of the busiest rank most per loaded expert
+/// without making the other rank as busy, or none if there is no such change.
 #[must_use]
 pub fn best_change(placement: &Placement) -> Option<Change> {
     let rank_loads = placement.rank_loads();
@@ -122,7 +125,8 @@
         .or_else(|| best_change_from(placement, busiest, others))
 }
 
-/// The best change that relieves a rank towards one of the receivers.
+/// The best change that shifts load from the busiest rank to one of the
+/// receivers.
 fn best_change_from(placement: &Placement, busiest: u16, receivers: &[u16]) -> Option<Change> {
     let busiest_load = placement.rank_loads()[usize::from(busiest)];
     let mut best: Option<(f64, Change)> = None;
@@ -141,8 +145,8 @@
     best.map(|(_, change)| change)
 }
 
-/// Weighs the changes that relieve a rank of an expert towards another, each
-/// with the higher work of the two ranks after it.
+/// Evaluates the changes that shift an expert's load from one rank to another.
+/// `evaluate` gets each change with the higher load of the two ranks after it.
 fn evaluate_changes(
     placement: &Placement,
     from: u16,
@@ -172,8 +176,8 @@
     for &other in placement.experts_on(to) {
         let other_share = placement.share(other);
         if !placement.has_free_slot(to) && placement.copies(other) > 1 {
-            // What the copy carried goes to the other holders of that expert;
-            // the busiest rank may be one of them.
+            // The evicted copy's load goes to the other holders of that expert,
+            // which may include the busiest rank.
             let share_growth =
                 placement.share_among(other, placement.copies(other) - 1) - other_share;
             let extra = if placement.holds(from, other) {
