--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -1,17 +1,19 @@
-//! The rebalancer: when a group's experts move, and where to.
+//! The rebalancer decides when a group's experts move, and to which ranks.
 //!
-//! It answers popularity that drifts: a season crowds one set of experts, a
-//! festival shifts the load overnight. Ranks advance in lock-step, so without
-//! it the busiest rank holds back all. Rebalancing at every interval is no
-//! answer either: it moves nearly every expert for noise, and what it loads
-//! slows the steps that it is to speed up.
+//! It follows drifting expert popularity, such as a season that concentrates
+//! load on one set of experts or a festival that shifts it overnight. Ranks
+//! advance in lock-step, so without rebalancing the busiest rank delays all
+//! others. Rebalancing at every interval doesn't help either: noise makes it
+//! move nearly every expert, and loading their weights slows the very steps
+//! that it is meant to speed up.
 //!
-//! So a change has to pay: the time that it saves over the map's expected life
-//! against the time lost while experts load, each with the service's weight.
-//! It starts from the map in force and takes the moves that lower the busiest
-//! rank most; it stops where a further move brings less than it costs. Both
-//! maps are judged on each recent sample by itself rather than on their mean,
-//! so a load that swings to and fro doesn't look like one that stays.
+//! A change is therefore made only if it pays: the time saved over the expected
+//! lifetime of the new map is compared with the time lost while experts are
+//! loaded, each multiplied by the service's weight for it. The search starts
+//! from the current map, takes the moves that lower the busiest rank's load
+//! most, and stops where a further move saves less than it costs. Both maps are
+//! evaluated on each recent sample by itself and not on the mean of the
+//! samples, so that an oscillating load isn't mistaken for a lasting one.
 
 pub mod history;
 pub mod incremental;
@@ -34,86 +36,90 @@
     sample::{Sample, SampleError},
 };
 
-/// The bytes a second that an accelerator's host link carries. Loading at a
-/// part of it slows steps by up to that part, less what is spare.
+/// Bandwidth of an accelerator's host link in bytes per second. Loading at a
+/// fraction of it slows steps by at most that fraction, less the idle fraction
+/// of the link.
 pub const HOST_LINK_BYTES_PER_SECOND: f64 = 8e9;
 
-/// How long a map is expected to last before the first change was seen.
+/// Expected lifetime of a map before the first change has been observed.
 const INITIAL_MAP_LIFETIME: Duration = Duration::from_mins(5);
 
-/// The longest life that is reckoned with: drift makes any map old.
+/// Upper bound of a map's expected lifetime: drift makes any map obsolete.
 const MAX_MAP_LIFETIME: Duration = Duration::from_mins(30);
 
-/// How many samples have to agree before the first change.
+/// Number of samples that are required before the first change.
 const MIN_SAMPLES: usize = 3;
 
-/// The least part of a step's time that a change has to save, for even
-/// weights. Samples of some hundred steps differ by about this much by chance.
+/// Smallest fraction of a step's time that a change has to save, at equal
+/// weights. Samples of a few hundred steps differ by about this much by chance.
 const MIN_SAVED_FRACTION: f64 = 0.002;
 
-/// The least part of a step's time that one move has to save on average, for
-/// even weights: below it a move follows chance rather than drift.
+/// Smallest fraction of a step's time that each move has to save on average, at
+/// equal weights. Below it, moves follow noise rather than drift.
 const MIN_SAVED_FRACTION_PER_MOVE: f64 = 0.000_05;
 
-/// How many layers one change of map may touch, the least even first. A layer of
-/// 128 ranks and 256 experts takes about a millisecond, and the loop that it
-/// takes it from carries requests as well; the other layers' turn comes next.
+/// Number of layers that one change may alter, the least balanced first. A
+/// layer of 128 ranks and 256 experts takes about a millisecond to plan, on an
+/// event loop that also carries requests. The other layers are left to later
+/// changes.
 const MAX_LAYERS_PER_CHANGE: usize = 6;
 
-/// How many changes the search tries on one layer. It is good at few moves; where
-/// many are called for, packing anew finds better ones in less time.
+/// Number of changes that the local search tries per layer. Local search is
+/// good at finding few moves; where many are needed, repacking finds better
+/// placements in less time.
 const MAX_CHANGES_PER_LAYER: usize = 32;
 
-/// How much busier than the least busy rank one may be and still keep an expert
-/// when a layer is packed anew, as parts of a rank's mean work: from keeping
-/// hardly anything to keeping much.
+/// Values of `slack` that are tried when a layer is repacked: how much busier
+/// than the least busy rank another one may be and still keep an expert, as a
+/// fraction of the mean rank load. They range from keeping hardly any expert in
+/// place to keeping many.
 const REPACK_SLACK_FRACTIONS: [f64; 2] = [0.01, 0.1];
 
-/// A change of map that pays.
+/// A change of map that is worth its cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// The new placement.
     pub layers: Vec<Layer>,
-    /// How many experts have to be loaded, over all ranks and layers.
+    /// Number of experts to load, over all ranks and layers.
     pub moves: u32,
-    /// The bytes to load, over all ranks.
+    /// Bytes to load, over all ranks.
     pub bytes: u64,
-    /// The bytes a second that each rank may load.
+    /// Bytes per second that each rank may load.
     pub bytes_per_second: u64,
-    /// How long loading takes at that rate.
+    /// Time that loading takes at that rate.
     pub staging: Duration,
-    /// The part by which loading slows steps meanwhile.
+    /// Fraction by which loading slows steps meanwhile.
     pub slowdown: f64,
-    /// The expected skew of the map in force.
+    /// Expected skew of the current map.
     pub skew_before: f64,
-    /// The expected skew of the new map.
+    /// Expected skew of the new map.
     pub skew_after: f64,
 }
 
-/// Decides when experts of one group move.
+/// Decides when the experts of one group move.
 #[derive(Debug)]
 pub struct Rebalancer {
     /// The service's settings.
     settings: Rebalancing,
-    /// The group's layout.
+    /// The group's shape.
     shape: Shape,
-    /// The size of one expert's weights in bytes.
+    /// Size of one expert's weights in bytes.
     expert_bytes: u64,
     /// The recent samples.
     history: History,
     /// The last step that a sample covered.
     last_step: u64,
-    /// The spare part of the host links.
+    /// Idle fraction of the host links.
     spare_link_fraction: f64,
-    /// The epoch in force, and since when it was seen to be.
+    /// The current epoch, and when it was first observed.
     epoch: u64,
     epoch_since: Option<Duration>,
-    /// How long maps have lasted.
+    /// Running average of the lifetimes of earlier maps.
     map_lifetime: Duration,
 }
 
 impl Rebalancer {
-    /// A rebalancer that has seen nothing.
+    /// Creates a rebalancer without any samples.
     ///
     /// ```
     /// use std::time::Duration;
@@ -125,7 +131,7 @@
     /// let settings = Rebalancing { pause_s: 1, ..Rebalancing::default() };
     /// let mut rebalancer = Rebalancer::new(settings, shape, 1 << 20);
     /// let map = Map::spread(1, shape);
-    /// // Both hot experts stand on the first rank.
+    /// // Both hot experts are on the first rank.
     /// for step in 1..=5 {
     ///     let layers = vec![vec![4_000, 1_000, 4_000, 1_000]];
     ///     let sample = Sample { epoch: 1, step: 100 * step, steps: 100, spare: 0.1, layers };
@@ -151,11 +157,11 @@
         }
     }
 
-    /// Takes in a sample.
+    /// Adds a sample.
     ///
     /// # Errors
     ///
-    /// Why the sample is ignored.
+    /// The reason for which the sample is ignored.
     pub fn observe(&mut self, sample: &Sample) -> Result<(), SampleError> {
         sample.check(self.shape, self.epoch, self.last_step)?;
         self.last_step = sample.step;
@@ -168,8 +174,8 @@
         Ok(())
     }
 
-    /// The skew to expect of a map: the slowest rank's time over the mean of
-    /// all, less one, over the layers of a step.
+    /// Expected skew of a map: the time of the slowest rank over the mean of
+    /// all ranks, minus one, over all layers of a step. `None` without samples.
     #[must_use]
     pub fn skew(&self, map: &Map) -> Option<f64> {
         let has_samples = !self.history.is_empty();
@@ -179,7 +185,7 @@
         })
     }
 
-    /// The change of map that pays now, if one does.
+    /// Returns the change of map that is worth its cost now, if there is one.
     pub fn decide(&mut self, now: Duration, map: &Map) -> Option<Plan> {
         let age = self.map_age(now, map.epoch);
         if age < Duration::from_secs(self.settings.pause_s) || self.history.len() < MIN_SAMPLES {
@@ -198,7 +204,8 @@
         self.is_worthwhile(&plan, age).then_some(plan)
     }
 
-    /// How long the epoch is in force; learns how long maps last.
+    /// Returns how long `epoch` has been in use, and updates the average map
+    /// lifetime when it has changed.
     fn map_age(&mut self, now: Duration, epoch: u64) -> Duration {
         let epoch_since = *self.epoch_since.get_or_insert(now);
         if epoch > self.epoch {
@@ -213,8 +220,8 @@
         now.saturating_sub(epoch_since)
     }
 
-    /// The bytes a second that a rank may load without slowing steps by more
-    /// than the service allows; none where it may not load at all.
+    /// Bytes per second that a rank may load without slowing steps by more than
+    /// the service allows, or `None` if it may not load at all.
     fn load_rate(&self) -> Option<u64> {
         let free =
             (self.spare_link_fraction + self.settings.most_delay) * HOST_LINK_BYTES_PER_SECOND;
@@ -223,12 +230,12 @@
         (bytes_per_second > 0).then_some(bytes_per_second)
     }
 
-    /// How dear a move is, against skew.
+    /// Weight of the cost of moves relative to the weight of skew.
     fn cost_to_skew_ratio(&self) -> f64 {
         self.settings.cost / self.settings.skew.max(f64::MIN_POSITIVE)
     }
 
-    /// The placement that few moves lead to, and how many.
+    /// Returns an improved placement and the number of moves to it.
     fn improve_layers(&self, map: &Map) -> (Vec<Layer>, u32) {
         let loads = self.history.expected_loads();
         let mean: f64 = loads.iter().flatten().sum::<f64>() / f64::from(self.shape.ranks);
@@ -251,8 +258,8 @@
         (layers, moves)
     }
 
-    /// The better of few moves and of a packing that keeps what it can, and how
-    /// many experts it loads.
+    /// Returns the better of a local search and of repacked layers that keep
+    /// what they can, and the number of experts to load.
     fn improve_layer(
         &self,
         start: &Placement,
@@ -277,7 +284,7 @@
         best.unwrap_or((current, 0))
     }
 
-    /// What a change to these layers would take.
+    /// Computes the cost of a change to `layers`.
     fn plan(
         &self,
         map: &Map,
@@ -311,9 +318,11 @@
         }
     }
 
-    /// Whether the time saved over the map's life is worth the time lost.
+    /// Whether the time saved over the new map's expected lifetime outweighs the
+    /// time lost.
     ///
-    /// A map that has lasted is expected to last as long again.
+    /// A map that has lasted for `age` is expected to be followed by one that
+    /// lasts at least as long.
     fn is_worthwhile(&self, plan: &Plan, age: Duration) -> bool {
         let saved_fraction = (plan.skew_before - plan.skew_after) / (1.0 + plan.skew_before);
         if saved_fraction < MIN_SAVED_FRACTION * self.cost_to_skew_ratio().clamp(0.1, 10.0) {
@@ -328,7 +337,8 @@
     }
 }
 
-/// How many experts ranks have to load to get from one placement to another.
+/// Number of experts that ranks have to load to change from one layer to
+/// another.
 fn new_experts(current: &Layer, new_layer: &Layer) -> u32 {
     let ranks = current.ranks.iter().zip(&new_layer.ranks);
     let counts =
@@ -336,8 +346,9 @@
     u32::try_from(counts.sum::<usize>()).unwrap_or(u32::MAX)
 }
 
-/// Lowers the peak of one layer by up to `most` moves, and returns the placement
-/// from which a further move isn't worth its price.
+/// Lowers the peak load of one layer with up to `max_moves` moves. Returns the
+/// best placement found, net of `min_gain_per_move` for each move, and its
+/// number of moves.
 fn search_moves(start: &Placement, min_gain_per_move: f64, max_moves: u32) -> (Layer, u32) {
     let mut placement = start.clone();
     let mut changes = Vec::new();
@@ -357,7 +368,8 @@
         if net_gain > best_gain {
             (best_gain, best_len, best_moves) = (net_gain, changes.len(), moves);
         }
-        // Not even a perfect placement would make up for the moves any more.
+        // Even a perfectly balanced placement wouldn't make up for the moves
+        // any more.
         if start.peak_load() - placement.mean_load() - cost <= best_gain {
             break;
         }
@@ -369,10 +381,10 @@
     (placement.to_layer(), best_moves)
 }
 
-/// The skew of a placement under loads, by layer and expert.
+/// Skew of a placement under loads given by layer and expert.
 ///
-/// Ranks wait for each other in every layer, so a step takes the sum of the
-/// layers' busiest ranks.
+/// Ranks wait for each other in every layer, so the duration of a step is the
+/// sum over the layers of the busiest rank's time.
 ///
 /// ```
 /// use verbenaspool_policy::rebalancer::skew;
