--- a/verbenaspool_policy/benches/rebalance.rs
+++ b/verbenaspool_policy/benches/rebalance.rs
@@ -1,10 +1,11 @@
-//! Rebalancing policies under drifting popularity: `cargo bench --bench
-//! rebalance`, with `-- --json` for one JSON object a line, and with the names of
-//! cases to play only these.
+//! Compares rebalancing policies under drifting popularity: `cargo bench
+//! --bench rebalance`. `-- --json` prints one JSON object per line, and names
+//! of cases restrict the run to these.
 //!
-//! Time is played. Each interval of 200 steps ends with a sample, which arrives
-//! one interval late, every seventh not at all. Skew is measured on single
-//! steps, whose tokens are drawn by chance around the popularity of the moment.
+//! Time is simulated. Each interval of 200 steps ends with a sample, which
+//! arrives one interval late; every seventh sample is lost. Skew is measured on
+//! single steps, whose tokens are drawn at random around the current
+//! popularity.
 
 use std::time::{Duration, Instant};
 
@@ -17,39 +18,40 @@
     rebalancing::Rebalancing,
 };
 
-/// How long a step takes at no skew.
+/// Duration of a step without skew.
 const STEP_DURATION: Duration = Duration::from_millis(25);
-/// Steps of one interval.
+/// Steps per interval.
 const STEPS_PER_INTERVAL: u32 = 200;
-/// Intervals of one run: 20 minutes.
+/// Intervals per run: 20 minutes.
 const INTERVALS: u32 = 240;
-/// Steps of an interval on which skew is measured.
+/// Steps per interval on which skew is measured.
 const MEASURED_STEPS_PER_INTERVAL: usize = 4;
-/// Layers that carry experts.
+/// Layers that have experts.
 const LAYERS: u16 = 4;
-/// The size of one expert's weights: three matrices of 7168 by 2048 bytes.
+/// Size of one expert's weights: three matrices of 7168 by 2048 bytes.
 const EXPERT_BYTES: u64 = 44_040_192;
-/// The part of the host links that steps leave free.
+/// Fraction of the host links that steps leave idle.
 const SPARE_LINK_FRACTION: f64 = 0.02;
-/// How many tokens a rank brings into a step, each going to 8 experts.
+/// Tokens per rank and step, multiplied by the 8 experts that each token is
+/// routed to.
 const EXPERT_TOKENS_PER_RANK: f64 = 512.0 * 8.0;
 
-/// How popularity goes.
+/// How popularity develops over a run.
 #[derive(Debug, Clone, Copy)]
 enum Drift {
     /// One set of experts slowly gives way to another.
     Season,
-    /// It does so overnight.
+    /// One set of experts gives way to another at once.
     Festival,
-    /// It swings to and fro.
+    /// Popularity oscillates between two sets of experts.
     Oscillation,
     /// One expert of each layer becomes hot.
     Hot,
-    /// All experts are alike.
+    /// All experts are equally popular.
     Uniform,
 }
 
-/// What decides.
+/// The policies compared.
 #[derive(Debug, Clone, Copy)]
 enum Policy {
     Skew,
@@ -59,7 +61,7 @@
     GreedyLastSample,
 }
 
-/// What a run came to.
+/// Results of one run.
 #[derive(Debug, Default)]
 struct Outcome {
     skews: Vec<f64>,
@@ -70,7 +72,7 @@
     decision_ns: Vec<u128>,
 }
 
-/// The popularity of experts over a run.
+/// Popularity of the experts over a run.
 struct Workload {
     drift: Drift,
     initial: Vec<Vec<f64>>,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The tokens of each expert in a step, at a part of the run.
+    /// Tokens of each expert per step, at a time from 0 to 1 of the run.
     fn loads_at(&self, time: f64) -> Vec<Vec<f64>> {
         let target_share = match self.drift {
             Drift::Season => time,
@@ -128,13 +130,13 @@
     }
 }
 
-/// A number drawn from the standard normal distribution.
+/// Draws a number from the standard normal distribution.
 fn standard_normal(rng: &mut SmallRng) -> f64 {
     let (a, b): (f64, f64) = (rng.random_range(f64::EPSILON..1.0), rng.random());
     (-2.0 * a.ln()).sqrt() * (b * std::f64::consts::TAU).cos()
 }
 
-/// Counts drawn around their mean, over so many steps.
+/// Draws token counts over a number of steps around their means.
 fn sample_counts(loads: &[Vec<f64>], steps: f64, rng: &mut SmallRng) -> Vec<Vec<f64>> {
     let count = |&mean: &f64, rng: &mut SmallRng| {
         let mean = mean * steps;
@@ -161,27 +163,27 @@
     }
 }
 
-/// A change that loads.
+/// A change whose experts are being loaded.
 struct Staging {
     layers: Vec<Layer>,
     seconds_left: f64,
     slowdown: f64,
 }
 
-/// Plays one run.
+/// Simulates one run.
 #[allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss
 )]
-// Counts and bytes are far below 2^52, drawn counts not negative.
+// Counts and bytes are far below 2^52, and drawn counts aren't negative.
 fn run(drift: Drift, policy: Policy, shape: Shape) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(7);
     let workload = Workload::new(drift, shape, &mut rng);
     let settings = settings(policy);
     let mut rebalancer = Rebalancer::new(settings.clone(), shape, EXPERT_BYTES);
     let mut history = History::default();
-    // All start from the map that is best for the first popularity.
+    // All policies start from the map packed for the initial popularity.
     let layers = workload
         .loads_at(0.0)
         .iter()
@@ -267,9 +269,9 @@
     outcome
 }
 
-/// The value below which this part of the values lie.
+/// The value below which a fraction of the values lies.
 fn quantile<T: Copy + PartialOrd>(values: &mut [T], fraction: f64) -> T {
-    values.sort_by(|a, b| a.partial_cmp(b).expect("no value is no number"));
+    values.sort_by(|a, b| a.partial_cmp(b).expect("values are never NaN"));
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
@@ -283,7 +285,7 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let json = arguments.iter().any(|argument| argument == "--json");
-    // Any other argument names the cases to play.
+    // Arguments other than options select the cases to run.
     let selected: Vec<_> = arguments.iter().filter(|a| !a.starts_with("--")).collect();
     let drifts = [
         Drift::Season,
--- a/verbenaspool_policy/tests/rebalancer.rs
+++ b/verbenaspool_policy/tests/rebalancer.rs
@@ -1,4 +1,4 @@
-//! The rebalancer under drifting popularity and bad samples.
+//! Tests of the rebalancer under drifting popularity and bad samples.
 
 use std::time::Duration;
 
@@ -35,8 +35,8 @@
     Rebalancer::new(settings, SHAPE, 1 << 20)
 }
 
-/// Feeds the counts in turn, a sample each second, and returns how many changes
-/// came of it, all of them put in force at once.
+/// Feeds the counts in turn, one sample per second, and applies each planned
+/// change at once. Returns the number of changes and the final map.
 fn run(settings: Rebalancing, counts: &[&[u64]], seconds: u64) -> (u32, Map) {
     let mut rebalancer = rebalancer(settings);
     let mut map = Map::spread(1, SHAPE);
@@ -59,9 +59,9 @@
     (changes, map)
 }
 
-/// An engine that restarts, a counter that overflows or an agent of another
-/// group sends counts that make no sense. They are ignored with a reason, and
-/// the group goes on with its map.
+/// Invalid counts, as sent after an engine restart, by an overflowing counter
+/// or by an agent of another group, are ignored with a reason, and the group
+/// keeps its map.
 #[test]
 fn bad_samples_are_ignored() {
     let good = sample(5, &[9; 8]);
@@ -111,8 +111,8 @@
     assert_eq!(rebalancer.observe(&not_a_number), Ok(()));
 }
 
-/// Load swings between two sets of experts each second. Maps that chase it
-/// would be out of date when they are in force, and cost a load of weights each.
+/// Load oscillates between two sets of experts every second. Maps that follow
+/// it are out of date once they are in use, and each costs a load of weights.
 #[test]
 fn oscillating_load_rarely_changes_the_map() {
     let low: &[u64] = &[900, 100, 900, 100, 900, 100, 900, 100];
@@ -125,7 +125,8 @@
     assert!(changes <= 3, "{changes}");
 }
 
-/// Popularity shifts once and stays: the map follows it once, not over and over.
+/// Popularity shifts once and stays: the map has to follow without repeated
+/// changes.
 #[test]
 fn lasting_shift_changes_the_map_once() {
     let shifted: &[u64] = &[4_000, 100, 100, 100, 2_000, 100, 100, 100];
@@ -143,8 +144,8 @@
     assert!(peak(&map.layers[0]) <= 1.01 * peak(&pack(&loads, SHAPE)));
 }
 
-/// A service that allows no delay moves nothing while its links are full, and
-/// loads no faster than what is spare otherwise.
+/// A service that allows no delay moves no experts while its host links are
+/// fully used, and otherwise loads no faster than the idle bandwidth.
 #[test]
 fn service_without_allowed_delay_is_not_slowed() {
     let settings = Rebalancing {
@@ -185,7 +186,8 @@
     }
 }
 
-/// The lowest peak of all ways to put nine experts on three ranks of three slots.
+/// The lowest peak load over all ways to place nine experts on three ranks of
+/// three slots.
 fn lowest_peak(loads: &[f64], left: &mut Vec<usize>, rank_loads: &mut Vec<f64>) -> f64 {
     if left.is_empty() {
         return rank_loads.iter().copied().fold(0.0, f64::max);
@@ -206,8 +208,9 @@
     best
 }
 
-/// Packings of small layers against the best of all placements, without spare
-/// slots; and with them against the even spread that none can beat.
+/// Compares packings of small layers with the optimum where all slots are
+/// needed, and with the mean rank load, a lower bound, where slots are left for
+/// replicas.
 #[test]
 fn packing_is_close_to_optimal_on_small_layers() {
     let mut rng = SmallRng::seed_from_u64(11);
@@ -240,7 +243,7 @@
     );
 }
 
-/// Every packing is a map that a group takes, however the load lies.
+/// Packings are valid maps for any distribution of load.
 #[test]
 fn packings_are_valid_maps() {
     let mut rng = SmallRng::seed_from_u64(3);
