--- a/verbenaspool_policy/benches/rebalance.rs
+++ b/verbenaspool_policy/benches/rebalance.rs
@@ -194,12 +194,12 @@
     let mut outcome = Outcome::default();
     let mut delayed_sample: Option<Sample> = None;
     for interval in 1..=INTERVALS {
-        let loads = workload.loads_at(f64::from(interval) / f64::from(INTERVALS));
+        let true_loads = workload.loads_at(f64::from(interval) / f64::from(INTERVALS));
         for _ in 0..MEASURED_STEPS_PER_INTERVAL {
-            let step = sample_counts(&loads, 1.0, &mut rng);
+            let step = sample_counts(&true_loads, 1.0, &mut rng);
             outcome.skews.push(skew(&map.layers, &step, shape));
         }
-        let counts = sample_counts(&loads, f64::from(STEPS_PER_INTERVAL), &mut rng);
+        let counts = sample_counts(&true_loads, f64::from(STEPS_PER_INTERVAL), &mut rng);
         let count = |layer: &Vec<f64>| layer.iter().map(|&count| count as u64).collect();
         let sample = Sample {
             epoch: map.epoch,
--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -403,11 +403,11 @@
         for &expert in layer.ranks.iter().flatten() {
             copies[usize::from(expert)] += 1.0;
         }
-        let share = |&expert: &u16| loads[usize::from(expert)] / copies[usize::from(expert)];
+        let copy_load = |&expert: &u16| loads[usize::from(expert)] / copies[usize::from(expert)];
         let rank_loads = layer
             .ranks
             .iter()
-            .map(|experts| experts.iter().map(share).sum());
+            .map(|experts| experts.iter().map(copy_load).sum());
         peak_sum += rank_loads.fold(0.0, f64::max);
         mean_sum += loads.iter().sum::<f64>() / f64::from(shape.ranks);
     }
--- a/verbenaspool_policy/src/rebalancer/packing.rs
+++ b/verbenaspool_policy/src/rebalancer/packing.rs
@@ -43,12 +43,12 @@
     let slots = usize::from(shape.slots);
     let slack = slack * loads.iter().sum::<f64>() / f64::from(shape.ranks.max(1));
     let copies = copy_counts(loads, ranks, ranks * slots);
-    let mut shares: Vec<(f64, u16)> = Vec::with_capacity(ranks * slots);
+    let mut copy_loads: Vec<(f64, u16)> = Vec::with_capacity(ranks * slots);
     for (expert, (&load, &copies)) in (0..).zip(loads.iter().zip(&copies)) {
-        let share = load / f64::from(copies);
-        shares.extend((0..copies).map(|_| (share, expert)));
+        let copy_load = load / f64::from(copies);
+        copy_loads.extend((0..copies).map(|_| (copy_load, expert)));
     }
-    shares.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+    copy_loads.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let mut holders = vec![Vec::new(); loads.len()];
     for (rank, experts) in current.ranks.iter().enumerate() {
         for &expert in experts {
@@ -58,7 +58,7 @@
     let mut rank_loads = vec![0.0; ranks];
     let mut layer = vec![Vec::with_capacity(slots); ranks];
     let mut is_placed = vec![false; loads.len()];
-    for (share, expert) in shares {
+    for (copy_load, expert) in copy_loads {
         let is_open = |rank: usize| {
             let experts: &Vec<u16> = &layer[rank];
             experts.len() < slots && !experts.contains(&expert)
@@ -86,7 +86,7 @@
             None => evict_copy(&mut layer, loads.len()),
         };
         layer[rank].push(expert);
-        rank_loads[rank] += share;
+        rank_loads[rank] += copy_load;
         is_placed[usize::from(expert)] = true;
     }
     Layer { ranks: layer }
@@ -97,10 +97,11 @@
 fn copy_counts(loads: &[f64], ranks: usize, slots: usize) -> Vec<u32> {
     let max_copies = u32::try_from(ranks).unwrap_or(u32::MAX);
     let mut copies = vec![1_u32; loads.len()];
-    let share = |copies: &[u32], expert: usize| loads[expert] / f64::from(copies[expert]);
+    let copy_load = |copies: &[u32], expert: usize| loads[expert] / f64::from(copies[expert]);
     for _ in loads.len()..slots {
         let candidates = (0..loads.len()).filter(|&expert| copies[expert] < max_copies);
-        let hottest = candidates.max_by(|&a, &b| share(&copies, a).total_cmp(&share(&copies, b)));
+        let hottest =
+            candidates.max_by(|&a, &b| copy_load(&copies, a).total_cmp(&copy_load(&copies, b)));
         let Some(expert) = hottest else {
             break;
         };
