--- a/verbenaspool_policy/src/rebalancer/packing.rs
+++ b/verbenaspool_policy/src/rebalancer/packing.rs
@@ -1,5 +1,6 @@
-//! Packing from scratch: hot experts are replicated, then shares are placed by
-//! longest processing time first (LPT).
+//! Packing from scratch: hot experts are replicated, then all copies are placed
+//! in order of falling load, each on the least busy rank (longest processing
+//! time first).
 //!
 //! [`pack`] ignores the current placement, so nearly every expert moves. It is
 //! the baseline that the benchmarks compare with: a policy that rebalances at
