--- a/verbenaspool_policy/src/rebalancer/placement.rs
+++ b/verbenaspool_policy/src/rebalancer/placement.rs
@@ -1,25 +1,25 @@
-//! One layer's placement in the form that decisions work on: who holds what,
-//! and how much work each rank has.
+//! One layer's placement in the form that the search works on: the holders of
+//! each expert and the load of each rank.
 
 use verbenaspool_state::expert_map::Layer;
 
-/// A layer's experts on its ranks, with the load that they bring.
+/// The experts of a layer on its ranks, with the resulting loads.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// The experts on each rank.
     ranks: Vec<Vec<u16>>,
     /// The ranks that hold each expert.
     holders: Vec<Vec<u16>>,
-    /// The load of each expert, in tokens a step.
+    /// The load of each expert, in tokens per step.
     loads: Vec<f64>,
-    /// The load of each rank.
-    work: Vec<f64>,
-    /// The slots of each rank.
+    /// The load of each rank, in tokens per step.
+    rank_loads: Vec<f64>,
+    /// The number of slots per rank.
     slots: usize,
 }
 
 impl Placement {
-    /// The placement of a layer under the experts' loads.
+    /// Creates the placement of a layer under the experts' loads.
     ///
     /// ```
     /// use verbenaspool_policy::rebalancer::placement::Placement;
@@ -27,7 +27,7 @@
     ///
     /// let layer = Layer { ranks: vec![vec![0, 1], vec![1]] };
     /// let placement = Placement::new(&layer, &[4.0, 2.0], 2);
-    /// assert_eq!(placement.work(), [5.0, 1.0]);
+    /// assert_eq!(placement.rank_loads(), [5.0, 1.0]);
     /// ```
     #[must_use]
     pub fn new(layer: &Layer, loads: &[f64], slots: u16) -> Self {
@@ -41,37 +41,40 @@
             ranks: layer.ranks.clone(),
             holders,
             loads: loads.to_vec(),
-            work: Vec::new(),
+            rank_loads: Vec::new(),
             slots: usize::from(slots),
         };
-        let work = placement.ranks.iter().map(|experts| placement.sum(experts));
-        placement.work = work.collect();
+        let rank_loads = placement
+            .ranks
+            .iter()
+            .map(|experts| placement.total_share(experts));
+        placement.rank_loads = rank_loads.collect();
         placement
     }
 
-    /// The load of each rank, in tokens a step.
+    /// The load of each rank, in tokens per step.
     #[must_use]
-    pub fn work(&self) -> &[f64] {
-        &self.work
+    pub fn rank_loads(&self) -> &[f64] {
+        &self.rank_loads
     }
 
-    /// The load of the rank that has most.
+    /// The load of the busiest rank.
     #[must_use]
-    pub fn peak(&self) -> f64 {
-        self.work.iter().copied().fold(0.0, f64::max)
+    pub fn peak_load(&self) -> f64 {
+        self.rank_loads.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The load of all experts spread evenly over the ranks: no placement has a
-    /// lower peak.
+    /// The load per rank if all experts were spread evenly, a lower bound of
+    /// the peak load of any placement.
     #[must_use]
-    pub fn mean(&self) -> f64 {
-        let ranks = u32::try_from(self.work.len().max(1)).unwrap_or(u32::MAX);
+    pub fn mean_load(&self) -> f64 {
+        let ranks = u32::try_from(self.rank_loads.len().max(1)).unwrap_or(u32::MAX);
         self.loads.iter().sum::<f64>() / f64::from(ranks)
     }
 
-    /// The placement as a layer of a map.
+    /// The placement as a layer of an expert map.
     #[must_use]
-    pub fn layer(&self) -> Layer {
+    pub fn to_layer(&self) -> Layer {
         Layer {
             ranks: self.ranks.clone(),
         }
@@ -79,33 +82,34 @@
 
     /// The experts on a rank.
     #[must_use]
-    pub fn on(&self, rank: u16) -> &[u16] {
+    pub fn experts_on(&self, rank: u16) -> &[u16] {
         &self.ranks[usize::from(rank)]
     }
 
-    /// Whether a rank has a slot left.
+    /// Whether a rank has a free slot.
     #[must_use]
-    pub fn has_room(&self, rank: u16) -> bool {
+    pub fn has_free_slot(&self, rank: u16) -> bool {
         self.ranks[usize::from(rank)].len() < self.slots
     }
 
-    /// How many ranks hold an expert.
+    /// The number of ranks that hold an expert.
     #[must_use]
     pub fn copies(&self, expert: u16) -> usize {
         self.holders[usize::from(expert)].len()
     }
 
-    /// What an expert brings to a rank that holds it, given so many copies.
+    /// The load that an expert adds to each of its holders if it has `copies`
+    /// of them.
     #[must_use]
-    pub fn share(&self, expert: u16, copies: usize) -> f64 {
+    pub fn share_among(&self, expert: u16, copies: usize) -> f64 {
         let copies = u32::try_from(copies.max(1)).unwrap_or(u32::MAX);
         self.loads[usize::from(expert)] / f64::from(copies)
     }
 
-    /// The expert's present share.
+    /// The load that an expert adds to each of its current holders.
     #[must_use]
-    pub fn part(&self, expert: u16) -> f64 {
-        self.share(expert, self.copies(expert))
+    pub fn share(&self, expert: u16) -> f64 {
+        self.share_among(expert, self.copies(expert))
     }
 
     /// Whether a rank holds an expert.
@@ -114,39 +118,40 @@
         self.holders[usize::from(expert)].contains(&rank)
     }
 
-    /// Puts an expert on a rank.
-    pub fn put(&mut self, rank: u16, expert: u16) {
-        self.change(expert, |placement| {
+    /// Adds an expert to a rank.
+    pub fn add(&mut self, rank: u16, expert: u16) {
+        self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].push(expert);
             placement.holders[usize::from(expert)].push(rank);
         });
     }
 
-    /// Takes an expert off a rank.
-    pub fn take(&mut self, rank: u16, expert: u16) {
-        self.change(expert, |placement| {
+    /// Removes an expert from a rank.
+    pub fn remove(&mut self, rank: u16, expert: u16) {
+        self.update_holders(expert, |placement| {
             placement.ranks[usize::from(rank)].retain(|&e| e != expert);
             placement.holders[usize::from(expert)].retain(|&r| r != rank);
         });
     }
 
-    /// Changes who holds an expert and accounts for its load.
-    fn change(&mut self, expert: u16, change: impl FnOnce(&mut Self)) {
-        self.account(expert, -1.0);
-        change(self);
-        self.account(expert, 1.0);
+    /// Changes an expert's holders and updates the rank loads.
+    fn update_holders(&mut self, expert: u16, update: impl FnOnce(&mut Self)) {
+        self.add_shares(expert, -1.0);
+        update(self);
+        self.add_shares(expert, 1.0);
     }
 
-    /// Adds the expert's shares to its holders' work, or takes them off.
-    fn account(&mut self, expert: u16, sign: f64) {
-        let part = self.part(expert);
+    /// Adds the expert's share, multiplied by `sign`, to the load of each of
+    /// its holders.
+    fn add_shares(&mut self, expert: u16, sign: f64) {
+        let share = self.share(expert);
         for &rank in &self.holders[usize::from(expert)] {
-            self.work[usize::from(rank)] += sign * part;
+            self.rank_loads[usize::from(rank)] += sign * share;
         }
     }
 
-    /// The load that experts bring to a rank that holds them.
-    fn sum(&self, experts: &[u16]) -> f64 {
-        experts.iter().map(|&expert| self.part(expert)).sum()
+    /// The load that a rank gets from the given experts.
+    fn total_share(&self, experts: &[u16]) -> f64 {
+        experts.iter().map(|&expert| self.share(expert)).sum()
     }
 }
