--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use verbenaspool_coordination::{
     gather::{Round, Sums},
-    switch::{self, Ended},
+    switch::{self, SwitchOutcome},
 };
 use verbenaspool_platform::{order, report::Report};
 use verbenaspool_policy::slots::Slots;
@@ -210,8 +210,8 @@
                 prepared: report.prepared,
                 armed: report.armed,
                 held: report.held,
-                barred: self.barred(member.epoch),
-                given: self.given(member.epoch),
+                arming_blocked_through: self.barred(member.epoch),
+                last_arm_step: self.given(member.epoch),
             },
             pace: self.pace(report),
             zone: digest::hash(&self.settings.zone),
@@ -401,15 +401,15 @@
             None => return,
         };
         match ended {
-            Some(Ended::Done(version)) => {
+            Some(SwitchOutcome::Completed(version)) => {
                 info!(self.log, "Agent: A map of experts is in use."; "version" => version);
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
                     lead.brought(version);
                 }
             }
-            Some(Ended::GivenUp(version)) => {
+            Some(SwitchOutcome::Abandoned(version)) => {
                 let lead = self.lead.borrow();
-                let lacking = lead.as_ref().map(|lead| lead.switch.lacking());
+                let lacking = lead.as_ref().map(|lead| lead.switch.unprepared_ranks());
                 warn!(self.log, "Agent: A change of map is given up; not all ranks have copied.";
                     "version" => version, "lacking" => format!("{:?}", lacking.unwrap_or_default()));
             }
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -235,7 +235,7 @@
     /// long: everybody who waited for the group comes at once, and passes on this map are
     /// the longest there are.
     fn layers(&self, experts: &Experts) -> Option<(u64, Vec<Layer>)> {
-        if self.switch.map() == Some(FIRST_VERSION) {
+        if self.switch.map_version() == Some(FIRST_VERSION) {
             let ranks = u16::try_from(self.ranks).ok()?;
             let sets = first(ranks, experts).into_iter();
             return Some((FIRST_VERSION, sets.map(|ranks| Layer { ranks }).collect()));
@@ -289,7 +289,7 @@
         let relief = relief::relieve(&layers, &self.loads(experts)?, &self.paces, &bound)?;
         let highest = self
             .switch
-            .highest()
+            .highest_version()
             .max(self.plan.as_ref().map_or(0, |p| p.version));
         let drawn = rand::rng().random_range(0..1 << RANDOM_VERSION_BITS);
         let version = (((highest >> RANDOM_VERSION_BITS) + 1) << RANDOM_VERSION_BITS) + drawn;
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use verbenaspool_coordination::switch::KEEPER_RANK;
+use verbenaspool_coordination::switch::HOLDER_RANK;
 use verbenaspool_protocol::member::State;
 
 /// How long one datagram may be overtaken by others.
@@ -79,7 +79,7 @@
     pub fn audience(&self, now: Duration, rank: u16) -> BTreeSet<IpAddr> {
         let hears = |member: &&Member| {
             let member = member.state.rank;
-            member <= KEEPER_RANK || rank <= KEEPER_RANK && member < MAX_STAND_INS
+            member <= HOLDER_RANK || rank <= HOLDER_RANK && member < MAX_STAND_INS
         };
         self.iter(now)
             .filter(hears)
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -4,7 +4,7 @@
 use std::{net::IpAddr, rc::Rc};
 
 use slog::{debug, info};
-use verbenaspool_coordination::switch::{Order as Change, Send};
+use verbenaspool_coordination::switch::{Order as Change, RankOrder};
 use verbenaspool_platform::{order, report::Report};
 use verbenaspool_protocol::{
     member::{Difference, Lack, Map, Order, State, What},
@@ -79,7 +79,7 @@
                 order::Order::Arm { version, step }
             }
             Change::Go { step } => order::Order::Go { step },
-            Change::Bar { step } => {
+            Change::BlockArming { step } => {
                 self.bar(order.epoch, step);
                 self.answer(agent).await;
                 return;
@@ -219,7 +219,7 @@
     /// go by no other way, however long it is silent. A pass is held and let go
     /// straight from here: an agent that froze right behind its order to hold
     /// would take the held rank with it.
-    pub(super) async fn order(self: &Rc<Self>, send: Send, epoch: u64) {
+    pub(super) async fn order(self: &Rc<Self>, send: RankOrder, epoch: u64) {
         let rank = u16::try_from(send.rank).unwrap_or(u16::MAX);
         let Some(member) = self.membership.borrow().get(rank).cloned() else {
             return;
@@ -260,14 +260,14 @@
             }
             Change::Go { step } => order::Order::Go { step },
             // This is for an agent, not for its rank.
-            Change::Bar { .. } => return None,
+            Change::BlockArming { .. } => return None,
         })
     }
 
     /// Gives the own rank an order and goes on with what its report then says.
     pub(super) async fn give_own(self: Rc<Self>, order: Change, epoch: u64) {
         match order {
-            Change::Bar { step } => self.bar(epoch, step),
+            Change::BlockArming { step } => self.bar(epoch, step),
             Change::Arm { step, .. } | Change::Finish { step, .. } => self.note_given(epoch, step),
             _ => {}
         }
--- a/verbenaspool_agent/src/direct/tell.rs
+++ b/verbenaspool_agent/src/direct/tell.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::IpAddr, time::Duration};
 
-use verbenaspool_coordination::switch::{KEEPER_RANK, Report};
+use verbenaspool_coordination::switch::{HOLDER_RANK, Report};
 use verbenaspool_protocol::{
     member::{Held, Status},
     message::Message,
@@ -45,7 +45,7 @@
         let state = self.state.borrow();
         state
             .as_ref()
-            .is_some_and(|state| state.rank <= KEEPER_RANK)
+            .is_some_and(|state| state.rank <= HOLDER_RANK)
     }
 
     /// Tells entries how the rank stands, as far as each is to hear of it now.
--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -25,7 +25,7 @@
 //! another one is armed.
 //! Whoever finds a pass that is held without a change of its own, a new lead or an
 //! agent that stands in, first bars the pass at the agents of all ranks but the
-//! first ([`Order::Bar`]): from then on they give no order of the lead to arm for
+//! first ([`Order::BlockArming`]): from then on they give no order of the lead to arm for
 //! it, and say whether they have given any. What they say is final, so that two
 //! who do this at once come to the same end:
 //!
@@ -41,7 +41,7 @@
 
 use std::time::Duration;
 
-pub use self::order::{Ended, Order, Report, Send};
+pub use self::order::{Order, RankOrder, Report, SwitchOutcome};
 
 /// How many passes ahead of the newest report a pass is held. The pass after the
 /// next leaves one whole pass, some 60 ms, for the orders to arrive. With the next
@@ -55,10 +55,10 @@
 const HOLD_AHEAD_LONG_PASSES: u64 = 1;
 
 /// How long passes have to be for that. Orders take some 45 ms.
-const LONG_PASS: Duration = Duration::from_millis(150);
+const LONG_PASS_DURATION: Duration = Duration::from_millis(150);
 
 /// The rank that holds passes, where there is more than one: not the lead's own.
-pub const KEEPER_RANK: u16 = 1;
+pub const HOLDER_RANK: u16 = 1;
 
 /// After how long an order is sent again whose effect no report shows. Answers
 /// come within milliseconds, reports with them, and a pass may be held meanwhile.
@@ -74,8 +74,8 @@
 /// How old a report may be that a held pass is judged by.
 const STALE_REPORT_AGE: Duration = Duration::from_millis(400);
 
-/// How long the keeper has to show that it holds a pass. Without that the change
-/// is given up, or the group would wait for a keeper that is out of reach.
+/// How long the holder has to show that it holds a pass. Without that the change
+/// is given up, or the group would wait for a holder that is out of reach.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How old the word may be that a pass is held when ranks are told to arm for
@@ -103,28 +103,28 @@
     /// Ranks are to be armed.
     Arming { version: u64, step: u64 },
     /// The pass is to begin.
-    Going { version: u64, step: u64 },
+    Releasing { version: u64, step: u64 },
     /// No order of a lead to arm is to be given any more.
-    Barring { step: u64 },
+    BlockingArming { step: u64 },
     /// All ranks are to be armed, whoever began that.
     Finishing { version: u64, step: u64 },
 }
 
 /// One rank as the machine knows it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rank {
+struct RankState {
     report: Option<(Report, Duration)>,
     /// When it was last sent an order.
-    sent: Option<Duration>,
+    last_order_at: Option<Duration>,
 }
 
-impl Rank {
+impl RankState {
     /// Whether a report that was made in time says so.
-    fn says_lately(&self, now: Duration, says: impl Fn(&Report) -> bool) -> bool {
+    fn matches_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
         let fresh = self
             .report
             .filter(|(_, at)| now.saturating_sub(*at) <= STALE_REPORT_AGE);
-        fresh.is_some_and(|(report, _)| says(&report))
+        fresh.is_some_and(|(report, _)| predicate(&report))
     }
 }
 
@@ -132,16 +132,16 @@
 #[derive(Debug)]
 pub struct Switch {
     epoch: u64,
-    ranks: Vec<Rank>,
+    ranks: Vec<RankState>,
     phase: Phase,
     /// Since when the keeper's report shows a held pass that isn't ours.
-    held: Option<(u64, Duration)>,
+    orphaned_hold: Option<(u64, Duration)>,
     /// The newest pass that was reported, when that was, and how long passes took
     /// until then.
-    newest: (u64, Duration),
-    pass: Duration,
+    latest_pass: (u64, Duration),
+    pass_duration: Duration,
     /// The ranks for which the last change that was given up had waited.
-    lacking: Vec<usize>,
+    unprepared_ranks: Vec<usize>,
 }
 
 impl Switch {
@@ -164,20 +164,20 @@
     pub fn new(ranks: usize) -> Self {
         Self {
             epoch: 0,
-            ranks: vec![Rank::default(); ranks],
+            ranks: vec![RankState::default(); ranks],
             phase: Phase::Idle,
-            held: None,
-            newest: (0, Duration::ZERO),
-            pass: Duration::ZERO,
-            lacking: Vec::new(),
+            orphaned_hold: None,
+            latest_pass: (0, Duration::ZERO),
+            pass_duration: Duration::ZERO,
+            unprepared_ranks: Vec::new(),
         }
     }
 
     /// The ranks that had not copied, or not said so lately, when the last change was
     /// given up.
     #[must_use]
-    pub fn lacking(&self) -> &[usize] {
-        &self.lacking
+    pub fn unprepared_ranks(&self) -> &[usize] {
+        &self.unprepared_ranks
     }
 
     /// Whether no change is under way.
@@ -208,36 +208,36 @@
             && known.report.is_none_or(|(_, at)| at <= now)
         {
             known.report = Some((report, now));
-            self.time(now, report.step);
+            self.measure_pass(now, report.step);
         }
     }
 
     /// Takes the time of passes.
-    fn time(&mut self, now: Duration, step: u64) {
-        let (newest, at) = self.newest;
-        if step > newest {
-            if newest > 0 {
-                let passes = u32::try_from(step - newest).unwrap_or(u32::MAX);
-                self.pass = now.saturating_sub(at) / passes;
+    fn measure_pass(&mut self, now: Duration, step: u64) {
+        let (latest, at) = self.latest_pass;
+        if step > latest {
+            if latest > 0 {
+                let passes = u32::try_from(step - latest).unwrap_or(u32::MAX);
+                self.pass_duration = now.saturating_sub(at) / passes;
             }
-            self.newest = (step, now);
+            self.latest_pass = (step, now);
         }
     }
 
     /// The pass to hold: soon, but late enough for the orders to arrive.
-    fn next(&self) -> u64 {
-        let ahead = if self.pass >= LONG_PASS {
+    fn pass_to_hold(&self) -> u64 {
+        let ahead = if self.pass_duration >= LONG_PASS_DURATION {
             HOLD_AHEAD_LONG_PASSES
         } else {
             HOLD_AHEAD_PASSES
         };
-        self.step() + ahead
+        self.latest_step() + ahead
     }
 
     /// Whether all ranks use one map and nothing stands in the way of a change.
     #[must_use]
     pub fn is_ready(&self, now: Duration) -> bool {
-        let fresh = |rank: &Rank| match rank.report {
+        let fresh = |rank: &RankState| match rank.report {
             Some((report, at)) => {
                 now.saturating_sub(at) <= STALE_REPORT_AGE
                     && report.armed.is_none()
@@ -246,7 +246,7 @@
             None => false,
         };
         let first = self.ranks.first().and_then(|rank| rank.report);
-        let same = |rank: &Rank| rank.report.map(|(r, _)| r.map) == first.map(|(r, _)| r.map);
+        let same = |rank: &RankState| rank.report.map(|(r, _)| r.map) == first.map(|(r, _)| r.map);
         self.is_idle() && self.ranks.iter().all(|rank| fresh(rank) && same(rank))
     }
 
@@ -258,19 +258,19 @@
     /// use verbenaspool_coordination::switch::{Report, Switch};
     ///
     /// let mut switch = Switch::new(1);
-    /// assert_eq!(switch.map(), None);
+    /// assert_eq!(switch.map_version(), None);
     /// switch.report(Duration::ZERO, 0, Report { epoch: 1, map: 7, ..Report::default() });
-    /// assert_eq!(switch.map(), Some(7));
+    /// assert_eq!(switch.map_version(), Some(7));
     /// ```
     #[must_use]
-    pub fn map(&self) -> Option<u64> {
+    pub fn map_version(&self) -> Option<u64> {
         let first = self.ranks.first()?.report;
         first.map(|(report, _)| report.map)
     }
 
     /// The highest version that any rank has had, as far as reports tell.
     #[must_use]
-    pub fn highest(&self) -> u64 {
+    pub fn highest_version(&self) -> u64 {
         let versions = |(report, _): (Report, Duration)| {
             let known = [Some(report.map), report.prepared, report.armed];
             known.into_iter().flatten().max()
@@ -281,30 +281,32 @@
 
     /// Begins a change to a version that no rank has had, whose copies take so
     /// long at the rank that has most.
-    pub fn start(&mut self, now: Duration, version: u64, copy: Duration) {
-        self.enter(Phase::Preparing {
+    pub fn start(&mut self, now: Duration, version: u64, copy_duration: Duration) {
+        self.enter_phase(Phase::Preparing {
             version,
-            until: now + copy * 2 + PREPARE_SLACK,
+            until: now + copy_duration * 2 + PREPARE_SLACK,
         });
     }
 
     /// Goes on to a phase; its orders are sent at once.
-    fn enter(&mut self, phase: Phase) {
+    fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
         for rank in &mut self.ranks {
-            rank.sent = None;
+            rank.last_order_at = None;
         }
     }
 
     /// Whether a report of every rank that was made in time says so.
-    fn all(&self, now: Duration, says: impl Fn(&Report) -> bool) -> bool {
-        self.ranks.iter().all(|rank| rank.says_lately(now, &says))
+    fn all_match_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
+        self.ranks
+            .iter()
+            .all(|rank| rank.matches_recently(now, &predicate))
     }
 
     /// Whether a rank said so at any time in this epoch.
-    fn says(&self, rank: usize, says: impl Fn(&Report) -> bool) -> bool {
+    fn last_report_matches(&self, rank: usize, predicate: impl Fn(&Report) -> bool) -> bool {
         let report = self.ranks.get(rank).and_then(|rank| rank.report);
-        report.is_some_and(|(report, _)| says(&report))
+        report.is_some_and(|(report, _)| predicate(&report))
     }
 
     /// Whether all ranks are armed for a version, or use it.
@@ -314,38 +316,41 @@
     /// so, is not waited for.
     fn is_armed(&self, version: u64) -> bool {
         let armed = |report: &Report| report.armed == Some(version) || report.map == version;
-        (0..self.ranks.len()).all(|rank| self.says(rank, armed))
+        (0..self.ranks.len()).all(|rank| self.last_report_matches(rank, armed))
     }
 
     /// The newest pass that any rank has begun.
-    fn step(&self) -> u64 {
+    fn latest_step(&self) -> u64 {
         let steps = self.ranks.iter().filter_map(|rank| rank.report);
         steps.map(|(report, _)| report.step).max().unwrap_or(0)
     }
 
     /// The rank that holds passes.
-    fn keeper(&self) -> usize {
-        usize::from(KEEPER_RANK).min(self.ranks.len().saturating_sub(1))
+    fn holder_rank(&self) -> usize {
+        usize::from(HOLDER_RANK).min(self.ranks.len().saturating_sub(1))
     }
 
-    /// What the keeper holds, as far as it said lately.
-    fn held(&self, now: Duration) -> Option<u64> {
-        let (report, at) = self.ranks.get(self.keeper())?.report?;
+    /// What the holder holds, as far as it said lately.
+    fn held_step(&self, now: Duration) -> Option<u64> {
+        let (report, at) = self.ranks.get(self.holder_rank())?.report?;
         report
             .held
             .filter(|_| now.saturating_sub(at) <= CONFIRMED_REPORT_AGE)
     }
 
     /// Whether the keeper said lately that it doesn't hold a pass.
-    fn released(&self, now: Duration, step: u64) -> bool {
-        let keeper = self.ranks.get(self.keeper()).and_then(|rank| rank.report);
-        keeper.is_some_and(|(report, at)| {
+    fn is_released(&self, now: Duration, step: u64) -> bool {
+        let holder = self
+            .ranks
+            .get(self.holder_rank())
+            .and_then(|rank| rank.report);
+        holder.is_some_and(|(report, at)| {
             now.saturating_sub(at) <= CONFIRMED_REPORT_AGE && report.held != Some(step)
         })
     }
 
     /// Whether the pass has begun at a rank without the map of this version.
-    fn missed(&self, now: Duration, version: u64, step: u64) -> bool {
+    fn began_on_other_map(&self, now: Duration, version: u64, step: u64) -> bool {
         self.ranks
             .iter()
             .filter_map(|rank| rank.report)
@@ -357,33 +362,34 @@
     }
 
     /// The orders to send now, and how the change ended, if it did.
-    pub fn poll(&mut self, now: Duration) -> (Vec<Send>, Option<Ended>) {
+    pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<SwitchOutcome>) {
         let ended = self.advance(now);
         (self.orders(now), ended)
     }
 
     /// Goes from phase to phase as far as reports allow.
-    fn advance(&mut self, now: Duration) -> Option<Ended> {
+    fn advance(&mut self, now: Duration) -> Option<SwitchOutcome> {
         match self.phase {
             Phase::Idle => {
-                self.recover(now);
+                self.detect_orphaned_hold(now);
                 None
             }
             Phase::Preparing { version, until } => {
-                if self.all(now, |report| report.prepared == Some(version)) {
-                    let step = self.next();
+                if self.all_match_recently(now, |report| report.prepared == Some(version)) {
+                    let step = self.pass_to_hold();
                     let until = now + HOLD_TIMEOUT;
-                    self.enter(Phase::Holding {
+                    self.enter_phase(Phase::Holding {
                         version,
                         step,
                         until,
                     });
                 } else if now >= until {
                     let copied = |report: &Report| report.prepared == Some(version);
-                    let lacks = |rank: &usize| !self.ranks[*rank].says_lately(now, copied);
-                    self.lacking = (0..self.ranks.len()).filter(lacks).collect();
-                    self.enter(Phase::Idle);
-                    return Some(Ended::GivenUp(version));
+                    let not_prepared =
+                        |rank: &usize| !self.ranks[*rank].matches_recently(now, copied);
+                    self.unprepared_ranks = (0..self.ranks.len()).filter(not_prepared).collect();
+                    self.enter_phase(Phase::Idle);
+                    return Some(SwitchOutcome::Abandoned(version));
                 }
                 None
             }
@@ -392,12 +398,12 @@
                 step,
                 until,
             } => {
-                if self.held(now) == Some(step) {
-                    self.enter(Phase::Arming { version, step });
-                } else if self.step() >= step {
+                if self.held_step(now) == Some(step) {
+                    self.enter_phase(Phase::Arming { version, step });
+                } else if self.latest_step() >= step {
                     // The pass began before it was held; nothing is armed yet.
-                    let step = self.next();
-                    self.enter(Phase::Holding {
+                    let step = self.pass_to_hold();
+                    self.enter_phase(Phase::Holding {
                         version,
                         step,
                         until,
@@ -406,47 +412,49 @@
                     // A lead that froze meanwhile may have been stood in for: the pass
                     // may be held still, and some ranks armed for it. So what is given
                     // up here ends like what is found.
-                    self.enter(Phase::Barring { step });
+                    self.enter_phase(Phase::BlockingArming { step });
                 }
                 None
             }
             Phase::Arming { version, step } => {
                 if self.is_armed(version) {
-                    self.enter(Phase::Going { version, step });
-                } else if self.missed(now, version, step) {
+                    self.enter_phase(Phase::Releasing { version, step });
+                } else if self.began_on_other_map(now, version, step) {
                     // Another agent stood in and let the pass begin.
-                    self.enter(Phase::Idle);
-                    return Some(Ended::GivenUp(version));
-                } else if self.is_barred(step) {
-                    self.enter(Phase::Barring { step });
+                    self.enter_phase(Phase::Idle);
+                    return Some(SwitchOutcome::Abandoned(version));
+                } else if self.is_arming_blocked(step) {
+                    self.enter_phase(Phase::BlockingArming { step });
                 }
                 None
             }
-            Phase::Going { version, step } => {
-                if self.released(now, step) {
-                    self.enter(Phase::Idle);
-                    let missed = self.missed(now, version, step);
+            Phase::Releasing { version, step } => {
+                if self.is_released(now, step) {
+                    self.enter_phase(Phase::Idle);
+                    let missed = self.began_on_other_map(now, version, step);
                     return Some(if missed {
-                        Ended::GivenUp(version)
+                        SwitchOutcome::Abandoned(version)
                     } else {
-                        Ended::Done(version)
+                        SwitchOutcome::Completed(version)
                     });
                 }
                 None
             }
-            Phase::Barring { step } => {
-                if self.released(now, step) {
-                    self.enter(Phase::Idle);
-                } else if self.others(now, |report| report.barred >= step) {
-                    self.conclude(now, step);
+            Phase::BlockingArming { step } => {
+                if self.is_released(now, step) {
+                    self.enter_phase(Phase::Idle);
+                } else if self
+                    .others_match_recently(now, |report| report.arming_blocked_through >= step)
+                {
+                    self.resolve_hold(now, step);
                 }
                 None
             }
             Phase::Finishing { version, step } => {
-                if self.released(now, step) {
-                    self.enter(Phase::Idle);
+                if self.is_released(now, step) {
+                    self.enter_phase(Phase::Idle);
                 } else if self.is_armed(version) {
-                    self.enter(Phase::Going { version, step });
+                    self.enter_phase(Phase::Releasing { version, step });
                 }
                 None
             }
@@ -454,63 +462,66 @@
     }
 
     /// Whether some agent gives no order of a lead to arm for a pass any more.
-    fn is_barred(&self, step: u64) -> bool {
-        let barred = |rank: &Rank| rank.report.is_some_and(|(report, _)| report.barred >= step);
-        self.ranks.iter().skip(1).any(barred)
+    fn is_arming_blocked(&self, step: u64) -> bool {
+        let blocked = |rank: &RankState| {
+            rank.report
+                .is_some_and(|(report, _)| report.arming_blocked_through >= step)
+        };
+        self.ranks.iter().skip(1).any(blocked)
     }
 
     /// Whether a report in time of every rank but the first says so.
-    fn others(&self, now: Duration, says: impl Fn(&Report) -> bool) -> bool {
+    fn others_match_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
         let mut others = self.ranks.iter().skip(1);
-        others.all(|rank| rank.says_lately(now, &says))
+        others.all(|rank| rank.matches_recently(now, &predicate))
     }
 
     /// Decides how a held pass begins that is barred at all agents but the
     /// first rank's; nothing, where the first rank has to be waited for.
-    fn conclude(&mut self, now: Duration, step: u64) {
-        let version = self.highest();
+    fn resolve_hold(&mut self, now: Duration, step: u64) {
+        let version = self.highest_version();
         let copied = |report: &Report| {
             [Some(report.map), report.prepared, report.armed].contains(&Some(version))
         };
-        let untouched = |report: &Report| report.given < step && report.armed.is_none();
-        if self.others(now, untouched) {
+        let not_armed = |report: &Report| report.last_arm_step < step && report.armed.is_none();
+        if self.others_match_recently(now, not_armed) {
             // The lead arms its own rank behind another one, so it isn't armed either.
-            self.enter(Phase::Going { version: 0, step });
-        } else if self.others(now, copied) && self.says(0, copied) {
-            self.enter(Phase::Finishing { version, step });
-        } else if self.all(now, |report| report.armed.is_none()) {
+            self.enter_phase(Phase::Releasing { version: 0, step });
+        } else if self.others_match_recently(now, copied) && self.last_report_matches(0, copied) {
+            self.enter_phase(Phase::Finishing { version, step });
+        } else if self.all_match_recently(now, |report| report.armed.is_none()) {
             // Ranks are armed only once all have copied. Some haven't, so what is
             // held is left from an earlier change, whose map nobody can take any
             // more.
-            self.enter(Phase::Going { version: 0, step });
+            self.enter_phase(Phase::Releasing { version: 0, step });
         }
     }
 
     /// Looks into a pass that is held though no change is under way: its lead
     /// died, or the order to hold was carried out late.
-    fn recover(&mut self, now: Duration) {
-        let Some(step) = self.held(now) else {
+    fn detect_orphaned_hold(&mut self, now: Duration) {
+        let Some(step) = self.held_step(now) else {
             if self
                 .ranks
-                .get(self.keeper())
+                .get(self.holder_rank())
                 .and_then(|rank| rank.report)
                 .is_some_and(|(r, _)| r.held.is_none())
             {
-                self.held = None;
+                self.orphaned_hold = None;
             }
             return;
         };
-        let since = match self.held {
+        let since = match self.orphaned_hold {
             Some((known, since)) if known == step => since,
             _ => {
-                self.held = Some((step, now));
+                self.orphaned_hold = Some((step, now));
                 return;
             }
         };
         if now.saturating_sub(since) < MAX_HOLD_TIME {
             return;
         }
-        self.enter(Phase::Barring { step });
+        self.enter_phase(Phase::BlockingArming { step });
     }
 
     /// Whether the lead may arm its own rank: once another one is armed.
@@ -519,23 +530,23 @@
     /// arm, and takes the first rank for untouched if none was. The sooner it follows
     /// the others, the shorter the moment in which a lead that freezes leaves its own
     /// rank behind, which nobody can arm then.
-    fn may_arm_own(&self, version: u64) -> bool {
+    fn may_arm_first_rank(&self, version: u64) -> bool {
         let armed = |report: &Report| report.armed == Some(version) || report.map == version;
         let mut others = 1..self.ranks.len();
-        others.is_empty() || others.any(|rank| self.says(rank, armed))
+        others.is_empty() || others.any(|rank| self.last_report_matches(rank, armed))
     }
 
     /// The orders of the phase to those ranks that don't show their effect.
-    fn orders(&mut self, now: Duration) -> Vec<Send> {
+    fn orders(&mut self, now: Duration) -> Vec<RankOrder> {
         let phase = self.phase;
-        let keeper = self.keeper();
+        let holder = self.holder_rank();
         // Arming is only for a pass that is known to be held.
-        let sure = match phase {
-            Phase::Arming { step, .. } => self.held(now) == Some(step),
+        let hold_confirmed = match phase {
+            Phase::Arming { step, .. } => self.held_step(now) == Some(step),
             _ => false,
         };
-        let own_turn = match phase {
-            Phase::Arming { version, .. } => self.may_arm_own(version),
+        let may_arm_first = match phase {
+            Phase::Arming { version, .. } => self.may_arm_first_rank(version),
             _ => false,
         };
         let mut orders = Vec::new();
@@ -548,33 +559,33 @@
                 Phase::Preparing { version, .. } => {
                     (report.prepared != Some(version)).then_some(Order::Prepare { version })
                 }
-                Phase::Holding { step, .. } => (rank == keeper).then_some(Order::Hold { step }),
+                Phase::Holding { step, .. } => (rank == holder).then_some(Order::Hold { step }),
                 Phase::Arming { version, step } => {
-                    let own_turn = rank > 0 || own_turn;
+                    let may_arm = rank > 0 || may_arm_first;
                     let armed = report.armed == Some(version) || report.map == version;
-                    (sure && own_turn && !armed).then_some(Order::Arm { version, step })
-                }
-                Phase::Going { step, .. } => (rank == keeper).then_some(Order::Go { step }),
-                Phase::Barring { step } => {
-                    (rank > 0 && report.barred < step).then_some(Order::Bar { step })
+                    (hold_confirmed && may_arm && !armed).then_some(Order::Arm { version, step })
                 }
+                Phase::Releasing { step, .. } => (rank == holder).then_some(Order::Go { step }),
+                Phase::BlockingArming { step } => (rank > 0
+                    && report.arming_blocked_through < step)
+                    .then_some(Order::BlockArming { step }),
                 Phase::Finishing { version, step } => {
                     let armed = report.armed == Some(version) || report.map == version;
                     (!armed).then_some(Order::Finish { version, step })
                 }
             };
-            let again = match phase {
+            let retry_interval = match phase {
                 Phase::Preparing { .. } => PREPARE_RETRY_INTERVAL,
                 _ => ORDER_RETRY_INTERVAL,
             };
             let due = known
-                .sent
-                .is_none_or(|sent| now.saturating_sub(sent) >= again);
+                .last_order_at
+                .is_none_or(|sent| now.saturating_sub(sent) >= retry_interval);
             if let Some(order) = order
                 && due
             {
-                known.sent = Some(now);
-                orders.push(Send { rank, order });
+                known.last_order_at = Some(now);
+                orders.push(RankOrder { rank, order });
             }
         }
         orders
--- a/verbenaspool_coordination/src/switch/order.rs
+++ b/verbenaspool_coordination/src/switch/order.rs
@@ -18,10 +18,10 @@
     /// The pass that it holds.
     pub held: Option<u64>,
     /// Up to which pass its agent gives no order of a lead to arm.
-    pub barred: u64,
+    pub arming_blocked_through: u64,
     /// The last pass for which its agent has given, or may have given, an order
     /// to arm.
-    pub given: u64,
+    pub last_arm_step: u64,
 }
 
 /// An order to one rank.
@@ -50,7 +50,7 @@
         step: u64,
     },
     /// Give no order to arm for a pass up to this one: for the agent itself.
-    Bar {
+    BlockArming {
         /// The pass.
         step: u64,
     },
@@ -65,7 +65,7 @@
 
 /// An order and the rank that it goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Send {
+pub struct RankOrder {
     /// The rank.
     pub rank: usize,
     /// The order.
@@ -74,9 +74,9 @@
 
 /// How a change ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum SwitchOutcome {
     /// The group uses this version.
-    Done(u64),
+    Completed(u64),
     /// The change was given up before any rank was armed.
-    GivenUp(u64),
+    Abandoned(u64),
 }
--- a/verbenaspool_coordination/tests/switch/explore.rs
+++ b/verbenaspool_coordination/tests/switch/explore.rs
@@ -1,18 +1,18 @@
-//! Many runs with trouble of all kinds: no pass begins on two maps, and the
+//! Many runs with faults of all kinds: no pass begins on two maps, and the
 //! checker notices when a guard is missing.
 
 use proptest::test_runner::{RngAlgorithm, TestRng};
 
-use crate::world::{Broken, Trouble, World};
+use crate::world::{DisabledGuard, FaultRates, World};
 
-/// All kinds of trouble at once.
-const TROUBLE: Trouble = Trouble {
-    late: 200,
-    lost: 100,
-    freeze: 25,
-    freeze_any: 0,
-    kills: 20,
-    breaks: 4,
+/// All kinds of faults at once.
+const ALL_FAULTS: FaultRates = FaultRates {
+    delayed_orders: 200,
+    lost_messages: 100,
+    freezes_per_pass: 25,
+    freezes_per_tick: 0,
+    agent_kills: 20,
+    group_restarts: 4,
 };
 
 fn rng(seed: u64) -> TestRng {
@@ -24,30 +24,35 @@
 /// What came of many runs.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The first seed that failed, and why.
-    failed: Option<String>,
+    /// The first seed that failure, and why.
+    failure: Option<String>,
     /// Changes that came in use.
     changes: u64,
     /// The longest time that the group stood still, in milliseconds.
-    stood: u64,
+    longest_stall_ms: u64,
     /// Passes that had to wait for a frozen lead.
-    cut_short: usize,
+    passes_awaiting_lead: usize,
     /// Times that a lead froze.
     freezes: u64,
 }
 
 /// Runs seeds up to the first that fails.
-fn play(ranks: usize, seeds: std::ops::Range<u64>, trouble: Trouble, broken: Broken) -> Outcome {
+fn run_seeds(
+    ranks: usize,
+    seeds: std::ops::Range<u64>,
+    faults: FaultRates,
+    disabled_guard: DisabledGuard,
+) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
-        let mut world = World::new(ranks, trouble, broken, rng(seed));
+        let mut world = World::new(ranks, faults, disabled_guard, rng(seed));
         let run = world.run(40_000);
         outcome.changes += world.changes;
-        outcome.stood = outcome.stood.max(world.stood);
-        outcome.cut_short += world.cut_short.len();
+        outcome.longest_stall_ms = outcome.longest_stall_ms.max(world.longest_stall_ms);
+        outcome.passes_awaiting_lead += world.passes_awaiting_lead.len();
         outcome.freezes += world.freezes;
         if let Err(why) = run {
-            outcome.failed = Some(format!("seed {seed}: {why}"));
+            outcome.failure = Some(format!("seed {seed}: {why}"));
             break;
         }
     }
@@ -60,8 +65,8 @@
 #[test]
 fn no_pass_begins_on_two_maps() {
     for ranks in [2, 3, 8] {
-        let outcome = play(ranks, 0..120, TROUBLE, Broken::Nothing);
-        assert_eq!(outcome.failed, None, "{ranks} ranks");
+        let outcome = run_seeds(ranks, 0..120, ALL_FAULTS, DisabledGuard::None);
+        assert_eq!(outcome.failure, None, "{ranks} ranks");
         assert!(outcome.changes > 500, "{outcome:?}, {ranks} ranks");
     }
 }
@@ -70,13 +75,13 @@
 /// that nobody is armed for, while some ranks are, or before the order to go on.
 #[test]
 fn a_lead_may_freeze_at_any_moment() {
-    let trouble = Trouble {
-        freeze_any: 4,
-        ..TROUBLE
+    let faults = FaultRates {
+        freezes_per_tick: 4,
+        ..ALL_FAULTS
     };
     for ranks in [2, 8] {
-        let outcome = play(ranks, 0..80, trouble, Broken::Nothing);
-        assert_eq!(outcome.failed, None, "{ranks} ranks");
+        let outcome = run_seeds(ranks, 0..80, faults, DisabledGuard::None);
+        assert_eq!(outcome.failure, None, "{ranks} ranks");
         assert!(outcome.changes > 100, "{outcome:?}, {ranks} ranks");
     }
 }
@@ -86,20 +91,20 @@
 /// lets the pass begin while some ranks aren't armed yet.
 #[test]
 fn a_lead_that_wakes_doesnt_let_a_pass_begin() {
-    let outcome = play(8, 1607..1608, TROUBLE, Broken::Nothing);
-    assert_eq!(outcome.failed, None);
+    let outcome = run_seeds(8, 1607..1608, ALL_FAULTS, DisabledGuard::None);
+    assert_eq!(outcome.failure, None);
 }
 
 /// A checker that never fails proves nothing: with passes that begin though they
 /// are held, orders to arm that are lost must show as a pass on two maps.
 #[test]
 fn a_missing_hold_is_noticed() {
-    let trouble = Trouble {
-        lost: 400,
-        ..TROUBLE
+    let faults = FaultRates {
+        lost_messages: 400,
+        ..ALL_FAULTS
     };
-    let outcome = play(8, 0..40, trouble, Broken::Hold);
-    assert!(outcome.failed.is_some());
+    let outcome = run_seeds(8, 0..40, faults, DisabledGuard::Hold);
+    assert!(outcome.failure.is_some());
 }
 
 /// Callers of a group wait for as long as a held pass stands. A lead that freezes
@@ -107,22 +112,22 @@
 /// five seconds; another agent must let the pass begin well before that.
 #[test]
 fn a_frozen_lead_is_stood_in_for() {
-    let trouble = Trouble {
-        late: 0,
-        lost: 0,
-        freeze: 60,
-        freeze_any: 0,
-        kills: 0,
-        breaks: 0,
+    let faults = FaultRates {
+        delayed_orders: 0,
+        lost_messages: 0,
+        freezes_per_pass: 60,
+        freezes_per_tick: 0,
+        agent_kills: 0,
+        group_restarts: 0,
     };
-    let outcome = play(8, 0..60, trouble, Broken::Nothing);
-    assert_eq!(outcome.failed, None);
+    let outcome = run_seeds(8, 0..60, faults, DisabledGuard::None);
+    assert_eq!(outcome.failure, None);
     assert!(outcome.changes > 100, "{outcome:?}");
-    assert!(outcome.stood < 1_500, "{outcome:?}");
+    assert!(outcome.longest_stall_ms < 1_500, "{outcome:?}");
     // Passes that nobody but the lead can let begin are few: it has to freeze within
     // the milliseconds between the first rank that is armed and its own.
     assert!(
-        outcome.cut_short as u64 * 100 < outcome.freezes,
+        outcome.passes_awaiting_lead as u64 * 100 < outcome.freezes,
         "{outcome:?}"
     );
 }
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use verbenaspool_coordination::switch::{Ended, Order, Report, Send, Switch};
+use verbenaspool_coordination::switch::{Order, RankOrder, Report, Switch, SwitchOutcome};
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn tell(switch: &mut Switch, now: Duration, reports: &[Report]) {
+fn report_all(switch: &mut Switch, now: Duration, reports: &[Report]) {
     for (rank, report) in reports.iter().enumerate() {
         switch.report(now, rank, *report);
     }
@@ -24,7 +24,7 @@
         step: 7,
         ..Report::default()
     }; 3];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     assert!(switch.is_ready(ms(1_000)));
     switch.start(ms(1_000), 5, ms(150));
     let (orders, _) = switch.poll(ms(1_000));
@@ -37,36 +37,36 @@
     for report in &mut reports {
         report.prepared = Some(5);
     }
-    tell(&mut switch, ms(1_200), &reports);
-    let hold = Send {
+    report_all(&mut switch, ms(1_200), &reports);
+    let hold = RankOrder {
         rank: 1,
         order: Order::Hold { step: 9 },
     };
     assert_eq!(switch.poll(ms(1_200)).0, [hold]);
     reports[1].held = Some(9);
-    tell(&mut switch, ms(1_205), &reports);
+    report_all(&mut switch, ms(1_205), &reports);
     let arm = Order::Arm {
         version: 5,
         step: 9,
     };
-    let arms = [1, 2].map(|rank| Send { rank, order: arm });
+    let arms = [1, 2].map(|rank| RankOrder { rank, order: arm });
     assert_eq!(switch.poll(ms(1_205)).0, arms);
     assert_eq!(switch.poll(ms(1_209)).0, []);
     reports[2].armed = Some(5);
-    tell(&mut switch, ms(1_210), &reports);
+    report_all(&mut switch, ms(1_210), &reports);
     assert_eq!(
         switch.poll(ms(1_210)).0,
-        [Send {
+        [RankOrder {
             rank: 0,
             order: arm
         }]
     );
     reports[0].armed = Some(5);
-    tell(&mut switch, ms(1_215), &reports);
+    report_all(&mut switch, ms(1_215), &reports);
     assert_eq!(switch.poll(ms(1_215)).0, []);
     reports[1].armed = Some(5);
-    tell(&mut switch, ms(1_265), &reports);
-    let go = Send {
+    report_all(&mut switch, ms(1_265), &reports);
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 9 },
     };
@@ -79,8 +79,11 @@
             ..Report::default()
         };
     }
-    tell(&mut switch, ms(1_300), &reports);
-    assert_eq!(switch.poll(ms(1_300)), (Vec::new(), Some(Ended::Done(5))));
+    report_all(&mut switch, ms(1_300), &reports);
+    assert_eq!(
+        switch.poll(ms(1_300)),
+        (Vec::new(), Some(SwitchOutcome::Completed(5)))
+    );
 }
 
 /// The group breaks while a change is under way: ranks start over with the first
@@ -93,7 +96,7 @@
         step: 7,
         ..Report::default()
     }; 2];
-    tell(&mut switch, ms(0), &reports);
+    report_all(&mut switch, ms(0), &reports);
     switch.start(ms(0), 5, ms(150));
     switch.report(
         ms(10),
@@ -111,20 +114,20 @@
 }
 
 /// A pass that its dead lead left held, as a new lead finds it.
-fn found(reports: &mut [Report; 2]) -> Switch {
+fn switch_with_orphaned_hold(reports: &mut [Report; 2]) -> Switch {
     let mut switch = Switch::new(2);
     reports[1].held = Some(8);
     for now in [0, 100] {
-        tell(&mut switch, ms(now), reports);
+        report_all(&mut switch, ms(now), reports);
         assert_eq!(switch.poll(ms(now)).0, []);
     }
-    tell(&mut switch, ms(200), reports);
-    let bar = Send {
+    report_all(&mut switch, ms(200), reports);
+    let bar = RankOrder {
         rank: 1,
-        order: Order::Bar { step: 8 },
+        order: Order::BlockArming { step: 8 },
     };
     assert_eq!(switch.poll(ms(200)).0, [bar]);
-    reports[1].barred = 8;
+    reports[1].arming_blocked_through = 8;
     switch
 }
 
@@ -139,15 +142,15 @@
         ..Report::default()
     };
     let mut reports = [copied; 2];
-    reports[1].given = 8;
-    let mut switch = found(&mut reports);
-    tell(&mut switch, ms(260), &reports);
+    reports[1].last_arm_step = 8;
+    let mut switch = switch_with_orphaned_hold(&mut reports);
+    report_all(&mut switch, ms(260), &reports);
     switch.poll(ms(260));
     let finish = Order::Finish {
         version: 5,
         step: 8,
     };
-    let finishes = [0, 1].map(|rank| Send {
+    let finishes = [0, 1].map(|rank| RankOrder {
         rank,
         order: finish,
     });
@@ -155,8 +158,8 @@
     for report in &mut reports {
         report.armed = Some(5);
     }
-    tell(&mut switch, ms(320), &reports);
-    let go = Send {
+    report_all(&mut switch, ms(320), &reports);
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
@@ -174,9 +177,9 @@
         ..Report::default()
     };
     let mut reports = [copied; 2];
-    let mut switch = found(&mut reports);
+    let mut switch = switch_with_orphaned_hold(&mut reports);
     switch.report(ms(700), 1, reports[1]);
-    let go = Send {
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
@@ -192,14 +195,14 @@
         step: 7,
         prepared: Some(5),
         armed: Some(5),
-        given: 8,
+        last_arm_step: 8,
         ..Report::default()
     };
     let mut reports = [armed; 2];
-    let mut switch = found(&mut reports);
+    let mut switch = switch_with_orphaned_hold(&mut reports);
     switch.report(ms(700), 1, reports[1]);
     switch.poll(ms(700));
-    let go = Send {
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
@@ -217,13 +220,13 @@
         prepared: Some(5),
         ..Report::default()
     }; 2];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     switch.start(ms(1_000), 5, ms(150));
     switch.poll(ms(1_000));
-    tell(&mut switch, ms(1_500), &reports);
-    let bar = Send {
+    report_all(&mut switch, ms(1_500), &reports);
+    let bar = RankOrder {
         rank: 1,
-        order: Order::Bar { step: 9 },
+        order: Order::BlockArming { step: 9 },
     };
     assert_eq!(switch.poll(ms(1_500)), (vec![bar], None));
 }
@@ -240,17 +243,17 @@
             step: 7,
             ..Report::default()
         }; 2];
-        tell(&mut switch, ms(1_000 - pass), &reports);
+        report_all(&mut switch, ms(1_000 - pass), &reports);
         for report in &mut reports {
             report.step = 8;
         }
-        tell(&mut switch, ms(1_000), &reports);
+        report_all(&mut switch, ms(1_000), &reports);
         switch.start(ms(1_000), 5, ms(150));
         for report in &mut reports {
             report.prepared = Some(5);
         }
-        tell(&mut switch, ms(1_010), &reports);
-        let hold = Send {
+        report_all(&mut switch, ms(1_010), &reports);
+        let hold = RankOrder {
             rank: 1,
             order: Order::Hold { step: held },
         };
@@ -268,12 +271,12 @@
         step: 7,
         ..Report::default()
     }; 3];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     switch.start(ms(1_000), 5, ms(150));
     reports[0].prepared = Some(5);
     reports[2].prepared = Some(5);
-    tell(&mut switch, ms(4_000), &reports);
+    report_all(&mut switch, ms(4_000), &reports);
     let (_, ended) = switch.poll(ms(4_000));
-    assert_eq!(ended, Some(Ended::GivenUp(5)));
-    assert_eq!(switch.lacking(), [1]);
+    assert_eq!(ended, Some(SwitchOutcome::Abandoned(5)));
+    assert_eq!(switch.unprepared_ranks(), [1]);
 }
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/world.rs
@@ -7,44 +7,44 @@
 use verbenaspool_coordination::switch::{Order, Report, Switch};
 
 /// How long a pass takes.
-const PASS: u64 = 60;
+const PASS_MS: u64 = 60;
 /// How long a copy takes.
-const COPY: u64 = 150;
+const COPY_MS: u64 = 150;
 /// How often agents tell how their ranks stand.
-const TELL: u64 = 50;
+const REPORT_INTERVAL_MS: u64 = 50;
 /// After how long a lead counts as silent.
-const SILENT: u64 = 300;
+const LEAD_TIMEOUT_MS: u64 = 300;
 
 /// Which guard of the protocol is left out, to see that the checker minds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum DisabledGuard {
     /// None.
-    Nothing,
+    None,
     /// Passes begin though they are held.
     Hold,
 }
 
 /// How often things go wrong, in a thousand.
 #[derive(Debug, Clone, Copy)]
-pub struct Trouble {
+pub struct FaultRates {
     /// Orders without an answer that are carried out 2 to 12 s later.
-    pub late: u32,
+    pub delayed_orders: u32,
     /// Datagrams that are lost.
-    pub lost: u32,
+    pub lost_messages: u32,
     /// Chances a pass that the lead freezes, for up to five seconds.
-    pub freeze: u32,
+    pub freezes_per_pass: u32,
     /// Chances each 5 ms that the lead freezes, for up to five seconds: between any two
     /// orders, not only as a pass begins.
-    pub freeze_any: u32,
+    pub freezes_per_tick: u32,
     /// Chances a pass that an agent is killed and started again within a second.
-    pub kills: u32,
+    pub agent_kills: u32,
     /// Chances a pass that the group breaks and forms anew.
-    pub breaks: u32,
+    pub group_restarts: u32,
 }
 
 /// A rank as its engine has it.
 #[derive(Debug, Clone, Default)]
-struct Rank {
+struct EngineState {
     map: u64,
     prepared: Option<u64>,
     highest: u64,
@@ -55,21 +55,21 @@
 
 /// What the agent beside a rank remembers.
 #[derive(Debug, Clone, Copy, Default)]
-struct Memory {
+struct AgentState {
     /// Up to which pass it gives no order of a lead to arm.
-    barred: u64,
+    arming_blocked_through: u64,
     /// The last pass for which it gave, or may have given, an order to arm.
-    given: u64,
+    last_arm_step: u64,
     /// Until when its instance is frozen.
-    frozen: u64,
+    frozen_until: u64,
     /// Until when it isn't running.
-    dead: u64,
+    down_until: u64,
 }
 
 /// An order on its way.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
-    at: u64,
+struct PendingOrder {
+    due_at: u64,
     rank: usize,
     order: Order,
     epoch: u64,
@@ -88,31 +88,36 @@
     now: u64,
     epoch: u64,
     step: u64,
-    next: u64,
-    ranks: Vec<Rank>,
+    next_pass_at: u64,
+    ranks: Vec<EngineState>,
     agents: Vec<Agent>,
-    memories: Vec<Memory>,
-    flights: Vec<Flight>,
+    agent_states: Vec<AgentState>,
+    pending_orders: Vec<PendingOrder>,
     /// When each agent was last heard by the others.
-    heard: Vec<u64>,
-    begun: u64,
-    trouble: Trouble,
-    broken: Broken,
+    last_heard: Vec<u64>,
+    pass_began_at: u64,
+    faults: FaultRates,
+    disabled_guard: DisabledGuard,
     rng: TestRng,
     version: u64,
     /// Changes that came in use.
     pub changes: u64,
     /// The longest time that the group stood still, in milliseconds, but for the
     /// passes that were cut short.
-    pub stood: u64,
+    pub longest_stall_ms: u64,
     /// The passes, by epoch, that wait for the lead's frozen instance to wake.
-    pub cut_short: Vec<(u64, u64)>,
+    pub passes_awaiting_lead: Vec<(u64, u64)>,
     /// Times that the lead's instance froze.
     pub freezes: u64,
 }
 
 impl World {
-    pub fn new(ranks: usize, trouble: Trouble, broken: Broken, rng: TestRng) -> Self {
+    pub fn new(
+        ranks: usize,
+        faults: FaultRates,
+        disabled_guard: DisabledGuard,
+        rng: TestRng,
+    ) -> Self {
         let agent = |rank| Agent {
             rank,
             switch: Switch::new(ranks),
@@ -121,20 +126,20 @@
             now: 1_000,
             epoch: 1,
             step: 1,
-            next: 1_000,
-            ranks: vec![Rank::default(); ranks],
+            next_pass_at: 1_000,
+            ranks: vec![EngineState::default(); ranks],
             agents: (0..ranks.min(3)).map(agent).collect(),
-            memories: vec![Memory::default(); ranks],
-            flights: Vec::new(),
-            heard: vec![1_000; ranks],
-            begun: 1_000,
-            trouble,
-            broken,
+            agent_states: vec![AgentState::default(); ranks],
+            pending_orders: Vec::new(),
+            last_heard: vec![1_000; ranks],
+            pass_began_at: 1_000,
+            faults,
+            disabled_guard,
             rng,
             version: 0,
             changes: 0,
-            stood: 0,
-            cut_short: Vec::new(),
+            longest_stall_ms: 0,
+            passes_awaiting_lead: Vec::new(),
             freezes: 0,
         }
     }
@@ -143,8 +148,8 @@
         self.rng.next_u32() % 1_000 < thousandths
     }
 
-    fn up_to(&mut self, most: u64) -> u64 {
-        self.rng.next_u64() % most.max(1)
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound.max(1)
     }
 
     /// Lets the group run; an error tells which pass began on mixed maps.
@@ -152,14 +157,14 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 5;
-            if self.trouble.freeze_any > 0 && self.chance(self.trouble.freeze_any) {
+            if self.faults.freezes_per_tick > 0 && self.chance(self.faults.freezes_per_tick) {
                 self.freeze();
             }
             self.deliver();
-            self.copies();
-            self.pass()?;
-            self.tell();
-            self.lead();
+            self.finish_copies();
+            self.begin_pass()?;
+            self.broadcast_reports();
+            self.poll_agents();
         }
         Ok(())
     }
@@ -167,75 +172,79 @@
     /// Carries out the orders that arrive now.
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = self.flights.drain(..).partition(|flight| flight.at <= now);
-        self.flights = later;
-        let due: Vec<Flight> = due;
-        for mut flight in due {
-            if flight.epoch != self.epoch {
+        let (due, later) = self
+            .pending_orders
+            .drain(..)
+            .partition(|pending| pending.due_at <= now);
+        self.pending_orders = later;
+        let due: Vec<PendingOrder> = due;
+        for mut pending in due {
+            if pending.epoch != self.epoch {
                 continue;
             }
-            let memory = self.memories[flight.rank];
-            if memory.frozen > now {
+            let state = self.agent_states[pending.rank];
+            if state.frozen_until > now {
                 // A frozen instance takes what comes when it wakes.
-                flight.at = memory.frozen;
-                self.flights.push(flight);
-            } else if flight.at_engine {
-                self.carry_out(&flight);
+                pending.due_at = state.frozen_until;
+                self.pending_orders.push(pending);
+            } else if pending.at_engine {
+                self.apply_at_engine(&pending);
                 // Behind an order the agent says at once how its rank stands.
-                self.tell_of(flight.rank);
-            } else if memory.dead <= now {
-                self.obey(flight);
+                self.broadcast_report(pending.rank);
+            } else if state.down_until <= now {
+                self.handle_at_agent(pending);
             }
         }
     }
 
     /// An agent takes an order, and gives it to its rank.
-    fn obey(&mut self, flight: Flight) {
-        let memory = &mut self.memories[flight.rank];
-        match flight.order {
-            Order::Bar { step } => {
-                memory.barred = memory.barred.max(step);
-                self.tell_of(flight.rank);
+    fn handle_at_agent(&mut self, pending: PendingOrder) {
+        let state = &mut self.agent_states[pending.rank];
+        match pending.order {
+            Order::BlockArming { step } => {
+                state.arming_blocked_through = state.arming_blocked_through.max(step);
+                self.broadcast_report(pending.rank);
+            }
+            Order::Arm { step, .. } if pending.rank > 0 && step <= state.arming_blocked_through => {
             }
-            Order::Arm { step, .. } if flight.rank > 0 && step <= memory.barred => {}
             Order::Arm { step, .. } | Order::Finish { step, .. } => {
-                memory.given = memory.given.max(step);
-                self.give(flight);
+                state.last_arm_step = state.last_arm_step.max(step);
+                self.send_to_engine(pending);
             }
-            _ => self.give(flight),
+            _ => self.send_to_engine(pending),
         }
     }
 
     /// An order goes to the engine, which may carry it out seconds later; it is
     /// given again then until its effect shows.
-    fn give(&mut self, flight: Flight) {
+    fn send_to_engine(&mut self, pending: PendingOrder) {
         let mut at = self.now;
-        while self.chance(self.trouble.late) {
-            let late = at + 2_000 + self.up_to(10_000);
-            self.flights.push(Flight {
-                at: late,
+        while self.chance(self.faults.delayed_orders) {
+            let due_at = at + 2_000 + self.random_below(10_000);
+            self.pending_orders.push(PendingOrder {
+                due_at,
                 at_engine: true,
-                ..flight
+                ..pending
             });
             at += 15;
         }
-        self.flights.push(Flight {
-            at,
+        self.pending_orders.push(PendingOrder {
+            due_at: at,
             at_engine: true,
-            ..flight
+            ..pending
         });
     }
 
-    fn carry_out(&mut self, flight: &Flight) {
+    fn apply_at_engine(&mut self, pending: &PendingOrder) {
         let (now, step) = (self.now, self.step);
-        let rank = &mut self.ranks[flight.rank];
-        match flight.order {
+        let rank = &mut self.ranks[pending.rank];
+        match pending.order {
             Order::Prepare { version } => {
                 let busy = rank.armed.is_some() || rank.copying.is_some();
                 if version > rank.highest && !busy {
                     rank.highest = version;
                     rank.prepared = None;
-                    rank.copying = Some((version, now + COPY));
+                    rank.copying = Some((version, now + COPY_MS));
                 }
             }
             Order::Hold { step: at } => {
@@ -253,11 +262,11 @@
                     rank.held = None;
                 }
             }
-            Order::Bar { .. } => {}
+            Order::BlockArming { .. } => {}
         }
     }
 
-    fn copies(&mut self) {
+    fn finish_copies(&mut self) {
         for rank in &mut self.ranks {
             if let Some((version, at)) = rank.copying
                 && at <= self.now
@@ -269,25 +278,25 @@
     }
 
     /// Begins the next pass, if it may begin.
-    fn pass(&mut self) -> Result<(), String> {
-        if self.now < self.next {
+    fn begin_pass(&mut self) -> Result<(), String> {
+        if self.now < self.next_pass_at {
             return Ok(());
         }
         let next = self.step + 1;
         let held = self.ranks.iter().any(|rank| rank.held == Some(next));
-        if held && self.broken != Broken::Hold {
-            let stood = self.now - self.begun;
-            let known = self.cut_short.last() == Some(&(self.epoch, next));
-            if !known && self.is_cut_short() {
-                self.cut_short.push((self.epoch, next));
+        if held && self.disabled_guard != DisabledGuard::Hold {
+            let stalled_ms = self.now - self.pass_began_at;
+            let known = self.passes_awaiting_lead.last() == Some(&(self.epoch, next));
+            if !known && self.is_blocked_by_frozen_lead() {
+                self.passes_awaiting_lead.push((self.epoch, next));
             } else if !known {
-                self.stood = self.stood.max(stood);
+                self.longest_stall_ms = self.longest_stall_ms.max(stalled_ms);
             }
             return Ok(());
         }
         self.step = next;
-        self.begun = self.now;
-        self.next = self.now + PASS;
+        self.pass_began_at = self.now;
+        self.next_pass_at = self.now + PASS_MS;
         for rank in &mut self.ranks {
             if let Some((version, at)) = rank.armed
                 && at <= next
@@ -304,7 +313,7 @@
                 self.now
             ));
         }
-        self.misfortune();
+        self.inject_faults();
         Ok(())
     }
 
@@ -312,64 +321,64 @@
     /// was. Its engine answers nobody then, and nobody can know whether it is armed:
     /// with the new map or with the old one the pass might begin on two. So nothing
     /// but its waking helps; all that can be done is to make this moment short.
-    fn is_cut_short(&self) -> bool {
+    fn is_blocked_by_frozen_lead(&self) -> bool {
         let [first, others @ ..] = &self.ranks[..] else {
             return false;
         };
-        let frozen = self.memories[0].frozen > self.now;
+        let frozen = self.agent_states[0].frozen_until > self.now;
         frozen && first.armed.is_none() && others.iter().any(|rank| rank.armed.is_some())
     }
 
     /// Freezes the lead's instance.
     fn freeze(&mut self) {
-        self.memories[0].frozen = self.now + self.up_to(5_000);
+        self.agent_states[0].frozen_until = self.now + self.random_below(5_000);
         self.freezes += 1;
     }
 
     /// Freezes the lead, kills an agent or breaks the group, now and then.
-    fn misfortune(&mut self) {
-        if self.chance(self.trouble.freeze) {
+    fn inject_faults(&mut self) {
+        if self.chance(self.faults.freezes_per_pass) {
             self.freeze();
         }
-        if self.chance(self.trouble.kills) {
+        if self.chance(self.faults.agent_kills) {
             let ranks = self.ranks.len();
-            let rank = usize::try_from(self.up_to(ranks as u64)).expect("a rank");
-            let dead = self.now + 200 + self.up_to(800);
+            let rank = usize::try_from(self.random_below(ranks as u64)).expect("a rank");
+            let down_until = self.now + 200 + self.random_below(800);
             // The next process knows nothing of what this one did.
-            self.memories[rank] = Memory {
-                dead,
-                ..Memory::default()
+            self.agent_states[rank] = AgentState {
+                down_until,
+                ..AgentState::default()
             };
             if let Some(agent) = self.agents.get_mut(rank) {
                 agent.switch = Switch::new(ranks);
             }
         }
-        if self.chance(self.trouble.breaks) {
+        if self.chance(self.faults.group_restarts) {
             self.epoch += 1;
             let ranks = self.ranks.len();
-            self.ranks = vec![Rank::default(); ranks];
-            for memory in &mut self.memories {
-                (memory.barred, memory.given) = (0, 0);
+            self.ranks = vec![EngineState::default(); ranks];
+            for state in &mut self.agent_states {
+                (state.arming_blocked_through, state.last_arm_step) = (0, 0);
             }
         }
     }
 
     /// Whether the agent of a rank does anything now.
     fn is_up(&self, rank: usize) -> bool {
-        let memory = self.memories[rank];
-        memory.frozen <= self.now && memory.dead <= self.now
+        let state = self.agent_states[rank];
+        state.frozen_until <= self.now && state.down_until <= self.now
     }
 
-    /// A new process may have been preceded by one that gave any order, and barred
+    /// A new process may have been preceded by one that gave any order, and arming_blocked_through
     /// any pass.
-    fn inherit(&mut self, rank: usize) {
-        let memory = self.memories[rank];
-        if memory.dead > 0 && memory.dead <= self.now {
+    fn assume_worst_after_restart(&mut self, rank: usize) {
+        let state = self.agent_states[rank];
+        if state.down_until > 0 && state.down_until <= self.now {
             let ahead = self.step + 4;
-            self.memories[rank] = Memory {
-                barred: ahead,
-                given: ahead,
-                ..Memory::default()
+            self.agent_states[rank] = AgentState {
+                arming_blocked_through: ahead,
+                last_arm_step: ahead,
+                ..AgentState::default()
             };
         }
     }
@@ -384,29 +393,32 @@
             prepared: engine.prepared,
             armed: engine.armed.map(|(version, _)| version),
             held: engine.held,
-            barred: self.memories[rank].barred,
-            given: self.memories[rank].given,
+            arming_blocked_through: self.agent_states[rank].arming_blocked_through,
+            last_arm_step: self.agent_states[rank].last_arm_step,
         }
     }
 
     /// Agents tell each other how their ranks stand.
-    fn tell(&mut self) {
-        if !self.now.is_multiple_of(TELL) {
+    fn broadcast_reports(&mut self) {
+        if !self.now.is_multiple_of(REPORT_INTERVAL_MS) {
             return;
         }
         for rank in 0..self.ranks.len() {
-            self.inherit(rank);
-            self.tell_of(rank);
+            self.assume_worst_after_restart(rank);
+            self.broadcast_report(rank);
         }
     }
 
     /// An agent says how its rank stands.
-    fn tell_of(&mut self, rank: usize) {
-        if !self.is_up(rank) || self.memories[rank].dead > 0 || self.chance(self.trouble.lost) {
+    fn broadcast_report(&mut self, rank: usize) {
+        if !self.is_up(rank)
+            || self.agent_states[rank].down_until > 0
+            || self.chance(self.faults.lost_messages)
+        {
             return;
         }
         let now = Duration::from_millis(self.now);
-        self.heard[rank] = self.now;
+        self.last_heard[rank] = self.now;
         let report = self.report(rank);
         for number in 0..self.agents.len() {
             if self.is_up(number) {
@@ -416,53 +428,54 @@
     }
 
     /// The lead, and those that stand in for it, carry on.
-    fn lead(&mut self) {
+    fn poll_agents(&mut self) {
         let now = Duration::from_millis(self.now);
-        let stood = self.now.saturating_sub(self.begun);
+        let stalled_ms = self.now.saturating_sub(self.pass_began_at);
         for number in 0..self.agents.len() {
             if !self.is_up(number) {
                 continue;
             }
             if number > 0 {
-                let silent = self.now.saturating_sub(self.heard[0]) > SILENT;
-                let patience = SILENT + 250 * (number as u64 - 1);
-                if !silent || stood < patience {
+                let lead_silent = self.now.saturating_sub(self.last_heard[0]) > LEAD_TIMEOUT_MS;
+                let timeout = LEAD_TIMEOUT_MS + 250 * (number as u64 - 1);
+                if !lead_silent || stalled_ms < timeout {
                     continue;
                 }
             }
-            self.drive(number, now);
+            self.poll_agent(number, now);
         }
     }
 
-    fn drive(&mut self, number: usize, now: Duration) {
-        let before = self.agents[number].switch.is_idle();
-        if number == 0 && before && self.agents[0].switch.is_ready(now) && self.chance(20) {
-            self.version = self.version.max(self.agents[0].switch.highest()) + 1;
-            let (version, copy) = (self.version, Duration::from_millis(COPY));
+    fn poll_agent(&mut self, number: usize, now: Duration) {
+        let was_idle = self.agents[number].switch.is_idle();
+        if number == 0 && was_idle && self.agents[0].switch.is_ready(now) && self.chance(20) {
+            self.version = self.version.max(self.agents[0].switch.highest_version()) + 1;
+            let (version, copy) = (self.version, Duration::from_millis(COPY_MS));
             self.agents[0].switch.start(now, version, copy);
         }
         let epoch = self.agents[number].switch.epoch();
         let own = self.agents[number].rank;
         let (orders, ended) = self.agents[number].switch.poll(now);
-        if matches!(ended, Some(verbenaspool_coordination::switch::Ended::Done(v)) if v > 0) {
+        if matches!(ended, Some(verbenaspool_coordination::switch::SwitchOutcome::Completed(v)) if v > 0)
+        {
             self.changes += 1;
         }
         for send in orders {
-            let straight = matches!(send.order, Order::Hold { .. } | Order::Go { .. });
-            if send.rank != own && !straight && self.chance(self.trouble.lost) {
+            let bypasses_agent = matches!(send.order, Order::Hold { .. } | Order::Go { .. });
+            if send.rank != own && !bypasses_agent && self.chance(self.faults.lost_messages) {
                 continue;
             }
-            let flight = Flight {
-                at: self.now + 1 + self.up_to(8),
+            let pending = PendingOrder {
+                due_at: self.now + 1 + self.random_below(8),
                 rank: send.rank,
                 order: send.order,
                 epoch,
                 at_engine: false,
             };
-            if straight {
-                self.give(flight);
+            if bypasses_agent {
+                self.send_to_engine(pending);
             } else {
-                self.flights.push(flight);
+                self.pending_orders.push(pending);
             }
         }
     }
