--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -1,41 +1,42 @@
-//! Changing the map of experts that a group of engines uses, without a pass in
-//! which two ranks use different ones.
+//! Switches a group of engines to a new expert map such that no forward pass runs
+//! with different maps on different ranks.
 //!
-//! The engines switch by themselves: a rank that is armed for a pass uses the new
-//! map from that pass on. What can go wrong is that some ranks are armed and
-//! others aren't when the pass begins, because an order was lost, or was carried
-//! out seconds late. So the pass is held first:
+//! Each engine switches on its own: a rank armed for a pass uses the new map from
+//! that pass on. If an order is lost or executed seconds late, some ranks may be
+//! armed when the pass begins and others not. The protocol therefore holds the
+//! pass first:
 //!
-//! 1. Every rank copies the experts that are new to it ([`Order::Prepare`]), and
-//!    reports that it has them.
-//! 2. The pass is held at the lead's own rank ([`Order::Hold`]), and its report
-//!    shows that.
-//! 3. Every rank is armed ([`Order::Arm`]), and reports that it is.
-//! 4. The pass may begin ([`Order::Go`]).
+//! 1. Every rank copies the experts it lacks ([`Order::Prepare`]) and reports that
+//!    it has them.
+//! 2. One rank holds the pass ([`Order::Hold`]) and reports it.
+//! 3. Every rank is armed ([`Order::Arm`]) and reports it.
+//! 4. The pass is released ([`Order::Go`]).
 //!
-//! Nothing is armed before 3, so a change may be given up until then. From 3 on
-//! it only goes forward: an order without an answer may still be carried out, so
-//! a rank that was told to arm can never be known not to. The held pass can't
-//! begin meanwhile, whatever is late. Orders name the group's epoch, and passes
-//! and versions are used once, so that a late order fits nothing that came after.
+//! No rank is armed before step 3, so a change can be abandoned until then. From
+//! step 3 on it can only be completed: an unanswered order may still be executed,
+//! so a rank that was sent an arm order can never be assumed unarmed. The held pass
+//! can't begin in the meantime, however late an order is. Orders carry the group's
+//! epoch, and pass numbers and versions are never reused, so a late order matches
+//! nothing that follows.
 //!
-//! A lead may freeze, die or be cut off at any of these points, and a held pass
-//! would keep the group standing. So the pass is held at another rank than the
-//! lead's, which can still be reached then, and the lead arms its own rank only once
+//! The lead may freeze, crash or lose its network at any of these points, and a held
+//! pass stalls the whole group. The pass is therefore held at [`HOLDER_RANK`], which
+//! is still reachable then, and the lead arms its own rank, the first, only after
 //! another one is armed.
-//! Whoever finds a pass that is held without a change of its own, a new lead or an
-//! agent that stands in, first bars the pass at the agents of all ranks but the
-//! first ([`Order::BlockArming`]): from then on they give no order of the lead to arm for
-//! it, and say whether they have given any. What they say is final, so that two
-//! who do this at once come to the same end:
 //!
-//! - None has given one: no rank is armed, the first included, nor can be. The
-//!   pass begins with the old map.
-//! - Some have: an order without an answer may still come. All ranks are armed
-//!   ([`Order::Finish`]), and the pass begins with the new map. Where the first
-//!   rank can't be reached, that waits.
+//! A new lead, or an agent that stands in for the lead, may find a pass held that
+//! doesn't belong to a change of its own. It first blocks arming at the agents of all
+//! ranks but the first ([`Order::BlockArming`]): from then on they reject the lead's
+//! arm orders for that pass, and report whether they have already passed one on. These
+//! answers are final, so two agents that do this concurrently reach the same decision:
 //!
-//! The machine does no I/O: it takes reports and the time, and returns orders.
+//! - No agent has passed one on: no rank is armed, the first included, and none can
+//!   be. The pass begins with the old map.
+//! - Some agent has: an unanswered order may still take effect. All ranks are armed
+//!   ([`Order::Finish`]) and the pass begins with the new map. This waits while the
+//!   first rank is unreachable.
+//!
+//! The state machine does no I/O: it takes reports and the time, and returns orders.
 
 mod order;
 
@@ -43,83 +44,83 @@
 
 pub use self::order::{Order, RankOrder, Report, SwitchOutcome};
 
-/// How many passes ahead of the newest report a pass is held. The pass after the
-/// next leaves one whole pass, some 60 ms, for the orders to arrive. With the next
-/// one groups of 32 ranks waited 16 ms for each change and some 50 ms at worst, so
-/// that streams of all ranks had a pause out of time: 0.913 of the worth of a calm
-/// day was earned then, 0.995 with this.
+/// Number of passes between the latest reported one and the one to hold. Two leave
+/// one whole pass, some 60 ms, for the orders to arrive. With one, groups of 32 ranks
+/// waited 16 ms for each change and some 50 ms at worst, which paused the streams of
+/// all ranks: a group earned 0.913 of the value of an undisturbed day, against 0.995
+/// with two.
 const HOLD_AHEAD_PASSES: u64 = 2;
 
-/// The same where passes are long: orders arrive within a third of one, and a change
-/// that relieves a slow rank would wait a whole pass more for nothing.
+/// As [`HOLD_AHEAD_PASSES`], for long passes: orders arrive within a third of one, and
+/// a second pass would only delay a change that relieves a slow rank.
 const HOLD_AHEAD_LONG_PASSES: u64 = 1;
 
-/// How long passes have to be for that. Orders take some 45 ms.
+/// Duration from which a pass counts as long. Orders take some 45 ms to arrive.
 const LONG_PASS_DURATION: Duration = Duration::from_millis(150);
 
-/// The rank that holds passes, where there is more than one: not the lead's own.
+/// Rank at which passes are held. Not the lead's own, unless the group has only one.
 pub const HOLDER_RANK: u16 = 1;
 
-/// After how long an order is sent again whose effect no report shows. Answers
-/// come within milliseconds, reports with them, and a pass may be held meanwhile.
+/// Time after which an order is resent if no report shows its effect. Answers and
+/// reports arrive within milliseconds, and a pass may be held in the meantime.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// After how long a rank is told again to copy. Copying one expert takes 0.15 s,
-/// and the order carries the whole map.
+/// Time after which a prepare order is resent. Copying one expert takes 0.15 s, and
+/// the order carries the whole map.
 const PREPARE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a rank may take to copy, beyond the time that the copy itself takes.
+/// Time allowed for preparing a map in addition to twice the expected copy time.
 const PREPARE_SLACK: Duration = Duration::from_millis(2_500);
 
-/// How old a report may be that a held pass is judged by.
+/// Age above which a report is no longer used for decisions.
 const STALE_REPORT_AGE: Duration = Duration::from_millis(400);
 
-/// How long the holder has to show that it holds a pass. Without that the change
-/// is given up, or the group would wait for a holder that is out of reach.
+/// Time within which the holder must report that it holds the pass. Without a limit the
+/// change would wait for a holder that is unreachable.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How old the word may be that a pass is held when ranks are told to arm for
-/// it. A lead that was frozen must not act on what it knew before: another
-/// agent stands in after [`STALE_REPORT_AGE`] at the soonest.
+/// Age above which the holder's report no longer confirms that a pass is held. A lead
+/// that was frozen must not act on what it knew before: another agent may have stood in
+/// for it, which happens after [`STALE_REPORT_AGE`] at the earliest.
 const CONFIRMED_REPORT_AGE: Duration = Duration::from_millis(100);
 
-/// How long a pass must have been held before a deputy or a lead that doesn't
-/// know why looks into it: a change that goes well holds none.
+/// Time after which a held pass without a change under way counts as orphaned and is
+/// resolved. A change that proceeds normally delays no pass.
 const MAX_HOLD_TIME: Duration = Duration::from_millis(150);
 
-/// Where a change stands.
+/// Phase of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// No change.
+    /// No change is under way.
     Idle,
-    /// Ranks copy.
+    /// Ranks copy experts.
     Preparing { version: u64, until: Duration },
-    /// The pass is to be held.
+    /// Waits for the holder to hold the pass.
     Holding {
         version: u64,
         step: u64,
         until: Duration,
     },
-    /// Ranks are to be armed.
+    /// Waits for all ranks to be armed.
     Arming { version: u64, step: u64 },
-    /// The pass is to begin.
+    /// Waits for the holder to release the pass.
     Releasing { version: u64, step: u64 },
-    /// No order of a lead to arm is to be given any more.
+    /// Waits for the agents to block arming for an orphaned held pass.
     BlockingArming { step: u64 },
-    /// All ranks are to be armed, whoever began that.
+    /// Arms all ranks to complete a change that another lead began.
     Finishing { version: u64, step: u64 },
 }
 
-/// One rank as the machine knows it.
+/// A rank as known from its reports.
 #[derive(Debug, Clone, Copy, Default)]
 struct RankState {
     report: Option<(Report, Duration)>,
-    /// When it was last sent an order.
+    /// When the last order of the current phase was sent to it.
     last_order_at: Option<Duration>,
 }
 
 impl RankState {
-    /// Whether a report that was made in time says so.
+    /// Whether the last report is recent and satisfies the predicate.
     fn matches_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
         let fresh = self
             .report
@@ -128,24 +129,25 @@
     }
 }
 
-/// The changes of one group's map, as its lead or a deputy makes them.
+/// State machine that changes the map of one group, run by its lead or by an agent that
+/// stands in for it.
 #[derive(Debug)]
 pub struct Switch {
     epoch: u64,
     ranks: Vec<RankState>,
     phase: Phase,
-    /// Since when the keeper's report shows a held pass that isn't ours.
+    /// A held pass that belongs to no change of this machine, and when it was first seen.
     orphaned_hold: Option<(u64, Duration)>,
-    /// The newest pass that was reported, when that was, and how long passes took
-    /// until then.
+    /// The latest reported pass and when it was reported.
     latest_pass: (u64, Duration),
+    /// Duration of a pass, averaged over those since the previous report.
     pass_duration: Duration,
-    /// The ranks for which the last change that was given up had waited.
+    /// Ranks that hadn't prepared the map when the last change was abandoned.
     unprepared_ranks: Vec<usize>,
 }
 
 impl Switch {
-    /// A machine for a group of so many ranks that knows nothing yet.
+    /// Creates the state machine for a group with the given number of ranks.
     ///
     /// ```
     /// use std::time::Duration;
@@ -173,8 +175,8 @@
         }
     }
 
-    /// The ranks that had not copied, or not said so lately, when the last change was
-    /// given up.
+    /// Ranks that hadn't prepared the map, or had sent no recent report of it, when the
+    /// last change was abandoned.
     #[must_use]
     pub fn unprepared_ranks(&self) -> &[usize] {
         &self.unprepared_ranks
@@ -186,17 +188,17 @@
         self.phase == Phase::Idle
     }
 
-    /// The group's epoch, as far as known.
+    /// The highest epoch of the group reported so far.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Takes a rank's report in.
+    /// Processes a report of a rank.
     pub fn report(&mut self, now: Duration, rank: usize, report: Report) {
         if report.epoch > self.epoch {
-            // The group formed anew: with the first map, and with nothing
-            // prepared, armed or held. All that was known is void.
+            // The group has re-formed with the initial map, and with nothing
+            // prepared, armed or held. Earlier state no longer applies.
             let ranks = self.ranks.len();
             *self = Self {
                 epoch: report.epoch,
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Takes the time of passes.
+    /// Updates the duration of a pass.
     fn measure_pass(&mut self, now: Duration, step: u64) {
         let (latest, at) = self.latest_pass;
         if step > latest {
@@ -224,7 +226,7 @@
         }
     }
 
-    /// The pass to hold: soon, but late enough for the orders to arrive.
+    /// The pass to hold: the earliest for which the orders still arrive in time.
     fn pass_to_hold(&self) -> u64 {
         let ahead = if self.pass_duration >= LONG_PASS_DURATION {
             HOLD_AHEAD_LONG_PASSES
@@ -234,7 +236,8 @@
         self.latest_step() + ahead
     }
 
-    /// Whether all ranks use one map and nothing stands in the way of a change.
+    /// Whether a change can start: all ranks report recently, use the same map and are
+    /// neither armed nor holding a pass.
     #[must_use]
     pub fn is_ready(&self, now: Duration) -> bool {
         let fresh = |rank: &RankState| match rank.report {
@@ -250,7 +253,7 @@
         self.is_idle() && self.ranks.iter().all(|rank| fresh(rank) && same(rank))
     }
 
-    /// The version that the first rank uses, as far as its reports tell.
+    /// The map version in use at the first rank, according to its last report.
     ///
     /// ```
     /// use std::time::Duration;
@@ -268,7 +271,8 @@
         first.map(|(report, _)| report.map)
     }
 
-    /// The highest version that any rank has had, as far as reports tell.
+    /// The highest version that any rank uses, has prepared or is armed for, according to
+    /// the last reports.
     #[must_use]
     pub fn highest_version(&self) -> u64 {
         let versions = |(report, _): (Report, Duration)| {
@@ -279,8 +283,8 @@
         highest.max().unwrap_or(0)
     }
 
-    /// Begins a change to a version that no rank has had, whose copies take so
-    /// long at the rank that has most.
+    /// Starts a change to a version that no rank has had yet. `copy_duration` is the
+    /// expected copy time at the rank with the most experts to copy.
     pub fn start(&mut self, now: Duration, version: u64, copy_duration: Duration) {
         self.enter_phase(Phase::Preparing {
             version,
@@ -288,7 +292,7 @@
         });
     }
 
-    /// Goes on to a phase; its orders are sent at once.
+    /// Enters a phase. Its orders are due immediately.
     fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
         for rank in &mut self.ranks {
@@ -296,41 +300,41 @@
         }
     }
 
-    /// Whether a report of every rank that was made in time says so.
+    /// Whether every rank has a recent report that satisfies the predicate.
     fn all_match_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
         self.ranks
             .iter()
             .all(|rank| rank.matches_recently(now, &predicate))
     }
 
-    /// Whether a rank said so at any time in this epoch.
+    /// Whether the last report of a rank in this epoch, however old, satisfies the predicate.
     fn last_report_matches(&self, rank: usize, predicate: impl Fn(&Report) -> bool) -> bool {
         let report = self.ranks.get(rank).and_then(|rank| rank.report);
         report.is_some_and(|(report, _)| predicate(&report))
     }
 
-    /// Whether all ranks are armed for a version, or use it.
+    /// Whether all ranks are armed for a version or use it.
     ///
-    /// An armed rank stays so until the pass begins, so a word that it is holds
-    /// however old it is: a lead that froze behind arming its own rank, and had said
-    /// so, is not waited for.
+    /// An armed rank stays armed until the pass begins, so a report of it is valid at any
+    /// age. A lead that froze after it armed its own rank and reported that isn't waited
+    /// for.
     fn is_armed(&self, version: u64) -> bool {
         let armed = |report: &Report| report.armed == Some(version) || report.map == version;
         (0..self.ranks.len()).all(|rank| self.last_report_matches(rank, armed))
     }
 
-    /// The newest pass that any rank has begun.
+    /// The latest pass that any rank has begun.
     fn latest_step(&self) -> u64 {
         let steps = self.ranks.iter().filter_map(|rank| rank.report);
         steps.map(|(report, _)| report.step).max().unwrap_or(0)
     }
 
-    /// The rank that holds passes.
+    /// The rank at which passes are held.
     fn holder_rank(&self) -> usize {
         usize::from(HOLDER_RANK).min(self.ranks.len().saturating_sub(1))
     }
 
-    /// What the holder holds, as far as it said lately.
+    /// The pass that the holder recently reported as held.
     fn held_step(&self, now: Duration) -> Option<u64> {
         let (report, at) = self.ranks.get(self.holder_rank())?.report?;
         report
@@ -338,7 +342,7 @@
             .filter(|_| now.saturating_sub(at) <= CONFIRMED_REPORT_AGE)
     }
 
-    /// Whether the keeper said lately that it doesn't hold a pass.
+    /// Whether the holder recently reported that it doesn't hold the pass.
     fn is_released(&self, now: Duration, step: u64) -> bool {
         let holder = self
             .ranks
@@ -349,7 +353,7 @@
         })
     }
 
-    /// Whether the pass has begun at a rank without the map of this version.
+    /// Whether the pass has begun at some rank with another map than this version.
     fn began_on_other_map(&self, now: Duration, version: u64, step: u64) -> bool {
         self.ranks
             .iter()
@@ -361,13 +365,13 @@
             })
     }
 
-    /// The orders to send now, and how the change ended, if it did.
+    /// Returns the orders to send now, and the outcome if the change has ended.
     pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<SwitchOutcome>) {
         let ended = self.advance(now);
         (self.orders(now), ended)
     }
 
-    /// Goes from phase to phase as far as reports allow.
+    /// Moves on to the next phase if the reports allow it.
     fn advance(&mut self, now: Duration) -> Option<SwitchOutcome> {
         match self.phase {
             Phase::Idle => {
@@ -401,7 +405,8 @@
                 if self.held_step(now) == Some(step) {
                     self.enter_phase(Phase::Arming { version, step });
                 } else if self.latest_step() >= step {
-                    // The pass began before it was held; nothing is armed yet.
+                    // The pass began before it was held. No rank is armed yet, so a
+                    // later pass can be held instead.
                     let step = self.pass_to_hold();
                     self.enter_phase(Phase::Holding {
                         version,
@@ -409,9 +414,9 @@
                         until,
                     });
                 } else if now >= until {
-                    // A lead that froze meanwhile may have been stood in for: the pass
-                    // may be held still, and some ranks armed for it. So what is given
-                    // up here ends like what is found.
+                    // If this lead was frozen, another agent may have stood in: the pass
+                    // may still be held and some ranks armed for it. It is therefore
+                    // resolved like an orphaned pass.
                     self.enter_phase(Phase::BlockingArming { step });
                 }
                 None
@@ -420,7 +425,7 @@
                 if self.is_armed(version) {
                     self.enter_phase(Phase::Releasing { version, step });
                 } else if self.began_on_other_map(now, version, step) {
-                    // Another agent stood in and let the pass begin.
+                    // Another agent stood in and released the pass.
                     self.enter_phase(Phase::Idle);
                     return Some(SwitchOutcome::Abandoned(version));
                 } else if self.is_arming_blocked(step) {
@@ -461,7 +466,7 @@
         }
     }
 
-    /// Whether some agent gives no order of a lead to arm for a pass any more.
+    /// Whether some agent rejects arm orders for the pass.
     fn is_arming_blocked(&self, step: u64) -> bool {
         let blocked = |rank: &RankState| {
             rank.report
@@ -470,14 +475,14 @@
         self.ranks.iter().skip(1).any(blocked)
     }
 
-    /// Whether a report in time of every rank but the first says so.
+    /// Whether every rank but the first has a recent report that satisfies the predicate.
     fn others_match_recently(&self, now: Duration, predicate: impl Fn(&Report) -> bool) -> bool {
         let mut others = self.ranks.iter().skip(1);
         others.all(|rank| rank.matches_recently(now, &predicate))
     }
 
-    /// Decides how a held pass begins that is barred at all agents but the
-    /// first rank's; nothing, where the first rank has to be waited for.
+    /// Decides with which map a held pass begins once all agents but the first rank's
+    /// block arming for it. Does nothing while the first rank has to be waited for.
     fn resolve_hold(&mut self, now: Duration, step: u64) {
         let version = self.highest_version();
         let copied = |report: &Report| {
@@ -485,20 +490,20 @@
         };
         let not_armed = |report: &Report| report.last_arm_step < step && report.armed.is_none();
         if self.others_match_recently(now, not_armed) {
-            // The lead arms its own rank behind another one, so it isn't armed either.
+            // The lead arms its own rank after another one, so it isn't armed either.
             self.enter_phase(Phase::Releasing { version: 0, step });
         } else if self.others_match_recently(now, copied) && self.last_report_matches(0, copied) {
             self.enter_phase(Phase::Finishing { version, step });
         } else if self.all_match_recently(now, |report| report.armed.is_none()) {
-            // Ranks are armed only once all have copied. Some haven't, so what is
-            // held is left from an earlier change, whose map nobody can take any
+            // Ranks are armed only once all have prepared the map. Some haven't, so the
+            // held pass is left from an earlier change, whose map can't be applied any
             // more.
             self.enter_phase(Phase::Releasing { version: 0, step });
         }
     }
 
-    /// Looks into a pass that is held though no change is under way: its lead
-    /// died, or the order to hold was carried out late.
+    /// Starts to resolve a pass that stays held although no change is under way, because
+    /// its lead crashed or the hold order was executed late.
     fn detect_orphaned_hold(&mut self, now: Duration) {
         let Some(step) = self.held_step(now) else {
             if self
@@ -524,23 +529,24 @@
         self.enter_phase(Phase::BlockingArming { step });
     }
 
-    /// Whether the lead may arm its own rank: once another one is armed.
+    /// Whether the lead may arm its own rank, which requires that another one is armed.
     ///
-    /// Who stands in for a lead learns from the other agents whether any was told to
-    /// arm, and takes the first rank for untouched if none was. The sooner it follows
-    /// the others, the shorter the moment in which a lead that freezes leaves its own
-    /// rank behind, which nobody can arm then.
+    /// An agent that stands in for the lead asks the other agents whether they received an
+    /// arm order, and takes the first rank for unarmed if none did. The first rank doesn't
+    /// wait for all others: if the lead freezes after another rank is armed and before its
+    /// own is, nobody else can arm it, so this window is kept short.
     fn may_arm_first_rank(&self, version: u64) -> bool {
         let armed = |report: &Report| report.armed == Some(version) || report.map == version;
         let mut others = 1..self.ranks.len();
         others.is_empty() || others.any(|rank| self.last_report_matches(rank, armed))
     }
 
-    /// The orders of the phase to those ranks that don't show their effect.
+    /// Returns the orders of the current phase that are due, for the ranks whose reports
+    /// don't show their effect yet.
     fn orders(&mut self, now: Duration) -> Vec<RankOrder> {
         let phase = self.phase;
         let holder = self.holder_rank();
-        // Arming is only for a pass that is known to be held.
+        // Ranks are armed only while the pass is confirmed to be held.
         let hold_confirmed = match phase {
             Phase::Arming { step, .. } => self.held_step(now) == Some(step),
             _ => false,
--- a/verbenaspool_coordination/src/switch/order.rs
+++ b/verbenaspool_coordination/src/switch/order.rs
@@ -1,60 +1,60 @@
-//! What ranks and the machine that changes their map tell each other.
+//! Messages between the map switch and the ranks.
 
 use serde::{Deserialize, Serialize};
 
-/// What a rank says of itself.
+/// State of a rank and of the agent beside it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The group's epoch.
     pub epoch: u64,
-    /// The last pass that was begun.
+    /// The last pass that has begun.
     pub step: u64,
     /// The version of the map in use.
     pub map: u64,
-    /// The version that is copied whole.
+    /// The version whose experts are all copied.
     pub prepared: Option<u64>,
-    /// The version that it is armed for.
+    /// The version that the rank is armed for.
     pub armed: Option<u64>,
-    /// The pass that it holds.
+    /// The pass that the rank holds.
     pub held: Option<u64>,
-    /// Up to which pass its agent gives no order of a lead to arm.
+    /// The last pass for which the agent rejects arm orders of the lead.
     pub arming_blocked_through: u64,
-    /// The last pass for which its agent has given, or may have given, an order
-    /// to arm.
+    /// The last pass for which the agent has passed on an arm order, or may have done so
+    /// before it restarted.
     pub last_arm_step: u64,
 }
 
 /// An order to one rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Copy what is new in the map of this version.
+    /// Copies the experts of this map version that the rank lacks.
     Prepare {
         /// The map's version.
         version: u64,
     },
-    /// Hold this pass.
+    /// Holds this pass.
     Hold {
         /// The pass.
         step: u64,
     },
-    /// Use the map of this version from this pass on.
+    /// Uses the map of this version from this pass on.
     Arm {
         /// The map's version.
         version: u64,
         /// The pass.
         step: u64,
     },
-    /// Let this pass begin.
+    /// Releases this pass.
     Go {
         /// The pass.
         step: u64,
     },
-    /// Give no order to arm for a pass up to this one: for the agent itself.
+    /// Rejects arm orders for passes up to this one. Handled by the agent itself.
     BlockArming {
         /// The pass.
         step: u64,
     },
-    /// Use the map of this version from this pass on, though it is barred.
+    /// Uses the map of this version from this pass on, even if arming is blocked.
     Finish {
         /// The map's version.
         version: u64,
@@ -63,7 +63,7 @@
     },
 }
 
-/// An order and the rank that it goes to.
+/// An order and the rank it is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RankOrder {
     /// The rank.
@@ -72,11 +72,12 @@
     pub order: Order,
 }
 
-/// How a change ended.
+/// Outcome of a change. The version is 0 if a held pass was released with the old map
+/// because no rank was armed for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SwitchOutcome {
     /// The group uses this version.
     Completed(u64),
-    /// The change was given up before any rank was armed.
+    /// The group doesn't switch to this version.
     Abandoned(u64),
 }
--- a/verbenaspool_coordination/tests/switch/explore.rs
+++ b/verbenaspool_coordination/tests/switch/explore.rs
@@ -1,5 +1,5 @@
-//! Many runs with faults of all kinds: no pass begins on two maps, and the
-//! checker notices when a guard is missing.
+//! Randomized runs with all kinds of faults: no pass begins with two maps, and the
+//! checker fails if a guard of the protocol is disabled.
 
 use proptest::test_runner::{RngAlgorithm, TestRng};
 
@@ -21,22 +21,22 @@
     TestRng::from_seed(RngAlgorithm::ChaCha, &bytes)
 }
 
-/// What came of many runs.
+/// Combined result of many runs.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The first seed that failure, and why.
+    /// The first seed that failed and its error.
     failure: Option<String>,
-    /// Changes that came in use.
+    /// Completed changes.
     changes: u64,
-    /// The longest time that the group stood still, in milliseconds.
+    /// The longest stall of the group in milliseconds.
     longest_stall_ms: u64,
-    /// Passes that had to wait for a frozen lead.
+    /// Number of passes that had to wait for a frozen lead.
     passes_awaiting_lead: usize,
-    /// Times that a lead froze.
+    /// Number of times that a lead froze.
     freezes: u64,
 }
 
-/// Runs seeds up to the first that fails.
+/// Runs the seeds up to the first that fails.
 fn run_seeds(
     ranks: usize,
     seeds: std::ops::Range<u64>,
@@ -59,9 +59,9 @@
     outcome
 }
 
-/// Streams of a group break when its ranks run a pass on different maps. Orders
-/// are lost and come late, the lead freezes between any two of them and wakes
-/// later, others stand in, and the group breaks in the middle of a change.
+/// Guards against a pass that runs with different maps on different ranks, which breaks
+/// the group's streams. Orders are lost or delayed, the lead freezes and resumes, other
+/// agents stand in, and the group re-forms in the middle of a change.
 #[test]
 fn no_pass_begins_on_two_maps() {
     for ranks in [2, 3, 8] {
@@ -71,8 +71,8 @@
     }
 }
 
-/// Leads freeze between any two orders, not only as a pass begins: with a pass held
-/// that nobody is armed for, while some ranks are, or before the order to go on.
+/// The lead freezes between any two orders, not only as a pass begins: while a pass is
+/// held and no rank is armed, while some ranks are armed, or before the release.
 #[test]
 fn a_lead_may_freeze_at_any_moment() {
     let faults = FaultRates {
@@ -86,17 +86,17 @@
     }
 }
 
-/// A lead freezes behind its order to hold a pass, and another agent stands in and
-/// arms the ranks. The lead wakes, finds that it has waited too long for the hold, and
-/// lets the pass begin while some ranks aren't armed yet.
+/// Guards against a resumed lead that releases a pass while some ranks aren't armed. It
+/// freezes after its hold order, another agent stands in and arms the ranks, and the lead
+/// then finds that its hold has timed out.
 #[test]
 fn a_lead_that_wakes_doesnt_let_a_pass_begin() {
     let outcome = run_seeds(8, 1607..1608, ALL_FAULTS, DisabledGuard::None);
     assert_eq!(outcome.failure, None);
 }
 
-/// A checker that never fails proves nothing: with passes that begin though they
-/// are held, orders to arm that are lost must show as a pass on two maps.
+/// Checks the checker: if passes begin although they are held, lost arm orders must show
+/// as a pass with two maps.
 #[test]
 fn a_missing_hold_is_noticed() {
     let faults = FaultRates {
@@ -107,9 +107,9 @@
     assert!(outcome.failure.is_some());
 }
 
-/// Callers of a group wait for as long as a held pass stands. A lead that freezes
-/// right behind its order to hold would keep them waiting until it wakes, up to
-/// five seconds; another agent must let the pass begin well before that.
+/// Guards against a held pass that stalls the group's callers for up to five seconds
+/// because the lead froze right after its hold order. Another agent must resolve the pass
+/// well before the lead resumes.
 #[test]
 fn a_frozen_lead_is_stood_in_for() {
     let faults = FaultRates {
@@ -124,8 +124,8 @@
     assert_eq!(outcome.failure, None);
     assert!(outcome.changes > 100, "{outcome:?}");
     assert!(outcome.longest_stall_ms < 1_500, "{outcome:?}");
-    // Passes that nobody but the lead can let begin are few: it has to freeze within
-    // the milliseconds between the first rank that is armed and its own.
+    // Passes that only the lead can resolve are rare: it has to freeze in the few
+    // milliseconds between the arming of the first other rank and of its own.
     assert!(
         outcome.passes_awaiting_lead as u64 * 100 < outcome.freezes,
         "{outcome:?}"
--- a/verbenaspool_coordination/tests/switch/main.rs
+++ b/verbenaspool_coordination/tests/switch/main.rs
@@ -1,5 +1,5 @@
-//! The switch of maps, explored with lost, late and doubled orders, leads that
-//! freeze and wake, and others that stand in.
+//! Tests of the expert map switch under lost, delayed and duplicated orders, with leads
+//! that freeze and resume and agents that stand in for them.
 
 mod explore;
 mod steps;
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -1,4 +1,4 @@
-//! Single steps of the switch.
+//! Tests of single steps of the expert map switch.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
     }
 }
 
-/// A change goes from copy to use in four rounds of orders. The lead's own rank is
-/// armed behind another one, and the pass begins behind all of them.
+/// A change takes four rounds of orders. The lead's own rank is armed after another one,
+/// and the pass is released after all ranks are armed.
 #[test]
 fn a_change_holds_before_it_arms() {
     let mut switch = Switch::new(3);
@@ -86,8 +86,8 @@
     );
 }
 
-/// The group breaks while a change is under way: ranks start over with the first
-/// map, and an order for the old epoch must not be given any more.
+/// The group re-forms during a change: the ranks start over with the initial map, and no
+/// order of the old epoch may be sent any more.
 #[test]
 fn a_new_epoch_ends_a_change() {
     let mut switch = Switch::new(2);
@@ -113,7 +113,7 @@
     assert!(!switch.is_ready(ms(11)));
 }
 
-/// A pass that its dead lead left held, as a new lead finds it.
+/// A new lead that has found a pass held by a crashed lead and blocks arming for it.
 fn switch_with_orphaned_hold(reports: &mut [Report; 2]) -> Switch {
     let mut switch = Switch::new(2);
     reports[1].held = Some(8);
@@ -131,8 +131,8 @@
     switch
 }
 
-/// A lead dies while it arms, and its successor finds a held pass that it knows
-/// nothing of. An order to arm was given: it goes forward.
+/// The lead crashes while it arms the ranks. Its successor finds a held pass for which an
+/// arm order was passed on, so it completes the change.
 #[test]
 fn a_held_pass_of_a_dead_lead_is_finished() {
     let copied = Report {
@@ -166,8 +166,8 @@
     assert_eq!(switch.poll(ms(320)).0, [go]);
 }
 
-/// The lead died before any order to arm: the pass begins with the old map, though
-/// the lead's own rank is out of reach.
+/// The lead crashed before any arm order: the pass begins with the old map, although the
+/// lead's own rank is unreachable.
 #[test]
 fn a_held_pass_that_nobody_is_armed_for_begins() {
     let copied = Report {
@@ -186,8 +186,8 @@
     assert_eq!(switch.poll(ms(700)).0, [go]);
 }
 
-/// A lead freezes right behind arming its own rank, which it has told the others.
-/// Who stands in needn't wait for it to wake: its rank stays armed until the pass.
+/// The lead freezes right after it armed its own rank and reported that. An agent that
+/// stands in doesn't wait for it to resume, since the rank stays armed until the pass.
 #[test]
 fn a_frozen_lead_that_said_it_is_armed_isnt_waited_for() {
     let armed = Report {
@@ -209,8 +209,8 @@
     assert_eq!(switch.poll(ms(700)).0, [go]);
 }
 
-/// The keeper shows no hold in time. The order may be carried out late all the same,
-/// and others may have found the pass held: it ends by way of the bar, not by `go`.
+/// The holder doesn't report the hold in time. The order may still be executed late, and
+/// other agents may have found the pass held, so arming is blocked before any `go`.
 #[test]
 fn a_hold_that_isnt_shown_is_barred() {
     let mut switch = Switch::new(2);
@@ -231,9 +231,9 @@
     assert_eq!(switch.poll(ms(1_500)), (vec![bar], None));
 }
 
-/// One rank is slow, and every pass takes 0.6 s. A change that relieves it held the pass
-/// after the next, so that callers of all ranks waited 0.6 s more for the relief. Orders
-/// arrive well within a pass of that length: the next one is held.
+/// Guards against a needless delay with long passes. With a slow rank each pass takes
+/// 0.6 s, and holding the pass after the next one delayed the change that relieves the rank
+/// by another 0.6 s. Orders arrive well within such a pass, so the next one is held.
 #[test]
 fn the_next_pass_is_held_where_passes_are_long() {
     for (pass, held) in [(60, 10), (600, 9)] {
@@ -261,8 +261,8 @@
     }
 }
 
-/// One rank of three can't copy, and the change is given up. Operators looked for the
-/// culprit among 63 ranks without a word on it: the switch names it.
+/// One rank of three can't copy, and the change is abandoned. The switch names the rank;
+/// without that, operators had to search for it among 63 ranks.
 #[test]
 fn a_change_that_is_given_up_names_who_lacked_it() {
     let mut switch = Switch::new(3);
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/world.rs
@@ -1,48 +1,47 @@
-//! A group of engines that takes orders, as the switch's tests see it: time in
-//! milliseconds, orders that may be lost, doubled or carried out seconds late.
+//! Simulated group of engines for the tests of the switch. Time is in milliseconds; orders
+//! may be lost, duplicated or executed seconds late.
 
 use std::time::Duration;
 
 use proptest::{prelude::Rng, test_runner::TestRng};
 use verbenaspool_coordination::switch::{Order, Report, Switch};
 
-/// How long a pass takes.
+/// Duration of a pass.
 const PASS_MS: u64 = 60;
-/// How long a copy takes.
+/// Duration of a copy.
 const COPY_MS: u64 = 150;
-/// How often agents tell how their ranks stand.
+/// Interval at which agents send reports of their ranks.
 const REPORT_INTERVAL_MS: u64 = 50;
-/// After how long a lead counts as silent.
+/// Time without a report after which the lead counts as silent.
 const LEAD_TIMEOUT_MS: u64 = 300;
 
-/// Which guard of the protocol is left out, to see that the checker minds.
+/// Guard of the protocol that is disabled to test the checker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledGuard {
-    /// None.
     None,
-    /// Passes begin though they are held.
+    /// Passes begin although they are held.
     Hold,
 }
 
-/// How often things go wrong, in a thousand.
+/// Probabilities of faults, in thousandths.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultRates {
-    /// Orders without an answer that are carried out 2 to 12 s later.
+    /// An order gets no answer and is executed 2 to 12 s later.
     pub delayed_orders: u32,
-    /// Datagrams that are lost.
+    /// A datagram is lost.
     pub lost_messages: u32,
-    /// Chances a pass that the lead freezes, for up to five seconds.
+    /// The lead freezes for up to five seconds, per pass.
     pub freezes_per_pass: u32,
-    /// Chances each 5 ms that the lead freezes, for up to five seconds: between any two
-    /// orders, not only as a pass begins.
+    /// The lead freezes for up to five seconds, per 5 ms: between any two orders, not only
+    /// as a pass begins.
     pub freezes_per_tick: u32,
-    /// Chances a pass that an agent is killed and started again within a second.
+    /// An agent is killed and restarted within a second, per pass.
     pub agent_kills: u32,
-    /// Chances a pass that the group breaks and forms anew.
+    /// The group breaks and re-forms, per pass.
     pub group_restarts: u32,
 }
 
-/// A rank as its engine has it.
+/// State of a rank in its engine.
 #[derive(Debug, Clone, Default)]
 struct EngineState {
     map: u64,
@@ -53,37 +52,37 @@
     held: Option<u64>,
 }
 
-/// What the agent beside a rank remembers.
+/// State of the agent beside a rank.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentState {
-    /// Up to which pass it gives no order of a lead to arm.
+    /// The last pass for which it rejects arm orders of the lead.
     arming_blocked_through: u64,
-    /// The last pass for which it gave, or may have given, an order to arm.
+    /// The last pass for which it passed on an arm order, or may have done so.
     last_arm_step: u64,
-    /// Until when its instance is frozen.
+    /// End of the current freeze of its instance.
     frozen_until: u64,
-    /// Until when it isn't running.
+    /// Time at which the killed agent is restarted.
     down_until: u64,
 }
 
-/// An order on its way.
+/// An order that hasn't arrived yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingOrder {
     due_at: u64,
     rank: usize,
     order: Order,
     epoch: u64,
-    /// Whether it is on its way to the engine, past the agent.
+    /// Whether the agent has passed it on to the engine.
     at_engine: bool,
 }
 
-/// One agent that leads or stands in.
+/// An agent that is the lead or may stand in for it.
 struct Agent {
     rank: usize,
     switch: Switch,
 }
 
-/// The group, its agents and what is on its way.
+/// The group, its agents and the orders in flight.
 pub struct World {
     now: u64,
     epoch: u64,
@@ -93,21 +92,20 @@
     agents: Vec<Agent>,
     agent_states: Vec<AgentState>,
     pending_orders: Vec<PendingOrder>,
-    /// When each agent was last heard by the others.
+    /// When each agent last sent a report.
     last_heard: Vec<u64>,
     pass_began_at: u64,
     faults: FaultRates,
     disabled_guard: DisabledGuard,
     rng: TestRng,
     version: u64,
-    /// Changes that came in use.
+    /// Completed changes.
     pub changes: u64,
-    /// The longest time that the group stood still, in milliseconds, but for the
-    /// passes that were cut short.
+    /// The longest stall of the group in milliseconds, without [`Self::passes_awaiting_lead`].
     pub longest_stall_ms: u64,
-    /// The passes, by epoch, that wait for the lead's frozen instance to wake.
+    /// Epochs and numbers of the passes that had to wait for the lead's frozen instance.
     pub passes_awaiting_lead: Vec<(u64, u64)>,
-    /// Times that the lead's instance froze.
+    /// Number of times that the lead's instance froze.
     pub freezes: u64,
 }
 
@@ -152,7 +150,7 @@
         self.rng.next_u64() % bound.max(1)
     }
 
-    /// Lets the group run; an error tells which pass began on mixed maps.
+    /// Runs the group. The error names the pass that began with different maps.
     pub fn run(&mut self, ms: u64) -> Result<(), String> {
         let end = self.now + ms;
         while self.now < end {
@@ -169,7 +167,7 @@
         Ok(())
     }
 
-    /// Carries out the orders that arrive now.
+    /// Processes the orders that are due.
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) = self
@@ -184,12 +182,12 @@
             }
             let state = self.agent_states[pending.rank];
             if state.frozen_until > now {
-                // A frozen instance takes what comes when it wakes.
+                // A frozen instance processes the order when it resumes.
                 pending.due_at = state.frozen_until;
                 self.pending_orders.push(pending);
             } else if pending.at_engine {
                 self.apply_at_engine(&pending);
-                // Behind an order the agent says at once how its rank stands.
+                // After an order the agent reports its rank immediately.
                 self.broadcast_report(pending.rank);
             } else if state.down_until <= now {
                 self.handle_at_agent(pending);
@@ -197,7 +195,7 @@
         }
     }
 
-    /// An agent takes an order, and gives it to its rank.
+    /// An agent processes an order and passes it on to its rank.
     fn handle_at_agent(&mut self, pending: PendingOrder) {
         let state = &mut self.agent_states[pending.rank];
         match pending.order {
@@ -215,8 +213,8 @@
         }
     }
 
-    /// An order goes to the engine, which may carry it out seconds later; it is
-    /// given again then until its effect shows.
+    /// Sends an order to the engine. The engine may execute it seconds late, in which case
+    /// the agent has sent it again.
     fn send_to_engine(&mut self, pending: PendingOrder) {
         let mut at = self.now;
         while self.chance(self.faults.delayed_orders) {
@@ -277,7 +275,7 @@
         }
     }
 
-    /// Begins the next pass, if it may begin.
+    /// Begins the next pass if it is due and not held.
     fn begin_pass(&mut self) -> Result<(), String> {
         if self.now < self.next_pass_at {
             return Ok(());
@@ -317,10 +315,10 @@
         Ok(())
     }
 
-    /// Whether the lead's instance froze after some rank was armed and before its own
-    /// was. Its engine answers nobody then, and nobody can know whether it is armed:
-    /// with the new map or with the old one the pass might begin on two. So nothing
-    /// but its waking helps; all that can be done is to make this moment short.
+    /// Whether the lead's instance froze after some rank was armed and before its own was.
+    /// Its engine doesn't answer then, so no agent can know whether it is armed, and with
+    /// either map the pass might begin with two. The group has to wait until the instance
+    /// resumes; the protocol can only keep this window short.
     fn is_blocked_by_frozen_lead(&self) -> bool {
         let [first, others @ ..] = &self.ranks[..] else {
             return false;
@@ -335,7 +333,7 @@
         self.freezes += 1;
     }
 
-    /// Freezes the lead, kills an agent or breaks the group, now and then.
+    /// Randomly freezes the lead, kills an agent or re-forms the group.
     fn inject_faults(&mut self) {
         if self.chance(self.faults.freezes_per_pass) {
             self.freeze();
@@ -344,7 +342,7 @@
             let ranks = self.ranks.len();
             let rank = usize::try_from(self.random_below(ranks as u64)).expect("a rank");
             let down_until = self.now + 200 + self.random_below(800);
-            // The next process knows nothing of what this one did.
+            // The restarted process has no state of its predecessor.
             self.agent_states[rank] = AgentState {
                 down_until,
                 ..AgentState::default()
@@ -363,14 +361,14 @@
         }
     }
 
-    /// Whether the agent of a rank does anything now.
+    /// Whether the agent of a rank is running and not frozen.
     fn is_up(&self, rank: usize) -> bool {
         let state = self.agent_states[rank];
         state.frozen_until <= self.now && state.down_until <= self.now
     }
 
-    /// A new process may have been preceded by one that gave any order, and arming_blocked_through
-    /// any pass.
+    /// After a restart, assumes that the predecessor passed on arm orders and blocked
+    /// arming for the passes to come.
     fn assume_worst_after_restart(&mut self, rank: usize) {
         let state = self.agent_states[rank];
         if state.down_until > 0 && state.down_until <= self.now {
@@ -383,7 +381,7 @@
         }
     }
 
-    /// A rank's report, as its agent or the rank itself tells it.
+    /// The report of a rank.
     fn report(&self, rank: usize) -> Report {
         let engine = &self.ranks[rank];
         Report {
@@ -398,7 +396,7 @@
         }
     }
 
-    /// Agents tell each other how their ranks stand.
+    /// Sends the periodic reports of all agents.
     fn broadcast_reports(&mut self) {
         if !self.now.is_multiple_of(REPORT_INTERVAL_MS) {
             return;
@@ -409,7 +407,7 @@
         }
     }
 
-    /// An agent says how its rank stands.
+    /// Sends the report of one rank to all running agents.
     fn broadcast_report(&mut self, rank: usize) {
         if !self.is_up(rank)
             || self.agent_states[rank].down_until > 0
@@ -427,7 +425,7 @@
         }
     }
 
-    /// The lead, and those that stand in for it, carry on.
+    /// Polls the switches of the lead and of the agents that stand in for it.
     fn poll_agents(&mut self) {
         let now = Duration::from_millis(self.now);
         let stalled_ms = self.now.saturating_sub(self.pass_began_at);
