--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -12,7 +12,7 @@
 use slog::{Logger, info, warn};
 use tokio::sync::Notify;
 use verbenaspool_coordination::{
-    gather::{Round, Sums},
+    gather::{Round, RoundSums},
     switch::{self, SwitchOutcome},
 };
 use verbenaspool_platform::{order, report::Report};
@@ -70,7 +70,7 @@
     /// Wakes whoever reads choices.
     pub woken: Notify,
     /// What other ranks chose, to be passed on to the lead.
-    pub(super) sums: RefCell<Sums>,
+    pub(super) sums: RefCell<RoundSums>,
     /// How many messages about choices were of no use.
     pub(super) dropped: Cell<u64>,
     /// Maps that are known whole.
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -6,7 +6,9 @@
 use std::{rc::Rc, time::Duration};
 
 use slog::warn;
-use verbenaspool_coordination::gather::{self, AGGREGATION_GROUP_SIZE, Part, Round, Taken};
+use verbenaspool_coordination::gather::{
+    self, AGGREGATION_GROUP_SIZE, AddOutcome, PartialCounts, Round,
+};
 use verbenaspool_protocol::{
     member::{Choices, State},
     message::Message,
@@ -143,7 +145,7 @@
         let membership = self.membership.borrow();
         let zones = membership.iter(now);
         let zones: Vec<(u16, u32)> = zones.map(|s| (s.state.rank, s.state.zone)).collect();
-        gather::circle(&zones, state.rank)
+        gather::aggregation_group(&zones, state.rank)
     }
 
     /// Tells a rank what was chosen, in datagrams.
@@ -184,9 +186,9 @@
             epoch: choices.epoch,
             number: choices.round,
         };
-        let part = Part {
+        let part = PartialCounts {
             rank: choices.rank,
-            from: usize::try_from(choices.from).unwrap_or(usize::MAX),
+            offset: usize::try_from(choices.from).unwrap_or(usize::MAX),
             counts: &choices.counts,
         };
         let apart = state.report.step.abs_diff(round.number) / self.passes();
@@ -196,23 +198,23 @@
                 .borrow_mut()
                 .add(round, &part, group_members, counts)
         } else {
-            Taken::Dropped
+            AddOutcome::Dropped
         };
         match taken {
-            Taken::First => {
+            AddOutcome::First => {
                 let shared = self.clone();
                 monoio::spawn(async move {
                     shared.clock.sleep(ROUND_TIMEOUT).await;
                     shared.pass_sum_on(round).await;
                 });
             }
-            Taken::Complete => {
+            AddOutcome::Complete => {
                 let shared = self.clone();
                 monoio::spawn(async move { shared.pass_sum_on(round).await });
             }
-            Taken::Added => {}
-            Taken::Late => self.pass_part_on(choices),
-            Taken::Dropped => self.drop_word(choices),
+            AddOutcome::Added => {}
+            AddOutcome::Late => self.pass_part_on(choices),
+            AddOutcome::Dropped => self.drop_word(choices),
         }
     }
 
--- a/verbenaspool_agent/src/direct/spread.rs
+++ b/verbenaspool_agent/src/direct/spread.rs
@@ -71,13 +71,13 @@
             let agent = self
                 .membership
                 .borrow()
-                .get(branch.rank)
+                .get(branch.relay)
                 .map(|member| member.agent);
             let Some(agent) = agent else {
                 continue;
             };
             let message = Message::Difference(Difference {
-                beyond: branch.beyond,
+                beyond: branch.descendants,
                 ..difference.clone()
             });
             self.send_paced(agent, &message);
--- a/verbenaspool_coordination/src/gather.rs
+++ b/verbenaspool_coordination/src/gather.rs
@@ -25,37 +25,37 @@
 /// other of the zone, give or take one.
 ///
 /// ```
-/// use verbenaspool_coordination::gather::circle;
+/// use verbenaspool_coordination::gather::aggregation_group;
 ///
 /// let zones: Vec<(u16, u32)> = (0..12).map(|rank| (rank, 7)).collect();
-/// assert_eq!(circle(&zones, 3), [0, 1, 2, 3, 4, 5]);
+/// assert_eq!(aggregation_group(&zones, 3), [0, 1, 2, 3, 4, 5]);
 /// ```
 #[must_use]
-pub fn circle(zones: &[(u16, u32)], rank: u16) -> Vec<u16> {
+pub fn aggregation_group(zones: &[(u16, u32)], rank: u16) -> Vec<u16> {
     let zone = zones.iter().find(|(other, _)| *other == rank);
     let Some(&(_, zone)) = zone else {
         return vec![rank];
     };
-    let group_members = zones.iter().filter(|(_, other)| *other == zone);
-    let mut group_members: Vec<u16> = group_members.map(|(rank, _)| *rank).collect();
-    group_members.sort_unstable();
-    let circles = group_members.len().div_ceil(AGGREGATION_GROUP_SIZE);
-    let number = |place: usize| place * circles / group_members.len();
-    let own = group_members
+    let zone_members = zones.iter().filter(|(_, other)| *other == zone);
+    let mut zone_members: Vec<u16> = zone_members.map(|(rank, _)| *rank).collect();
+    zone_members.sort_unstable();
+    let group_count = zone_members.len().div_ceil(AGGREGATION_GROUP_SIZE);
+    let group_index = |place: usize| place * group_count / zone_members.len();
+    let own = zone_members
         .iter()
-        .position(|mate| *mate == rank)
-        .map(number);
-    let group_members = group_members.iter().enumerate();
-    let group_members = group_members.filter(|(place, _)| Some(number(*place)) == own);
-    group_members.map(|(_, mate)| *mate).collect()
+        .position(|member| *member == rank)
+        .map(group_index);
+    let zone_members = zone_members.iter().enumerate();
+    let zone_members = zone_members.filter(|(place, _)| Some(group_index(*place)) == own);
+    zone_members.map(|(_, member)| *member).collect()
 }
 
 /// Who of a circle sums in a round.
 #[must_use]
-pub fn collector(circle: &[u16], round: u64) -> Option<u16> {
-    let count = u64::try_from(circle.len()).ok()?;
+pub fn collector(group: &[u16], round: u64) -> Option<u16> {
+    let count = u64::try_from(group.len()).ok()?;
     let place = usize::try_from(round.checked_rem(count)?).ok()?;
-    circle.get(place).copied()
+    group.get(place).copied()
 }
 
 /// A round of a group's epoch.
@@ -69,18 +69,18 @@
 
 /// What a rank tells of a round: how often each expert was chosen, from one of them on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part<'a> {
+pub struct PartialCounts<'a> {
     /// The rank.
     pub rank: u16,
     /// The number of the first count.
-    pub from: usize,
+    pub offset: usize,
     /// The counts.
     pub counts: &'a [u32],
 }
 
 /// What became of a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum AddOutcome {
     /// It is the first one of its round.
     First,
     /// It was added.
@@ -95,7 +95,7 @@
 
 /// The sum of one round.
 #[derive(Debug, Default)]
-struct Sum {
+struct RoundSum {
     /// Which parts are in it.
     parts: BTreeSet<(u16, usize)>,
     /// How many counts were added.
@@ -105,40 +105,46 @@
 
 /// The sums of the rounds that are open.
 #[derive(Debug, Default)]
-pub struct Sums {
-    open: BTreeMap<Round, Sum>,
+pub struct RoundSums {
+    open: BTreeMap<Round, RoundSum>,
     /// The last round that was closed, and the parts that came of it.
     closed: Option<(Round, BTreeSet<(u16, usize)>)>,
 }
 
-impl Sums {
+impl RoundSums {
     /// Adds a part to its round, of which so many ranks tell so many counts each.
     ///
     /// A part that came twice would count double, so it is dropped. One that comes when
     /// the sum has been passed on is to be passed on by itself.
     ///
     /// ```
-    /// use verbenaspool_coordination::gather::{Part, Round, Sums, Taken};
+    /// use verbenaspool_coordination::gather::{PartialCounts, Round, RoundSums, AddOutcome};
     ///
-    /// let (mut sums, round) = (Sums::default(), Round { epoch: 1, number: 4 });
-    /// let part = |rank| Part { rank, from: 0, counts: &[3, 4] };
-    /// assert_eq!(sums.add(round, &part(0), 2, 2), Taken::First);
-    /// assert_eq!(sums.add(round, &part(0), 2, 2), Taken::Dropped);
-    /// assert_eq!(sums.add(round, &part(1), 2, 2), Taken::Complete);
+    /// let (mut sums, round) = (RoundSums::default(), Round { epoch: 1, number: 4 });
+    /// let part = |rank| PartialCounts { rank, offset: 0, counts: &[3, 4] };
+    /// assert_eq!(sums.add(round, &part(0), 2, 2), AddOutcome::First);
+    /// assert_eq!(sums.add(round, &part(0), 2, 2), AddOutcome::Dropped);
+    /// assert_eq!(sums.add(round, &part(1), 2, 2), AddOutcome::Complete);
     /// assert_eq!(sums.close(round), Some(vec![6, 8]));
     /// ```
-    pub fn add(&mut self, round: Round, part: &Part<'_>, ranks: usize, counts: usize) -> Taken {
-        let end = part.from.saturating_add(part.counts.len());
+    pub fn add(
+        &mut self,
+        round: Round,
+        part: &PartialCounts<'_>,
+        ranks: usize,
+        counts: usize,
+    ) -> AddOutcome {
+        let end = part.offset.saturating_add(part.counts.len());
         if end > counts {
-            return Taken::Dropped;
+            return AddOutcome::Dropped;
         }
         if let Some((closed, parts)) = &mut self.closed {
-            let late = round == *closed && parts.insert((part.rank, part.from));
+            let late = round == *closed && parts.insert((part.rank, part.offset));
             if late {
-                return Taken::Late;
+                return AddOutcome::Late;
             }
             if round <= *closed {
-                return Taken::Dropped;
+                return AddOutcome::Dropped;
             }
         }
         let first = !self.open.contains_key(&round);
@@ -146,20 +152,20 @@
             self.open.pop_first();
         }
         let sum = self.open.entry(round).or_default();
-        if !sum.parts.insert((part.rank, part.from)) {
-            return Taken::Dropped;
+        if !sum.parts.insert((part.rank, part.offset)) {
+            return AddOutcome::Dropped;
         }
         sum.counts.resize(counts, 0);
-        for (sum, count) in sum.counts[part.from..end].iter_mut().zip(part.counts) {
+        for (sum, count) in sum.counts[part.offset..end].iter_mut().zip(part.counts) {
             *sum = sum.saturating_add(*count);
         }
         sum.added += part.counts.len();
         if sum.added >= ranks.saturating_mul(counts) {
-            Taken::Complete
+            AddOutcome::Complete
         } else if first {
-            Taken::First
+            AddOutcome::First
         } else {
-            Taken::Added
+            AddOutcome::Added
         }
     }
 
--- a/verbenaspool_coordination/src/tree.rs
+++ b/verbenaspool_coordination/src/tree.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Branch {
     /// The receiver.
-    pub rank: u16,
+    pub relay: u16,
     /// The ranks behind it.
-    pub beyond: Vec<u16>,
+    pub descendants: Vec<u16>,
 }
 
 /// Parts receivers into branches of about the same size; the first of each is the relay,
@@ -32,18 +32,18 @@
 /// let ranks: Vec<u16> = (1..63).collect();
 /// let branches = branches(&ranks);
 /// assert_eq!(branches.len(), 8);
-/// assert!(branches.iter().all(|branch| branch.beyond.len() <= 7));
-/// assert_eq!((branches[1].rank, &*branches[1].beyond), (9, &[10, 11, 12, 13, 14, 15, 16][..]));
+/// assert!(branches.iter().all(|branch| branch.descendants.len() <= 7));
+/// assert_eq!((branches[1].relay, &*branches[1].descendants), (9, &[10, 11, 12, 13, 14, 15, 16][..]));
 /// ```
 #[must_use]
 pub fn branches(ranks: &[u16]) -> Vec<Branch> {
     let count = ranks.len().min(MAX_FANOUT);
     let start = |number: usize| (number * ranks.len()).div_ceil(count.max(1));
     let branch = |number: usize| {
-        let (relay, beyond) = ranks[start(number)..start(number + 1)].split_first()?;
+        let (relay, descendants) = ranks[start(number)..start(number + 1)].split_first()?;
         Some(Branch {
-            rank: *relay,
-            beyond: beyond.to_vec(),
+            relay: *relay,
+            descendants: descendants.to_vec(),
         })
     };
     (0..count).filter_map(branch).collect()
--- a/verbenaspool_coordination/tests/gather.rs
+++ b/verbenaspool_coordination/tests/gather.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use verbenaspool_coordination::gather::{
-    AGGREGATION_GROUP_SIZE, Part, Round, Sums, Taken, circle, collector,
+    AGGREGATION_GROUP_SIZE, AddOutcome, PartialCounts, Round, RoundSums, aggregation_group,
+    collector,
 };
 
 const ROUND: Round = Round {
@@ -10,8 +11,12 @@
     number: 7,
 };
 
-fn part(rank: u16, from: usize, counts: &[u32]) -> Part<'_> {
-    Part { rank, from, counts }
+fn part(rank: u16, offset: usize, counts: &[u32]) -> PartialCounts<'_> {
+    PartialCounts {
+        rank,
+        offset,
+        counts,
+    }
 }
 
 /// The ranks of a group in five zones.
@@ -21,16 +26,16 @@
 
 /// A rank whose circle another one sees differently would tell somebody who doesn't sum.
 #[test]
-fn all_of_a_circle_see_the_same_circle() {
+fn all_members_compute_the_same_group() {
     for ranks in [1, 8, 63, 96, 128] {
         let zones = zones(ranks);
         for (rank, zone) in &zones {
-            let group_members = circle(&zones, *rank);
+            let group_members = aggregation_group(&zones, *rank);
             assert!(group_members.contains(rank) && group_members.len() <= AGGREGATION_GROUP_SIZE);
-            for mate in &group_members {
-                assert_eq!(circle(&zones, *mate), group_members);
+            for member in &group_members {
+                assert_eq!(aggregation_group(&zones, *member), group_members);
                 assert_eq!(
-                    u32::from(*mate) % 5,
+                    u32::from(*member) % 5,
                     *zone,
                     "words between zones are paid for"
                 );
@@ -42,8 +47,8 @@
 /// The process of one collector is dead. Its circle's counts are missing in one round of
 /// as many as the circle has ranks.
 #[test]
-fn each_of_a_circle_collects_in_turn() {
-    let group_members = circle(&zones(96), 10);
+fn each_member_collects_in_turn() {
+    let group_members = aggregation_group(&zones(96), 10);
     for first in [0, 41] {
         let round = |number: usize| first + u64::try_from(number).expect("small");
         let turns = (0..group_members.len()).map(|number| collector(&group_members, round(number)));
@@ -57,16 +62,25 @@
 /// Datagrams come twice, late, from a round long gone, or with more counts than there are
 /// experts. None of that may count.
 #[test]
-fn what_comes_twice_or_does_not_fit_is_dropped() {
-    let mut sums = Sums::default();
-    assert_eq!(sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4), Taken::First);
-    assert_eq!(sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4), Taken::Dropped);
-    assert_eq!(sums.add(ROUND, &part(0, 3, &[1, 2]), 2, 4), Taken::Dropped);
+fn duplicate_and_invalid_parts_are_dropped() {
+    let mut sums = RoundSums::default();
+    assert_eq!(
+        sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4),
+        AddOutcome::First
+    );
+    assert_eq!(
+        sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4),
+        AddOutcome::Dropped
+    );
+    assert_eq!(
+        sums.add(ROUND, &part(0, 3, &[1, 2]), 2, 4),
+        AddOutcome::Dropped
+    );
     let huge = part(0, usize::MAX, &[1, 2]);
-    assert_eq!(sums.add(ROUND, &huge, 2, 4), Taken::Dropped);
+    assert_eq!(sums.add(ROUND, &huge, 2, 4), AddOutcome::Dropped);
     assert_eq!(
         sums.add(ROUND, &part(1, 0, &[u32::MAX; 4]), 2, 4),
-        Taken::Added
+        AddOutcome::Added
     );
     assert_eq!(
         sums.close(ROUND),
@@ -74,30 +88,45 @@
     );
     assert_eq!(sums.close(ROUND), None);
     // Late, then twice, then of a round before.
-    assert_eq!(sums.add(ROUND, &part(0, 2, &[5, 5]), 2, 4), Taken::Late);
-    assert_eq!(sums.add(ROUND, &part(0, 2, &[5, 5]), 2, 4), Taken::Dropped);
-    assert_eq!(sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4), Taken::Dropped);
+    assert_eq!(
+        sums.add(ROUND, &part(0, 2, &[5, 5]), 2, 4),
+        AddOutcome::Late
+    );
+    assert_eq!(
+        sums.add(ROUND, &part(0, 2, &[5, 5]), 2, 4),
+        AddOutcome::Dropped
+    );
+    assert_eq!(
+        sums.add(ROUND, &part(0, 0, &[1, 2]), 2, 4),
+        AddOutcome::Dropped
+    );
     let before = Round { number: 6, ..ROUND };
-    assert_eq!(sums.add(before, &part(1, 0, &[1]), 2, 4), Taken::Dropped);
+    assert_eq!(
+        sums.add(before, &part(1, 0, &[1]), 2, 4),
+        AddOutcome::Dropped
+    );
     let earlier = Round {
         epoch: 2,
         number: 99,
     };
-    assert_eq!(sums.add(earlier, &part(1, 0, &[1]), 2, 4), Taken::Dropped);
+    assert_eq!(
+        sums.add(earlier, &part(1, 0, &[1]), 2, 4),
+        AddOutcome::Dropped
+    );
     let later = Round {
         epoch: 4,
         number: 1,
     };
-    assert_eq!(sums.add(later, &part(1, 0, &[1]), 2, 4), Taken::First);
+    assert_eq!(sums.add(later, &part(1, 0, &[1]), 2, 4), AddOutcome::First);
 }
 
 /// Somebody floods a collector with rounds that never end: it keeps a few.
 #[test]
 fn open_rounds_are_bounded() {
-    let mut sums = Sums::default();
+    let mut sums = RoundSums::default();
     for number in 0..1_000 {
         let round = Round { epoch: 1, number };
-        assert_eq!(sums.add(round, &part(0, 0, &[1]), 9, 4), Taken::First);
+        assert_eq!(sums.add(round, &part(0, 0, &[1]), 9, 4), AddOutcome::First);
     }
     let open = (0..1_000).filter(|number| {
         let round = Round {
@@ -114,7 +143,7 @@
     /// are late hold each part once.
     #[test]
     fn each_part_counts_once(order in prop::collection::vec(0_usize..12, 0..60), close in 0_usize..60) {
-        let mut sums = Sums::default();
+        let mut sums = RoundSums::default();
         let mut seen = [false; 12];
         let (mut late, mut sum) = (0_u32, None);
         for (at, number) in order.iter().enumerate() {
@@ -124,7 +153,7 @@
             let rank = u16::try_from(number / 3).expect("small");
             let taken = sums.add(ROUND, &part(rank, number % 3, &[1]), 4, 3);
             seen[*number] = true;
-            late += u32::from(taken == Taken::Late);
+            late += u32::from(taken == AddOutcome::Late);
         }
         let rest = sums.close(ROUND);
         let total: u32 = sum.into_iter().chain(rest).flatten().sum();
--- a/verbenaspool_coordination/tests/switch/explore.rs
+++ b/verbenaspool_coordination/tests/switch/explore.rs
@@ -90,7 +90,7 @@
 /// freezes after its hold order, another agent stands in and arms the ranks, and the lead
 /// then finds that its hold has timed out.
 #[test]
-fn a_lead_that_wakes_doesnt_let_a_pass_begin() {
+fn a_resumed_lead_doesnt_release_a_pass() {
     let outcome = run_seeds(8, 1607..1608, ALL_FAULTS, DisabledGuard::None);
     assert_eq!(outcome.failure, None);
 }
@@ -98,7 +98,7 @@
 /// Checks the checker: if passes begin although they are held, lost arm orders must show
 /// as a pass with two maps.
 #[test]
-fn a_missing_hold_is_noticed() {
+fn a_disabled_hold_is_detected() {
     let faults = FaultRates {
         lost_messages: 400,
         ..ALL_FAULTS
@@ -111,7 +111,7 @@
 /// because the lead froze right after its hold order. Another agent must resolve the pass
 /// well before the lead resumes.
 #[test]
-fn a_frozen_lead_is_stood_in_for() {
+fn another_agent_stands_in_for_a_frozen_lead() {
     let faults = FaultRates {
         delayed_orders: 0,
         lost_messages: 0,
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -212,7 +212,7 @@
 /// The holder doesn't report the hold in time. The order may still be executed late, and
 /// other agents may have found the pass held, so arming is blocked before any `go`.
 #[test]
-fn a_hold_that_isnt_shown_is_barred() {
+fn a_hold_that_times_out_blocks_arming() {
     let mut switch = Switch::new(2);
     let reports = [Report {
         epoch: 1,
@@ -264,7 +264,7 @@
 /// One rank of three can't copy, and the change is abandoned. The switch names the rank;
 /// without that, operators had to search for it among 63 ranks.
 #[test]
-fn a_change_that_is_given_up_names_who_lacked_it() {
+fn an_abandoned_change_names_the_unprepared_ranks() {
     let mut switch = Switch::new(3);
     let mut reports = [Report {
         epoch: 1,
--- a/verbenaspool_coordination/tests/tree.rs
+++ b/verbenaspool_coordination/tests/tree.rs
@@ -15,11 +15,15 @@
             let branches = branches(&ranks);
             most = most.max(branches.len());
             for branch in branches {
-                if dead.contains(&branch.rank) {
+                if dead.contains(&branch.relay) {
                     continue;
                 }
-                assert!(reached.insert(branch.rank), "{} got it twice", branch.rank);
-                next.push(branch.beyond);
+                assert!(
+                    reached.insert(branch.relay),
+                    "{} got it twice",
+                    branch.relay
+                );
+                next.push(branch.descendants);
             }
         }
         level = next.into_iter().filter(|ranks| !ranks.is_empty()).collect();
