--- a/verbenaspool_coordination/src/gather.rs
+++ b/verbenaspool_coordination/src/gather.rs
@@ -1,28 +1,28 @@
-//! How the counts of many ranks come to their lead: summed on the way.
+//! Aggregates the expert counts of many ranks on their way to the lead.
 //!
-//! Load: a group of 63 or 96 ranks, each of which counts what its requests chose among
-//! thousands of experts. Told by all ranks to the lead, the counts of 0.1 s fill its link
-//! for a second, and what the lead decides on is older than the popularity of experts
-//! lasts. So the ranks of one availability zone form circles of a few. In each round one
-//! of a circle sums what the others tell it, and passes the sum on to the lead, which so
-//! hears as many words as there are circles.
+//! Load: a group of 63 or 96 ranks, each of which counts how often its requests chose each
+//! of thousands of experts. If all ranks sent these counts to the lead, those of 0.1 s would
+//! fill its link for a second, and the lead would decide on data older than the popularity
+//! of experts lasts. The ranks of an availability zone are therefore divided into small
+//! aggregation groups. In each round one rank, the collector, sums the counts of its group
+//! and sends the sum to the lead, which receives one sum per aggregation group.
 //!
-//! A round is a few passes, which all ranks of a group count alike, so nobody has to call
-//! it. Each round another one of a circle sums: one that died or froze costs its circle's
-//! counts in its own rounds only.
+//! A round is a few passes. All ranks count passes alike, so rounds need no coordination.
+//! The collector changes each round, so a rank that crashed or froze loses the counts of
+//! its aggregation group only in its own rounds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ranks of one circle at most.
+/// Maximum number of ranks in an aggregation group.
 pub const AGGREGATION_GROUP_SIZE: usize = 10;
 
-/// Rounds of which sums may be open at once: words of one may overtake those of the one
-/// before.
+/// Maximum number of rounds with an open sum. Messages of a round may overtake those of the
+/// previous one.
 const MAX_OPEN_ROUNDS: usize = 3;
 
-/// The ranks whose counts are summed together with one's own, itself included, given the
-/// zone of each rank. They are in the same zone, and as many in each circle as in any
-/// other of the zone, give or take one.
+/// Returns the ranks of a rank's aggregation group, itself included, given the zone of each
+/// rank. They are in the same zone, and the sizes of a zone's aggregation groups differ by
+/// one at most.
 ///
 /// ```
 /// use verbenaspool_coordination::gather::aggregation_group;
@@ -50,7 +50,7 @@
     zone_members.map(|(_, member)| *member).collect()
 }
 
-/// Who of a circle sums in a round.
+/// The rank of an aggregation group that sums the counts of a round.
 #[must_use]
 pub fn collector(group: &[u16], round: u64) -> Option<u16> {
     let count = u64::try_from(group.len()).ok()?;
@@ -67,55 +67,56 @@
     pub number: u64,
 }
 
-/// What a rank tells of a round: how often each expert was chosen, from one of them on.
+/// A contiguous part of a rank's counts in a round, which say how often each expert was
+/// chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartialCounts<'a> {
     /// The rank.
     pub rank: u16,
-    /// The number of the first count.
+    /// The index of the first count.
     pub offset: usize,
     /// The counts.
     pub counts: &'a [u32],
 }
 
-/// What became of a part.
+/// Result of adding a part to its round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AddOutcome {
-    /// It is the first one of its round.
+    /// It was added as the first part of its round.
     First,
     /// It was added.
     Added,
-    /// It was added, and nothing of the round is missing any more.
+    /// It was added and completes the round.
     Complete,
-    /// It came when its round had just been closed, and is in no sum.
+    /// It arrived just after its round was closed and isn't in the sum.
     Late,
-    /// It came twice, far too late, or doesn't fit.
+    /// It is a duplicate, far too late, or out of range.
     Dropped,
 }
 
 /// The sum of one round.
 #[derive(Debug, Default)]
 struct RoundSum {
-    /// Which parts are in it.
+    /// The rank and offset of each added part.
     parts: BTreeSet<(u16, usize)>,
-    /// How many counts were added.
+    /// The number of counts added.
     added: usize,
     counts: Vec<u32>,
 }
 
-/// The sums of the rounds that are open.
+/// Sums of the open rounds.
 #[derive(Debug, Default)]
 pub struct RoundSums {
     open: BTreeMap<Round, RoundSum>,
-    /// The last round that was closed, and the parts that came of it.
+    /// The last closed round and the parts received of it.
     closed: Option<(Round, BTreeSet<(u16, usize)>)>,
 }
 
 impl RoundSums {
-    /// Adds a part to its round, of which so many ranks tell so many counts each.
+    /// Adds a part to its round, in which `ranks` ranks send `counts` counts each.
     ///
-    /// A part that came twice would count double, so it is dropped. One that comes when
-    /// the sum has been passed on is to be passed on by itself.
+    /// A duplicate is dropped, or it would be counted twice. The caller has to forward a late
+    /// part on its own, since the sum has already been sent.
     ///
     /// ```
     /// use verbenaspool_coordination::gather::{PartialCounts, Round, RoundSums, AddOutcome};
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Closes a round and tells its sum; none where it is closed already.
+    /// Closes a round and returns its sum, or `None` if the round isn't open.
     pub fn close(&mut self, round: Round) -> Option<Vec<u32>> {
         let sum = self.open.remove(&round)?;
         if self
--- a/verbenaspool_coordination/src/tree.rs
+++ b/verbenaspool_coordination/src/tree.rs
@@ -1,30 +1,30 @@
-//! Who passes a word on to whom, where one sender has many receivers.
+//! Relay tree for messages from one sender to many receivers.
 //!
 //! A lead that sends a map to each of 62 other ranks at once fills its link of 8 Mbit/s,
-//! which drops what comes after the first 16; each repeat began at the front again, and
-//! no change of map ever came in use. So the lead sends to a few, and each of those
-//! passes the word on to its part of the others. With eight at each level a word reaches
-//! 64 ranks in two hops and 512 in three, and nobody sends it more than eight times.
+//! which drops all but the first 16 messages. Each retry began with the same ranks again, so
+//! no map change ever completed. The lead therefore sends to a few ranks, and each of them
+//! forwards the message to its part of the others. With a fanout of eight a message reaches
+//! 64 ranks in two hops and 512 in three, and no rank sends it more than eight times.
 //!
-//! A word that is lost, or whose relay has died, is missing for all behind it. The sender
-//! sees that from the states that all ranks tell it, and repeats the word for just those,
-//! by other relays.
+//! If a message is lost or a relay has crashed, all its descendants miss the message. The
+//! sender sees that in the states that all ranks report, and resends the message to just
+//! those ranks, by other relays.
 
-/// How many a sender passes a word to. Eight words of 1.4 KB take 11 ms on a link of
-/// 8 Mbit/s, and are fewer than such a link was seen to hold.
+/// Maximum number of ranks to which one rank sends a message. Eight messages of 1.4 KB take
+/// 11 ms on a link of 8 Mbit/s, and are fewer than such a link was seen to buffer.
 pub const MAX_FANOUT: usize = 8;
 
-/// A receiver, and those that it passes the word on to.
+/// A receiver and the ranks to which it relays the message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Branch {
-    /// The receiver.
+    /// The receiver, which relays the message.
     pub relay: u16,
-    /// The ranks behind it.
+    /// The ranks that receive the message through it.
     pub descendants: Vec<u16>,
 }
 
-/// Parts receivers into branches of about the same size; the first of each is the relay,
-/// and those next to each other stay together as far as may be.
+/// Splits receivers into branches of about the same size. Each branch is a contiguous range
+/// of the receivers, and the first of it is the relay.
 ///
 /// ```
 /// use verbenaspool_coordination::tree::branches;
--- a/verbenaspool_coordination/tests/gather.rs
+++ b/verbenaspool_coordination/tests/gather.rs
@@ -1,4 +1,4 @@
-//! Counts of many ranks on their way to the lead: nothing twice, nothing of another round.
+//! Tests of the aggregation of expert counts: no part is counted twice or in another round.
 
 use proptest::prelude::*;
 use verbenaspool_coordination::gather::{
@@ -24,7 +24,8 @@
     (0..ranks).map(|rank| (rank, u32::from(rank) % 5)).collect()
 }
 
-/// A rank whose circle another one sees differently would tell somebody who doesn't sum.
+/// If two ranks computed different aggregation groups, one would send its counts to a rank
+/// that doesn't sum them.
 #[test]
 fn all_members_compute_the_same_group() {
     for ranks in [1, 8, 63, 96, 128] {
@@ -37,15 +38,15 @@
                 assert_eq!(
                     u32::from(*member) % 5,
                     *zone,
-                    "words between zones are paid for"
+                    "traffic between zones is billed"
                 );
             }
         }
     }
 }
 
-/// The process of one collector is dead. Its circle's counts are missing in one round of
-/// as many as the circle has ranks.
+/// A crashed collector loses the counts of its aggregation group in one of as many rounds as
+/// the group has ranks.
 #[test]
 fn each_member_collects_in_turn() {
     let group_members = aggregation_group(&zones(96), 10);
@@ -59,8 +60,8 @@
     assert_eq!(collector(&[], 4), None);
 }
 
-/// Datagrams come twice, late, from a round long gone, or with more counts than there are
-/// experts. None of that may count.
+/// Datagrams are duplicated, late, from a round long closed, or have more counts than there
+/// are experts. None of these may be added to a sum.
 #[test]
 fn duplicate_and_invalid_parts_are_dropped() {
     let mut sums = RoundSums::default();
@@ -87,7 +88,7 @@
         Some(vec![u32::MAX, u32::MAX, u32::MAX, u32::MAX])
     );
     assert_eq!(sums.close(ROUND), None);
-    // Late, then twice, then of a round before.
+    // Late, then duplicates, then parts of earlier rounds and epochs.
     assert_eq!(
         sums.add(ROUND, &part(0, 2, &[5, 5]), 2, 4),
         AddOutcome::Late
@@ -120,7 +121,7 @@
     assert_eq!(sums.add(later, &part(1, 0, &[1]), 2, 4), AddOutcome::First);
 }
 
-/// Somebody floods a collector with rounds that never end: it keeps a few.
+/// A collector that is flooded with rounds that never complete keeps only a few of them.
 #[test]
 fn open_rounds_are_bounded() {
     let mut sums = RoundSums::default();
@@ -139,8 +140,8 @@
 }
 
 proptest! {
-    /// Whatever order parts come in, and however often, a closed sum and the parts that
-    /// are late hold each part once.
+    /// In whatever order and however often parts arrive, the closed sum and the late parts
+    /// contain each part once.
     #[test]
     fn each_part_counts_once(order in prop::collection::vec(0_usize..12, 0..60), close in 0_usize..60) {
         let mut sums = RoundSums::default();
--- a/verbenaspool_coordination/tests/tree.rs
+++ b/verbenaspool_coordination/tests/tree.rs
@@ -1,11 +1,11 @@
-//! Messages that go from one sender to many receivers by relays.
+//! Tests of the relay tree.
 
 use std::collections::BTreeSet;
 
 use verbenaspool_coordination::tree::{MAX_FANOUT, branches};
 
-/// The ranks that a word reaches when relays are up but for `dead` ones, the most that
-/// anybody sends, and the hops that it takes.
+/// Simulates a message that the `dead` ranks don't relay. Returns the ranks that it reaches,
+/// the maximum number of sends by one rank, and the number of hops.
 fn reach(ranks: &[u16], dead: &BTreeSet<u16>) -> (BTreeSet<u16>, usize, usize) {
     let (mut reached, mut most, mut hops) = (BTreeSet::new(), 0, 0);
     let mut level = vec![ranks.to_vec()];
@@ -32,8 +32,9 @@
     (reached, most, hops)
 }
 
-/// The lead of a large group sent each of 62 ranks the map, and the link dropped all but
-/// the first 16. By relays every rank gets it once, and nobody sends more than a few.
+/// Guards against a lead that sends the map to each of 62 ranks over a link that drops all
+/// but the first 16 messages. With relays every rank receives it once, and none sends it
+/// more than a few times.
 #[test]
 fn every_rank_is_reached_once_in_few_hops() {
     for (size, least_hops) in [(1, 0), (2, 1), (3, 1), (9, 1), (63, 2), (128, 3), (512, 3)] {
@@ -45,8 +46,8 @@
     }
 }
 
-/// A relay has died. The ranks behind it lack the map, and are reached when the lead
-/// repeats the word for those that lack it, in another order.
+/// A relay has crashed, so its descendants lack the map. They receive it when the lead
+/// resends the message to the ranks that lack it in another order.
 #[test]
 fn a_dead_relay_is_worked_around() {
     let ranks: Vec<u16> = (1..63).collect();
