--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -10,7 +10,7 @@
 use verbenaspool_coordination::{
     adoption::{Adoption, Settings},
     head::Head,
-    membership::{Member, State},
+    membership::{Member, MemberState},
     piece,
 };
 use verbenaspool_protocol::peer::{Holding, Offer};
@@ -143,7 +143,7 @@
         name: "entry-1".parse().expect("a name"),
         incarnation: 1 << 60,
         address: ([10, 0, 0, 1], 7000).into(),
-        state: State::Live,
+        state: MemberState::Live,
     };
     for change in 0..CHANGES {
         let number = (change as usize * 7_919) % size;
--- a/verbenaspool/benches/capacity/members.rs
+++ b/verbenaspool/benches/capacity/members.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use verbenaspool_coordination::membership::{Member, Membership, Settings, State};
+use verbenaspool_coordination::membership::{Member, MemberState, Membership, Settings};
 use verbenaspool_protocol::peer::{Beat, Echo};
 use verbenaspool_state::version::Version;
 
@@ -51,7 +51,7 @@
         output.say("entry", "heartbeats, mean member", size, mean, "B/s");
         let each = spent.as_secs_f64() * 1e6 / f64::from(size) / f64::from(SECONDS);
         output.say("entry", "heartbeats, processor time", size, each, "us/s");
-        let watchers = zone.members.values().filter(|one| one.watcher()).count();
+        let watchers = zone.members.values().filter(|one| one.is_watcher()).count();
         let watchers = rate(watchers) * f64::from(SECONDS);
         output.say("zone", "watchers", size, watchers, "instances");
     }
@@ -64,7 +64,7 @@
             name: format!("entry-{number}").parse().expect("a name"),
             incarnation: (1 << 60) + u64::from(number),
             address: ([10, 0, 0, 1], number).into(),
-            state: State::Live,
+            state: MemberState::Live,
         };
         let mut members = BTreeMap::new();
         for number in 0..count {
@@ -87,8 +87,8 @@
             let numbers: Vec<u16> = self.members.keys().copied().collect();
             for number in numbers {
                 let one = self.members.get_mut(&number).expect("a member");
-                one.miss(self.now);
-                for peer in one.beat(self.now) {
+                one.expire_neighbours(self.now);
+                for peer in one.heartbeat_targets(self.now) {
                     self.exchange(number, peer.address.port());
                 }
             }
@@ -100,26 +100,26 @@
         let (version, now) = (Version(79_000), self.now);
         let one = &self.members[&number];
         let beat = Beat {
-            message: one.word(now, version, version, true),
+            message: one.own_status(now, version, version, true),
             table: Vec::new(),
         };
         let sent: Vec<Member> = one.table().cloned().collect();
         let two = self.members.get_mut(&other).expect("a member");
-        let differs = two.differs(&beat.message);
+        let differs = two.digest_differs(&beat.message);
         if differs {
             two.merge(&sent);
         }
-        two.hear(now, beat.message.clone());
+        two.receive(now, beat.message.clone());
         let table: Vec<Member> = two.table().cloned().collect();
         let echo = Echo {
-            message: two.word(now, version, version, true),
+            message: two.own_status(now, version, version, true),
             table: if differs { table } else { Vec::new() },
             head: None,
         };
         let bytes = wire(&beat, &echo);
         let one = self.members.get_mut(&number).expect("a member");
         one.merge(&echo.table);
-        one.hear(now, echo.message);
+        one.receive(now, echo.message);
         for end in [number, other] {
             *self.bytes.entry(end).or_default() += bytes;
         }
--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -18,8 +18,8 @@
 use verbenaspool_state::{name::Name, version::Version};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use message::{Heard, Member, Message, Standing, State};
-pub use summary::{Part, Seen, Summary};
+pub use message::{Member, MemberState, OwnStanding, PeerStatus, ReceiveOutcome};
+pub use summary::{LaggingInstance, SubtreeSummary, Summary};
 
 mod message;
 mod summary;
@@ -30,16 +30,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
     /// The time between heartbeats to the parent in a small zone.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Members up to which a zone is small. In a larger one inner instances have
     /// 4 children and exchange 5 heartbeats of some 800 bytes, question, answer
     /// and packets together, where a small zone's exchange one or two; the time
     /// between them is doubled to stay within 4 KB a second.
-    pub small: usize,
+    pub small_zone_size: usize,
     /// Heartbeats that may be missed before a neighbour counts as dead. Three
     /// ride out a lost packet or a stalled loop, and find a death within 4 s in a
     /// small zone and 8 s in a large one.
-    pub missed: u32,
+    pub max_missed_heartbeats: u32,
     /// Children of an instance. Four reach a hundred instances in four hops and
     /// make an instance send a change four times at most.
     pub fanout: usize,
@@ -50,9 +50,9 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            beat: Duration::from_secs(1),
-            small: 5,
-            missed: 3,
+            heartbeat_interval: Duration::from_secs(1),
+            small_zone_size: 5,
+            max_missed_heartbeats: 3,
             fanout: 4,
             watchers: 2,
         }
@@ -65,45 +65,45 @@
     /// The settings.
     settings: Settings,
     /// The instance itself.
-    me: Name,
+    own_name: Name,
     /// Everyone ever heard of, by name.
     table: BTreeMap<Name, Member>,
     /// What each neighbour said last, and when.
-    heard: BTreeMap<Name, (Duration, Message)>,
+    statuses: BTreeMap<Name, (Duration, PeerStatus)>,
     /// Since when each neighbour is expected to be heard of.
-    expected: BTreeMap<Name, Duration>,
+    expected_since: BTreeMap<Name, Duration>,
     /// When the next heartbeat is due.
-    due: Duration,
+    next_heartbeat: Duration,
     /// Whether a peer has taken this process in. Before, a higher incarnation in
     /// the table is a predecessor's; after, a successor's.
-    settled: bool,
+    acknowledged: bool,
 }
 
 impl Membership {
     /// An instance that knows nobody but itself.
     ///
     /// ```
-    /// use verbenaspool_coordination::membership::{Member, Membership, Settings, State};
+    /// use verbenaspool_coordination::membership::{Member, Membership, Settings, MemberState};
     ///
     /// let me = Member {
     ///     name: "entry-1".parse().unwrap(),
     ///     incarnation: 1,
     ///     address: ([127, 0, 0, 1], 7001).into(),
-    ///     state: State::Live,
+    ///     state: MemberState::Live,
     /// };
     /// let membership = Membership::new(me, Settings::default());
-    /// assert!(membership.watcher());
+    /// assert!(membership.is_watcher());
     /// ```
     #[must_use]
     pub fn new(me: Member, settings: Settings) -> Self {
         Self {
             settings,
-            me: me.name.clone(),
+            own_name: me.name.clone(),
             table: BTreeMap::from([(me.name.clone(), me)]),
-            heard: BTreeMap::new(),
-            expected: BTreeMap::new(),
-            due: Duration::ZERO,
-            settled: false,
+            statuses: BTreeMap::new(),
+            expected_since: BTreeMap::new(),
+            next_heartbeat: Duration::ZERO,
+            acknowledged: false,
         }
     }
 
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn own(&self) -> &Member {
         // It is put in when the table is made and never taken out.
-        &self.table[&self.me]
+        &self.table[&self.own_name]
     }
 
     /// What a neighbour said last.
@@ -127,11 +127,11 @@
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
-    /// assert!(membership.heard(&"entry-2".parse().unwrap()).is_none());
+    /// assert!(membership.last_status(&"entry-2".parse().unwrap()).is_none());
     /// ```
     #[must_use]
-    pub fn heard(&self, neighbour: &Name) -> Option<&Message> {
-        self.heard.get(neighbour).map(|(_, word)| word)
+    pub fn last_status(&self, neighbour: &Name) -> Option<&PeerStatus> {
+        self.statuses.get(neighbour).map(|(_, status)| status)
     }
 
     /// Everyone in the table.
@@ -152,11 +152,11 @@
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
-    /// assert_eq!(membership.alive(), 1);
+    /// assert_eq!(membership.alive_count(), 1);
     /// ```
     #[must_use]
-    pub fn alive(&self) -> usize {
-        self.order().len()
+    pub fn alive_count(&self) -> usize {
+        self.ordered_members().len()
     }
 
     /// The instances of the zone that take part, this one included, by name.
@@ -165,21 +165,21 @@
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
-    /// assert!(membership.live().contains(&membership.own().name));
+    /// assert!(membership.live_names().contains(&membership.own().name));
     /// ```
     #[must_use]
-    pub fn live(&self) -> Vec<Name> {
-        let live = self.table.values().filter(|m| m.state == State::Live);
+    pub fn live_names(&self) -> Vec<Name> {
+        let live = self.table.values().filter(|m| m.state == MemberState::Live);
         live.map(|member| member.name.clone()).collect()
     }
 
     /// The live instances in their order; leaving ones last, so that little hangs
     /// on them.
-    fn order(&self) -> Vec<&Member> {
+    fn ordered_members(&self) -> Vec<&Member> {
         let live = self
             .table
             .values()
-            .filter(|member| member.state != State::Dead);
+            .filter(|member| member.state != MemberState::Dead);
         let mut order: Vec<&Member> = live.collect();
         order.sort_by_cached_key(|member| (member.state, xxh3_64(member.name.as_str().as_bytes())));
         order
@@ -187,7 +187,7 @@
 
     /// This instance's place in the order.
     fn position(&self, order: &[&Member]) -> usize {
-        let found = order.iter().position(|member| member.name == self.me);
+        let found = order.iter().position(|member| member.name == self.own_name);
         found.unwrap_or(order.len())
     }
 
@@ -197,11 +197,11 @@
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
-    /// assert!(membership.watcher());
+    /// assert!(membership.is_watcher());
     /// ```
     #[must_use]
-    pub fn watcher(&self) -> bool {
-        self.position(&self.order()) < self.settings.watchers
+    pub fn is_watcher(&self) -> bool {
+        self.position(&self.ordered_members()) < self.settings.watchers
     }
 
     /// Whether this instance is the first of all, who writes the zone's status.
@@ -210,53 +210,57 @@
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
-    /// assert!(membership.first());
+    /// assert!(membership.is_first());
     /// ```
     #[must_use]
-    pub fn first(&self) -> bool {
-        self.position(&self.order()) == 0
+    pub fn is_first(&self) -> bool {
+        self.position(&self.ordered_members()) == 0
     }
 
     /// Whether this instance has to watch the platform: it is a watcher, or its
-    /// parent has no fresh word from one.
+    /// parent has no fresh status from one.
     ///
     /// Failure guarded against: the watchers are cut off from the platform, or
     /// dead and not yet missed, while others could reach it; an accepted version
     /// would not come in force in the zone. Each level of the tree takes over
-    /// from the one above and stands down when that has fresh word again.
+    /// from the one above and stands down when that has fresh status again.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
     /// # let now = std::time::Duration::ZERO;
-    /// let watch = membership.watching(now);
+    /// let watch = membership.must_watch(now);
     /// ```
     #[must_use]
-    pub fn watching(&self, now: Duration) -> bool {
-        self.watcher() || !self.informed(now)
+    pub fn must_watch(&self, now: Duration) -> bool {
+        self.is_watcher() || !self.has_fresh_parent(now)
     }
 
-    /// Whether the parent said lately that it has fresh word of the platform.
-    fn informed(&self, now: Duration) -> bool {
+    /// Whether the parent said lately that it has fresh status of the platform.
+    fn has_fresh_parent(&self, now: Duration) -> bool {
         let Some(parent) = self.parent() else {
             return false;
         };
-        let said = self.heard.get(&parent.name);
-        let bound = self.period() * self.settings.missed;
-        said.is_some_and(|(at, word)| word.fresh && now.saturating_sub(*at) < bound)
+        let status = self.statuses.get(&parent.name);
+        let timeout = self.effective_heartbeat_interval() * self.settings.max_missed_heartbeats;
+        status.is_some_and(|(at, status)| status.fresh && now.saturating_sub(*at) < timeout)
     }
 
     /// The time between heartbeats.
-    fn period(&self) -> Duration {
+    fn effective_heartbeat_interval(&self) -> Duration {
         let members = self.table.len();
-        let factor = if members <= self.settings.small { 1 } else { 2 };
-        self.settings.beat * factor
+        let factor = if members <= self.settings.small_zone_size {
+            1
+        } else {
+            2
+        };
+        self.settings.heartbeat_interval * factor
     }
 
     /// How long a neighbour may be silent.
-    fn patience(&self) -> Duration {
-        self.period() * (self.settings.missed + 1)
+    fn neighbour_timeout(&self) -> Duration {
+        self.effective_heartbeat_interval() * (self.settings.max_missed_heartbeats + 1)
     }
 
     /// The instance above this one in the tree; the first has none.
@@ -269,7 +273,7 @@
     /// ```
     #[must_use]
     pub fn parent(&self) -> Option<&Member> {
-        let order = self.order();
+        let order = self.ordered_members();
         let position = self.position(&order).checked_sub(1)?;
         order.get(position / self.settings.fanout).copied()
     }
@@ -285,7 +289,7 @@
     /// ```
     #[must_use]
     pub fn children(&self, member: &Name) -> Vec<Member> {
-        let order = self.order();
+        let order = self.ordered_members();
         let Some(position) = order.iter().position(|other| other.name == *member) else {
             return Vec::new();
         };
@@ -304,12 +308,12 @@
     /// ```
     #[must_use]
     pub fn neighbours(&self) -> Vec<Member> {
-        let mut neighbours = self.children(&self.me);
+        let mut neighbours = self.children(&self.own_name);
         neighbours.extend(self.parent().cloned());
         neighbours
     }
 
-    /// Whom to send a heartbeat now: once in [`Settings::beat`] the parent, and
+    /// Whom to send a heartbeat now: once in [`Settings::heartbeat_interval`] the parent, and
     /// any child that should have sent one and hasn't. An instance that nobody
     /// has taken in yet sends to everyone it knows.
     ///
@@ -322,33 +326,38 @@
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let mut membership = Membership::new(me, Settings::default());
     /// # let now = std::time::Duration::ZERO;
-    /// for peer in membership.beat(now) {
+    /// for peer in membership.heartbeat_targets(now) {
     ///     println!("to {}", peer.address);
     /// }
     /// ```
-    pub fn beat(&mut self, now: Duration) -> Vec<Member> {
-        if now < self.due {
+    pub fn heartbeat_targets(&mut self, now: Duration) -> Vec<Member> {
+        if now < self.next_heartbeat {
             return Vec::new();
         }
-        self.due = now + self.period();
-        if !self.settled {
-            let others = self.order().into_iter().filter(|m| m.name != self.me);
+        self.next_heartbeat = now + self.effective_heartbeat_interval();
+        if !self.acknowledged {
+            let others = self
+                .ordered_members()
+                .into_iter()
+                .filter(|m| m.name != self.own_name);
             return others.cloned().collect();
         }
         let mut peers: Vec<Member> = self.parent().cloned().into_iter().collect();
-        let children = self.children(&self.me).into_iter();
+        let children = self.children(&self.own_name).into_iter();
         let late = |child: &Member| {
-            let last = self.last(child);
-            last.is_none_or(|last| now.saturating_sub(last) > self.period() * 2)
+            let last = self.last_heard(child);
+            last.is_none_or(|last| {
+                now.saturating_sub(last) > self.effective_heartbeat_interval() * 2
+            })
         };
         peers.extend(children.filter(late));
         peers
     }
 
     /// When a neighbour was heard of last, or was first expected to be.
-    fn last(&self, neighbour: &Member) -> Option<Duration> {
-        let heard = self.heard.get(&neighbour.name).map(|(at, _)| *at);
-        heard.max(self.expected.get(&neighbour.name).copied())
+    fn last_heard(&self, neighbour: &Member) -> Option<Duration> {
+        let heard = self.statuses.get(&neighbour.name).map(|(at, _)| *at);
+        heard.max(self.expected_since.get(&neighbour.name).copied())
     }
 
     /// What this instance says of itself.
@@ -359,15 +368,21 @@
     /// # let membership = Membership::new(me, Settings::default());
     /// # use verbenaspool_state::version::Version;
     /// # let now = std::time::Duration::ZERO;
-    /// let word = membership.word(now, Version(7), Version(7), true);
+    /// let status = membership.own_status(now, Version(7), Version(7), true);
     /// ```
     #[must_use]
-    pub fn word(&self, now: Duration, held: Version, in_force: Version, reaches: bool) -> Message {
-        Message {
+    pub fn own_status(
+        &self,
+        now: Duration,
+        held: Version,
+        in_force: Version,
+        reaches_platform: bool,
+    ) -> PeerStatus {
+        PeerStatus {
             from: self.own().clone(),
             digest: self.digest(),
             held,
-            fresh: reaches || self.informed(now),
+            fresh: reaches_platform || self.has_fresh_parent(now),
             summary: self.summary(now, in_force),
         }
     }
@@ -384,18 +399,18 @@
     /// ```
     #[must_use]
     pub fn summary(&self, now: Duration, in_force: Version) -> Summary {
-        let children = self.children(&self.me);
-        let said = |child: &Member| self.heard.get_key_value(&child.name);
-        let parts: Vec<Part> = children
+        let children = self.children(&self.own_name);
+        let status_of = |child: &Member| self.statuses.get_key_value(&child.name);
+        let subtrees: Vec<SubtreeSummary> = children
             .iter()
-            .filter_map(said)
-            .map(|(name, (at, word))| Part {
+            .filter_map(status_of)
+            .map(|(name, (at, status))| SubtreeSummary {
                 name,
-                summary: &word.summary,
+                summary: &status.summary,
                 age: now.saturating_sub(*at),
             })
             .collect();
-        Summary::gather(&self.me, in_force, &parts)
+        Summary::aggregate(&self.own_name, in_force, &subtrees)
     }
 
     /// The digest of the table.
@@ -419,12 +434,12 @@
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let membership = Membership::new(me, Settings::default());
     /// # let version = verbenaspool_state::version::Version(1);
-    /// # let word = membership.word(std::time::Duration::ZERO, version, version, true);
-    /// assert!(!membership.differs(&word));
+    /// # let status = membership.own_status(std::time::Duration::ZERO, version, version, true);
+    /// assert!(!membership.digest_differs(&status));
     /// ```
     #[must_use]
-    pub fn differs(&self, word: &Message) -> bool {
-        word.digest != self.digest()
+    pub fn digest_differs(&self, status: &PeerStatus) -> bool {
+        status.digest != self.digest()
     }
 
     /// Takes in a heartbeat or the answer to one.
@@ -434,22 +449,22 @@
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let mut membership = Membership::new(me, Settings::default());
     /// # let version = verbenaspool_state::version::Version(1);
-    /// # let word = membership.word(std::time::Duration::ZERO, version, version, true);
+    /// # let status = membership.own_status(std::time::Duration::ZERO, version, version, true);
     /// # let now = std::time::Duration::ZERO;
-    /// let heard = membership.hear(now, word);
+    /// let outcome = membership.receive(now, status);
     /// ```
-    pub fn hear(&mut self, now: Duration, word: Message) -> Heard {
-        let name = word.from.name.clone();
+    pub fn receive(&mut self, now: Duration, status: PeerStatus) -> ReceiveOutcome {
+        let name = status.from.name.clone();
         if let Some(known) = self.table.get(&name)
-            && known.incarnation > word.from.incarnation
+            && known.incarnation > status.from.incarnation
         {
-            return Heard::Superseded;
+            return ReceiveOutcome::Superseded;
         }
         // What a process says of itself goes before what others said of it,
         // except that a dead one has to come back under a higher incarnation.
-        self.merge(std::slice::from_ref(&word.from));
-        self.heard.insert(name, (now, word));
-        Heard::Current
+        self.merge(std::slice::from_ref(&status.from));
+        self.statuses.insert(name, (now, status));
+        ReceiveOutcome::Current
     }
 
     /// Takes a peer's table in.
@@ -461,11 +476,11 @@
     /// # let members = vec![];
     /// let standing = membership.merge(&members);
     /// ```
-    pub fn merge(&mut self, members: &[Member]) -> Standing {
-        let mut standing = Standing::Good;
+    pub fn merge(&mut self, members: &[Member]) -> OwnStanding {
+        let mut standing = OwnStanding::Current;
         for member in members {
-            if member.name == self.me {
-                standing = self.reconsider(member, standing);
+            if member.name == self.own_name {
+                standing = self.merge_own(member, standing);
                 continue;
             }
             let newer = self.table.get(&member.name).is_none_or(|known| {
@@ -473,8 +488,8 @@
                 rank(member) > rank(known)
             });
             if newer {
-                self.heard.remove(&member.name);
-                self.expected.remove(&member.name);
+                self.statuses.remove(&member.name);
+                self.expected_since.remove(&member.name);
                 self.table.insert(member.name.clone(), member.clone());
             }
         }
@@ -482,20 +497,21 @@
     }
 
     /// Takes in what a peer holds of this instance itself.
-    fn reconsider(&mut self, said: &Member, standing: Standing) -> Standing {
-        let settled = self.settled;
+    fn merge_own(&mut self, reported: &Member, standing: OwnStanding) -> OwnStanding {
+        let acknowledged = self.acknowledged;
         let own = self.own().clone();
-        if said.incarnation > own.incarnation && settled && said.address != own.address {
-            return Standing::Replaced;
+        if reported.incarnation > own.incarnation && acknowledged && reported.address != own.address
+        {
+            return OwnStanding::Replaced;
         }
-        let mistaken = said.incarnation == own.incarnation
-            && (said.state > own.state || (said.address != own.address && !settled));
-        if said.incarnation > own.incarnation || mistaken {
-            let incarnation = said.incarnation + 1;
+        let conflicting = reported.incarnation == own.incarnation
+            && (reported.state > own.state || (reported.address != own.address && !acknowledged));
+        if reported.incarnation > own.incarnation || conflicting {
+            let incarnation = reported.incarnation + 1;
             self.table
-                .insert(self.me.clone(), Member { incarnation, ..own });
-        } else if *said == own {
-            self.settled = true;
+                .insert(self.own_name.clone(), Member { incarnation, ..own });
+        } else if *reported == own {
+            self.acknowledged = true;
         }
         standing
     }
@@ -507,12 +523,12 @@
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let mut membership = Membership::new(me, Settings::default());
     /// membership.leave();
-    /// assert!(membership.live().is_empty());
+    /// assert!(membership.live_names().is_empty());
     /// ```
     pub fn leave(&mut self) {
-        let me = self.me.clone();
+        let me = self.own_name.clone();
         if let Some(own) = self.table.get_mut(&me) {
-            own.state = State::Leaving;
+            own.state = MemberState::Leaving;
         }
     }
 
@@ -524,21 +540,23 @@
     /// # let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
     /// # let mut membership = Membership::new(me, Settings::default());
     /// # let now = std::time::Duration::ZERO;
-    /// assert!(membership.miss(now).is_empty());
+    /// assert!(membership.expire_neighbours(now).is_empty());
     /// ```
-    pub fn miss(&mut self, now: Duration) -> Vec<Name> {
-        let patience = self.patience();
+    pub fn expire_neighbours(&mut self, now: Duration) -> Vec<Name> {
+        let timeout = self.neighbour_timeout();
         let neighbours = self.neighbours();
-        self.expected
+        self.expected_since
             .retain(|name, _| neighbours.iter().any(|n| n.name == *name));
         let mut dead = Vec::new();
         for neighbour in neighbours {
-            self.expected.entry(neighbour.name.clone()).or_insert(now);
-            let last = self.last(&neighbour).unwrap_or(now);
-            if now.saturating_sub(last) >= patience
+            self.expected_since
+                .entry(neighbour.name.clone())
+                .or_insert(now);
+            let last = self.last_heard(&neighbour).unwrap_or(now);
+            if now.saturating_sub(last) >= timeout
                 && let Some(member) = self.table.get_mut(&neighbour.name)
             {
-                member.state = State::Dead;
+                member.state = MemberState::Dead;
                 dead.push(neighbour.name);
             }
         }
--- a/verbenaspool_coordination/src/membership/message.rs
+++ b/verbenaspool_coordination/src/membership/message.rs
@@ -18,17 +18,17 @@
     /// Where the process takes calls from its peers.
     pub address: SocketAddr,
     /// Whether the process is there.
-    pub state: State,
+    pub state: MemberState,
 }
 
 impl Member {
     /// An instance that takes part.
     ///
     /// ```
-    /// use verbenaspool_coordination::membership::{Member, State};
+    /// use verbenaspool_coordination::membership::{Member, MemberState};
     ///
     /// let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
-    /// assert_eq!(me.state, State::Live);
+    /// assert_eq!(me.state, MemberState::Live);
     /// ```
     #[must_use]
     pub fn live(name: Name, incarnation: u64, address: SocketAddr) -> Self {
@@ -36,7 +36,7 @@
             name,
             incarnation,
             address,
-            state: State::Live,
+            state: MemberState::Live,
         }
     }
 }
@@ -44,7 +44,7 @@
 /// Whether a process is there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum MemberState {
     /// It takes part.
     Live,
     /// It finishes what it has and goes.
@@ -56,7 +56,7 @@
 /// What a heartbeat and its answer say.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Message {
+pub struct PeerStatus {
     /// Who says it.
     pub from: Member,
     /// The digest of the sender's table.
@@ -72,7 +72,7 @@
 
 /// What became of a heard word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReceiveOutcome {
     /// The sender stands in the table as it says.
     Current,
     /// A successor of the sender stands in the table. The sender is told so by
@@ -82,9 +82,9 @@
 
 /// What the table says about the process itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum OwnStanding {
     /// The process stands there as it is.
-    Good,
+    Current,
     /// Another process has taken over under the same name: this one must take no
     /// more work.
     Replaced,
--- a/verbenaspool_coordination/src/membership/tests.rs
+++ b/verbenaspool_coordination/src/membership/tests.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use super::{Heard, Member, Membership, Settings, Standing, State};
+use super::{Member, MemberState, Membership, OwnStanding, ReceiveOutcome, Settings};
 use verbenaspool_state::version::Version;
 
 /// A member by number.
@@ -9,7 +9,7 @@
         name: format!("entry-{number}").parse().unwrap(),
         incarnation,
         address: ([127, 0, 0, 1], 7000 + number).into(),
-        state: State::Live,
+        state: MemberState::Live,
     }
 }
 
@@ -47,8 +47,8 @@
     fn turn(&mut self, number: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
-        one.miss(now);
-        for peer in one.beat(now) {
+        one.expire_neighbours(now);
+        for peer in one.heartbeat_targets(now) {
             self.exchange(number, peer.address.port() - 7000);
         }
     }
@@ -57,20 +57,20 @@
     fn exchange(&mut self, number: u16, other: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
-        let word = one.word(now, Version(1), Version(1), false);
+        let status = one.own_status(now, Version(1), Version(1), false);
         let table: Vec<Member> = one.table().cloned().collect();
         let Some(other) = self.members.get_mut(&other) else {
             return;
         };
-        if other.differs(&word) {
+        if other.digest_differs(&status) {
             other.merge(&table);
         }
-        other.hear(now, word);
-        let answer = other.word(now, Version(1), Version(1), false);
+        other.receive(now, status);
+        let answer = other.own_status(now, Version(1), Version(1), false);
         let table: Vec<Member> = other.table().cloned().collect();
         let one = self.members.get_mut(&number).unwrap();
         one.merge(&table);
-        one.hear(now, answer);
+        one.receive(now, answer);
     }
 }
 
@@ -79,13 +79,13 @@
     for count in [1, 2, 3, 9, 91] {
         let mut zone = Zone::new(count);
         zone.pass(30);
-        let watchers = zone.members.values().filter(|one| one.watcher()).count();
+        let watchers = zone.members.values().filter(|one| one.is_watcher()).count();
         assert_eq!(watchers, usize::from(count.min(2)), "{count} members");
         for one in zone.members.values() {
-            assert_eq!(one.alive(), usize::from(count), "{count} members");
+            assert_eq!(one.alive_count(), usize::from(count), "{count} members");
             assert!(one.neighbours().len() <= 5);
         }
-        let first = zone.members.values().find(|one| one.first()).unwrap();
+        let first = zone.members.values().find(|one| one.is_first()).unwrap();
         let summary = first.summary(zone.now, Version(1));
         assert_eq!(summary.instances, u32::from(count));
     }
@@ -98,20 +98,23 @@
 fn dead_members_are_missed() {
     let mut zone = Zone::new(20);
     zone.pass(30);
-    let first = zone.members.values().find(|one| one.first()).unwrap();
+    let first = zone.members.values().find(|one| one.is_first()).unwrap();
     let first = first.own().address.port() - 7000;
     for gone in [first, (first + 1) % 20, (first + 7) % 20] {
         zone.members.remove(&gone);
     }
     zone.pass(40);
     for one in zone.members.values() {
-        assert_eq!(one.alive(), 17);
+        assert_eq!(one.alive_count(), 17);
     }
-    assert_eq!(zone.members.values().filter(|one| one.first()).count(), 1);
+    assert_eq!(
+        zone.members.values().filter(|one| one.is_first()).count(),
+        1
+    );
 }
 
 // A process is paused for minutes; the platform replaces it under the same name
-// and then it wakes up. Were its word taken in, its peers would call the wrong
+// and then it wakes up. Were its status taken in, its peers would call the wrong
 // address and callers would get answers from a process that was given up.
 #[test]
 fn paused_process_returns() {
@@ -125,12 +128,12 @@
     one.merge(&[member(0, 1)]);
     zone.members.insert(3, one);
     zone.pass(20);
-    assert_eq!(zone.members[&3].alive(), 3);
-    let word = paused.word(zone.now, Version(9), Version(9), true);
+    assert_eq!(zone.members[&3].alive_count(), 3);
+    let status = paused.own_status(zone.now, Version(9), Version(9), true);
     let other = zone.members.get_mut(&0).unwrap();
-    assert_eq!(other.hear(zone.now, word), Heard::Superseded);
+    assert_eq!(other.receive(zone.now, status), ReceiveOutcome::Superseded);
     let table: Vec<Member> = other.table().cloned().collect();
-    assert_eq!(paused.merge(&table), Standing::Replaced);
+    assert_eq!(paused.merge(&table), OwnStanding::Replaced);
     let successor = &other.table[&member(1, 1).name];
     assert_eq!(successor.address.port(), 7003);
 }
@@ -142,16 +145,16 @@
     let mut zone = Zone::new(3);
     zone.pass(10);
     let now = zone.now;
-    let below = zone.members.values().find(|one| !one.watcher()).unwrap();
-    assert!(below.watching(now));
+    let below = zone.members.values().find(|one| !one.is_watcher()).unwrap();
+    assert!(below.must_watch(now));
     let parent = below.parent().unwrap().address.port() - 7000;
-    let word = zone.members[&parent].word(now, Version(1), Version(1), true);
+    let status = zone.members[&parent].own_status(now, Version(1), Version(1), true);
     let below = zone
         .members
         .values_mut()
-        .find(|one| !one.watcher())
+        .find(|one| !one.is_watcher())
         .unwrap();
-    below.hear(now, word);
-    assert!(!below.watching(now));
-    assert!(below.watching(now + Duration::from_secs(4)));
+    below.receive(now, status);
+    assert!(!below.must_watch(now));
+    assert!(below.must_watch(now + Duration::from_secs(4)));
 }
--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use verbenaspool_coordination::{
     head::Head,
-    membership::{Member, Message},
+    membership::{Member, PeerStatus},
     piece::{Delta, Hash},
 };
 use verbenaspool_state::version::Version;
@@ -26,7 +26,7 @@
 pub struct Beat {
     /// What the sender says of itself.
     #[serde(rename = "word")]
-    pub message: Message,
+    pub message: PeerStatus,
     /// The sender's table, after an answer that told of a different one.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
@@ -38,7 +38,7 @@
 pub struct Echo {
     /// What the answerer says of itself.
     #[serde(rename = "word")]
-    pub message: Message,
+    pub message: PeerStatus,
     /// The answerer's table, where the digests differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
--- a/verbenaspool_standin/tests/config/support.rs
+++ b/verbenaspool_standin/tests/config/support.rs
@@ -136,7 +136,7 @@
         options.seeds = seeds.to_vec();
         options.seed = seed;
         // The tests' zones are small and their time is short.
-        options.membership.beat = Duration::from_millis(100);
+        options.membership.heartbeat_interval = Duration::from_millis(100);
         let source = Source::start(store, clock, options);
         let mut module = rpc::Module::default();
         source.methods(&mut module);
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -5,7 +5,7 @@
 use verbenaspool_coordination::{
     adoption::Verdict,
     head::Head,
-    membership::{Heard, Member, Message, Standing},
+    membership::{Member, OwnStanding, PeerStatus, ReceiveOutcome},
     piece::Hash,
 };
 use verbenaspool_protocol::peer::{
@@ -51,8 +51,8 @@
     while !source.ended() {
         source.enforce();
         let now = source.now();
-        source.membership.borrow_mut().miss(now);
-        let peers = source.membership.borrow_mut().beat(now);
+        source.membership.borrow_mut().expire_neighbours(now);
+        let peers = source.membership.borrow_mut().heartbeat_targets(now);
         let due = !peers.is_empty();
         for member in &peers {
             monoio::spawn(beat(Rc::clone(&source), member.address, Vec::new()));
@@ -62,7 +62,11 @@
             for seed in &source.options.seeds {
                 monoio::spawn(beat(Rc::clone(&source), *seed, Vec::new()));
             }
-            let wait = source.options.membership.beat.saturating_sub(TICK);
+            let wait = source
+                .options
+                .membership
+                .heartbeat_interval
+                .saturating_sub(TICK);
             source.sleep(wait).await;
         }
         source.sleep(TICK).await;
@@ -70,12 +74,12 @@
 }
 
 /// What the source says of itself now.
-fn message(source: &Source) -> Message {
+fn message(source: &Source) -> PeerStatus {
     let adoption = source.adoption.borrow();
     let held = adoption.held().map(|head| head.version);
     let membership = source.membership.borrow();
     let reaches = source.reaches();
-    membership.word(
+    membership.own_status(
         source.now(),
         held.unwrap_or_default(),
         source.version(),
@@ -125,7 +129,11 @@
     if let Some(head) = echo.head {
         pull(&source, &from, head).await;
     }
-    let differs = heard && source.membership.borrow().differs(&word_of(&source, &from));
+    let differs = heard
+        && source
+            .membership
+            .borrow()
+            .digest_differs(&word_of(&source, &from));
     if differs && !told {
         let members = table(&source);
         Box::pin(self::beat(source, address, members)).await;
@@ -133,22 +141,22 @@
 }
 
 /// The last message of a peer.
-fn word_of(source: &Source, from: &Member) -> Message {
+fn word_of(source: &Source, from: &Member) -> PeerStatus {
     let membership = source.membership.borrow();
     membership
-        .heard(&from.name)
+        .last_status(&from.name)
         .cloned()
         .unwrap_or_else(|| message(source))
 }
 
 /// Takes in a peer's table and message; whether the message counts.
-fn take_in(source: &Source, members: &[Member], message: Message) -> bool {
+fn take_in(source: &Source, members: &[Member], message: PeerStatus) -> bool {
     let mut membership = source.membership.borrow_mut();
-    if membership.merge(members) == Standing::Replaced {
+    if membership.merge(members) == OwnStanding::Replaced {
         source.replaced.set(true);
     }
     let (name, held) = (message.from.name.clone(), message.held);
-    let heard = membership.hear(source.now(), message) == Heard::Current;
+    let heard = membership.receive(source.now(), message) == ReceiveOutcome::Current;
     drop(membership);
     if heard {
         source.adoption.borrow_mut().hold(&name, held);
@@ -161,7 +169,7 @@
     let theirs = beat.message.held;
     let told = beat.message.clone();
     take_in(source, &beat.table, beat.message);
-    let differs = source.membership.borrow().differs(&told);
+    let differs = source.membership.borrow().digest_differs(&told);
     let held = source.adoption.borrow().held().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
     if theirs > own {
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -14,7 +14,7 @@
     adoption::{self, Adopted, Adoption, Verdict},
     head::Head,
     keys,
-    membership::{self, Member, Membership, State, Summary},
+    membership::{self, Member, MemberState, Membership, Summary},
 };
 use verbenaspool_state::{name::Name, version::Version};
 
@@ -142,7 +142,7 @@
             name: options.name.clone(),
             incarnation: options.seed,
             address: options.control,
-            state: State::Live,
+            state: MemberState::Live,
         };
         let source = Rc::new(Self {
             adoption: RefCell::new(Adoption::new(options.firm.clone(), options.adoption)),
@@ -271,7 +271,7 @@
     /// ```
     #[must_use]
     pub fn first(&self) -> bool {
-        self.membership.borrow().first()
+        self.membership.borrow().is_first()
     }
 
     /// The instances of the zone that take part, this one included, by name.
@@ -283,7 +283,7 @@
     /// ```
     #[must_use]
     pub fn live(&self) -> Vec<Name> {
-        self.membership.borrow().live()
+        self.membership.borrow().live_names()
     }
 
     /// How many instances of the zone are alive, as far as this one knows.
@@ -295,7 +295,7 @@
     /// ```
     #[must_use]
     pub fn alive(&self) -> usize {
-        self.membership.borrow().alive()
+        self.membership.borrow().alive_count()
     }
 
     /// Tells the zone that this instance goes; what it holds stays to be fetched.
@@ -367,7 +367,7 @@
             self.sleep(PATIENCE).await;
         }
         while !self.ended() {
-            if !self.membership.borrow().watching(self.now()) {
+            if !self.membership.borrow().must_watch(self.now()) {
                 self.sleep(LOOK).await;
                 continue;
             }
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -6,7 +6,7 @@
 use verbenaspool_coordination::{
     head::Head,
     keys,
-    membership::{Seen, Summary},
+    membership::{LaggingInstance, Summary},
     piece::{Base, Root},
 };
 use verbenaspool_state::{name::Name, place::Place, version::Version};
@@ -63,7 +63,7 @@
     /// let behind = status.behind(verbenaspool_state::version::Version(7)).count();
     /// # }
     /// ```
-    pub fn behind(&self, version: Version) -> impl Iterator<Item = &Seen> {
+    pub fn behind(&self, version: Version) -> impl Iterator<Item = &LaggingInstance> {
         let behind = self.summary.behind.iter();
         behind.filter(move |seen| seen.version < version)
     }
