--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -1,17 +1,17 @@
-//! Who of a zone's entry instances is alive, and who talks to whom.
+//! Membership and failure detection of the entry instances of a zone.
 //!
-//! The live instances stand in an order that each works out by itself from the
-//! hash of their names: nobody is elected. The first few watch the platform;
-//! each instance has one parent and a few children in the tree that the order
-//! makes, exchanges heartbeats with these alone, and so spends the same bytes a
-//! second in a zone of three as in one of a hundred.
+//! Each instance orders the live instances by the hash of their names, so no
+//! election is needed. The first few watch the platform. The order defines a tree
+//! in which each instance has one parent and a few children. It exchanges
+//! heartbeats with these alone, and so sends the same number of bytes a second in
+//! a zone of three as in one of a hundred.
 //!
-//! The table of members travels along the tree whenever digests differ. An entry
-//! of a higher incarnation replaces one of a lower, whatever it says: a process
-//! that was paused and comes back finds its successor there and leaves, instead
-//! of overwriting it. At one incarnation a later state (live, leaving, dead)
-//! replaces an earlier one; a process that finds itself called dead by mistake
-//! takes a higher incarnation.
+//! The member table is exchanged along the tree whenever digests differ. An entry
+//! with a higher incarnation always replaces one with a lower: a process that
+//! resumes after a pause finds its successor in the table and leaves instead of
+//! overwriting it. Within one incarnation a later state (live, leaving, dead)
+//! replaces an earlier one. A process that is wrongly declared dead takes a higher
+//! incarnation.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -26,24 +26,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Settings of membership.
+/// Membership settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// The time between heartbeats to the parent in a small zone.
+    /// Interval between heartbeats to the parent in a small zone.
     pub heartbeat_interval: Duration,
-    /// Members up to which a zone is small. In a larger one inner instances have
-    /// 4 children and exchange 5 heartbeats of some 800 bytes, question, answer
-    /// and packets together, where a small zone's exchange one or two; the time
-    /// between them is doubled to stay within 4 KB a second.
+    /// Maximum number of members of a small zone. In a larger one, inner instances
+    /// have 4 children and exchange 5 heartbeats of some 800 bytes each, with request,
+    /// response and packet headers, compared to one or two in a small zone. The
+    /// interval is doubled there to stay within 4 KB a second.
     pub small_zone_size: usize,
-    /// Heartbeats that may be missed before a neighbour counts as dead. Three
-    /// ride out a lost packet or a stalled loop, and find a death within 4 s in a
-    /// small zone and 8 s in a large one.
+    /// Number of heartbeats that may be missed before a neighbour counts as dead.
+    /// Three tolerate a lost packet or a stalled event loop, and detect a crash within
+    /// 4 s in a small zone and 8 s in a large one.
     pub max_missed_heartbeats: u32,
-    /// Children of an instance. Four reach a hundred instances in four hops and
-    /// make an instance send a change four times at most.
+    /// Number of children of an instance. With four, a change reaches a hundred
+    /// instances in four hops and is sent by each four times at most.
     pub fanout: usize,
-    /// Instances that watch the platform. Two, so that one may die unnoticed.
+    /// Number of instances that watch the platform. With two, one may crash without
+    /// effect.
     pub watchers: usize,
 }
 
@@ -59,28 +60,27 @@
     }
 }
 
-/// The members of a zone, as one of them knows them.
+/// The members of a zone as known to one of them.
 #[derive(Debug)]
 pub struct Membership {
-    /// The settings.
     settings: Settings,
-    /// The instance itself.
+    /// The name of this instance.
     own_name: Name,
-    /// Everyone ever heard of, by name.
+    /// All known members, dead ones included.
     table: BTreeMap<Name, Member>,
-    /// What each neighbour said last, and when.
+    /// The last status received from each peer, and when.
     statuses: BTreeMap<Name, (Duration, PeerStatus)>,
-    /// Since when each neighbour is expected to be heard of.
+    /// The time since which each neighbour is expected to send heartbeats.
     expected_since: BTreeMap<Name, Duration>,
     /// When the next heartbeat is due.
     next_heartbeat: Duration,
-    /// Whether a peer has taken this process in. Before, a higher incarnation in
-    /// the table is a predecessor's; after, a successor's.
+    /// Whether a peer's table has shown the entry of this process. Before that, a higher
+    /// incarnation in a table belongs to a predecessor; after that, to a successor.
     acknowledged: bool,
 }
 
 impl Membership {
-    /// An instance that knows nobody but itself.
+    /// Creates the membership of an instance that knows only itself.
     ///
     /// ```
     /// use verbenaspool_coordination::membership::{Member, Membership, Settings, MemberState};
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The instance itself.
+    /// The entry of this instance.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -117,11 +117,11 @@
     /// ```
     #[must_use]
     pub fn own(&self) -> &Member {
-        // It is put in when the table is made and never taken out.
+        // The entry is inserted by `new` and never removed.
         &self.table[&self.own_name]
     }
 
-    /// What a neighbour said last.
+    /// The last status received from a peer.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -134,7 +134,7 @@
         self.statuses.get(neighbour).map(|(_, status)| status)
     }
 
-    /// Everyone in the table.
+    /// All members in the table, dead ones included.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -146,7 +146,7 @@
         self.table.values()
     }
 
-    /// How many instances of the zone are alive, this one included.
+    /// The number of instances of the zone that are live or leaving, this one included.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -159,7 +159,7 @@
         self.ordered_members().len()
     }
 
-    /// The instances of the zone that take part, this one included, by name.
+    /// The names of the live instances of the zone, this one included.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -173,8 +173,8 @@
         live.map(|member| member.name.clone()).collect()
     }
 
-    /// The live instances in their order; leaving ones last, so that little hangs
-    /// on them.
+    /// The live and leaving instances in tree order. Leaving ones come last, so that few
+    /// others depend on them.
     fn ordered_members(&self) -> Vec<&Member> {
         let live = self
             .table
@@ -185,13 +185,13 @@
         order
     }
 
-    /// This instance's place in the order.
+    /// The position of this instance in the order.
     fn position(&self, order: &[&Member]) -> usize {
         let found = order.iter().position(|member| member.name == self.own_name);
         found.unwrap_or(order.len())
     }
 
-    /// Whether this instance is among the first, who watch the platform.
+    /// Whether this instance is one of the first in the order, which watch the platform.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -204,7 +204,7 @@
         self.position(&self.ordered_members()) < self.settings.watchers
     }
 
-    /// Whether this instance is the first of all, who writes the zone's status.
+    /// Whether this instance is the first in the order, which writes the zone's status.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -217,13 +217,13 @@
         self.position(&self.ordered_members()) == 0
     }
 
-    /// Whether this instance has to watch the platform: it is a watcher, or its
-    /// parent has no fresh status from one.
+    /// Whether this instance has to watch the platform, because it is a watcher or its
+    /// parent has no fresh information from the platform.
     ///
-    /// Failure guarded against: the watchers are cut off from the platform, or
-    /// dead and not yet missed, while others could reach it; an accepted version
-    /// would not come in force in the zone. Each level of the tree takes over
-    /// from the one above and stands down when that has fresh status again.
+    /// Failure guarded against: the watchers have lost the platform, or have crashed
+    /// without being detected yet, while other instances can reach it. An accepted
+    /// version would not come into force in the zone. Each level of the tree takes over
+    /// from the one above and stops watching when that has fresh information again.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -237,7 +237,7 @@
         self.is_watcher() || !self.has_fresh_parent(now)
     }
 
-    /// Whether the parent said lately that it has fresh status of the platform.
+    /// Whether the parent recently reported fresh information from the platform.
     fn has_fresh_parent(&self, now: Duration) -> bool {
         let Some(parent) = self.parent() else {
             return false;
@@ -247,7 +247,7 @@
         status.is_some_and(|(at, status)| status.fresh && now.saturating_sub(*at) < timeout)
     }
 
-    /// The time between heartbeats.
+    /// The interval between heartbeats for the size of the zone.
     fn effective_heartbeat_interval(&self) -> Duration {
         let members = self.table.len();
         let factor = if members <= self.settings.small_zone_size {
@@ -258,12 +258,12 @@
         self.settings.heartbeat_interval * factor
     }
 
-    /// How long a neighbour may be silent.
+    /// The time without a heartbeat after which a neighbour counts as dead.
     fn neighbour_timeout(&self) -> Duration {
         self.effective_heartbeat_interval() * (self.settings.max_missed_heartbeats + 1)
     }
 
-    /// The instance above this one in the tree; the first has none.
+    /// The parent of this instance in the tree. The first instance has none.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -278,7 +278,7 @@
         order.get(position / self.settings.fanout).copied()
     }
 
-    /// The instances below `member` in the tree.
+    /// The children of `member` in the tree.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -298,7 +298,7 @@
         below.map(|&member| member.clone()).collect()
     }
 
-    /// The instances that heartbeats and changes are exchanged with.
+    /// The instances with which this one exchanges heartbeats and changes.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -313,13 +313,14 @@
         neighbours
     }
 
-    /// Whom to send a heartbeat now: once in [`Settings::heartbeat_interval`] the parent, and
-    /// any child that should have sent one and hasn't. An instance that nobody
-    /// has taken in yet sends to everyone it knows.
+    /// Returns the instances to send a heartbeat now. Once in each interval, see
+    /// [`Settings::heartbeat_interval`], these are the parent and all children whose
+    /// heartbeats are overdue. An instance that no peer has acknowledged yet sends
+    /// heartbeats to all it knows.
     ///
-    /// Failure guarded against: two instances know different members, so that
-    /// one waits for a heartbeat that the other sends elsewhere. Asked before it
-    /// is given up, the silent one answers, and the tables come together.
+    /// Failure guarded against: two instances know different members, so that one waits
+    /// for a heartbeat that the other sends elsewhere. If the silent instance is asked
+    /// before it is declared dead, it answers and the tables converge.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -354,13 +355,13 @@
         peers
     }
 
-    /// When a neighbour was heard of last, or was first expected to be.
+    /// When a neighbour sent its last heartbeat, or was first expected to send one.
     fn last_heard(&self, neighbour: &Member) -> Option<Duration> {
         let heard = self.statuses.get(&neighbour.name).map(|(at, _)| *at);
         heard.max(self.expected_since.get(&neighbour.name).copied())
     }
 
-    /// What this instance says of itself.
+    /// The status that this instance sends with heartbeats and their answers.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -387,7 +388,7 @@
         }
     }
 
-    /// The versions in force here and below.
+    /// Summary of the versions in force at this instance and below it in the tree.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -413,7 +414,7 @@
         Summary::aggregate(&self.own_name, in_force, &subtrees)
     }
 
-    /// The digest of the table.
+    /// Digest of the member table.
     fn digest(&self) -> u64 {
         let members = self.table.values().map(|member| {
             let Member {
@@ -427,7 +428,7 @@
         xxh3_64(members.collect::<Vec<_>>().concat().as_bytes())
     }
 
-    /// Whether a peer's table differs from this one, so that it has to be told.
+    /// Whether a peer's table differs from this one, so that it has to be sent.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -442,7 +443,7 @@
         status.digest != self.digest()
     }
 
-    /// Takes in a heartbeat or the answer to one.
+    /// Processes the status in a heartbeat or in the answer to one.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -460,14 +461,14 @@
         {
             return ReceiveOutcome::Superseded;
         }
-        // What a process says of itself goes before what others said of it,
-        // except that a dead one has to come back under a higher incarnation.
+        // The status of a process overrides what others reported about it, except
+        // that a process declared dead has to return with a higher incarnation.
         self.merge(std::slice::from_ref(&status.from));
         self.statuses.insert(name, (now, status));
         ReceiveOutcome::Current
     }
 
-    /// Takes a peer's table in.
+    /// Merges a peer's table into this one.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -496,7 +497,7 @@
         standing
     }
 
-    /// Takes in what a peer holds of this instance itself.
+    /// Merges a peer's entry for this instance.
     fn merge_own(&mut self, reported: &Member, standing: OwnStanding) -> OwnStanding {
         let acknowledged = self.acknowledged;
         let own = self.own().clone();
@@ -516,7 +517,7 @@
         standing
     }
 
-    /// Notes that this process goes.
+    /// Marks this instance as leaving.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -532,8 +533,7 @@
         }
     }
 
-    /// Notes that a neighbour can't be reached or has been silent for too long.
-    /// Returns who was declared dead.
+    /// Declares neighbours dead that sent no heartbeat for too long. Returns their names.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
--- a/verbenaspool_coordination/src/membership/message.rs
+++ b/verbenaspool_coordination/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What instances say of themselves and of each other.
+//! Messages between the entry instances of a zone.
 
 use std::net::SocketAddr;
 
@@ -7,22 +7,22 @@
 
 use super::Summary;
 
-/// An instance as the table holds it.
+/// Entry of an instance in the member table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// The instance's name, which its successor takes over.
+    /// The instance's name, which a successor process takes over.
     pub name: Name,
-    /// Counts the processes under this name; the highest one stands.
+    /// Number of the process under this name. The highest one is valid.
     pub incarnation: u64,
-    /// Where the process takes calls from its peers.
+    /// Address at which the process serves calls of its peers.
     pub address: SocketAddr,
-    /// Whether the process is there.
+    /// State of the process.
     pub state: MemberState,
 }
 
 impl Member {
-    /// An instance that takes part.
+    /// Creates the entry of a live instance.
     ///
     /// ```
     /// use verbenaspool_coordination::membership::{Member, MemberState};
@@ -41,51 +41,51 @@
     }
 }
 
-/// Whether a process is there.
+/// State of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It takes part.
+    /// It is running.
     Live,
-    /// It finishes what it has and goes.
+    /// It finishes its requests and shuts down.
     Leaving,
-    /// It hasn't been heard of for too long, or said goodbye.
+    /// It has sent no heartbeat for too long.
     Dead,
 }
 
-/// What a heartbeat and its answer say.
+/// Status of the sender in a heartbeat and in its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerStatus {
-    /// Who says it.
+    /// The sender.
     pub from: Member,
-    /// The digest of the sender's table.
+    /// Digest of the sender's member table.
     pub digest: u64,
-    /// The highest version whose pieces the sender holds.
+    /// The highest version of which the sender has all pieces.
     pub held: Version,
-    /// Whether the sender knows, from the platform or its parent, that no higher
-    /// version stood there a moment ago.
+    /// Whether the sender knows, from the platform or its parent, that the platform
+    /// recently had no higher version.
     pub fresh: bool,
-    /// The versions in force at the sender and below it.
+    /// Summary of the versions in force at the sender and below it in the tree.
     pub summary: Summary,
 }
 
-/// What became of a heard word.
+/// Result of processing a peer's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReceiveOutcome {
-    /// The sender stands in the table as it says.
+    /// The status was accepted.
     Current,
-    /// A successor of the sender stands in the table. The sender is told so by
-    /// the table and leaves; nothing it says is taken in.
+    /// The table has a successor of the sender, so the status was ignored. The sender
+    /// learns of its successor from the table and leaves.
     Superseded,
 }
 
-/// What the table says about the process itself.
+/// Whether this process is still the valid one under its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnStanding {
-    /// The process stands there as it is.
+    /// No other process has taken over.
     Current,
-    /// Another process has taken over under the same name: this one must take no
-    /// more work.
+    /// Another process has taken over under the same name. This one must accept no more
+    /// work.
     Replaced,
 }
--- a/verbenaspool_coordination/src/membership/summary.rs
+++ b/verbenaspool_coordination/src/membership/summary.rs
@@ -1,32 +1,32 @@
-//! The versions in force at many instances, in a bounded number of bytes.
+//! Summary of the versions in force at many instances, of bounded size.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::{name::Name, version::Version};
 
-/// Instances behind_below in a summary: those furthest behind. Each takes 60 bytes of
-/// every heartbeat on the way up the tree.
+/// Maximum number of lagging instances listed in a summary, those furthest behind. Each
+/// takes 60 bytes of every heartbeat on the way up the tree.
 const MAX_BEHIND: usize = 8;
 
-/// The versions in force at an instance and those below it in the tree.
+/// Summary of the versions in force at an instance and those below it in the tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Summary {
-    /// How many instances it speaks of.
+    /// Number of instances in the summary.
     pub instances: u32,
     /// The highest version in force at any of them.
     pub highest: Version,
     /// The lowest version in force at any of them, 0 for none.
     pub lowest: Version,
-    /// How old the oldest word in it is, in milliseconds.
+    /// Age of the oldest information in the summary, in milliseconds.
     pub age_ms: u64,
-    /// Instances below the highest version, those furthest behind first.
+    /// Instances with less than the highest version, those furthest behind first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub behind: Vec<LaggingInstance>,
 }
 
-/// An instance that is behind.
+/// An instance whose version in force is below the highest.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LaggingInstance {
@@ -36,19 +36,19 @@
     pub name: Name,
 }
 
-/// What the first of a subtree of the tree said of it.
+/// Summary of a subtree, as received from its root.
 #[derive(Debug, Clone, Copy)]
 pub struct SubtreeSummary<'a> {
-    /// Who said it.
+    /// The root of the subtree.
     pub name: &'a Name,
-    /// What it said.
+    /// The summary that it sent.
     pub summary: &'a Summary,
-    /// How long ago.
+    /// Time since the summary was received.
     pub age: Duration,
 }
 
 impl Summary {
-    /// What one instance says of itself.
+    /// The summary of a single instance.
     ///
     /// ```
     /// use verbenaspool_coordination::membership::Summary;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What an instance at `version` says of itself and the parts below it.
+    /// Combines the version of an instance with the summaries of the subtrees below it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -96,7 +96,8 @@
             let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             summary.age_ms = summary.age_ms.max(other.age_ms.saturating_add(age_ms));
         }
-        // A subtree that is behind as a whole names only its first itself.
+        // A subtree lists only instances behind its own highest version. If it lags as a
+        // whole, at least its root is listed here.
         let own = [(name, version)].into_iter();
         let roots = subtrees
             .iter()
--- a/verbenaspool_coordination/src/membership/tests.rs
+++ b/verbenaspool_coordination/src/membership/tests.rs
@@ -3,7 +3,7 @@
 use super::{Member, MemberState, Membership, OwnStanding, ReceiveOutcome, Settings};
 use verbenaspool_state::version::Version;
 
-/// A member by number.
+/// Creates the member with this number.
 fn member(number: u16, incarnation: u64) -> Member {
     Member {
         name: format!("entry-{number}").parse().unwrap(),
@@ -13,14 +13,15 @@
     }
 }
 
-/// A zone of members that talk without loss, some of them silent.
+/// Simulated zone whose members exchange heartbeats without loss. Removed members don't
+/// answer.
 struct Zone {
     now: Duration,
     members: BTreeMap<u16, Membership>,
 }
 
 impl Zone {
-    /// A zone whose members know the first of them.
+    /// Creates a zone in which each member knows itself and member 0.
     fn new(count: u16) -> Self {
         let mut members = BTreeMap::new();
         for number in 0..count {
@@ -32,7 +33,7 @@
         Self { now, members }
     }
 
-    /// Lets `seconds` pass, with the heartbeats that fall due.
+    /// Advances the time and sends the heartbeats that become due.
     fn pass(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.now += Duration::from_millis(500);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// One member's turn: a heartbeat to its parent, and whom it misses.
+    /// Runs one member: it expires silent neighbours and sends its due heartbeats.
     fn turn(&mut self, number: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A heartbeat and its answer; nothing comes back from who isn't there.
+    /// Exchanges a heartbeat and its answer. A removed member doesn't answer.
     fn exchange(&mut self, number: u16, other: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
@@ -91,9 +92,9 @@
     }
 }
 
-// Machines die, the first of the order among them. The others must find that
-// out from their neighbours alone and close the gap, or whatever passes along
-// the tree ends there.
+// Several instances crash, the first in the order among them. The others must detect
+// this from their neighbours alone and repair the tree, or changes no longer reach all
+// instances.
 #[test]
 fn dead_members_are_missed() {
     let mut zone = Zone::new(20);
@@ -113,9 +114,9 @@
     );
 }
 
-// A process is paused for minutes; the platform replaces it under the same name
-// and then it wakes up. Were its status taken in, its peers would call the wrong
-// address and callers would get answers from a process that was given up.
+// A process is paused for minutes, and resumes after the platform has replaced it under
+// the same name. If its status were accepted, peers would call the wrong address and
+// callers would get answers from a replaced process.
 #[test]
 fn paused_process_returns() {
     let mut zone = Zone::new(3);
@@ -138,8 +139,8 @@
     assert_eq!(successor.address.port(), 7003);
 }
 
-// Both watchers lose the platform while an instance below them could reach it.
-// It must take over, or an accepted version doesn't come in force in the zone.
+// Both watchers lose the platform while an instance below them can reach it. That
+// instance must take over, or an accepted version doesn't come into force in the zone.
 #[test]
 fn watchers_cut_off() {
     let mut zone = Zone::new(3);
