--- a/verbenaspool_coordination/src/membership/tests.rs
+++ b/verbenaspool_coordination/src/membership/tests.rs
@@ -34,18 +34,18 @@
     }
 
     /// Advances the time and sends the heartbeats that become due.
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.now += Duration::from_millis(500);
             let numbers: Vec<u16> = self.members.keys().copied().collect();
             for number in numbers {
-                self.turn(number);
+                self.run_member(number);
             }
         }
     }
 
     /// Runs one member: it expires silent neighbours and sends its due heartbeats.
-    fn turn(&mut self, number: u16) {
+    fn run_member(&mut self, number: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
         one.expire_neighbours(now);
@@ -76,10 +76,10 @@
 }
 
 #[test]
-fn zone_finds_itself() {
+fn all_members_are_discovered() {
     for count in [1, 2, 3, 9, 91] {
         let mut zone = Zone::new(count);
-        zone.pass(30);
+        zone.advance(30);
         let watchers = zone.members.values().filter(|one| one.is_watcher()).count();
         assert_eq!(watchers, usize::from(count.min(2)), "{count} members");
         for one in zone.members.values() {
@@ -96,15 +96,15 @@
 // this from their neighbours alone and repair the tree, or changes no longer reach all
 // instances.
 #[test]
-fn dead_members_are_missed() {
+fn crashed_members_are_detected() {
     let mut zone = Zone::new(20);
-    zone.pass(30);
+    zone.advance(30);
     let first = zone.members.values().find(|one| one.is_first()).unwrap();
     let first = first.own().address.port() - 7000;
     for gone in [first, (first + 1) % 20, (first + 7) % 20] {
         zone.members.remove(&gone);
     }
-    zone.pass(40);
+    zone.advance(40);
     for one in zone.members.values() {
         assert_eq!(one.alive_count(), 17);
     }
@@ -120,15 +120,15 @@
 #[test]
 fn paused_process_returns() {
     let mut zone = Zone::new(3);
-    zone.pass(10);
+    zone.advance(10);
     let mut paused = zone.members.remove(&1).unwrap();
-    zone.pass(10);
+    zone.advance(10);
     let mut successor = member(1, 1);
     successor.address.set_port(7003);
     let mut one = Membership::new(successor, Settings::default());
     one.merge(&[member(0, 1)]);
     zone.members.insert(3, one);
-    zone.pass(20);
+    zone.advance(20);
     assert_eq!(zone.members[&3].alive_count(), 3);
     let status = paused.own_status(zone.now, Version(9), Version(9), true);
     let other = zone.members.get_mut(&0).unwrap();
@@ -142,9 +142,9 @@
 // Both watchers lose the platform while an instance below them can reach it. That
 // instance must take over, or an accepted version doesn't come into force in the zone.
 #[test]
-fn watchers_cut_off() {
+fn instance_below_replaces_cut_off_watchers() {
     let mut zone = Zone::new(3);
-    zone.pass(10);
+    zone.advance(10);
     let now = zone.now;
     let below = zone.members.values().find(|one| !one.is_watcher()).unwrap();
     assert!(below.must_watch(now));
