--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -72,7 +72,7 @@
 /// Time allowed for preparing a map in addition to twice the expected copy time.
 const PREPARE_SLACK: Duration = Duration::from_millis(2_500);
 
-/// Age above which a report is no longer used for decisions.
+/// Age above which a report no longer counts as recent.
 const STALE_REPORT_AGE: Duration = Duration::from_millis(400);
 
 /// Time within which the holder must report that it holds the pass. Without a limit the
