--- a/verbenaspool_coordination/src/gather.rs
+++ b/verbenaspool_coordination/src/gather.rs
@@ -119,7 +119,7 @@
     /// part on its own, since the sum has already been sent.
     ///
     /// ```
-    /// use verbenaspool_coordination::gather::{PartialCounts, Round, RoundSums, AddOutcome};
+    /// use verbenaspool_coordination::gather::{AddOutcome, PartialCounts, Round, RoundSums};
     ///
     /// let (mut sums, round) = (RoundSums::default(), Round { epoch: 1, number: 4 });
     /// let part = |rank| PartialCounts { rank, offset: 0, counts: &[3, 4] };
--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -83,7 +83,7 @@
     /// Creates the membership of an instance that knows only itself.
     ///
     /// ```
-    /// use verbenaspool_coordination::membership::{Member, Membership, Settings, MemberState};
+    /// use verbenaspool_coordination::membership::{Member, MemberState, Membership, Settings};
     ///
     /// let me = Member {
     ///     name: "entry-1".parse().unwrap(),
--- a/verbenaspool_coordination/src/tree.rs
+++ b/verbenaspool_coordination/src/tree.rs
@@ -33,7 +33,8 @@
 /// let branches = branches(&ranks);
 /// assert_eq!(branches.len(), 8);
 /// assert!(branches.iter().all(|branch| branch.descendants.len() <= 7));
-/// assert_eq!((branches[1].relay, &*branches[1].descendants), (9, &[10, 11, 12, 13, 14, 15, 16][..]));
+/// assert_eq!(branches[1].relay, 9);
+/// assert_eq!(branches[1].descendants, [10, 11, 12, 13, 14, 15, 16]);
 /// ```
 #[must_use]
 pub fn branches(ranks: &[u16]) -> Vec<Branch> {
