--- a/verbenaspool_coordination/src/membership/tests.rs
+++ b/verbenaspool_coordination/src/membership/tests.rs
@@ -1,26 +1,27 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use super::{Heard, Member, Membership, Settings, Standing, State};
+use super::{Member, MemberState, Membership, OwnStanding, ReceiveOutcome, Settings};
 use verbenaspool_state::version::Version;
 
-/// A member by number.
+/// Creates the member with this number.
 fn member(number: u16, incarnation: u64) -> Member {
     Member {
         name: format!("entry-{number}").parse().unwrap(),
         incarnation,
         address: ([127, 0, 0, 1], 7000 + number).into(),
-        state: State::Live,
+        state: MemberState::Live,
     }
 }
 
-/// A zone of members that talk without loss, some of them silent.
+/// Simulated zone whose members exchange heartbeats without loss. Removed members don't
+/// answer.
 struct Zone {
     now: Duration,
     members: BTreeMap<u16, Membership>,
 }
 
 impl Zone {
-    /// A zone whose members know the first of them.
+    /// Creates a zone in which each member knows itself and member 0.
     fn new(count: u16) -> Self {
         let mut members = BTreeMap::new();
         for number in 0..count {
@@ -32,126 +33,129 @@
         Self { now, members }
     }
 
-    /// Lets `seconds` pass, with the heartbeats that fall due.
-    fn pass(&mut self, seconds: u64) {
+    /// Advances the time and sends the heartbeats that become due.
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.now += Duration::from_millis(500);
             let numbers: Vec<u16> = self.members.keys().copied().collect();
             for number in numbers {
-                self.turn(number);
+                self.run_member(number);
             }
         }
     }
 
-    /// One member's turn: a heartbeat to its parent, and whom it misses.
-    fn turn(&mut self, number: u16) {
+    /// Runs one member: it expires silent neighbours and sends its due heartbeats.
+    fn run_member(&mut self, number: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
-        one.miss(now);
-        for peer in one.beat(now) {
+        one.expire_neighbours(now);
+        for peer in one.heartbeat_targets(now) {
             self.exchange(number, peer.address.port() - 7000);
         }
     }
 
-    /// A heartbeat and its answer; nothing comes back from who isn't there.
+    /// Exchanges a heartbeat and its answer. A removed member doesn't answer.
     fn exchange(&mut self, number: u16, other: u16) {
         let now = self.now;
         let one = self.members.get_mut(&number).unwrap();
-        let word = one.word(now, Version(1), Version(1), false);
+        let status = one.own_status(now, Version(1), Version(1), false);
         let table: Vec<Member> = one.table().cloned().collect();
         let Some(other) = self.members.get_mut(&other) else {
             return;
         };
-        if other.differs(&word) {
+        if other.digest_differs(&status) {
             other.merge(&table);
         }
-        other.hear(now, word);
-        let answer = other.word(now, Version(1), Version(1), false);
+        other.receive(now, status);
+        let answer = other.own_status(now, Version(1), Version(1), false);
         let table: Vec<Member> = other.table().cloned().collect();
         let one = self.members.get_mut(&number).unwrap();
         one.merge(&table);
-        one.hear(now, answer);
+        one.receive(now, answer);
     }
 }
 
 #[test]
-fn zone_finds_itself() {
+fn all_members_are_discovered() {
     for count in [1, 2, 3, 9, 91] {
         let mut zone = Zone::new(count);
-        zone.pass(30);
-        let watchers = zone.members.values().filter(|one| one.watcher()).count();
+        zone.advance(30);
+        let watchers = zone.members.values().filter(|one| one.is_watcher()).count();
         assert_eq!(watchers, usize::from(count.min(2)), "{count} members");
         for one in zone.members.values() {
-            assert_eq!(one.alive(), usize::from(count), "{count} members");
+            assert_eq!(one.alive_count(), usize::from(count), "{count} members");
             assert!(one.neighbours().len() <= 5);
         }
-        let first = zone.members.values().find(|one| one.first()).unwrap();
+        let first = zone.members.values().find(|one| one.is_first()).unwrap();
         let summary = first.summary(zone.now, Version(1));
         assert_eq!(summary.instances, u32::from(count));
     }
 }
 
-// Machines die, the first of the order among them. The others must find that
-// out from their neighbours alone and close the gap, or whatever passes along
-// the tree ends there.
+// Several instances crash, the first in the order among them. The others must detect
+// this from their neighbours alone and repair the tree, or changes no longer reach all
+// instances.
 #[test]
-fn dead_members_are_missed() {
+fn crashed_members_are_detected() {
     let mut zone = Zone::new(20);
-    zone.pass(30);
-    let first = zone.members.values().find(|one| one.first()).unwrap();
+    zone.advance(30);
+    let first = zone.members.values().find(|one| one.is_first()).unwrap();
     let first = first.own().address.port() - 7000;
     for gone in [first, (first + 1) % 20, (first + 7) % 20] {
         zone.members.remove(&gone);
     }
-    zone.pass(40);
+    zone.advance(40);
     for one in zone.members.values() {
-        assert_eq!(one.alive(), 17);
+        assert_eq!(one.alive_count(), 17);
     }
-    assert_eq!(zone.members.values().filter(|one| one.first()).count(), 1);
+    assert_eq!(
+        zone.members.values().filter(|one| one.is_first()).count(),
+        1
+    );
 }
 
-// A process is paused for minutes; the platform replaces it under the same name
-// and then it wakes up. Were its word taken in, its peers would call the wrong
-// address and callers would get answers from a process that was given up.
+// A process is paused for minutes, and resumes after the platform has replaced it under
+// the same name. If its status were accepted, peers would call the wrong address and
+// callers would get answers from a replaced process.
 #[test]
 fn paused_process_returns() {
     let mut zone = Zone::new(3);
-    zone.pass(10);
+    zone.advance(10);
     let mut paused = zone.members.remove(&1).unwrap();
-    zone.pass(10);
+    zone.advance(10);
     let mut successor = member(1, 1);
     successor.address.set_port(7003);
     let mut one = Membership::new(successor, Settings::default());
     one.merge(&[member(0, 1)]);
     zone.members.insert(3, one);
-    zone.pass(20);
-    assert_eq!(zone.members[&3].alive(), 3);
-    let word = paused.word(zone.now, Version(9), Version(9), true);
+    zone.advance(20);
+    assert_eq!(zone.members[&3].alive_count(), 3);
+    let status = paused.own_status(zone.now, Version(9), Version(9), true);
     let other = zone.members.get_mut(&0).unwrap();
-    assert_eq!(other.hear(zone.now, word), Heard::Superseded);
+    assert_eq!(other.receive(zone.now, status), ReceiveOutcome::Superseded);
     let table: Vec<Member> = other.table().cloned().collect();
-    assert_eq!(paused.merge(&table), Standing::Replaced);
+    assert_eq!(paused.merge(&table), OwnStanding::Replaced);
     let successor = &other.table[&member(1, 1).name];
     assert_eq!(successor.address.port(), 7003);
 }
 
-// Both watchers lose the platform while an instance below them could reach it.
-// It must take over, or an accepted version doesn't come in force in the zone.
+// Both watchers lose the platform while an instance below them can reach it. That
+// instance must take over, or an accepted version doesn't come into force in the zone.
 #[test]
-fn watchers_cut_off() {
+fn instance_below_replaces_cut_off_watchers() {
     let mut zone = Zone::new(3);
-    zone.pass(10);
+    zone.advance(10);
     let now = zone.now;
-    let below = zone.members.values().find(|one| !one.watcher()).unwrap();
-    assert!(below.watching(now));
+    let below = zone.members.values().find(|one| !one.is_watcher()).unwrap();
+    assert!(below.must_watch(now));
     let parent = below.parent().unwrap().address.port() - 7000;
-    let word = zone.members[&parent].word(now, Version(1), Version(1), true);
+    let status = zone.members[&parent].own_status(now, Version(1), Version(1), true);
     let below = zone
         .members
         .values_mut()
-        .find(|one| !one.watcher())
+        .find(|one| !one.is_watcher())
         .unwrap();
-    below.hear(now, word);
-    assert!(!below.watching(now));
-    assert!(below.watching(now + Duration::from_secs(4)));
+    below.receive(now, status);
+    assert!(!below.must_watch(now));
+    assert!(below.must_watch(now + Duration::from_secs(4)));
 }
--- a/verbenaspool_coordination/tests/switch/explore.rs
+++ b/verbenaspool_coordination/tests/switch/explore.rs
@@ -1,18 +1,18 @@
-//! Many runs with trouble of all kinds: no pass begins on two maps, and the
-//! checker notices when a guard is missing.
+//! Randomized runs with all kinds of faults: no pass begins with two maps, and the
+//! checker fails if a guard of the protocol is disabled.
 
 use proptest::test_runner::{RngAlgorithm, TestRng};
 
-use crate::world::{Broken, Trouble, World};
+use crate::world::{DisabledGuard, FaultRates, World};
 
-/// All kinds of trouble at once.
-const TROUBLE: Trouble = Trouble {
-    late: 200,
-    lost: 100,
-    freeze: 25,
-    freeze_any: 0,
-    kills: 20,
-    breaks: 4,
+/// All kinds of faults at once.
+const ALL_FAULTS: FaultRates = FaultRates {
+    delayed_orders: 200,
+    lost_messages: 100,
+    freezes_per_pass: 25,
+    freezes_per_tick: 0,
+    agent_kills: 20,
+    group_restarts: 4,
 };
 
 fn rng(seed: u64) -> TestRng {
@@ -21,108 +21,113 @@
     TestRng::from_seed(RngAlgorithm::ChaCha, &bytes)
 }
 
-/// What came of many runs.
+/// Combined result of many runs.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The first seed that failed, and why.
-    failed: Option<String>,
-    /// Changes that came in use.
+    /// The first seed that failed and its error.
+    failure: Option<String>,
+    /// Completed changes.
     changes: u64,
-    /// The longest time that the group stood still, in milliseconds.
-    stood: u64,
-    /// Passes that had to wait for a frozen lead.
-    cut_short: usize,
-    /// Times that a lead froze.
+    /// The longest stall of the group in milliseconds.
+    longest_stall_ms: u64,
+    /// Number of passes that had to wait for a frozen lead.
+    passes_awaiting_lead: usize,
+    /// Number of times that a lead froze.
     freezes: u64,
 }
 
-/// Runs seeds up to the first that fails.
-fn play(ranks: usize, seeds: std::ops::Range<u64>, trouble: Trouble, broken: Broken) -> Outcome {
+/// Runs the seeds up to the first that fails.
+fn run_seeds(
+    ranks: usize,
+    seeds: std::ops::Range<u64>,
+    faults: FaultRates,
+    disabled_guard: DisabledGuard,
+) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
-        let mut world = World::new(ranks, trouble, broken, rng(seed));
+        let mut world = World::new(ranks, faults, disabled_guard, rng(seed));
         let run = world.run(40_000);
         outcome.changes += world.changes;
-        outcome.stood = outcome.stood.max(world.stood);
-        outcome.cut_short += world.cut_short.len();
+        outcome.longest_stall_ms = outcome.longest_stall_ms.max(world.longest_stall_ms);
+        outcome.passes_awaiting_lead += world.passes_awaiting_lead.len();
         outcome.freezes += world.freezes;
         if let Err(why) = run {
-            outcome.failed = Some(format!("seed {seed}: {why}"));
+            outcome.failure = Some(format!("seed {seed}: {why}"));
             break;
         }
     }
     outcome
 }
 
-/// Streams of a group break when its ranks run a pass on different maps. Orders
-/// are lost and come late, the lead freezes between any two of them and wakes
-/// later, others stand in, and the group breaks in the middle of a change.
+/// Guards against a pass that runs with different maps on different ranks, which breaks
+/// the group's streams. Orders are lost or delayed, the lead freezes and resumes, other
+/// agents stand in, and the group re-forms in the middle of a change.
 #[test]
 fn no_pass_begins_on_two_maps() {
     for ranks in [2, 3, 8] {
-        let outcome = play(ranks, 0..120, TROUBLE, Broken::Nothing);
-        assert_eq!(outcome.failed, None, "{ranks} ranks");
+        let outcome = run_seeds(ranks, 0..120, ALL_FAULTS, DisabledGuard::None);
+        assert_eq!(outcome.failure, None, "{ranks} ranks");
         assert!(outcome.changes > 500, "{outcome:?}, {ranks} ranks");
     }
 }
 
-/// Leads freeze between any two orders, not only as a pass begins: with a pass held
-/// that nobody is armed for, while some ranks are, or before the order to go on.
+/// The lead freezes between any two orders, not only as a pass begins: while a pass is
+/// held and no rank is armed, while some ranks are armed, or before the release.
 #[test]
 fn a_lead_may_freeze_at_any_moment() {
-    let trouble = Trouble {
-        freeze_any: 4,
-        ..TROUBLE
+    let faults = FaultRates {
+        freezes_per_tick: 4,
+        ..ALL_FAULTS
     };
     for ranks in [2, 8] {
-        let outcome = play(ranks, 0..80, trouble, Broken::Nothing);
-        assert_eq!(outcome.failed, None, "{ranks} ranks");
+        let outcome = run_seeds(ranks, 0..80, faults, DisabledGuard::None);
+        assert_eq!(outcome.failure, None, "{ranks} ranks");
         assert!(outcome.changes > 100, "{outcome:?}, {ranks} ranks");
     }
 }
 
-/// A lead freezes behind its order to hold a pass, and another agent stands in and
-/// arms the ranks. The lead wakes, finds that it has waited too long for the hold, and
-/// lets the pass begin while some ranks aren't armed yet.
+/// Guards against a resumed lead that releases a pass while some ranks aren't armed. It
+/// freezes after its hold order, another agent stands in and arms the ranks, and the lead
+/// then finds that its hold has timed out.
 #[test]
-fn a_lead_that_wakes_doesnt_let_a_pass_begin() {
-    let outcome = play(8, 1607..1608, TROUBLE, Broken::Nothing);
-    assert_eq!(outcome.failed, None);
+fn a_resumed_lead_doesnt_release_a_pass() {
+    let outcome = run_seeds(8, 1607..1608, ALL_FAULTS, DisabledGuard::None);
+    assert_eq!(outcome.failure, None);
 }
 
-/// A checker that never fails proves nothing: with passes that begin though they
-/// are held, orders to arm that are lost must show as a pass on two maps.
+/// Checks the checker: if passes begin although they are held, lost arm orders must show
+/// as a pass with two maps.
 #[test]
-fn a_missing_hold_is_noticed() {
-    let trouble = Trouble {
-        lost: 400,
-        ..TROUBLE
+fn a_disabled_hold_is_detected() {
+    let faults = FaultRates {
+        lost_messages: 400,
+        ..ALL_FAULTS
     };
-    let outcome = play(8, 0..40, trouble, Broken::Hold);
-    assert!(outcome.failed.is_some());
+    let outcome = run_seeds(8, 0..40, faults, DisabledGuard::Hold);
+    assert!(outcome.failure.is_some());
 }
 
-/// Callers of a group wait for as long as a held pass stands. A lead that freezes
-/// right behind its order to hold would keep them waiting until it wakes, up to
-/// five seconds; another agent must let the pass begin well before that.
+/// Guards against a held pass that stalls the group's callers for up to five seconds
+/// because the lead froze right after its hold order. Another agent must resolve the pass
+/// well before the lead resumes.
 #[test]
-fn a_frozen_lead_is_stood_in_for() {
-    let trouble = Trouble {
-        late: 0,
-        lost: 0,
-        freeze: 60,
-        freeze_any: 0,
-        kills: 0,
-        breaks: 0,
+fn another_agent_stands_in_for_a_frozen_lead() {
+    let faults = FaultRates {
+        delayed_orders: 0,
+        lost_messages: 0,
+        freezes_per_pass: 60,
+        freezes_per_tick: 0,
+        agent_kills: 0,
+        group_restarts: 0,
     };
-    let outcome = play(8, 0..60, trouble, Broken::Nothing);
-    assert_eq!(outcome.failed, None);
+    let outcome = run_seeds(8, 0..60, faults, DisabledGuard::None);
+    assert_eq!(outcome.failure, None);
     assert!(outcome.changes > 100, "{outcome:?}");
-    assert!(outcome.stood < 1_500, "{outcome:?}");
-    // Passes that nobody but the lead can let begin are few: it has to freeze within
-    // the milliseconds between the first rank that is armed and its own.
+    assert!(outcome.longest_stall_ms < 1_500, "{outcome:?}");
+    // Passes that only the lead can resolve are rare: it has to freeze in the few
+    // milliseconds between the arming of the first other rank and of its own.
     assert!(
-        outcome.cut_short as u64 * 100 < outcome.freezes,
+        outcome.passes_awaiting_lead as u64 * 100 < outcome.freezes,
         "{outcome:?}"
     );
 }
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -1,21 +1,21 @@
-//! Single steps of the switch.
+//! Tests of single steps of the expert map switch.
 
 use std::time::Duration;
 
-use verbenaspool_coordination::switch::{Ended, Order, Report, Send, Switch};
+use verbenaspool_coordination::switch::{Order, RankOrder, Report, Switch, SwitchOutcome};
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn tell(switch: &mut Switch, now: Duration, reports: &[Report]) {
+fn report_all(switch: &mut Switch, now: Duration, reports: &[Report]) {
     for (rank, report) in reports.iter().enumerate() {
         switch.report(now, rank, *report);
     }
 }
 
-/// A change goes from copy to use in four rounds of orders. The lead's own rank is
-/// armed behind another one, and the pass begins behind all of them.
+/// A change takes four rounds of orders. The lead's own rank is armed after another one,
+/// and the pass is released after all ranks are armed.
 #[test]
 fn a_change_holds_before_it_arms() {
     let mut switch = Switch::new(3);
@@ -24,7 +24,7 @@
         step: 7,
         ..Report::default()
     }; 3];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     assert!(switch.is_ready(ms(1_000)));
     switch.start(ms(1_000), 5, ms(150));
     let (orders, _) = switch.poll(ms(1_000));
@@ -37,36 +37,36 @@
     for report in &mut reports {
         report.prepared = Some(5);
     }
-    tell(&mut switch, ms(1_200), &reports);
-    let hold = Send {
+    report_all(&mut switch, ms(1_200), &reports);
+    let hold = RankOrder {
         rank: 1,
         order: Order::Hold { step: 9 },
     };
     assert_eq!(switch.poll(ms(1_200)).0, [hold]);
     reports[1].held = Some(9);
-    tell(&mut switch, ms(1_205), &reports);
+    report_all(&mut switch, ms(1_205), &reports);
     let arm = Order::Arm {
         version: 5,
         step: 9,
     };
-    let arms = [1, 2].map(|rank| Send { rank, order: arm });
+    let arms = [1, 2].map(|rank| RankOrder { rank, order: arm });
     assert_eq!(switch.poll(ms(1_205)).0, arms);
     assert_eq!(switch.poll(ms(1_209)).0, []);
     reports[2].armed = Some(5);
-    tell(&mut switch, ms(1_210), &reports);
+    report_all(&mut switch, ms(1_210), &reports);
     assert_eq!(
         switch.poll(ms(1_210)).0,
-        [Send {
+        [RankOrder {
             rank: 0,
             order: arm
         }]
     );
     reports[0].armed = Some(5);
-    tell(&mut switch, ms(1_215), &reports);
+    report_all(&mut switch, ms(1_215), &reports);
     assert_eq!(switch.poll(ms(1_215)).0, []);
     reports[1].armed = Some(5);
-    tell(&mut switch, ms(1_265), &reports);
-    let go = Send {
+    report_all(&mut switch, ms(1_265), &reports);
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 9 },
     };
@@ -79,12 +79,15 @@
             ..Report::default()
         };
     }
-    tell(&mut switch, ms(1_300), &reports);
-    assert_eq!(switch.poll(ms(1_300)), (Vec::new(), Some(Ended::Done(5))));
+    report_all(&mut switch, ms(1_300), &reports);
+    assert_eq!(
+        switch.poll(ms(1_300)),
+        (Vec::new(), Some(SwitchOutcome::Completed(5)))
+    );
 }
 
-/// The group breaks while a change is under way: ranks start over with the first
-/// map, and an order for the old epoch must not be given any more.
+/// The group re-forms during a change: the ranks start over with the initial map, and no
+/// order of the old epoch may be sent any more.
 #[test]
 fn a_new_epoch_ends_a_change() {
     let mut switch = Switch::new(2);
@@ -93,7 +96,7 @@
         step: 7,
         ..Report::default()
     }; 2];
-    tell(&mut switch, ms(0), &reports);
+    report_all(&mut switch, ms(0), &reports);
     switch.start(ms(0), 5, ms(150));
     switch.report(
         ms(10),
@@ -110,26 +113,26 @@
     assert!(!switch.is_ready(ms(11)));
 }
 
-/// A pass that its dead lead left held, as a new lead finds it.
-fn found(reports: &mut [Report; 2]) -> Switch {
+/// A new lead that has found a pass held by a crashed lead and blocks arming for it.
+fn switch_with_orphaned_hold(reports: &mut [Report; 2]) -> Switch {
     let mut switch = Switch::new(2);
     reports[1].held = Some(8);
     for now in [0, 100] {
-        tell(&mut switch, ms(now), reports);
+        report_all(&mut switch, ms(now), reports);
         assert_eq!(switch.poll(ms(now)).0, []);
     }
-    tell(&mut switch, ms(200), reports);
-    let bar = Send {
+    report_all(&mut switch, ms(200), reports);
+    let bar = RankOrder {
         rank: 1,
-        order: Order::Bar { step: 8 },
+        order: Order::BlockArming { step: 8 },
     };
     assert_eq!(switch.poll(ms(200)).0, [bar]);
-    reports[1].barred = 8;
+    reports[1].arming_blocked_through = 8;
     switch
 }
 
-/// A lead dies while it arms, and its successor finds a held pass that it knows
-/// nothing of. An order to arm was given: it goes forward.
+/// The lead crashes while it arms the ranks. Its successor finds a held pass for which an
+/// arm order was passed on, so it completes the change.
 #[test]
 fn a_held_pass_of_a_dead_lead_is_finished() {
     let copied = Report {
@@ -139,15 +142,15 @@
         ..Report::default()
     };
     let mut reports = [copied; 2];
-    reports[1].given = 8;
-    let mut switch = found(&mut reports);
-    tell(&mut switch, ms(260), &reports);
+    reports[1].last_arm_step = 8;
+    let mut switch = switch_with_orphaned_hold(&mut reports);
+    report_all(&mut switch, ms(260), &reports);
     switch.poll(ms(260));
     let finish = Order::Finish {
         version: 5,
         step: 8,
     };
-    let finishes = [0, 1].map(|rank| Send {
+    let finishes = [0, 1].map(|rank| RankOrder {
         rank,
         order: finish,
     });
@@ -155,16 +158,16 @@
     for report in &mut reports {
         report.armed = Some(5);
     }
-    tell(&mut switch, ms(320), &reports);
-    let go = Send {
+    report_all(&mut switch, ms(320), &reports);
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
     assert_eq!(switch.poll(ms(320)).0, [go]);
 }
 
-/// The lead died before any order to arm: the pass begins with the old map, though
-/// the lead's own rank is out of reach.
+/// The lead crashed before any arm order: the pass begins with the old map, although the
+/// lead's own rank is unreachable.
 #[test]
 fn a_held_pass_that_nobody_is_armed_for_begins() {
     let copied = Report {
@@ -174,17 +177,17 @@
         ..Report::default()
     };
     let mut reports = [copied; 2];
-    let mut switch = found(&mut reports);
+    let mut switch = switch_with_orphaned_hold(&mut reports);
     switch.report(ms(700), 1, reports[1]);
-    let go = Send {
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
     assert_eq!(switch.poll(ms(700)).0, [go]);
 }
 
-/// A lead freezes right behind arming its own rank, which it has told the others.
-/// Who stands in needn't wait for it to wake: its rank stays armed until the pass.
+/// The lead freezes right after it armed its own rank and reported that. An agent that
+/// stands in doesn't wait for it to resume, since the rank stays armed until the pass.
 #[test]
 fn a_frozen_lead_that_said_it_is_armed_isnt_waited_for() {
     let armed = Report {
@@ -192,24 +195,24 @@
         step: 7,
         prepared: Some(5),
         armed: Some(5),
-        given: 8,
+        last_arm_step: 8,
         ..Report::default()
     };
     let mut reports = [armed; 2];
-    let mut switch = found(&mut reports);
+    let mut switch = switch_with_orphaned_hold(&mut reports);
     switch.report(ms(700), 1, reports[1]);
     switch.poll(ms(700));
-    let go = Send {
+    let go = RankOrder {
         rank: 1,
         order: Order::Go { step: 8 },
     };
     assert_eq!(switch.poll(ms(700)).0, [go]);
 }
 
-/// The keeper shows no hold in time. The order may be carried out late all the same,
-/// and others may have found the pass held: it ends by way of the bar, not by `go`.
+/// The holder doesn't report the hold in time. The order may still be executed late, and
+/// other agents may have found the pass held, so arming is blocked before any `go`.
 #[test]
-fn a_hold_that_isnt_shown_is_barred() {
+fn a_hold_that_times_out_blocks_arming() {
     let mut switch = Switch::new(2);
     let reports = [Report {
         epoch: 1,
@@ -217,20 +220,20 @@
         prepared: Some(5),
         ..Report::default()
     }; 2];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     switch.start(ms(1_000), 5, ms(150));
     switch.poll(ms(1_000));
-    tell(&mut switch, ms(1_500), &reports);
-    let bar = Send {
+    report_all(&mut switch, ms(1_500), &reports);
+    let bar = RankOrder {
         rank: 1,
-        order: Order::Bar { step: 9 },
+        order: Order::BlockArming { step: 9 },
     };
     assert_eq!(switch.poll(ms(1_500)), (vec![bar], None));
 }
 
-/// One rank is slow, and every pass takes 0.6 s. A change that relieves it held the pass
-/// after the next, so that callers of all ranks waited 0.6 s more for the relief. Orders
-/// arrive well within a pass of that length: the next one is held.
+/// Guards against a needless delay with long passes. With a slow rank each pass takes
+/// 0.6 s, and holding the pass after the next one delayed the change that relieves the rank
+/// by another 0.6 s. Orders arrive well within such a pass, so the next one is held.
 #[test]
 fn the_next_pass_is_held_where_passes_are_long() {
     for (pass, held) in [(60, 10), (600, 9)] {
@@ -240,17 +243,17 @@
             step: 7,
             ..Report::default()
         }; 2];
-        tell(&mut switch, ms(1_000 - pass), &reports);
+        report_all(&mut switch, ms(1_000 - pass), &reports);
         for report in &mut reports {
             report.step = 8;
         }
-        tell(&mut switch, ms(1_000), &reports);
+        report_all(&mut switch, ms(1_000), &reports);
         switch.start(ms(1_000), 5, ms(150));
         for report in &mut reports {
             report.prepared = Some(5);
         }
-        tell(&mut switch, ms(1_010), &reports);
-        let hold = Send {
+        report_all(&mut switch, ms(1_010), &reports);
+        let hold = RankOrder {
             rank: 1,
             order: Order::Hold { step: held },
         };
@@ -258,22 +261,22 @@
     }
 }
 
-/// One rank of three can't copy, and the change is given up. Operators looked for the
-/// culprit among 63 ranks without a word on it: the switch names it.
+/// One rank of three can't copy, and the change is abandoned. The switch names the rank;
+/// without that, operators had to search for it among 63 ranks.
 #[test]
-fn a_change_that_is_given_up_names_who_lacked_it() {
+fn an_abandoned_change_names_the_unprepared_ranks() {
     let mut switch = Switch::new(3);
     let mut reports = [Report {
         epoch: 1,
         step: 7,
         ..Report::default()
     }; 3];
-    tell(&mut switch, ms(1_000), &reports);
+    report_all(&mut switch, ms(1_000), &reports);
     switch.start(ms(1_000), 5, ms(150));
     reports[0].prepared = Some(5);
     reports[2].prepared = Some(5);
-    tell(&mut switch, ms(4_000), &reports);
+    report_all(&mut switch, ms(4_000), &reports);
     let (_, ended) = switch.poll(ms(4_000));
-    assert_eq!(ended, Some(Ended::GivenUp(5)));
-    assert_eq!(switch.lacking(), [1]);
+    assert_eq!(ended, Some(SwitchOutcome::Abandoned(5)));
+    assert_eq!(switch.unprepared_ranks(), [1]);
 }
