--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -297,7 +297,7 @@
             let members = self.upstreams.members(service);
             running
                 .queue
-                .with(|balancer, now| balancer.members(now, &members));
+                .with(|balancer, now| balancer.set_members(now, &members));
         }
     }
 
@@ -317,7 +317,7 @@
         for running in self.services.borrow().values() {
             running
                 .queue
-                .with(|balancer, now| balancer.peers(now, &peers));
+                .with(|balancer, now| balancer.set_peers(now, &peers));
         }
         self.peers.replace(peers);
     }
@@ -335,7 +335,7 @@
     fn requeue(&self, table: &Table) {
         let shares = table.customers.iter();
         let shares = shares.map(|customer| (customer.name.clone(), customer.share));
-        let shares: Rc<share::Table> = Rc::new(shares.collect());
+        let shares: Rc<share::Shares> = Rc::new(shares.collect());
         let peers = self.peers.borrow();
         let mut services = self.services.borrow_mut();
         let mut before = std::mem::take(&mut *services);
@@ -345,8 +345,8 @@
             let members = self.upstreams.members(service);
             running.queue.with(|balancer, now| {
                 balancer.configure(now, &service.decisions, &shares);
-                balancer.peers(now, &peers);
-                balancer.members(now, &members);
+                balancer.set_peers(now, &peers);
+                balancer.set_members(now, &members);
             });
             services.insert(service.name.clone(), running);
         }
@@ -377,7 +377,7 @@
             return;
         };
         if let Some(queue) = self.queue_of(&service) {
-            queue.with(|balancer, now| balancer.report(now, upstream, &load));
+            queue.with(|balancer, now| balancer.load_report(now, upstream, &load));
         }
     }
 
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -10,7 +10,7 @@
 use std::{rc::Weak, time::Duration};
 
 use rand::Rng;
-use verbenaspool_policy::load::Cache;
+use verbenaspool_policy::load::CacheEvent;
 use verbenaspool_protocol::report;
 use verbenaspool_state::{name::Name, upstream::Identity};
 use verbenaspool_transport::shutdown::Signal;
@@ -79,15 +79,15 @@
         };
         queue.with(|balancer, now| {
             if cache.reset {
-                balancer.cache(now, name, Cache::Reset);
+                balancer.cache_event(now, name, CacheEvent::Reset);
             }
             for event in &cache.events {
                 let change = if event.held {
-                    Cache::Held(event.prefix)
+                    CacheEvent::Added(event.prefix)
                 } else {
-                    Cache::Dropped(event.prefix)
+                    CacheEvent::Dropped(event.prefix)
                 };
-                balancer.cache(now, name, change);
+                balancer.cache_event(now, name, change);
             }
         });
     }
--- a/verbenaspool_policy/benches/decisions.rs
+++ b/verbenaspool_policy/benches/decisions.rs
@@ -18,7 +18,7 @@
 };
 use verbenaspool_policy::{
     balancer::Balancer,
-    mechanism::{Mechanism, Set},
+    mechanism::{Mechanism, Mechanisms},
 };
 use verbenaspool_state::{decisions::Decisions, name::Name};
 
@@ -43,7 +43,7 @@
             continue;
         }
         let row = |policy: &str, score: Score| show(has("--json"), case.name, policy, &score);
-        row("verbenaspool", ours(&case, Set::all()));
+        row("verbenaspool", ours(&case, Mechanisms::all()));
         for kind in Kind::ALL {
             let baseline = |entry, _: &Name| -> Box<dyn Policy> {
                 Box::new(Baseline::new(kind, entry as u64))
@@ -54,7 +54,7 @@
         if has("--ablation") {
             for mechanism in Mechanism::ALL {
                 let policy = format!("without-{mechanism:?}").to_lowercase();
-                row(&policy, ours(&case, Set::all().without(mechanism)));
+                row(&policy, ours(&case, Mechanisms::all().without(mechanism)));
             }
         }
     }
@@ -73,8 +73,8 @@
         let settings = Decisions::default();
         let zone = world::name("zone", 0);
         let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, number);
-        balancer.peers(Duration::ZERO, &peers);
-        balancer.members(Duration::ZERO, &members);
+        balancer.set_peers(Duration::ZERO, &peers);
+        balancer.set_members(Duration::ZERO, &members);
         let listed = resident();
         fleet::run(&mut balancer, 1);
         let after = resident();
@@ -114,8 +114,8 @@
     for (case, load, settings) in cases {
         let zone = world::name("zone", 0);
         let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, 1);
-        balancer.peers(Duration::ZERO, &peers);
-        balancer.members(Duration::ZERO, &members);
+        balancer.set_peers(Duration::ZERO, &peers);
+        balancer.set_members(Duration::ZERO, &members);
         show(case, "verbenaspool", fleet::run(&mut balancer, load));
         for kind in Kind::ALL {
             let mut baseline = Baseline::new(kind, 1);
@@ -126,11 +126,11 @@
 }
 
 /// Plays a case with the balancer.
-fn ours(case: &Case, mechanisms: Set) -> Score {
+fn ours(case: &Case, mechanisms: Mechanisms) -> Score {
     let settings = Decisions::default();
     let make = |entry: usize, zone: &Name| -> Box<dyn Policy> {
         let name = world::name("entry", entry);
-        Box::new(Balancer::with(
+        Box::new(Balancer::with_mechanisms(
             &settings,
             name,
             zone.clone(),
--- a/verbenaspool_policy/benches/play/policy.rs
+++ b/verbenaspool_policy/benches/play/policy.rs
@@ -6,7 +6,7 @@
     attempt::{Ending, Id, Outcome},
     balancer::Balancer,
     decision::{Decision, Resolution, Ticket},
-    load::{Cache, Load},
+    load::{CacheEvent, LoadReport},
     member::Member,
     request::Request,
 };
@@ -25,8 +25,8 @@
         ending: Ending,
         tried: &[Name],
     ) -> Decision;
-    fn report(&mut self, _now: Duration, _upstream: &Name, _load: &Load) {}
-    fn cache(&mut self, _now: Duration, _upstream: &Name, _event: Cache) {}
+    fn report(&mut self, _now: Duration, _upstream: &Name, _load: &LoadReport) {}
+    fn cache(&mut self, _now: Duration, _upstream: &Name, _event: CacheEvent) {}
     fn next_wake(&self) -> Option<Duration> {
         None
     }
@@ -34,7 +34,7 @@
 
 impl Policy for Balancer {
     fn members(&mut self, now: Duration, members: &[Member]) {
-        self.members(now, members);
+        self.set_members(now, members);
     }
     fn offer(&mut self, now: Duration, request: &Request<'_>) -> Decision {
         self.offer(now, request)
@@ -57,11 +57,11 @@
     ) -> Decision {
         self.retry(now, request, ending, tried)
     }
-    fn report(&mut self, now: Duration, upstream: &Name, load: &Load) {
-        self.report(now, upstream, load);
+    fn report(&mut self, now: Duration, upstream: &Name, load: &LoadReport) {
+        self.load_report(now, upstream, load);
     }
-    fn cache(&mut self, now: Duration, upstream: &Name, event: Cache) {
-        self.cache(now, upstream, event);
+    fn cache(&mut self, now: Duration, upstream: &Name, event: CacheEvent) {
+        self.cache_event(now, upstream, event);
     }
     fn next_wake(&self) -> Option<Duration> {
         self.next_wake()
--- a/verbenaspool_policy/benches/play/world.rs
+++ b/verbenaspool_policy/benches/play/world.rs
@@ -10,7 +10,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Id, Outcome},
     decision::{Decision, Refusal, Start, Ticket},
-    load::{Cache, Load},
+    load::{CacheEvent, LoadReport},
     member::Member,
     request::Request,
 };
@@ -44,8 +44,8 @@
     Engine(usize, u64),
     Fail(u64, Ending),
     Report(usize),
-    Load(usize, usize, Load),
-    Cache(usize, usize, Cache),
+    Load(usize, usize, LoadReport),
+    Cache(usize, usize, CacheEvent),
     Change(Change),
     Members,
     Wake(usize),
@@ -326,15 +326,15 @@
         };
         let (cached, dropped) = self.engines[engine].touch(prefix);
         if !cached {
-            self.tell(now, engine, Cache::Held(prefix));
+            self.tell(now, engine, CacheEvent::Added(prefix));
         }
         if let Some(dropped) = dropped {
-            self.tell(now, engine, Cache::Dropped(dropped));
+            self.tell(now, engine, CacheEvent::Dropped(dropped));
         }
         cached
     }
 
-    fn tell(&mut self, now: Duration, engine: usize, event: Cache) {
+    fn tell(&mut self, now: Duration, engine: usize, event: CacheEvent) {
         for entry in 0..ENTRIES {
             if !self.random.random_bool(self.case.gaps) {
                 self.at(now + self.case.lag, Event::Cache(entry, engine, event));
@@ -419,7 +419,7 @@
     fn report(&mut self, now: Duration, engine: usize) {
         self.engines[engine].sequence += 1;
         let (running, waiting) = self.engines[engine].load();
-        let load = Load {
+        let load = LoadReport {
             incarnation: self.engines[engine].incarnation,
             sequence: self.engines[engine].sequence,
             running,
--- a/verbenaspool_policy/src/affinity.rs
+++ b/verbenaspool_policy/src/affinity.rs
@@ -9,62 +9,65 @@
 use crate::hash::Map;
 
 /// Prefixes remembered: about 1 MB at 56 bytes each, for each service.
-const MOST: usize = 16_384;
+const MAX_PREFIXES: usize = 16_384;
 /// Holders remembered for a prefix. Four carry a prefix that takes a quarter of
 /// today's 16 replicas; the bounded load spreads a hotter one over its holders.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 /// Prefixes learned from one request, the longest ones.
-const LEARNED: usize = 8;
+const MAX_RECORDED_PREFIXES: usize = 8;
 
 /// A key that stands for one upstream's cache as long as nothing emptied it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Key(pub u64);
+pub struct CacheKey(pub u64);
 
 /// The holders of one prefix, latest first.
-pub type Holders = [Option<Key>; HOLDERS];
+pub type Holders = [Option<CacheKey>; MAX_HOLDERS];
 
 /// What is known about prefixes. Two generations bound it: the old one is
 /// dropped when the young one is full, and prefixes in use move to the young.
 #[derive(Debug, Default)]
 pub struct Affinity {
     /// Prefixes seen lately.
-    young: Map<u64, Holders>,
+    current: Map<u64, Holders>,
     /// Prefixes of the generation before.
-    old: Map<u64, Holders>,
+    previous: Map<u64, Holders>,
 }
 
 impl Affinity {
     /// Records that a cache holds a prefix, or soon will.
-    pub fn hold(&mut self, prefix: u64, key: Key) {
-        if self.young.len() >= MOST / 2 && !self.young.contains_key(&prefix) {
-            self.old = std::mem::take(&mut self.young);
+    pub fn insert(&mut self, prefix: u64, key: CacheKey) {
+        if self.current.len() >= MAX_PREFIXES / 2 && !self.current.contains_key(&prefix) {
+            self.previous = std::mem::take(&mut self.current);
         }
-        let old = &mut self.old;
+        let previous = &mut self.previous;
         let holders = self
-            .young
+            .current
             .entry(prefix)
-            .or_insert_with(|| old.remove(&prefix).unwrap_or_default());
-        let place = holders
+            .or_insert_with(|| previous.remove(&prefix).unwrap_or_default());
+        let index = holders
             .iter()
             .position(|h| *h == Some(key))
-            .unwrap_or(HOLDERS - 1);
-        holders[..=place].rotate_right(1);
+            .unwrap_or(MAX_HOLDERS - 1);
+        holders[..=index].rotate_right(1);
         holders[0] = Some(key);
     }
 
     /// Records the prefixes that a started request leaves in a cache.
-    pub fn learn(&mut self, prefixes: &[u64], key: Key) {
-        let from = prefixes.len().saturating_sub(LEARNED);
+    pub fn record_start(&mut self, prefixes: &[u64], key: CacheKey) {
+        let from = prefixes.len().saturating_sub(MAX_RECORDED_PREFIXES);
         for &prefix in &prefixes[from..] {
-            self.hold(prefix, key);
+            self.insert(prefix, key);
         }
     }
 
     /// Records that a cache dropped a prefix.
-    pub fn drop(&mut self, prefix: u64, key: Key) {
-        for holders in [self.young.get_mut(&prefix), self.old.get_mut(&prefix)]
-            .into_iter()
-            .flatten()
+    pub fn remove(&mut self, prefix: u64, key: CacheKey) {
+        for holders in [
+            self.current.get_mut(&prefix),
+            self.previous.get_mut(&prefix),
+        ]
+        .into_iter()
+        .flatten()
         {
             for holder in holders.iter_mut().filter(|holder| **holder == Some(key)) {
                 *holder = None;
@@ -74,15 +77,18 @@
 
     /// The place of the longest known prefix in `prefixes`, and its holders.
     #[must_use]
-    pub fn find(&self, prefixes: &[u64]) -> Option<(usize, &Holders)> {
+    pub fn longest_match(&self, prefixes: &[u64]) -> Option<(usize, &Holders)> {
         prefixes
             .iter()
             .enumerate()
             .rev()
-            .find_map(|(place, prefix)| {
-                let holders = self.young.get(prefix).or_else(|| self.old.get(prefix))?;
+            .find_map(|(index, prefix)| {
+                let holders = self
+                    .current
+                    .get(prefix)
+                    .or_else(|| self.previous.get(prefix))?;
                 let known = holders.iter().any(Option::is_some);
-                known.then_some((place, holders))
+                known.then_some((index, holders))
             })
     }
 }
--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -1,8 +1,8 @@
 //! The decisions for one service at one entry instance, joined.
 
 mod admission;
-mod launch;
 mod signals;
+mod start;
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,23 +10,23 @@
 
 use crate::{
     attempt::{Ending, Id, Outcome},
-    budget::Budget,
+    budget::RetryBudget,
     decision::{Decision, Reason, Resolution, Ticket},
-    estimate::{Profile, Size},
-    flight::Flight,
+    estimate::{TokenCounts, UsageProfile},
     hash::Map,
-    mechanism::Set,
+    in_flight::InFlightAttempt,
+    mechanism::Mechanisms,
     member::{Member, Peer},
     pool::Pool,
+    queues::Queues,
     request::Request,
-    room::Room,
     route::Router,
-    share::Table,
+    share::Shares,
     snapshot::Snapshot,
 };
 
 /// Retries saved up for the service: what three customers may save.
-const SERVICE_RETRIES: f64 = 30.0;
+const MAX_SERVICE_RETRIES: f64 = 30.0;
 
 /// Decides for one service at one entry instance.
 ///
@@ -48,7 +48,7 @@
 ///     speed: 1.0,
 ///     leaving: false,
 /// };
-/// balancer.members(Duration::ZERO, &[member]);
+/// balancer.set_members(Duration::ZERO, &[member]);
 /// let customer = "bowen-loft".parse()?;
 /// let request = Request {
 ///     customer: &customer,
@@ -67,7 +67,7 @@
     /// The settings in force.
     settings: Decisions,
     /// The mechanisms in use.
-    mechanisms: Set,
+    mechanisms: Mechanisms,
     /// The entry's own name.
     entry: Name,
     /// The service's entry instances.
@@ -77,19 +77,19 @@
     /// The upstreams worked with, and which is chosen.
     router: Router,
     /// The requests that wait.
-    room: Room,
+    queues: Queues,
     /// What the requests of all customers turn out to be.
-    habit: Profile,
+    usage: UsageProfile,
     /// The service's retries.
-    budget: Budget,
+    retry_budget: RetryBudget,
     /// Requests given up since the last poll.
-    given_up: Vec<Resolution>,
+    evicted: Vec<Resolution>,
     /// Attempts in flight.
-    flights: Map<Id, Flight>,
+    in_flight: Map<Id, InFlightAttempt>,
     /// The number of the next ticket or attempt.
-    next: u64,
+    last_id: u64,
     /// Counts for metrics.
-    counts: Snapshot,
+    counters: Snapshot,
 }
 
 impl Balancer {
@@ -105,7 +105,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
@@ -113,7 +113,7 @@
     /// ```
     #[must_use]
     pub fn new(settings: &Decisions, entry: Name, zone: Name, seed: u64) -> Self {
-        Self::with(settings, entry, zone, seed, Set::all())
+        Self::with_mechanisms(settings, entry, zone, seed, Mechanisms::all())
     }
 
     /// A balancer with only some mechanisms, to measure what each is for.
@@ -127,18 +127,24 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// use verbenaspool_policy::mechanism::{Mechanism, Set};
+    /// use verbenaspool_policy::mechanism::{Mechanism, Mechanisms};
     ///
-    /// let set = Set::all().without(Mechanism::Affinity);
-    /// let mut balancer = Balancer::with(&one, "entry-1".parse()?, zone, 1, set);
+    /// let mechanisms = Mechanisms::all().without(Mechanism::Affinity);
+    /// let mut balancer = Balancer::with_mechanisms(&one, "entry-1".parse()?, zone, 1, mechanisms);
     /// assert!(matches!(balancer.offer(now, &request), Decision::Refuse(_)));
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     #[must_use]
-    pub fn with(settings: &Decisions, entry: Name, zone: Name, seed: u64, mechanisms: Set) -> Self {
+    pub fn with_mechanisms(
+        settings: &Decisions,
+        entry: Name,
+        zone: Name,
+        seed: u64,
+        mechanisms: Mechanisms,
+    ) -> Self {
         Self {
             settings: settings.clone(),
             mechanisms,
@@ -146,13 +152,13 @@
             peers: Vec::new(),
             members: Vec::new(),
             router: Router::new(Pool::new(zone, mechanisms), seed),
-            room: Room::new(mechanisms),
-            habit: Profile::default(),
-            budget: Budget::new(SERVICE_RETRIES),
-            given_up: Vec::new(),
-            flights: Map::default(),
-            next: 0,
-            counts: Snapshot::default(),
+            queues: Queues::new(mechanisms),
+            usage: UsageProfile::default(),
+            retry_budget: RetryBudget::new(MAX_SERVICE_RETRIES),
+            evicted: Vec::new(),
+            in_flight: Map::default(),
+            last_id: 0,
+            counters: Snapshot::default(),
         }
     }
 
@@ -167,7 +173,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let shares = std::rc::Rc::new([(customer.clone(), 3)].into_iter().collect());
@@ -175,9 +181,9 @@
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn configure(&mut self, now: Duration, settings: &Decisions, shares: &Rc<Table>) {
+    pub fn configure(&mut self, now: Duration, settings: &Decisions, shares: &Rc<Shares>) {
         self.settings = settings.clone();
-        self.room.set_shares(shares);
+        self.queues.set_shares(shares);
         self.choose_subset(now);
     }
 
@@ -192,14 +198,14 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// balancer.members(now, &[]);
+    /// balancer.set_members(now, &[]);
     /// assert!(balancer.snapshot(now).upstreams.is_empty());
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn members(&mut self, now: Duration, members: &[Member]) {
+    pub fn set_members(&mut self, now: Duration, members: &[Member]) {
         self.members = members
             .iter()
             .filter(|member| !member.leaving)
@@ -219,14 +225,14 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// balancer.peers(now, &[Peer { name: "entry-1".parse()?, zone }]);
+    /// balancer.set_peers(now, &[Peer { name: "entry-1".parse()?, zone }]);
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn peers(&mut self, now: Duration, peers: &[Peer]) {
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer]) {
         self.peers = peers.to_vec();
         self.choose_subset(now);
     }
@@ -242,7 +248,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert!(matches!(balancer.offer(now, &request), Decision::Admit(_)));
@@ -250,10 +256,10 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn offer(&mut self, now: Duration, request: &Request<'_>) -> Decision {
-        self.counts.offered += 1;
-        let held = self.hold(request, &[]);
-        self.room.observe(now, held.work);
-        self.admit(now, request, held)
+        self.counters.offered += 1;
+        let pending = self.pending_request(request, &[]);
+        self.queues.observe(now, pending.work);
+        self.admit(now, request, pending)
     }
 
     /// The waiting requests that start or are given up now.
@@ -267,7 +273,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let Decision::Admit(start) = balancer.offer(now, &request) else { unreachable!() };
@@ -280,10 +286,10 @@
     /// ```
     pub fn poll(&mut self, now: Duration) -> Vec<Resolution> {
         self.refresh(now);
-        while let Some(ticket) = self.room.expired(now) {
-            self.give_up(ticket, Reason::Expired);
+        while let Some(ticket) = self.queues.expired(now) {
+            self.evict(ticket, Reason::Expired);
         }
-        let mut resolved = std::mem::take(&mut self.given_up);
+        let mut resolved = std::mem::take(&mut self.evicted);
         while let Some(resolution) = self.start_next(now) {
             resolved.push(resolution);
         }
@@ -301,7 +307,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// balancer.offer(now, &request);
@@ -312,7 +318,7 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn cancel(&mut self, _now: Duration, ticket: Ticket) {
-        self.room.remove(ticket);
+        self.queues.remove(ticket);
     }
 
     /// Learns from an attempt that ended. An unknown or repeated attempt changes nothing.
@@ -326,7 +332,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// if let Decision::Admit(start) = balancer.offer(now, &request) {
@@ -337,31 +343,37 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn finish(&mut self, now: Duration, attempt: Id, outcome: &Outcome) {
-        let Some(flight) = self.flights.remove(&attempt) else {
+        let Some(attempt_record) = self.in_flight.remove(&attempt) else {
             return;
         };
         self.router.free();
-        let size = Size {
+        let used_tokens = TokenCounts {
             prompt_tokens: outcome.prompt_tokens,
             tokens: outcome.tokens,
         };
-        let size = size.within(flight.asked);
-        let done = size.work(self.settings.prefill_weight);
-        if let Some(place) = self.router.pool.find(&flight.upstream, flight.serial) {
+        let used_tokens = used_tokens.capped_at(attempt_record.requested);
+        let used_work = used_tokens.work(self.settings.prefill_weight);
+        if let Some(place) = self
+            .router
+            .pool
+            .find(&attempt_record.upstream, attempt_record.serial)
+        {
             let seconds = outcome.took.as_secs_f64();
             self.router.pool.finish(
                 now,
                 place,
                 outcome.ending,
                 seconds,
-                done,
+                used_work,
                 self.settings.max_limit,
             );
-            self.correct_cache(place, &flight, outcome);
+            self.correct_cache(place, &attempt_record, outcome);
         }
         match outcome.ending {
-            Ending::Ran => self.learn(&flight, size, done),
-            Ending::NotRun => self.room.charge(flight.customer, -flight.charged),
+            Ending::Ran => self.record_usage(&attempt_record, used_tokens, used_work),
+            Ending::NotRun => self
+                .queues
+                .charge(attempt_record.customer, -attempt_record.charged),
             Ending::Unknown | Ending::Cancelled => {}
         }
     }
@@ -379,7 +391,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let booking = Request { idempotent: false, ..request };
@@ -399,13 +411,13 @@
             Ending::Unknown => request.idempotent,
             Ending::Ran | Ending::Cancelled => false,
         };
-        let held = self.hold(request, tried);
-        let late = self.latest(request.deadline, held.work) < now;
-        if !safe || late || !self.spend(held.customer) {
-            return Decision::Refuse(self.refuse(Reason::NoRetry, held.customer));
+        let pending = self.pending_request(request, tried);
+        let late = self.latest_start(request.deadline, pending.work) < now;
+        if !safe || late || !self.try_spend_retry(pending.customer) {
+            return Decision::Refuse(self.refuse(Reason::NoRetry, pending.customer));
         }
-        self.counts.retried += 1;
-        self.admit(now, request, held)
+        self.counters.retried += 1;
+        self.admit(now, request, pending)
     }
 
     /// When `poll` has something to do if nothing else happens before.
@@ -419,7 +431,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert_eq!(balancer.next_wake(), None);
@@ -430,8 +442,8 @@
     /// ```
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        if self.given_up.is_empty() {
-            self.room.next_expiry()
+        if self.evicted.is_empty() {
+            self.queues.next_expiry()
         } else {
             Some(Duration::ZERO)
         }
--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -7,116 +7,130 @@
 use super::Balancer;
 use crate::{
     budget, decision::Decision, decision::Reason, decision::Refusal, decision::Resolution,
-    decision::Ticket, estimate::Size, mechanism::Mechanism, queue::Waiting, refusal,
-    request::Request, room::Held,
+    decision::Ticket, estimate::TokenCounts, mechanism::Mechanism, queue::QueuedRequest,
+    queues::PendingRequest, refusal, request::Request,
 };
 
 impl Balancer {
     /// What is kept of a request.
-    pub(super) fn hold(&mut self, request: &Request<'_>, tried: &[Name]) -> Held {
-        let customer = self.room.customers.number(request.customer);
-        let asked = Size {
+    pub(super) fn pending_request(
+        &mut self,
+        request: &Request<'_>,
+        tried: &[Name],
+    ) -> PendingRequest {
+        let customer = self.queues.customers.number(request.customer);
+        let requested = TokenCounts {
             prompt_tokens: request.prompt_tokens,
             tokens: request.max_tokens,
         };
         let weight = self.settings.prefill_weight;
         let work = if self.mechanisms.has(Mechanism::Learning) {
-            let own = &self.room.customers.get(customer).habit;
-            own.work(&self.habit, asked, weight)
+            let own = &self.queues.customers.get(customer).usage;
+            own.work(&self.usage, requested, weight)
         } else {
-            asked.work(weight)
+            requested.work(weight)
         };
-        Held {
+        PendingRequest {
             customer,
             work,
-            asked,
+            requested,
             prefixes: request.prefixes.to_vec(),
             tried: tried.to_vec(),
         }
     }
 
     /// Starts a request, or lets it wait, or refuses it.
-    pub(super) fn admit(&mut self, now: Duration, request: &Request<'_>, held: Held) -> Decision {
+    pub(super) fn admit(
+        &mut self,
+        now: Duration,
+        request: &Request<'_>,
+        pending: PendingRequest,
+    ) -> Decision {
         self.refresh(now);
         if !self.router.pool.is_open() {
-            return Decision::Refuse(self.refuse(Reason::NoUpstream, held.customer));
+            return Decision::Refuse(self.refuse(Reason::NoUpstream, pending.customer));
         }
         if request.deadline <= now {
-            return Decision::Refuse(self.refuse(Reason::Late, held.customer));
+            return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
         }
-        if self.room.is_empty()
-            && let Some(choice) = self.choose(now, &held)
+        if self.queues.is_empty()
+            && let Some(choice) = self.choose(now, &pending)
         {
             // Capacity that nobody waits for isn't charged.
-            return Decision::Admit(self.start(&held, choice, 0.0));
+            return Decision::Admit(self.start(&pending, choice, 0.0));
         }
-        if self.latest(request.deadline, held.work) < now {
-            return Decision::Refuse(self.refuse(Reason::Late, held.customer));
+        if self.latest_start(request.deadline, pending.work) < now {
+            return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
         }
-        if self.room.queued(held.customer) >= self.settings.queue as usize {
-            return Decision::Refuse(self.refuse(Reason::QueueFull, held.customer));
+        if self.queues.queued(pending.customer) >= self.settings.queue as usize {
+            return Decision::Refuse(self.refuse(Reason::QueueFull, pending.customer));
         }
-        self.enqueue(now, request, held)
+        self.enqueue(now, request, pending)
     }
 
     /// Lets a request wait, unless it or others must yield for the rest to be in time.
-    pub(super) fn enqueue(&mut self, now: Duration, request: &Request<'_>, held: Held) -> Decision {
-        let ticket = Ticket(self.number());
-        let customer = held.customer;
-        let waiting = Waiting {
+    pub(super) fn enqueue(
+        &mut self,
+        now: Duration,
+        request: &Request<'_>,
+        pending: PendingRequest,
+    ) -> Decision {
+        let ticket = Ticket(self.next_id());
+        let customer = pending.customer;
+        let queued = QueuedRequest {
             ticket,
             priority: request.priority,
-            latest: self.latest(request.deadline, held.work),
-            work: held.work,
+            latest_start: self.latest_start(request.deadline, pending.work),
+            work: pending.work,
         };
-        self.room.push(waiting, held);
+        self.queues.push(queued, pending);
         while self.mechanisms.has(Mechanism::Refusal)
-            && let Some(excess) = self.room.excess(now, customer, self.capacity())
+            && let Some(excess) = self.queues.find_excess(now, customer, self.capacity())
         {
             if excess == ticket || !self.mechanisms.has(Mechanism::Displacement) {
                 let refusal = self.refuse(Reason::Late, customer);
-                self.room.remove(ticket);
+                self.queues.remove(ticket);
                 return Decision::Refuse(refusal);
             }
-            self.give_up(excess, Reason::Displaced);
+            self.evict(excess, Reason::Displaced);
         }
-        self.counts.waited += 1;
+        self.counters.waited += 1;
         Decision::Wait(ticket)
     }
 
     /// Gives a waiting request up; the next poll says so.
-    pub(super) fn give_up(&mut self, ticket: Ticket, reason: Reason) {
-        let Some(customer) = self.room.get(ticket).map(|held| held.customer) else {
+    pub(super) fn evict(&mut self, ticket: Ticket, reason: Reason) {
+        let Some(customer) = self.queues.get(ticket).map(|pending| pending.customer) else {
             return;
         };
         let refusal = self.refuse(reason, customer);
-        self.room.remove(ticket);
-        self.given_up.push(Resolution {
+        self.queues.remove(ticket);
+        self.evicted.push(Resolution {
             ticket,
             result: Err(refusal),
         });
     }
 
     /// The latest start that meets a deadline.
-    pub(super) fn latest(&self, deadline: Duration, work: f64) -> Duration {
+    pub(super) fn latest_start(&self, deadline: Duration, work: f64) -> Duration {
         let service = work * self.router.pool.pace().unwrap_or(0.0);
         deadline.saturating_sub(Duration::try_from_secs_f64(service).unwrap_or(Duration::MAX))
     }
 
     /// A refusal, counted, with the time until what the customer has waiting is done.
     pub(super) fn refuse(&mut self, reason: Reason, customer: u32) -> Refusal {
-        self.counts.refused[reason as usize] += 1;
-        let wait = self.room.wait(customer, self.capacity());
+        self.counters.refused[reason as usize] += 1;
+        let wait_seconds = self.queues.wait_seconds(customer, self.capacity());
         Refusal {
             reason,
-            retry_after: refusal::retry_after(reason, wait, self.router.random()),
+            retry_after: refusal::retry_after(reason, wait_seconds, self.router.random()),
         }
     }
 
     /// Takes one retry off the budgets of the customer and of the service.
-    pub(super) fn spend(&mut self, customer: u32) -> bool {
-        let own = &mut self.room.customers.get_mut(customer).budget;
-        !self.mechanisms.has(Mechanism::Budget) || budget::spend(own, &mut self.budget)
+    pub(super) fn try_spend_retry(&mut self, customer: u32) -> bool {
+        let own = &mut self.queues.customers.get_mut(customer).retry_budget;
+        !self.mechanisms.has(Mechanism::Budget) || budget::try_spend(own, &mut self.retry_budget)
     }
 
     /// The work a second that is done for this entry; without bound while unknown.
--- a/verbenaspool_policy/src/balancer/signals.rs
+++ b/verbenaspool_policy/src/balancer/signals.rs
@@ -6,9 +6,9 @@
 
 use super::Balancer;
 use crate::{
-    load::{Cache, Load},
+    load::{CacheEvent, LoadReport},
     pool::Upstream,
-    snapshot::{Snapshot, Upstream as Shown},
+    snapshot::{Snapshot, Upstream as UpstreamSnapshot},
 };
 
 impl Balancer {
@@ -24,16 +24,16 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// let load = Load { incarnation: 1, sequence: 1, running: 3, waiting: 0, leaving: false };
-    /// balancer.report(now, &member.name, &load);
-    /// balancer.report(now, &member.name, &load);
+    /// let load = LoadReport { incarnation: 1, sequence: 1, running: 3, waiting: 0, leaving: false };
+    /// balancer.load_report(now, &member.name, &load);
+    /// balancer.load_report(now, &member.name, &load);
     /// assert_eq!(balancer.snapshot(now).ignored_reports, 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn report(&mut self, now: Duration, upstream: &Name, load: &Load) {
+    pub fn load_report(&mut self, now: Duration, upstream: &Name, load: &LoadReport) {
         self.router.free();
         self.router.pool.report(now, upstream, load);
     }
@@ -49,23 +49,23 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// balancer.cache(now, &member.name, Cache::Held(7));
+    /// balancer.cache_event(now, &member.name, CacheEvent::Added(7));
     /// balancer.offer(now, &Request { prefixes: &[7], ..request });
     /// assert_eq!(balancer.snapshot(now).affine, 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn cache(&mut self, _now: Duration, upstream: &Name, event: Cache) {
+    pub fn cache_event(&mut self, _now: Duration, upstream: &Name, event: CacheEvent) {
         let Some(place) = self.router.pool.place(upstream) else {
             return;
         };
         let key = self.router.pool.list()[place].cache;
         match event {
-            Cache::Held(prefix) => self.router.affinity.hold(prefix, key),
-            Cache::Dropped(prefix) => self.router.affinity.drop(prefix, key),
-            Cache::Reset => self.router.pool.reset_cache(place),
+            CacheEvent::Added(prefix) => self.router.affinity.insert(prefix, key),
+            CacheEvent::Dropped(prefix) => self.router.affinity.remove(prefix, key),
+            CacheEvent::Reset => self.router.pool.reset_cache(place),
         }
     }
 
@@ -80,7 +80,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// balancer.offer(now, &request);
@@ -89,23 +89,26 @@
     /// ```
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Snapshot {
-        let wait = self.room.backlog() / self.capacity();
+        let wait = self.queues.backlog() / self.capacity();
         let list = self.router.pool.list();
         Snapshot {
             ejections: self.router.pool.ejections,
             ignored_reports: self.router.pool.ignored,
-            waiting: self.room.len(),
+            waiting: self.queues.len(),
             wait: Duration::try_from_secs_f64(wait).unwrap_or_default(),
-            upstreams: list.iter().map(|upstream| show(now, upstream)).collect(),
-            ..self.counts.clone()
+            upstreams: list
+                .iter()
+                .map(|upstream| upstream_snapshot(now, upstream))
+                .collect(),
+            ..self.counters.clone()
         }
     }
 }
 
 /// One upstream's state.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // A limit is at most `max_limit`.
-fn show(now: Duration, upstream: &Upstream) -> Shown {
-    Shown {
+fn upstream_snapshot(now: Duration, upstream: &Upstream) -> UpstreamSnapshot {
+    UpstreamSnapshot {
         name: upstream.member.name.clone(),
         in_flight: upstream.in_flight,
         limit: upstream.limit(now) as u32,
--- /dev/null
+++ b/verbenaspool_policy/src/balancer/start.rs
@@ -0,0 +1,128 @@
+//! Where a request starts, and what its end teaches.
+
+use std::time::Duration;
+
+use super::Balancer;
+use crate::{
+    attempt::Ending, attempt::Id, attempt::Outcome, decision::Resolution, decision::Start,
+    estimate::TokenCounts, in_flight::InFlightAttempt, member::Member, queues::PendingRequest,
+    route::Choice, subset,
+};
+
+impl Balancer {
+    /// Looks at what changes with time.
+    pub(super) fn refresh(&mut self, now: Duration) {
+        if self.router.pool.refresh(now, &self.settings) {
+            self.router.free();
+        }
+    }
+
+    /// Chooses the upstreams to work with.
+    pub(super) fn choose_subset(&mut self, now: Duration) {
+        let size = self.settings.subset as usize;
+        let places = subset::choose(
+            &self.entry,
+            self.router.pool.zone(),
+            &self.peers,
+            &self.members,
+            size,
+        );
+        let members: Vec<&Member> = places.iter().map(|&place| &self.members[place]).collect();
+        self.router.free();
+        self.router.pool.set(now, &members, &self.settings);
+    }
+
+    /// Starts the waiting request whose turn it is, if there is room for it.
+    pub(super) fn start_next(&mut self, now: Duration) -> Option<Resolution> {
+        let ticket = self.queues.next_ticket(self.capacity())?;
+        let route_query = self.queues.get(ticket)?.route_query(now, &self.settings);
+        let choice = self.router.choose(&route_query)?;
+        let pending = self.queues.remove(ticket)?;
+        let start = self.start(&pending, choice, pending.work);
+        Some(Resolution {
+            ticket,
+            result: Ok(start),
+        })
+    }
+
+    /// Chooses an upstream for a request.
+    pub(super) fn choose(&mut self, now: Duration, pending: &PendingRequest) -> Option<Choice> {
+        self.router
+            .choose(&pending.route_query(now, &self.settings))
+    }
+
+    /// Starts an attempt at the chosen upstream.
+    pub(super) fn start(&mut self, pending: &PendingRequest, choice: Choice, charge: f64) -> Start {
+        let attempt = Id(self.next_id());
+        let upstream = &self.router.pool.list()[choice.place];
+        let attempt_record = InFlightAttempt {
+            customer: pending.customer,
+            upstream: upstream.member.name.clone(),
+            serial: upstream.serial,
+            charged: charge,
+            requested: pending.requested,
+            prefix: choice.prefix.map(|place| pending.prefixes[place]),
+        };
+        self.counters.started += 1;
+        self.counters.spilled += u64::from(!upstream.local);
+        self.counters.affine += u64::from(choice.prefix.is_some());
+        self.router
+            .affinity
+            .record_start(&pending.prefixes, upstream.cache);
+        self.router.pool.start(choice.place);
+        self.queues.charge(pending.customer, charge);
+        if pending.tried.is_empty() {
+            let ratio = self.settings.retry_ratio;
+            self.retry_budget.earn(ratio);
+            self.queues
+                .customers
+                .get_mut(pending.customer)
+                .retry_budget
+                .earn(ratio);
+        }
+        let name = attempt_record.upstream.clone();
+        self.in_flight.insert(attempt, attempt_record);
+        Start {
+            attempt,
+            upstream: name,
+        }
+    }
+
+    /// Learns a customer's habit from an answer, which took `done` work.
+    pub(super) fn record_usage(
+        &mut self,
+        attempt_record: &InFlightAttempt,
+        used_tokens: TokenCounts,
+        used_work: f64,
+    ) {
+        let customer = self.queues.customers.get_mut(attempt_record.customer);
+        customer.usage.record(used_tokens, attempt_record.requested);
+        self.usage.record(used_tokens, attempt_record.requested);
+        if attempt_record.charged > 0.0 {
+            self.queues
+                .charge(attempt_record.customer, used_work - attempt_record.charged);
+        }
+    }
+
+    /// Forgets a prefix that the answer shows not to have been held.
+    pub(super) fn correct_cache(
+        &mut self,
+        place: usize,
+        attempt_record: &InFlightAttempt,
+        outcome: &Outcome,
+    ) {
+        let missed = outcome.ending == Ending::Ran
+            && outcome.prompt_tokens >= attempt_record.requested.prompt_tokens;
+        if let Some(prefix) = attempt_record.prefix.filter(|_| missed) {
+            self.router
+                .affinity
+                .remove(prefix, self.router.pool.list()[place].cache);
+        }
+    }
+
+    /// The next unused number.
+    pub(super) fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
+    }
+}
--- a/verbenaspool_policy/src/budget.rs
+++ b/verbenaspool_policy/src/budget.rs
@@ -6,42 +6,45 @@
 
 /// Retries that a customer may save up. Ten cover one upstream's loss at today's
 /// size; more would be a burst of their own.
-const CUSTOMER: f64 = 10.0;
+const MAX_CUSTOMER_RETRIES: f64 = 10.0;
 
 /// Retries allowed, earned as a part of first attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Retries that may be made now.
-    saved: f64,
+    available: f64,
     /// Retries that may be saved up.
-    most: f64,
+    max: f64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Self::new(CUSTOMER)
+        Self::new(MAX_CUSTOMER_RETRIES)
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget that has saved up all it may.
     #[must_use]
-    pub fn new(most: f64) -> Self {
-        Self { saved: most, most }
+    pub fn new(max: f64) -> Self {
+        Self {
+            available: max,
+            max,
+        }
     }
 
     /// Earns the part of a retry that one first attempt allows.
     pub fn earn(&mut self, ratio: f64) {
-        self.saved = (self.saved + ratio).min(self.most);
+        self.available = (self.available + ratio).min(self.max);
     }
 }
 
 /// Takes one retry off two budgets, if both have one.
-pub fn spend(own: &mut Budget, common: &mut Budget) -> bool {
-    let allowed = own.saved >= 1.0 && common.saved >= 1.0;
+pub fn try_spend(customer: &mut RetryBudget, service: &mut RetryBudget) -> bool {
+    let allowed = customer.available >= 1.0 && service.available >= 1.0;
     if allowed {
-        own.saved -= 1.0;
-        common.saved -= 1.0;
+        customer.available -= 1.0;
+        service.available -= 1.0;
     }
     allowed
 }
--- a/verbenaspool_policy/src/budget/tests.rs
+++ b/verbenaspool_policy/src/budget/tests.rs
@@ -1,11 +1,11 @@
-use super::{Budget, spend};
+use super::{RetryBudget, try_spend};
 
 #[test]
 fn a_retry_needs_both_budgets() {
-    let (mut own, mut common) = (Budget::new(10.0), Budget::new(1.0));
-    assert!(spend(&mut own, &mut common));
-    common.earn(0.25);
-    assert!(!spend(&mut own, &mut common));
-    (0..3).for_each(|_| common.earn(0.25));
-    assert!(spend(&mut own, &mut common));
+    let (mut customer, mut service) = (RetryBudget::new(10.0), RetryBudget::new(1.0));
+    assert!(try_spend(&mut customer, &mut service));
+    service.earn(0.25);
+    assert!(!try_spend(&mut customer, &mut service));
+    (0..3).for_each(|_| service.earn(0.25));
+    assert!(try_spend(&mut customer, &mut service));
 }
--- a/verbenaspool_policy/src/customers.rs
+++ b/verbenaspool_policy/src/customers.rs
@@ -8,7 +8,10 @@
 
 use verbenaspool_state::name::Name;
 
-use crate::{budget::Budget, estimate::Profile, fair::Turn, queue::Queue, share::Table};
+use crate::{
+    budget::RetryBudget, estimate::UsageProfile, queue::Queue, round_robin::DeficitCounter,
+    share::Shares,
+};
 
 /// One customer.
 #[derive(Debug, Default)]
@@ -16,13 +19,13 @@
     /// Its weight when capacity is short.
     pub share: u32,
     /// What its requests turn out to be.
-    pub habit: Profile,
+    pub usage: UsageProfile,
     /// Its waiting requests.
     pub queue: Queue,
     /// Its seat among those that wait.
-    pub seat: Turn,
+    pub deficit: DeficitCounter,
     /// Its retries.
-    pub budget: Budget,
+    pub retry_budget: RetryBudget,
 }
 
 /// The customers, by name and by number. Numbers stay while the balancer lives.
@@ -31,15 +34,15 @@
     /// Each customer's number.
     numbers: HashMap<Name, u32>,
     /// The customers by number.
-    list: Vec<Customer>,
+    customers: Vec<Customer>,
     /// The shares of all customers of the firm.
-    shares: Rc<Table>,
+    shares: Rc<Shares>,
 }
 
 impl Customers {
     /// Takes new shares; gives the customers seen whose share changes, each with
     /// its new one.
-    pub fn reshare(&mut self, shares: &Rc<Table>) -> Vec<(u32, u32)> {
+    pub fn set_shares(&mut self, shares: &Rc<Shares>) -> Vec<(u32, u32)> {
         self.shares = shares.clone();
         let mut changed: Vec<(u32, u32)> = self
             .numbers
@@ -57,9 +60,9 @@
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
-        let number = self.list.len() as u32;
+        let number = self.customers.len() as u32;
         self.numbers.insert(name.clone(), number);
-        self.list.push(Customer {
+        self.customers.push(Customer {
             share: self.shares.of(name),
             ..Customer::default()
         });
@@ -69,12 +72,12 @@
     /// A customer by number.
     #[must_use]
     pub fn get(&self, number: u32) -> &Customer {
-        &self.list[number as usize]
+        &self.customers[number as usize]
     }
 
     /// A customer by number, to be changed.
     #[must_use]
     pub fn get_mut(&mut self, number: u32) -> &mut Customer {
-        &mut self.list[number as usize]
+        &mut self.customers[number as usize]
     }
 }
--- a/verbenaspool_policy/src/estimate.rs
+++ b/verbenaspool_policy/src/estimate.rs
@@ -7,117 +7,121 @@
 
 /// Answers that the service's common ratio counts for against a customer's own.
 /// Eight own answers outweigh it: enough to damp one odd answer.
-const PRIOR: f32 = 8.0;
+const PRIOR_ANSWERS: f32 = 8.0;
 /// Answers that a mean remembers. Sixty-four follow a drift of demand within a
 /// minute at one answer a second and still average out single answers.
-const MEMORY: f32 = 64.0;
+const WINDOW_ANSWERS: f32 = 64.0;
 /// The ratio of generated tokens assumed before the first answer.
-const HALF: f32 = 0.5;
+const INITIAL_ANSWER_RATIO: f32 = 0.5;
 /// The ratio of computed prompt tokens assumed before the first answer: no cache.
-const WHOLE: f32 = 1.0;
+const INITIAL_PROMPT_RATIO: f32 = 1.0;
 /// The least work of any request. Calls of plain services, which have no
 /// tokens, count as one unit each.
-pub const LEAST: f64 = 1.0;
+pub const MIN_WORK: f64 = 1.0;
 
 /// The mean ratio of the tokens that were done to those that were asked for:
 /// generated ones to `max_tokens`, or computed ones to the prompt's length, which
 /// cached prefixes spare a part of.
 #[derive(Debug, Clone, Copy)]
-pub struct Ratio {
+pub struct UsageRatio {
     /// The mean of the ratios seen.
     mean: f32,
-    /// The answers behind it, at most [`MEMORY`].
-    count: f32,
+    /// The answers behind it, at most [`WINDOW_ANSWERS`].
+    sample_count: f32,
 }
 
-impl Ratio {
+impl UsageRatio {
     /// The ratio of generated tokens before the first answer.
     #[must_use]
-    pub fn of_answers() -> Self {
-        Self::new(HALF)
+    pub fn for_answers() -> Self {
+        Self::new(INITIAL_ANSWER_RATIO)
     }
 
     /// The ratio of computed prompt tokens before the first answer.
     #[must_use]
-    pub fn of_prompts() -> Self {
-        Self::new(WHOLE)
+    pub fn for_prompts() -> Self {
+        Self::new(INITIAL_PROMPT_RATIO)
     }
 
     /// A ratio that nothing is known about.
     fn new(mean: f32) -> Self {
-        Self { mean, count: 0.0 }
+        Self {
+            mean,
+            sample_count: 0.0,
+        }
     }
 
     /// Learns from one answer. An answer longer than asked for counts as whole,
     /// so that an absurd count can't grow the estimate without bound.
     #[allow(clippy::cast_precision_loss)] // A ratio needs no more precision.
-    pub fn learn(&mut self, done: u32, asked: u32) {
-        if asked == 0 {
+    pub fn record(&mut self, used: u32, requested: u32) {
+        if requested == 0 {
             return;
         }
-        let ratio = (done as f32 / asked as f32).min(1.0);
-        self.count = (self.count + 1.0).min(MEMORY);
-        self.mean += (ratio - self.mean) / self.count;
+        let ratio = (used as f32 / requested as f32).min(1.0);
+        self.sample_count = (self.sample_count + 1.0).min(WINDOW_ANSWERS);
+        self.mean += (ratio - self.mean) / self.sample_count;
     }
 
     /// The customer's ratio, filled up with the service's while answers are few.
     #[must_use]
-    pub fn within(self, service: Self) -> f64 {
-        let own = self.mean * self.count;
-        f64::from((own + service.mean * PRIOR) / (self.count + PRIOR))
+    pub fn blended_with(self, service: Self) -> f64 {
+        let own = self.mean * self.sample_count;
+        f64::from((own + service.mean * PRIOR_ANSWERS) / (self.sample_count + PRIOR_ANSWERS))
     }
 }
 
 /// The work of `prompt_tokens` computed and `tokens` generated.
 #[must_use]
 pub fn work(prefill_weight: f64, prompt_tokens: f64, tokens: f64) -> f64 {
-    (prefill_weight * prompt_tokens + tokens).max(LEAST)
+    (prefill_weight * prompt_tokens + tokens).max(MIN_WORK)
 }
 
 /// What a customer's requests turn out to be, beside what they say.
 #[derive(Debug, Clone, Copy)]
-pub struct Profile {
+pub struct UsageProfile {
     /// The part of the prompt that is computed.
-    prompts: Ratio,
+    prompt: UsageRatio,
     /// The part of `max_tokens` that is generated.
-    answers: Ratio,
+    answer: UsageRatio,
 }
 
-impl Default for Profile {
+impl Default for UsageProfile {
     fn default() -> Self {
         Self {
-            prompts: Ratio::of_prompts(),
-            answers: Ratio::of_answers(),
+            prompt: UsageRatio::for_prompts(),
+            answer: UsageRatio::for_answers(),
         }
     }
 }
 
-impl Profile {
+impl UsageProfile {
     /// Learns from an answer: what was done, of what was asked for.
-    pub fn learn(&mut self, done: Size, asked: Size) {
-        self.prompts.learn(done.prompt_tokens, asked.prompt_tokens);
-        self.answers.learn(done.tokens, asked.tokens);
+    pub fn record(&mut self, used: TokenCounts, requested: TokenCounts) {
+        self.prompt
+            .record(used.prompt_tokens, requested.prompt_tokens);
+        self.answer.record(used.tokens, requested.tokens);
     }
 
     /// The work to expect of a request, the service's habit filling up the customer's.
     #[must_use]
-    pub fn work(&self, service: &Self, asked: Size, prefill_weight: f64) -> f64 {
-        let prompt = self.prompts.within(service.prompts) * f64::from(asked.prompt_tokens);
-        let answer = self.answers.within(service.answers) * f64::from(asked.tokens);
+    pub fn work(&self, service: &Self, requested: TokenCounts, prefill_weight: f64) -> f64 {
+        let prompt = self.prompt.blended_with(service.prompt) * f64::from(requested.prompt_tokens);
+        let answer = self.answer.blended_with(service.answer) * f64::from(requested.tokens);
         work(prefill_weight, prompt, answer)
     }
 }
 
 /// The size of a request or answer in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Size {
+pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the answer.
     pub tokens: u32,
 }
 
-impl Size {
+impl TokenCounts {
     /// The work of this size.
     #[must_use]
     pub fn work(self, prefill_weight: f64) -> f64 {
@@ -130,10 +134,10 @@
 
     /// The size, but no more of either than in another.
     #[must_use]
-    pub fn within(self, most: Self) -> Self {
+    pub fn capped_at(self, max: Self) -> Self {
         Self {
-            prompt_tokens: self.prompt_tokens.min(most.prompt_tokens),
-            tokens: self.tokens.min(most.tokens),
+            prompt_tokens: self.prompt_tokens.min(max.prompt_tokens),
+            tokens: self.tokens.min(max.tokens),
         }
     }
 }
--- a/verbenaspool_policy/src/flight.rs
+++ b/verbenaspool_policy/src/in_flight.rs
@@ -2,11 +2,11 @@
 
 use verbenaspool_state::name::Name;
 
-use crate::estimate::Size;
+use crate::estimate::TokenCounts;
 
 /// An attempt in flight.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlightAttempt {
     /// Its customer's number.
     pub customer: u32,
     /// Where it went.
@@ -16,7 +16,7 @@
     /// The work charged for it; 0 where nobody waited.
     pub charged: f64,
     /// What it asked for.
-    pub asked: Size,
+    pub requested: TokenCounts,
     /// The prefix that its upstream was chosen for.
     pub prefix: Option<u64>,
 }
--- a/verbenaspool_policy/src/load.rs
+++ b/verbenaspool_policy/src/load.rs
@@ -2,7 +2,7 @@
 
 /// What an agent says about the load on its upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// The start of the instance that the report speaks of.
     pub incarnation: u64,
     /// Counts the reports of one incarnation up.
@@ -17,9 +17,9 @@
 
 /// A change of an upstream's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cache {
+pub enum CacheEvent {
     /// The prefix with this hash is held now.
-    Held(u64),
+    Added(u64),
     /// The prefix with this hash was dropped.
     Dropped(u64),
     /// Events were lost, or the cache was emptied: nothing is known to be held.
--- a/verbenaspool_policy/src/mechanism.rs
+++ b/verbenaspool_policy/src/mechanism.rs
@@ -47,16 +47,16 @@
 
 /// The mechanisms in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Set(u32);
+pub struct Mechanisms(u32);
 
-impl Set {
+impl Mechanisms {
     /// Every mechanism.
     ///
     /// ```
-    /// use verbenaspool_policy::mechanism::{Mechanism, Set};
+    /// use verbenaspool_policy::mechanism::{Mechanism, Mechanisms};
     ///
-    /// let set = Set::all().without(Mechanism::Budget);
-    /// assert!(!set.has(Mechanism::Budget) && set.has(Mechanism::Pace));
+    /// let mechanisms = Mechanisms::all().without(Mechanism::Budget);
+    /// assert!(!mechanisms.has(Mechanism::Budget) && mechanisms.has(Mechanism::Pace));
     /// ```
     #[must_use]
     pub const fn all() -> Self {
--- a/verbenaspool_policy/src/pace.rs
+++ b/verbenaspool_policy/src/pace.rs
@@ -2,7 +2,7 @@
 
 /// Attempts that a mean pace remembers. Eight follow a burst within a second or
 /// two at three attempts in flight; sixteen kept limits and waits behind it.
-const MEMORY: f64 = 8.0;
+const WINDOW_ATTEMPTS: f64 = 8.0;
 
 /// The mean time an upstream takes for one unit of work, in seconds.
 #[derive(Debug, Clone, Copy, Default)]
@@ -18,8 +18,8 @@
 impl Pace {
     /// Learns from an attempt. Weighing by work keeps the fixed part of short
     /// answers from passing for slowness.
-    pub fn learn(&mut self, seconds: f64, work: f64) {
-        let keep = 1.0 - 1.0 / MEMORY;
+    pub fn record(&mut self, seconds: f64, work: f64) {
+        let keep = 1.0 - 1.0 / WINDOW_ATTEMPTS;
         self.seconds = self.seconds * keep + seconds;
         self.work = self.work * keep + work;
         self.attempts = self.attempts * keep + 1.0;
--- a/verbenaspool_policy/src/pace/tests.rs
+++ b/verbenaspool_policy/src/pace/tests.rs
@@ -4,8 +4,8 @@
 fn long_attempts_weigh_more() {
     let mut pace = Pace::default();
     assert_eq!(pace.mean(), None);
-    pace.learn(1.0, 10.0);
-    pace.learn(10.0, 1_000.0);
+    pace.record(1.0, 10.0);
+    pace.record(10.0, 1_000.0);
     let mean = pace.mean().expect("two attempts are known");
     assert!((0.01..0.012).contains(&mean), "{mean}");
     pace.reset();
--- a/verbenaspool_policy/src/pool.rs
+++ b/verbenaspool_policy/src/pool.rs
@@ -5,12 +5,12 @@
 use verbenaspool_state::{decisions::Decisions, name::Name};
 
 use crate::{
-    affinity::Key,
+    affinity::CacheKey,
     attempt::Ending,
     health::Health,
     limit::Limit,
-    load::Load,
-    mechanism::{Mechanism, Set},
+    load::LoadReport,
+    mechanism::{Mechanism, Mechanisms},
     member::Member,
     pace::Pace,
 };
@@ -43,7 +43,7 @@
     /// Stands for this upstream; a later one in the same place has another.
     pub serial: u64,
     /// Stands for its cache; changes when the cache is emptied.
-    pub cache: Key,
+    pub cache: CacheKey,
     /// Attempts in flight from this entry.
     pub in_flight: u32,
     /// Requests of other entries there, by the last report.
@@ -99,13 +99,13 @@
     /// Reports ignored so far.
     pub ignored: u64,
     /// The mechanisms in use.
-    pub mechanisms: Set,
+    pub mechanisms: Mechanisms,
 }
 
 impl Pool {
     /// A pool without upstreams.
     #[must_use]
-    pub fn new(zone: Name, mechanisms: Set) -> Self {
+    pub fn new(zone: Name, mechanisms: Mechanisms) -> Self {
         Self {
             zone,
             others: 0.0,
@@ -162,7 +162,7 @@
             member: member.clone(),
             local: member.zone == self.zone,
             serial: self.serial,
-            cache: Key(self.serial),
+            cache: CacheKey(self.serial),
             in_flight: 0,
             others: 0.0,
             pace: Pace::default(),
@@ -213,8 +213,8 @@
         match ending {
             Ending::Ran => {
                 upstream.health.succeed();
-                upstream.pace.learn(seconds, work);
-                self.pace.learn(seconds, work);
+                upstream.pace.record(seconds, work);
+                self.pace.record(seconds, work);
                 if adapts && let Some(pace) = upstream.pace.mean() {
                     upstream.limit.learn(now, pace, work, in_flight, most);
                 }
@@ -225,7 +225,7 @@
     }
 
     /// Learns from a load report.
-    pub fn report(&mut self, now: Duration, name: &Name, load: &Load) {
+    pub fn report(&mut self, now: Duration, name: &Name, load: &LoadReport) {
         let Some(place) = self.place(name) else {
             self.ignored += 1;
             return;
@@ -250,7 +250,7 @@
     /// Forgets what was known of an upstream's cache.
     pub fn reset_cache(&mut self, place: usize) {
         self.serial += 2;
-        self.list[place].cache = Key(self.serial);
+        self.list[place].cache = CacheKey(self.serial);
     }
 
     /// Looks for outliers and adds the capacity up, at most once a [`TICK`];
--- a/verbenaspool_policy/src/queue.rs
+++ b/verbenaspool_policy/src/queue.rs
@@ -15,39 +15,39 @@
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Its ticket.
     pub ticket: Ticket,
     /// How urgent it is; higher goes first.
     pub priority: u8,
     /// The latest start that still meets its deadline.
-    pub latest: Duration,
+    pub latest_start: Duration,
     /// Its estimated work.
     pub work: f64,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Whether this one goes before another.
-    fn before(&self, other: &Self) -> bool {
-        (other.priority, self.latest) < (self.priority, other.latest)
+    fn precedes(&self, other: &Self) -> bool {
+        (other.priority, self.latest_start) < (self.priority, other.latest_start)
     }
 }
 
 /// How fast a customer's queue drains.
 #[derive(Debug, Clone, Copy)]
-pub struct Drain {
+pub struct DrainRate {
     /// Work a second that the customer is sure of.
-    pub rate: f64,
+    pub work_per_second: f64,
     /// The wait after which all work waiting now, of every customer, is done:
     /// no request waits longer, however small its customer's rate.
-    pub whole: f64,
+    pub max_wait_seconds: f64,
 }
 
-impl Drain {
+impl DrainRate {
     /// The wait behind `ahead` of the customer's own work, in seconds.
     #[must_use]
-    pub fn wait(&self, ahead: f64) -> f64 {
-        (ahead / self.rate).min(self.whole)
+    pub fn wait_seconds(&self, ahead: f64) -> f64 {
+        (ahead / self.work_per_second).min(self.max_wait_seconds)
     }
 }
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     /// The requests, first to start first.
-    waiting: Vec<Waiting>,
+    requests: Vec<QueuedRequest>,
     /// The sum of their work.
     work: f64,
 }
@@ -64,13 +64,13 @@
     /// The number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
 
     /// Whether none waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.requests.is_empty()
     }
 
     /// The work waiting.
@@ -82,61 +82,63 @@
     /// The request that starts next: the one that must start first or, where
     /// `shortest` is set, the one with the least work among the most urgent.
     #[must_use]
-    pub fn first(&self, shortest: bool) -> Option<&Waiting> {
-        let first = self.waiting.first()?;
-        if !shortest {
+    pub fn next_request(&self, shortest_first: bool) -> Option<&QueuedRequest> {
+        let first = self.requests.first()?;
+        if !shortest_first {
             return Some(first);
         }
         let urgent = self
-            .waiting
+            .requests
             .iter()
             .take_while(|w| w.priority == first.priority);
         urgent.min_by(|a, b| a.work.total_cmp(&b.work))
     }
 
     /// Adds a request at its place.
-    pub fn push(&mut self, waiting: Waiting) {
-        let place = self.waiting.partition_point(|other| !waiting.before(other));
-        self.work += waiting.work;
-        self.waiting.insert(place, waiting);
+    pub fn push(&mut self, request: QueuedRequest) {
+        let index = self
+            .requests
+            .partition_point(|other| !request.precedes(other));
+        self.work += request.work;
+        self.requests.insert(index, request);
     }
 
     /// Takes one request out, wherever it stands.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|w| w.ticket == ticket)?;
-        Some(self.take(place))
+    pub fn remove(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
+        let index = self.requests.iter().position(|w| w.ticket == ticket)?;
+        Some(self.remove_at(index))
     }
 
     /// The request that must yield for the others to start in time, if any:
     /// the largest of the least urgent ones up to the first that would be late.
     #[must_use]
-    pub fn excess(&self, now: Duration, drain: &Drain) -> Option<Ticket> {
+    pub fn find_excess(&self, now: Duration, drain: &DrainRate) -> Option<Ticket> {
         let mut ahead = 0.0;
-        let mut largest: Option<&Waiting> = None;
-        for waiting in &self.waiting {
+        let mut largest: Option<&QueuedRequest> = None;
+        for request in &self.requests {
             let yields = largest.is_none_or(|largest| {
-                (waiting.priority, largest.work) <= (largest.priority, waiting.work)
+                (request.priority, largest.work) <= (largest.priority, request.work)
             });
             if yields {
-                largest = Some(waiting);
+                largest = Some(request);
             }
-            let slack = waiting.latest.saturating_sub(now).as_secs_f64();
-            if drain.wait(ahead) > slack {
+            let slack = request.latest_start.saturating_sub(now).as_secs_f64();
+            if drain.wait_seconds(ahead) > slack {
                 return largest.map(|largest| largest.ticket);
             }
-            ahead += waiting.work;
+            ahead += request.work;
         }
         None
     }
 
     /// Takes the request at a place out.
-    fn take(&mut self, place: usize) -> Waiting {
-        let taken = self.waiting.remove(place);
-        self.work = if self.waiting.is_empty() {
+    fn remove_at(&mut self, index: usize) -> QueuedRequest {
+        let removed = self.requests.remove(index);
+        self.work = if self.requests.is_empty() {
             0.0
         } else {
-            self.work - taken.work
+            self.work - removed.work
         };
-        taken
+        removed
     }
 }
--- a/verbenaspool_policy/src/fair.rs
+++ b/verbenaspool_policy/src/round_robin.rs
@@ -14,100 +14,106 @@
 
 /// A customer's seat in the ring.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Turn {
+pub struct DeficitCounter {
     /// Work the customer may still start in this turn; below 0 it is in debt.
     credit: f64,
     /// Whether it is in a ring.
-    seated: bool,
+    active: bool,
 }
 
 /// How many turns' worth of debt is kept, unless one request alone is worth more.
 /// What is beyond it is forgiven: kept for 64 turns, a customer's one long request
 /// made its short ones late long after (2 in 100 of all, among 1 long in 100).
-const MOST_TURNS: f64 = 4.0;
+const MAX_CARRIED_TURNS: f64 = 4.0;
 
 /// Turns that one request may cost at most. A request that claims billions of tokens
 /// would else shut its customer out for hours, and have the ring turned millions
 /// of times for one decision.
-const ABSURD_TURNS: f64 = 1_000.0;
+const MAX_REQUEST_TURNS: f64 = 1_000.0;
 
 /// The rings of customers that have something waiting, by their numbers.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct DeficitRoundRobin {
     /// Customers with a share.
-    shared: VecDeque<u32>,
+    weighted: VecDeque<u32>,
     /// Customers with share 0.
-    rest: VecDeque<u32>,
+    best_effort: VecDeque<u32>,
     /// The sum of the shares in the first ring.
-    shares: u64,
+    total_share: u64,
 }
 
-impl Ring {
+impl DeficitRoundRobin {
     /// The sum of the shares of customers that have something waiting.
     #[must_use]
-    pub fn shares(&self) -> u64 {
-        self.shares
+    pub fn total_share(&self) -> u64 {
+        self.total_share
     }
 
     /// Queues a customer that has something waiting.
-    pub fn join(&mut self, customer: u32, share: u32, quantum: f64, seat: &mut Turn) {
-        if seat.seated {
+    pub fn activate(
+        &mut self,
+        customer: u32,
+        share: u32,
+        quantum: f64,
+        deficit: &mut DeficitCounter,
+    ) {
+        if deficit.active {
             return;
         }
-        seat.seated = true;
+        deficit.active = true;
         // Credit isn't saved up while away, so that nobody can start a burst on
         // it; debt stays, so that nobody gets rid of it by leaving.
-        seat.credit = seat.credit.min(0.0) + quantum * f64::from(share.max(1));
-        self.shares += u64::from(share);
+        deficit.credit = deficit.credit.min(0.0) + quantum * f64::from(share.max(1));
+        self.total_share += u64::from(share);
         self.ring(share).push_back(customer);
     }
 
     /// The customer whose turn it is.
     #[must_use]
-    pub fn first(&self) -> Option<u32> {
-        self.shared.front().or(self.rest.front()).copied()
+    pub fn front(&self) -> Option<u32> {
+        self.weighted.front().or(self.best_effort.front()).copied()
     }
 
     /// Whether the customer at the front may start; if not, its turn ends and
     /// it is credited for the next.
-    pub fn turn(&mut self, share: u32, quantum: f64, seat: &mut Turn) -> bool {
-        if seat.credit > 0.0 {
+    pub fn may_start(&mut self, share: u32, quantum: f64, deficit: &mut DeficitCounter) -> bool {
+        if deficit.credit > 0.0 {
             return true;
         }
-        seat.credit += quantum * f64::from(share.max(1));
+        deficit.credit += quantum * f64::from(share.max(1));
         self.ring(share).rotate_left(1);
         false
     }
 
     /// Takes a customer out, as nothing of it waits any more.
-    pub fn remove(&mut self, customer: u32, share: u32, seat: &mut Turn) {
-        if !seat.seated {
+    pub fn deactivate(&mut self, customer: u32, share: u32, deficit: &mut DeficitCounter) {
+        if !deficit.active {
             return;
         }
-        seat.seated = false;
+        deficit.active = false;
         let ring = self.ring(share);
         // It is at the front unless its last request was taken back or given up.
-        if let Some(place) = ring.iter().position(|&other| other == customer) {
-            ring.remove(place);
+        if let Some(index) = ring.iter().position(|&other| other == customer) {
+            ring.remove(index);
         }
-        self.shares -= u64::from(share);
+        self.total_share -= u64::from(share);
     }
 
     /// The ring that a share belongs to.
     fn ring(&mut self, share: u32) -> &mut VecDeque<u32> {
         if share == 0 {
-            &mut self.rest
+            &mut self.best_effort
         } else {
-            &mut self.shared
+            &mut self.weighted
         }
     }
 }
 
-impl Turn {
+impl DeficitCounter {
     /// Charges work that was started, or, when `work` is negative, pays it back.
     pub fn charge(&mut self, work: f64, quantum: f64, share: u32) {
-        let turn = quantum * f64::from(share.max(1));
-        let debt = work.clamp(MOST_TURNS * turn, ABSURD_TURNS * turn);
-        self.credit = (self.credit - work).clamp(-debt, MOST_TURNS * turn);
+        let turn_work = quantum * f64::from(share.max(1));
+        let max_debt = work.clamp(MAX_CARRIED_TURNS * turn_work, MAX_REQUEST_TURNS * turn_work);
+        self.credit = (self.credit - work).clamp(-max_debt, MAX_CARRIED_TURNS * turn_work);
     }
 }
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -29,7 +29,7 @@
 
 /// What an upstream is sought for.
 #[derive(Debug, Clone, Copy)]
-pub struct Search<'a> {
+pub struct RouteQuery<'a> {
     /// The time.
     pub now: Duration,
     /// The settings.
@@ -76,15 +76,15 @@
     }
 
     /// The upstream for a request, if any takes it.
-    pub fn choose(&mut self, search: &Search<'_>) -> Option<Choice> {
-        if let Some(choice) = self.holder(search) {
+    pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Choice> {
+        if let Some(choice) = self.holder(query) {
             return Some(choice);
         }
         if self.full {
             return None;
         }
-        let place = self.place(search);
-        self.full = place.is_none() && search.tried.is_empty();
+        let place = self.place(query);
+        self.full = place.is_none() && query.tried.is_empty();
         Some(Choice {
             place: place?,
             prefix: None,
@@ -92,16 +92,16 @@
     }
 
     /// The least loaded holder of the longest known prefix that bears one more.
-    fn holder(&self, search: &Search<'_>) -> Option<Choice> {
-        if !self.pool.mechanisms.has(Mechanism::Affinity) || search.prefixes.is_empty() {
+    fn holder(&self, query: &RouteQuery<'_>) -> Option<Choice> {
+        if !self.pool.mechanisms.has(Mechanism::Affinity) || query.prefixes.is_empty() {
             return None;
         }
-        let (prefix, holders) = self.affinity.find(search.prefixes)?;
+        let (prefix, holders) = self.affinity.longest_match(query.prefixes)?;
         let list = self.pool.list();
         let place = (0..list.len())
             .filter(|&place| holders.contains(&Some(list[place].cache)))
-            .filter(|&place| self.bears(search, place))
-            .min_by(|&a, &b| self.score(search, a).total_cmp(&self.score(search, b)))?;
+            .filter(|&place| self.bears(query, place))
+            .min_by(|&a, &b| self.score(query, a).total_cmp(&self.score(query, b)))?;
         Some(Choice {
             place,
             prefix: Some(prefix),
@@ -110,68 +110,67 @@
 
     /// Whether a holder takes one more: up to the bound above its limit, as
     /// computing the prefix anew elsewhere would take more than it slows down here.
-    fn bears(&self, search: &Search<'_>, place: usize) -> bool {
+    fn bears(&self, query: &RouteQuery<'_>, place: usize) -> bool {
         let upstream = &self.pool.list()[place];
-        let limit = upstream.limit(search.now);
-        let most = search.settings.affinity_bound * limit;
-        f64::from(upstream.in_flight) + 1.0 <= most && !self.shuns(search, place)
+        let limit = upstream.limit(query.now);
+        let most = query.settings.affinity_bound * limit;
+        f64::from(upstream.in_flight) + 1.0 <= most && !self.shuns(query, place)
     }
 
     /// The better of two random upstreams of the own zone, or of another where
     /// the own one is full or much more loaded.
-    fn place(&mut self, search: &Search<'_>) -> Option<usize> {
+    fn place(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
-            return self.better(search, None);
+            return self.better(query, None);
         }
-        let Some(local) = self.better(search, Some(true)) else {
-            return self.better(search, Some(false));
+        let Some(local) = self.better(query, Some(true)) else {
+            return self.better(query, Some(false));
         };
-        let remote = self.sample(search, Some(false));
-        let spills =
-            |remote: &usize| self.score(search, *remote) * SPILL < self.score(search, local);
+        let remote = self.sample(query, Some(false));
+        let spills = |remote: &usize| self.score(query, *remote) * SPILL < self.score(query, local);
         Some(remote.filter(spills).unwrap_or(local))
     }
 
     /// The better of two random upstreams with room, in the own zone or not.
-    fn better(&mut self, search: &Search<'_>, local: Option<bool>) -> Option<usize> {
-        let first = self.sample(search, local)?;
-        let second = self.sample(search, local)?;
-        let better = self.score(search, second) < self.score(search, first);
+    fn better(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
+        let first = self.sample(query, local)?;
+        let second = self.sample(query, local)?;
+        let better = self.score(query, second) < self.score(query, first);
         Some(if better { second } else { first })
     }
 
     /// A random upstream with room, in the own zone or not.
-    fn sample(&mut self, search: &Search<'_>, local: Option<bool>) -> Option<usize> {
+    fn sample(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
         let count = self.pool.list().len();
         if count == 0 {
             return None;
         }
         for _ in 0..TRIES {
             let place = self.random.random_range(0..count);
-            if self.fits(search, place, local) {
+            if self.fits(query, place, local) {
                 return Some(place);
             }
         }
         let from = self.random.random_range(0..count);
         let mut places = (from..count).chain(0..from);
-        places.find(|&place| self.fits(search, place, local))
+        places.find(|&place| self.fits(query, place, local))
     }
 
     /// Whether an upstream has room, in the own zone or not.
-    fn fits(&self, search: &Search<'_>, place: usize, local: Option<bool>) -> bool {
+    fn fits(&self, query: &RouteQuery<'_>, place: usize, local: Option<bool>) -> bool {
         local.is_none_or(|local| self.pool.list()[place].local == local)
-            && self.pool.has_room(search.now, place)
-            && !self.shuns(search, place)
+            && self.pool.has_room(query.now, place)
+            && !self.shuns(query, place)
     }
 
     /// Whether to stay away from an upstream that was tried, while there are others.
-    fn shuns(&self, search: &Search<'_>, place: usize) -> bool {
+    fn shuns(&self, query: &RouteQuery<'_>, place: usize) -> bool {
         let list = self.pool.list();
-        search.tried.len() < list.len() && search.tried.contains(&list[place].member.name)
+        query.tried.len() < list.len() && query.tried.contains(&list[place].member.name)
     }
 
     /// How loaded an upstream looks.
-    fn score(&self, search: &Search<'_>, place: usize) -> f64 {
-        self.pool.score(search.now, place)
+    fn score(&self, query: &RouteQuery<'_>, place: usize) -> f64 {
+        self.pool.score(query.now, place)
     }
 }
--- a/verbenaspool_policy/src/slots.rs
+++ b/verbenaspool_policy/src/slots.rs
@@ -13,7 +13,7 @@
 /// How long a request takes at most from the word of the agent to the upstream: there
 /// and back between two zones, a new connection, and an entry that is busy. One that
 /// takes longer stands in line there, which costs nothing but its own time.
-const ARRIVAL: Duration = Duration::from_millis(25);
+const MAX_TRANSIT: Duration = Duration::from_millis(25);
 
 /// One upstream's slots.
 #[derive(Debug, Default)]
@@ -21,24 +21,24 @@
     /// Requests that it had by its last report.
     reported: u32,
     /// When slots were granted that the last report needn't show.
-    granted: VecDeque<Duration>,
+    granted_at: VecDeque<Duration>,
 }
 
 impl Slots {
     /// Takes in how many requests the upstream had, by a report that was asked for at
     /// some time.
-    pub fn report(&mut self, asked: Duration, requests: u32) {
+    pub fn report(&mut self, requested_at: Duration, requests: u32) {
         self.reported = requests;
-        let shown = |granted: &Duration| *granted + ARRIVAL <= asked;
-        while self.granted.front().is_some_and(shown) {
-            self.granted.pop_front();
+        let covered = |granted: &Duration| *granted + MAX_TRANSIT <= requested_at;
+        while self.granted_at.front().is_some_and(covered) {
+            self.granted_at.pop_front();
         }
     }
 
     /// Requests that the upstream has, those included that are on their way.
     #[must_use]
     pub fn requests(&self) -> u32 {
-        let granted = u32::try_from(self.granted.len()).unwrap_or(u32::MAX);
+        let granted = u32::try_from(self.granted_at.len()).unwrap_or(u32::MAX);
         self.reported.saturating_add(granted)
     }
 
@@ -57,7 +57,7 @@
     pub fn grant(&mut self, now: Duration, slots: u32) -> bool {
         let free = self.requests() < slots;
         if free {
-            self.granted.push_back(now);
+            self.granted_at.push_back(now);
         }
         free
     }
--- a/verbenaspool_policy/tests/decisions/balancer.rs
+++ b/verbenaspool_policy/tests/decisions/balancer.rs
@@ -3,7 +3,7 @@
 use verbenaspool_policy::{
     attempt::Ending,
     decision::{Decision, Reason, Ticket},
-    load::{Cache, Load},
+    load::{CacheEvent, LoadReport},
     request::Request,
 };
 
@@ -222,14 +222,14 @@
 fn a_leaving_upstream_gets_nothing_new() {
     let customer = name("bowen");
     let mut balancer = balancer(&narrow(), &[member("a"), member("b")]);
-    let load = Load {
+    let load = LoadReport {
         incarnation: 1,
         sequence: 1,
         running: 0,
         waiting: 0,
         leaving: true,
     };
-    balancer.report(SECOND, &name("a"), &load);
+    balancer.load_report(SECOND, &name("a"), &load);
     for _ in 0..20 {
         let start = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
         assert_eq!(start.upstream, name("b"));
@@ -247,13 +247,13 @@
         prefixes: &[1, 2],
         ..request(&customer, SECOND)
     };
-    balancer.cache(SECOND, &name("f"), Cache::Held(2));
+    balancer.cache_event(SECOND, &name("f"), CacheEvent::Added(2));
     for _ in 0..5 {
         let start = admitted(balancer.offer(SECOND, &request));
         assert_eq!(start.upstream, name("f"));
         balancer.finish(SECOND, start.attempt, &ended(Ending::Cancelled));
     }
-    balancer.cache(SECOND, &name("f"), Cache::Reset);
+    balancer.cache_event(SECOND, &name("f"), CacheEvent::Reset);
     let affine = balancer.snapshot(SECOND).affine;
     admitted(balancer.offer(SECOND, &request));
     assert_eq!(balancer.snapshot(SECOND).affine, affine);
--- a/verbenaspool_policy/tests/decisions/input.rs
+++ b/verbenaspool_policy/tests/decisions/input.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Outcome},
     decision::{Decision, Reason},
-    load::Load,
+    load::LoadReport,
     member::Member,
     request::Request,
 };
@@ -16,7 +16,7 @@
     waiting,
 };
 
-const LOAD: Load = Load {
+const LOAD: LoadReport = LoadReport {
     incarnation: 1,
     sequence: 5,
     running: 3,
@@ -30,7 +30,7 @@
         (
             "the next",
             "a",
-            Load {
+            LoadReport {
                 sequence: 6,
                 ..LOAD
             },
@@ -40,7 +40,7 @@
         (
             "reordered",
             "a",
-            Load {
+            LoadReport {
                 sequence: 4,
                 ..LOAD
             },
@@ -49,7 +49,7 @@
         (
             "earlier incarnation",
             "a",
-            Load {
+            LoadReport {
                 incarnation: 0,
                 sequence: 9,
                 ..LOAD
@@ -59,7 +59,7 @@
         (
             "later incarnation",
             "a",
-            Load {
+            LoadReport {
                 incarnation: 2,
                 sequence: 9,
                 ..LOAD
@@ -70,7 +70,7 @@
         (
             "absurd",
             "a",
-            Load {
+            LoadReport {
                 sequence: 6,
                 running: u32::MAX,
                 waiting: u32::MAX,
@@ -82,8 +82,8 @@
     let customer = name("bowen");
     for (case, upstream, load, ignored) in table {
         let mut balancer = balancer(&Decisions::default(), &[member("a")]);
-        balancer.report(SECOND, &name("a"), &LOAD);
-        balancer.report(SECOND, &name(upstream), &load);
+        balancer.load_report(SECOND, &name("a"), &LOAD);
+        balancer.load_report(SECOND, &name(upstream), &load);
         assert_eq!(balancer.snapshot(SECOND).ignored_reports, ignored, "{case}");
         // Whatever it says, the only upstream is still used.
         admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
@@ -200,7 +200,7 @@
     let customer = name("bowen");
     let mut balancer = balancer(&narrow(), &[member("a")]);
     let old = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
-    balancer.members(
+    balancer.set_members(
         SECOND,
         &[Member {
             incarnation: 2,
@@ -232,7 +232,7 @@
         if let Decision::Admit(start) = balancer.offer(now, &request) {
             balancer.finish(now, start.attempt, &ended(Ending::Unknown));
         }
-        balancer.report(now, &name("a"), &LOAD);
+        balancer.load_report(now, &name("a"), &LOAD);
         balancer.poll(now);
     }
     let now = teach(&mut balancer, &customer, 20);
--- a/verbenaspool_policy/tests/decisions/world.rs
+++ b/verbenaspool_policy/tests/decisions/world.rs
@@ -39,7 +39,7 @@
 
 pub fn balancer(settings: &Decisions, members: &[Member]) -> Balancer {
     let mut balancer = Balancer::new(settings, name("entry-1"), name("zone-a"), 7);
-    balancer.members(Duration::ZERO, members);
+    balancer.set_members(Duration::ZERO, members);
     balancer
 }
 
