--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -346,28 +346,28 @@
         let Some(attempt_record) = self.in_flight.remove(&attempt) else {
             return;
         };
-        self.router.free();
+        self.router.clear_full();
         let used_tokens = TokenCounts {
             prompt_tokens: outcome.prompt_tokens,
             tokens: outcome.tokens,
         };
         let used_tokens = used_tokens.capped_at(attempt_record.requested);
         let used_work = used_tokens.work(self.settings.prefill_weight);
-        if let Some(place) = self
+        if let Some(index) = self
             .router
             .pool
-            .find(&attempt_record.upstream, attempt_record.serial)
+            .index_of_serial(&attempt_record.upstream, attempt_record.serial)
         {
             let seconds = outcome.took.as_secs_f64();
             self.router.pool.finish(
                 now,
-                place,
+                index,
                 outcome.ending,
                 seconds,
                 used_work,
                 self.settings.max_limit,
             );
-            self.correct_cache(place, &attempt_record, outcome);
+            self.correct_cache(index, &attempt_record, outcome);
         }
         match outcome.ending {
             Ending::Ran => self.record_usage(&attempt_record, used_tokens, used_work),
--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -54,10 +54,10 @@
             return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
         }
         if self.queues.is_empty()
-            && let Some(choice) = self.choose(now, &pending)
+            && let Some(route) = self.choose_route(now, &pending)
         {
             // Capacity that nobody waits for isn't charged.
-            return Decision::Admit(self.start(&pending, choice, 0.0));
+            return Decision::Admit(self.start(&pending, route, 0.0));
         }
         if self.latest_start(request.deadline, pending.work) < now {
             return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
--- a/verbenaspool_policy/src/balancer/signals.rs
+++ b/verbenaspool_policy/src/balancer/signals.rs
@@ -34,7 +34,7 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn load_report(&mut self, now: Duration, upstream: &Name, load: &LoadReport) {
-        self.router.free();
+        self.router.clear_full();
         self.router.pool.report(now, upstream, load);
     }
 
@@ -58,14 +58,14 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn cache_event(&mut self, _now: Duration, upstream: &Name, event: CacheEvent) {
-        let Some(place) = self.router.pool.place(upstream) else {
+        let Some(index) = self.router.pool.index_of(upstream) else {
             return;
         };
-        let key = self.router.pool.list()[place].cache;
+        let key = self.router.pool.upstreams()[index].cache;
         match event {
             CacheEvent::Added(prefix) => self.router.affinity.insert(prefix, key),
             CacheEvent::Dropped(prefix) => self.router.affinity.remove(prefix, key),
-            CacheEvent::Reset => self.router.pool.reset_cache(place),
+            CacheEvent::Reset => self.router.pool.reset_cache(index),
         }
     }
 
@@ -90,13 +90,13 @@
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         let wait = self.queues.backlog() / self.capacity();
-        let list = self.router.pool.list();
+        let upstreams = self.router.pool.upstreams();
         Snapshot {
             ejections: self.router.pool.ejections,
-            ignored_reports: self.router.pool.ignored,
+            ignored_reports: self.router.pool.ignored_reports,
             waiting: self.queues.len(),
             wait: Duration::try_from_secs_f64(wait).unwrap_or_default(),
-            upstreams: list
+            upstreams: upstreams
                 .iter()
                 .map(|upstream| upstream_snapshot(now, upstream))
                 .collect(),
@@ -112,6 +112,6 @@
         name: upstream.member.name.clone(),
         in_flight: upstream.in_flight,
         limit: upstream.limit(now) as u32,
-        ejected: upstream.is_out(now),
+        ejected: upstream.is_ejected(now),
     }
 }
--- a/verbenaspool_policy/src/balancer/start.rs
+++ b/verbenaspool_policy/src/balancer/start.rs
@@ -6,39 +6,39 @@
 use crate::{
     attempt::Ending, attempt::Id, attempt::Outcome, decision::Resolution, decision::Start,
     estimate::TokenCounts, in_flight::InFlightAttempt, member::Member, queues::PendingRequest,
-    route::Choice, subset,
+    route::Route, subset,
 };
 
 impl Balancer {
     /// Looks at what changes with time.
     pub(super) fn refresh(&mut self, now: Duration) {
         if self.router.pool.refresh(now, &self.settings) {
-            self.router.free();
+            self.router.clear_full();
         }
     }
 
     /// Chooses the upstreams to work with.
     pub(super) fn choose_subset(&mut self, now: Duration) {
         let size = self.settings.subset as usize;
-        let places = subset::choose(
+        let indices = subset::choose(
             &self.entry,
             self.router.pool.zone(),
             &self.peers,
             &self.members,
             size,
         );
-        let members: Vec<&Member> = places.iter().map(|&place| &self.members[place]).collect();
-        self.router.free();
-        self.router.pool.set(now, &members, &self.settings);
+        let members: Vec<&Member> = indices.iter().map(|&index| &self.members[index]).collect();
+        self.router.clear_full();
+        self.router.pool.set_members(now, &members, &self.settings);
     }
 
     /// Starts the waiting request whose turn it is, if there is room for it.
     pub(super) fn start_next(&mut self, now: Duration) -> Option<Resolution> {
         let ticket = self.queues.next_ticket(self.capacity())?;
         let route_query = self.queues.get(ticket)?.route_query(now, &self.settings);
-        let choice = self.router.choose(&route_query)?;
+        let route = self.router.choose(&route_query)?;
         let pending = self.queues.remove(ticket)?;
-        let start = self.start(&pending, choice, pending.work);
+        let start = self.start(&pending, route, pending.work);
         Some(Resolution {
             ticket,
             result: Ok(start),
@@ -46,30 +46,34 @@
     }
 
     /// Chooses an upstream for a request.
-    pub(super) fn choose(&mut self, now: Duration, pending: &PendingRequest) -> Option<Choice> {
+    pub(super) fn choose_route(
+        &mut self,
+        now: Duration,
+        pending: &PendingRequest,
+    ) -> Option<Route> {
         self.router
             .choose(&pending.route_query(now, &self.settings))
     }
 
     /// Starts an attempt at the chosen upstream.
-    pub(super) fn start(&mut self, pending: &PendingRequest, choice: Choice, charge: f64) -> Start {
+    pub(super) fn start(&mut self, pending: &PendingRequest, route: Route, charge: f64) -> Start {
         let attempt = Id(self.next_id());
-        let upstream = &self.router.pool.list()[choice.place];
+        let upstream = &self.router.pool.upstreams()[route.index];
         let attempt_record = InFlightAttempt {
             customer: pending.customer,
             upstream: upstream.member.name.clone(),
             serial: upstream.serial,
             charged: charge,
             requested: pending.requested,
-            prefix: choice.prefix.map(|place| pending.prefixes[place]),
+            prefix: route.prefix_index.map(|index| pending.prefixes[index]),
         };
         self.counters.started += 1;
         self.counters.spilled += u64::from(!upstream.local);
-        self.counters.affine += u64::from(choice.prefix.is_some());
+        self.counters.affine += u64::from(route.prefix_index.is_some());
         self.router
             .affinity
             .record_start(&pending.prefixes, upstream.cache);
-        self.router.pool.start(choice.place);
+        self.router.pool.start(route.index);
         self.queues.charge(pending.customer, charge);
         if pending.tried.is_empty() {
             let ratio = self.settings.retry_ratio;
@@ -107,7 +111,7 @@
     /// Forgets a prefix that the answer shows not to have been held.
     pub(super) fn correct_cache(
         &mut self,
-        place: usize,
+        index: usize,
         attempt_record: &InFlightAttempt,
         outcome: &Outcome,
     ) {
@@ -116,7 +120,7 @@
         if let Some(prefix) = attempt_record.prefix.filter(|_| missed) {
             self.router
                 .affinity
-                .remove(prefix, self.router.pool.list()[place].cache);
+                .remove(prefix, self.router.pool.upstreams()[index].cache);
         }
     }
 
--- a/verbenaspool_policy/src/health.rs
+++ b/verbenaspool_policy/src/health.rs
@@ -13,52 +13,52 @@
 use std::time::Duration;
 
 /// Attempts a pace must rest on before it is compared; fewer would eject on chance.
-const ENOUGH: f64 = 4.0;
+const MIN_ATTEMPTS: f64 = 4.0;
 /// Failures in a row that eject. Three in a row are chance once in a thousand
 /// where one in ten fails.
-const FAILURES: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// The first time out: long enough for a stall or restart to pass.
-const OUT: Duration = Duration::from_secs(5);
+const BASE_EJECTION: Duration = Duration::from_secs(5);
 /// Doublings of the time out at most, to about a minute and a half.
-const DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 /// The longest time out. A clock that jumps back would make one longer; such a
 /// time out is void.
-const LONGEST: Duration = OUT.saturating_mul(2_u32.pow(DOUBLINGS));
-/// Time without ejection after which the next one starts with [`OUT`] again.
-const FORGIVEN: Duration = Duration::from_mins(1);
+const MAX_EJECTION: Duration = BASE_EJECTION.saturating_mul(2_u32.pow(MAX_DOUBLINGS));
+/// Time without ejection after which the next one starts with [`BASE_EJECTION`] again.
+const EJECTION_BACKOFF_RESET: Duration = Duration::from_mins(1);
 
 /// One upstream's record.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
     /// Failures in a row.
-    failures: u32,
+    consecutive_failures: u32,
     /// Ejections in a row.
-    ejections: u32,
+    consecutive_ejections: u32,
     /// Until when it is out; past when it is in.
-    until: Duration,
+    ejected_until: Duration,
 }
 
 impl Health {
     /// Whether the upstream is out.
     #[must_use]
-    pub fn is_out(&self, now: Duration) -> bool {
-        now < self.until && self.until.saturating_sub(now) <= LONGEST
+    pub fn is_ejected(&self, now: Duration) -> bool {
+        now < self.ejected_until && self.ejected_until.saturating_sub(now) <= MAX_EJECTION
     }
 
     /// Records an attempt that ran.
-    pub fn succeed(&mut self) {
-        self.failures = 0;
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 
     /// Records an attempt that failed.
-    pub fn fail(&mut self) {
-        self.failures = self.failures.saturating_add(1);
+    pub fn record_failure(&mut self) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
     /// Whether the record is bad: failing, or `factor` times slower than the
     /// peers' median on enough attempts.
     #[must_use]
-    pub fn is_bad(
+    pub fn is_outlier(
         &self,
         pace: Option<f64>,
         attempts: f64,
@@ -66,20 +66,20 @@
         factor: f64,
     ) -> bool {
         let slow = match (pace, median) {
-            (Some(pace), Some(median)) => attempts >= ENOUGH && pace > factor * median,
+            (Some(pace), Some(median)) => attempts >= MIN_ATTEMPTS && pace > factor * median,
             _ => false,
         };
-        slow || self.failures >= FAILURES
+        slow || self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
 
     /// Takes the upstream out for a while.
     pub fn eject(&mut self, now: Duration) {
-        if now > self.until.saturating_add(FORGIVEN) {
-            self.ejections = 0;
+        if now > self.ejected_until.saturating_add(EJECTION_BACKOFF_RESET) {
+            self.consecutive_ejections = 0;
         }
-        let out = OUT * 2_u32.pow(self.ejections.min(DOUBLINGS));
-        self.until = now.saturating_add(out);
-        self.ejections = self.ejections.saturating_add(1);
-        self.failures = 0;
+        let ejection = BASE_EJECTION * 2_u32.pow(self.consecutive_ejections.min(MAX_DOUBLINGS));
+        self.ejected_until = now.saturating_add(ejection);
+        self.consecutive_ejections = self.consecutive_ejections.saturating_add(1);
+        self.consecutive_failures = 0;
     }
 }
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -13,18 +13,18 @@
 use crate::{affinity::Affinity, mechanism::Mechanism, pool::Pool};
 
 /// Random tries for one upstream with room before all are looked through.
-const TRIES: usize = 4;
+const RANDOM_PROBES: usize = 4;
 /// How much less loaded an upstream of another zone must look before work
 /// leaves the zone while it still has room.
-const SPILL: f64 = 1.5;
+const SPILL_RATIO: f64 = 1.5;
 
 /// An upstream chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Choice {
+pub struct Route {
     /// Its place in the pool.
-    pub place: usize,
+    pub index: usize,
     /// The place of the prefix that it is believed to hold, if it was chosen for that.
-    pub prefix: Option<usize>,
+    pub prefix_index: Option<usize>,
 }
 
 /// What an upstream is sought for.
@@ -48,7 +48,7 @@
     /// What is known about prefixes.
     pub affinity: Affinity,
     /// Chooses among equals; seeded, so that runs repeat.
-    random: SmallRng,
+    rng: SmallRng,
     /// Whether no upstream had room when last asked, and nothing changed since.
     full: bool,
 }
@@ -60,117 +60,118 @@
         Self {
             pool,
             affinity: Affinity::default(),
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             full: false,
         }
     }
 
     /// Notes that an upstream may have room again.
-    pub fn free(&mut self) {
+    pub fn clear_full(&mut self) {
         self.full = false;
     }
 
     /// A random number from 0 to 1.
     pub fn random(&mut self) -> f64 {
-        self.random.random()
+        self.rng.random()
     }
 
     /// The upstream for a request, if any takes it.
-    pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Choice> {
-        if let Some(choice) = self.holder(query) {
-            return Some(choice);
+    pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Route> {
+        if let Some(route) = self.pick_cache_holder(query) {
+            return Some(route);
         }
         if self.full {
             return None;
         }
-        let place = self.place(query);
-        self.full = place.is_none() && query.tried.is_empty();
-        Some(Choice {
-            place: place?,
-            prefix: None,
+        let index = self.pick_upstream(query);
+        self.full = index.is_none() && query.tried.is_empty();
+        Some(Route {
+            index: index?,
+            prefix_index: None,
         })
     }
 
     /// The least loaded holder of the longest known prefix that bears one more.
-    fn holder(&self, query: &RouteQuery<'_>) -> Option<Choice> {
+    fn pick_cache_holder(&self, query: &RouteQuery<'_>) -> Option<Route> {
         if !self.pool.mechanisms.has(Mechanism::Affinity) || query.prefixes.is_empty() {
             return None;
         }
-        let (prefix, holders) = self.affinity.longest_match(query.prefixes)?;
-        let list = self.pool.list();
-        let place = (0..list.len())
-            .filter(|&place| holders.contains(&Some(list[place].cache)))
-            .filter(|&place| self.bears(query, place))
+        let (prefix_index, holders) = self.affinity.longest_match(query.prefixes)?;
+        let upstreams = self.pool.upstreams();
+        let index = (0..upstreams.len())
+            .filter(|&index| holders.contains(&Some(upstreams[index].cache)))
+            .filter(|&index| self.within_affinity_bound(query, index))
             .min_by(|&a, &b| self.score(query, a).total_cmp(&self.score(query, b)))?;
-        Some(Choice {
-            place,
-            prefix: Some(prefix),
+        Some(Route {
+            index,
+            prefix_index: Some(prefix_index),
         })
     }
 
     /// Whether a holder takes one more: up to the bound above its limit, as
     /// computing the prefix anew elsewhere would take more than it slows down here.
-    fn bears(&self, query: &RouteQuery<'_>, place: usize) -> bool {
-        let upstream = &self.pool.list()[place];
+    fn within_affinity_bound(&self, query: &RouteQuery<'_>, index: usize) -> bool {
+        let upstream = &self.pool.upstreams()[index];
         let limit = upstream.limit(query.now);
-        let most = query.settings.affinity_bound * limit;
-        f64::from(upstream.in_flight) + 1.0 <= most && !self.shuns(query, place)
+        let max_in_flight = query.settings.affinity_bound * limit;
+        f64::from(upstream.in_flight) + 1.0 <= max_in_flight && !self.is_excluded(query, index)
     }
 
     /// The better of two random upstreams of the own zone, or of another where
     /// the own one is full or much more loaded.
-    fn place(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
+    fn pick_upstream(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
-            return self.better(query, None);
+            return self.best_of_two(query, None);
         }
-        let Some(local) = self.better(query, Some(true)) else {
-            return self.better(query, Some(false));
+        let Some(local) = self.best_of_two(query, Some(true)) else {
+            return self.best_of_two(query, Some(false));
         };
-        let remote = self.sample(query, Some(false));
-        let spills = |remote: &usize| self.score(query, *remote) * SPILL < self.score(query, local);
+        let remote = self.random_candidate(query, Some(false));
+        let spills =
+            |remote: &usize| self.score(query, *remote) * SPILL_RATIO < self.score(query, local);
         Some(remote.filter(spills).unwrap_or(local))
     }
 
     /// The better of two random upstreams with room, in the own zone or not.
-    fn better(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
-        let first = self.sample(query, local)?;
-        let second = self.sample(query, local)?;
-        let better = self.score(query, second) < self.score(query, first);
-        Some(if better { second } else { first })
+    fn best_of_two(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
+        let first = self.random_candidate(query, local)?;
+        let second = self.random_candidate(query, local)?;
+        let second_is_better = self.score(query, second) < self.score(query, first);
+        Some(if second_is_better { second } else { first })
     }
 
     /// A random upstream with room, in the own zone or not.
-    fn sample(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
-        let count = self.pool.list().len();
+    fn random_candidate(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
+        let count = self.pool.upstreams().len();
         if count == 0 {
             return None;
         }
-        for _ in 0..TRIES {
-            let place = self.random.random_range(0..count);
-            if self.fits(query, place, local) {
-                return Some(place);
+        for _ in 0..RANDOM_PROBES {
+            let index = self.rng.random_range(0..count);
+            if self.is_candidate(query, index, local) {
+                return Some(index);
             }
         }
-        let from = self.random.random_range(0..count);
-        let mut places = (from..count).chain(0..from);
-        places.find(|&place| self.fits(query, place, local))
+        let from = self.rng.random_range(0..count);
+        let mut indices = (from..count).chain(0..from);
+        indices.find(|&index| self.is_candidate(query, index, local))
     }
 
     /// Whether an upstream has room, in the own zone or not.
-    fn fits(&self, query: &RouteQuery<'_>, place: usize, local: Option<bool>) -> bool {
-        local.is_none_or(|local| self.pool.list()[place].local == local)
-            && self.pool.has_room(query.now, place)
-            && !self.shuns(query, place)
+    fn is_candidate(&self, query: &RouteQuery<'_>, index: usize, local: Option<bool>) -> bool {
+        local.is_none_or(|local| self.pool.upstreams()[index].local == local)
+            && self.pool.has_capacity(query.now, index)
+            && !self.is_excluded(query, index)
     }
 
     /// Whether to stay away from an upstream that was tried, while there are others.
-    fn shuns(&self, query: &RouteQuery<'_>, place: usize) -> bool {
-        let list = self.pool.list();
-        query.tried.len() < list.len() && query.tried.contains(&list[place].member.name)
+    fn is_excluded(&self, query: &RouteQuery<'_>, index: usize) -> bool {
+        let upstreams = self.pool.upstreams();
+        query.tried.len() < upstreams.len() && query.tried.contains(&upstreams[index].member.name)
     }
 
     /// How loaded an upstream looks.
-    fn score(&self, query: &RouteQuery<'_>, place: usize) -> f64 {
-        self.pool.score(query.now, place)
+    fn score(&self, query: &RouteQuery<'_>, index: usize) -> f64 {
+        self.pool.score(query.now, index)
     }
 }
--- a/verbenaspool_policy/src/subset.rs
+++ b/verbenaspool_policy/src/subset.rs
@@ -17,7 +17,7 @@
 
 /// The part of the subset that goes to the entry's own zone. The rest is where
 /// work spills to when the zone is full or lost.
-const OWN: f64 = 0.75;
+const LOCAL_FRACTION: f64 = 0.75;
 
 /// The places in `members` of those that the entry works with: all, where they
 /// are no more than `size`, else about `size`, at most half as many again.
@@ -32,15 +32,20 @@
     if members.len() <= size {
         return (0..members.len()).collect();
     }
-    let (own, other): (Vec<usize>, Vec<usize>) =
+    let (local, remote): (Vec<usize>, Vec<usize>) =
         (0..members.len()).partition(|&i| members[i].zone == *zone);
-    let own_size = own
+    let local_size = local
         .len()
-        .min(part(size, OWN))
-        .max(size.saturating_sub(other.len()));
-    let seats = seats(entry, zone, peers);
-    let mut chosen = pick(&seats, members, &own, own_size);
-    chosen.extend(pick(&seats, members, &other, size - own_size));
+        .min(fraction_of(size, LOCAL_FRACTION))
+        .max(size.saturating_sub(remote.len()));
+    let candidates = entry_candidates(entry, zone, peers);
+    let mut chosen = members_choosing_entry(&candidates, members, &local, local_size);
+    chosen.extend(members_choosing_entry(
+        &candidates,
+        members,
+        &remote,
+        size - local_size,
+    ));
     chosen
 }
 
@@ -54,7 +59,7 @@
 }
 
 /// This entry first, then the others.
-fn seats<'a>(entry: &Name, zone: &'a Name, peers: &'a [Peer]) -> Vec<Candidate<'a>> {
+fn entry_candidates<'a>(entry: &Name, zone: &'a Name, peers: &'a [Peer]) -> Vec<Candidate<'a>> {
     let others = peers.iter().filter(|peer| peer.name != *entry);
     let others = others.map(|peer| Candidate {
         hash: hash(&peer.name),
@@ -68,49 +73,61 @@
 }
 
 /// Of the members at `among`, those that pick this entry.
-fn pick(seats: &[Candidate<'_>], members: &[Member], among: &[usize], size: usize) -> Vec<usize> {
-    if among.len() <= size {
-        return among.to_vec();
+fn members_choosing_entry(
+    candidates: &[Candidate<'_>],
+    members: &[Member],
+    member_indices: &[usize],
+    size: usize,
+) -> Vec<usize> {
+    if member_indices.len() <= size {
+        return member_indices.to_vec();
     }
-    let mut ranked: Vec<(bool, u64, usize)> = among
+    let mut ranked: Vec<(bool, u64, usize)> = member_indices
         .iter()
-        .map(|&i| rank(seats, &members[i], size, among.len(), i))
+        .map(|&i| rank(candidates, &members[i], size, member_indices.len(), i))
         .collect();
     ranked.sort_unstable();
-    let picked = ranked.iter().filter(|(out, ..)| !out).count();
+    let choosing = ranked.iter().filter(|(excluded, ..)| !excluded).count();
     // Chance leaves an entry with fewer or more; the bounds keep it useful and small.
-    let count = picked.clamp(size / 2, size + size / 2).min(ranked.len());
+    let count = choosing.clamp(size / 2, size + size / 2).min(ranked.len());
     ranked[..count].iter().map(|&(.., i)| i).collect()
 }
 
 /// Whether a member leaves this entry out, and how far back it ranks it. Members
 /// pick entries of their own zone and of the others apart.
 fn rank(
-    seats: &[Candidate<'_>],
+    candidates: &[Candidate<'_>],
     member: &Member,
     size: usize,
-    among: usize,
-    place: usize,
+    member_count: usize,
+    index: usize,
 ) -> (bool, u64, usize) {
     let key = hash(&member.name);
-    let local = seats[0].zone == &member.zone;
-    let own = score(key, seats[0].hash);
-    let eligible = seats
+    let local = candidates[0].zone == &member.zone;
+    let own_score = score(key, candidates[0].hash);
+    let eligible = candidates
         .iter()
-        .filter(|seat| (seat.zone == &member.zone) == local);
-    let (count, ahead) = eligible.fold((0, 0), |(count, ahead), seat| {
-        (count + 1, ahead + usize::from(score(key, seat.hash) < own))
+        .filter(|candidate| (candidate.zone == &member.zone) == local);
+    let (count, ahead) = eligible.fold((0, 0), |(count, ahead), candidate| {
+        (
+            count + 1,
+            ahead + usize::from(score(key, candidate.hash) < own_score),
+        )
     });
-    (ahead >= takes(key, size * count, among), own, place)
+    (
+        ahead >= entries_for_member(key, size * count, member_count),
+        own_score,
+        index,
+    )
 }
 
 /// How many entries a member picks, so that all members together make `picks`.
 /// Where they don't divide evenly some members take one more, always the same
 /// ones, so that a change of the list moves few.
 #[allow(clippy::cast_possible_truncation)] // A remainder of a `usize` fits.
-fn takes(key: u64, picks: usize, members: usize) -> usize {
-    let chance = (u128::from(key) * members as u128) >> 64;
-    picks / members + usize::from((chance as usize) < picks % members)
+fn entries_for_member(key: u64, total: usize, members: usize) -> usize {
+    let threshold = (u128::from(key) * members as u128) >> 64;
+    total / members + usize::from((threshold as usize) < total % members)
 }
 
 /// The rank of a pair; lower is first.
@@ -129,7 +146,7 @@
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn part(size: usize, part: f64) -> usize {
+fn fraction_of(size: usize, fraction: f64) -> usize {
     // A subset is some thousands at most, so nothing is lost on the way.
-    (size as f64 * part).ceil() as usize
+    (size as f64 * fraction).ceil() as usize
 }
