--- a/verbenaspool_policy/src/attempt.rs
+++ b/verbenaspool_policy/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: one sending of a request to one upstream.
+//! Attempts to run a request on an upstream.
 
 use std::time::Duration;
 
-/// Names an attempt within one balancer; never used twice.
+/// Identifies an attempt within one balancer; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
@@ -13,20 +13,20 @@
     Ran,
     /// The agent confirmed that the attempt did not run and never will.
     NotRun,
-    /// The attempt may have run, and its answer is lost.
+    /// The attempt may have run, but its answer was lost.
     Unknown,
-    /// The caller or the entry gave the attempt up.
+    /// The caller or the entry cancelled the attempt.
     Cancelled,
 }
 
-/// What the entry learned from an attempt that ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
     /// How the attempt ended.
     pub ending: Ending,
-    /// The time from sending the attempt to its end.
+    /// The time from the start of the attempt to its end.
     pub took: Duration,
-    /// The prompt tokens that the engine had to compute, without cached ones.
+    /// The prompt tokens that the engine computed, without cached ones.
     pub prompt_tokens: u32,
     /// The tokens generated; 0 for a plain service.
     pub tokens: u32,
--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The decisions for one service at one entry instance, joined.
+//! The balancer of one service at one entry instance.
 
 mod admission;
 mod signals;
@@ -25,13 +25,15 @@
     snapshot::Snapshot,
 };
 
-/// Retries saved up for the service: what three customers may save.
+/// Retries that the service's budget holds at most: as many as those of three
+/// customers.
 const MAX_SERVICE_RETRIES: f64 = 30.0;
 
-/// Decides for one service at one entry instance.
+/// Decides which requests of one service are admitted, queued or refused at one entry
+/// instance, and which upstream each goes to.
 ///
-/// The entry calls `offer` for each request, `finish` for each attempt's end, and
-/// `poll` after every other call and at [`Balancer::next_wake`].
+/// The entry calls `offer` for each request, `finish` when an attempt ends, and `poll`
+/// after every other call and at [`Balancer::next_wake`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -64,37 +66,36 @@
 /// ```
 #[derive(Debug)]
 pub struct Balancer {
-    /// The settings in force.
     settings: Decisions,
-    /// The mechanisms in use.
+    /// The enabled mechanisms.
     mechanisms: Mechanisms,
-    /// The entry's own name.
+    /// The name of this entry instance.
     entry: Name,
-    /// The service's entry instances.
+    /// The entry instances that serve the service.
     peers: Vec<Peer>,
-    /// The service's upstreams that take work.
+    /// The upstreams of the service, without those that are leaving.
     members: Vec<Member>,
-    /// The upstreams worked with, and which is chosen.
+    /// Chooses among the upstreams of this entry's subset.
     router: Router,
-    /// The requests that wait.
+    /// The queued requests of all customers.
     queues: Queues,
-    /// What the requests of all customers turn out to be.
+    /// Token usage over the requests of all customers.
     usage: UsageProfile,
-    /// The service's retries.
+    /// The retry budget of the service.
     retry_budget: RetryBudget,
-    /// Requests given up since the last poll.
+    /// Queued requests that expired or were displaced since the last poll.
     evicted: Vec<Resolution>,
     /// Attempts in flight.
     in_flight: Map<Id, InFlightAttempt>,
-    /// The number of the next ticket or attempt.
+    /// The last ticket or attempt number assigned.
     last_id: u64,
-    /// Counts for metrics.
+    /// Counters for metrics; the fields that `snapshot` computes are unused.
     counters: Snapshot,
 }
 
 impl Balancer {
-    /// A balancer without members. `seed` differs between entry instances, so
-    /// that they don't all choose alike.
+    /// Creates a balancer without upstreams. `seed` must differ between entry instances,
+    /// so that they don't all make the same random choices.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -116,7 +117,8 @@
         Self::with_mechanisms(settings, entry, zone, seed, Mechanisms::all())
     }
 
-    /// A balancer with only some mechanisms, to measure what each is for.
+    /// Creates a balancer with only some mechanisms enabled, to measure the effect of
+    /// each.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -162,7 +164,8 @@
         }
     }
 
-    /// Takes new settings and the customers' shares; a customer not named has share 1.
+    /// Applies new settings and customers' shares. A customer that isn't named has share
+    /// 1.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -187,7 +190,8 @@
         self.choose_subset(now);
     }
 
-    /// Takes the service's whole list of upstreams; what it no longer names gets no new work.
+    /// Replaces the list of upstreams. An upstream that is missing from it gets no new
+    /// work.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -214,7 +218,8 @@
         self.choose_subset(now);
     }
 
-    /// Takes the list of entry instances that serve the service, this one among them.
+    /// Replaces the list of entry instances that serve the service, which includes this
+    /// one.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -237,7 +242,7 @@
         self.choose_subset(now);
     }
 
-    /// Decides on a request.
+    /// Admits, queues or refuses a request.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -262,7 +267,7 @@
         self.admit(now, request, pending)
     }
 
-    /// The waiting requests that start or are given up now.
+    /// Returns the queued requests that start now or are dropped.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -296,7 +301,7 @@
         resolved
     }
 
-    /// Takes back a waiting request whose caller left.
+    /// Removes a queued request whose caller left.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -321,7 +326,8 @@
         self.queues.remove(ticket);
     }
 
-    /// Learns from an attempt that ended. An unknown or repeated attempt changes nothing.
+    /// Records the end of an attempt. An unknown attempt, or one that was finished
+    /// before, is ignored.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -378,9 +384,9 @@
         }
     }
 
-    /// Decides whether a request whose attempt ended without an answer is tried
-    /// again, away from the upstreams that were `tried`. A request that isn't
-    /// idempotent is tried again only after [`Ending::NotRun`].
+    /// Decides whether to retry a request whose attempt ended without an answer, on an
+    /// upstream that isn't in `tried`. A request that isn't idempotent is retried only
+    /// after [`Ending::NotRun`].
     ///
     /// ```
     /// # use std::time::Duration;
@@ -420,7 +426,7 @@
         self.admit(now, request, pending)
     }
 
-    /// When `poll` has something to do if nothing else happens before.
+    /// Returns when `poll` must be called next if nothing else happens before.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -1,4 +1,4 @@
-//! What is let in, what waits and what is refused.
+//! Admission, queueing and refusal of requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 };
 
 impl Balancer {
-    /// What is kept of a request.
+    /// Estimates the work of a request and collects what is needed until it starts.
     pub(super) fn pending_request(
         &mut self,
         request: &Request<'_>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Starts a request, or lets it wait, or refuses it.
+    /// Starts a request, queues it or refuses it.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -56,7 +56,7 @@
         if self.queues.is_empty()
             && let Some(route) = self.choose_route(now, &pending)
         {
-            // Capacity that nobody waits for isn't charged.
+            // Spare capacity isn't charged to the customer.
             return Decision::Admit(self.start(&pending, route, 0.0));
         }
         if self.latest_start(request.deadline, pending.work) < now {
@@ -68,7 +68,8 @@
         self.enqueue(now, request, pending)
     }
 
-    /// Lets a request wait, unless it or others must yield for the rest to be in time.
+    /// Queues a request, unless it or a queued one must be dropped for the rest to meet
+    /// their deadlines.
     pub(super) fn enqueue(
         &mut self,
         now: Duration,
@@ -98,7 +99,7 @@
         Decision::Wait(ticket)
     }
 
-    /// Gives a waiting request up; the next poll says so.
+    /// Drops a queued request; the next poll returns its refusal.
     pub(super) fn evict(&mut self, ticket: Ticket, reason: Reason) {
         let Some(customer) = self.queues.get(ticket).map(|pending| pending.customer) else {
             return;
@@ -111,13 +112,15 @@
         });
     }
 
-    /// The latest start that meets a deadline.
+    /// Returns the latest start time at which a request with this work still meets its
+    /// deadline.
     pub(super) fn latest_start(&self, deadline: Duration, work: f64) -> Duration {
         let service = work * self.router.pool.pace().unwrap_or(0.0);
         deadline.saturating_sub(Duration::try_from_secs_f64(service).unwrap_or(Duration::MAX))
     }
 
-    /// A refusal, counted, with the time until what the customer has waiting is done.
+    /// Counts a refusal. `retry_after` is the time until the customer's queued work is
+    /// done.
     pub(super) fn refuse(&mut self, reason: Reason, customer: u32) -> Refusal {
         self.counters.refused[reason as usize] += 1;
         let wait_seconds = self.queues.wait_seconds(customer, self.capacity());
@@ -127,13 +130,15 @@
         }
     }
 
-    /// Takes one retry off the budgets of the customer and of the service.
+    /// Takes one retry from the budgets of the customer and of the service, if both have
+    /// one.
     pub(super) fn try_spend_retry(&mut self, customer: u32) -> bool {
         let own = &mut self.queues.customers.get_mut(customer).retry_budget;
         !self.mechanisms.has(Mechanism::Budget) || budget::try_spend(own, &mut self.retry_budget)
     }
 
-    /// The work a second that is done for this entry; without bound while unknown.
+    /// Returns the work per second that the upstreams do for this entry; infinite while
+    /// unknown.
     pub(super) fn capacity(&self) -> f64 {
         self.router.pool.capacity().unwrap_or(f64::INFINITY)
     }
--- a/verbenaspool_policy/src/balancer/signals.rs
+++ b/verbenaspool_policy/src/balancer/signals.rs
@@ -1,4 +1,4 @@
-//! What the balancer hears from upstreams and tells to metrics.
+//! Load reports and cache events of upstreams, and the snapshot for metrics.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 };
 
 impl Balancer {
-    /// Learns from a load report, however late. Reports of another incarnation,
-    /// and reordered ones, are ignored.
+    /// Applies a load report, however late. Reports of another incarnation and reordered
+    /// ones are ignored.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -38,7 +38,7 @@
         self.router.pool.report(now, upstream, load);
     }
 
-    /// Learns from a cache event, however late.
+    /// Applies a cache event, however late.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Counts and state for metrics and status.
+    /// Returns the counters and the current state, for metrics and status.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -105,7 +105,7 @@
     }
 }
 
-/// One upstream's state.
+/// Returns the state of one upstream.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // A limit is at most `max_limit`.
 fn upstream_snapshot(now: Duration, upstream: &Upstream) -> UpstreamSnapshot {
     UpstreamSnapshot {
--- a/verbenaspool_policy/src/balancer/start.rs
+++ b/verbenaspool_policy/src/balancer/start.rs
@@ -1,4 +1,4 @@
-//! Where a request starts, and what its end teaches.
+//! Starting attempts, and what is recorded when they end.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 };
 
 impl Balancer {
-    /// Looks at what changes with time.
+    /// Updates ejections and capacity, which change with time.
     pub(super) fn refresh(&mut self, now: Duration) {
         if self.router.pool.refresh(now, &self.settings) {
             self.router.clear_full();
         }
     }
 
-    /// Chooses the upstreams to work with.
+    /// Chooses the subset of upstreams that this entry sends to.
     pub(super) fn choose_subset(&mut self, now: Duration) {
         let size = self.settings.subset as usize;
         let indices = subset::choose(
@@ -32,7 +32,7 @@
         self.router.pool.set_members(now, &members, &self.settings);
     }
 
-    /// Starts the waiting request whose turn it is, if there is room for it.
+    /// Starts the next queued request if an upstream has capacity for it.
     pub(super) fn start_next(&mut self, now: Duration) -> Option<Resolution> {
         let ticket = self.queues.next_ticket(self.capacity())?;
         let route_query = self.queues.get(ticket)?.route_query(now, &self.settings);
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Chooses an upstream for a request.
+    /// Chooses an upstream for a request, if one has capacity.
     pub(super) fn choose_route(
         &mut self,
         now: Duration,
@@ -55,7 +55,7 @@
             .choose(&pending.route_query(now, &self.settings))
     }
 
-    /// Starts an attempt at the chosen upstream.
+    /// Starts an attempt at the chosen upstream and charges `charge` to the customer.
     pub(super) fn start(&mut self, pending: &PendingRequest, route: Route, charge: f64) -> Start {
         let attempt = Id(self.next_id());
         let upstream = &self.router.pool.upstreams()[route.index];
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Learns a customer's habit from an answer, which took `done` work.
+    /// Records the tokens that an answer took for its customer and for the service, and
+    /// corrects the charge from the estimated work to `used_work`.
     pub(super) fn record_usage(
         &mut self,
         attempt_record: &InFlightAttempt,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Forgets a prefix that the answer shows not to have been held.
+    /// Removes the prefix that an upstream was chosen for if the answer shows that it
+    /// wasn't cached.
     pub(super) fn correct_cache(
         &mut self,
         index: usize,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// The next unused number.
+    /// Assigns a number to a ticket or attempt.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
--- a/verbenaspool_policy/src/budget.rs
+++ b/verbenaspool_policy/src/budget.rs
@@ -1,19 +1,19 @@
-//! How many retries are allowed.
+//! Limits the number of retries.
 //!
-//! Load: upstreams that fail because they are overloaded. Without a budget each
-//! failure adds a request, the load grows with the failures, and the service
-//! stays down after the cause is gone.
+//! When upstreams fail because they are overloaded, unlimited retries add a request for
+//! each failure: the load grows with the failures, and the service stays down after the
+//! cause is gone.
 
-/// Retries that a customer may save up. Ten cover one upstream's loss at today's
-/// size; more would be a burst of their own.
+/// The most retries that a customer's budget holds. Ten cover the loss of one upstream
+/// at the present size of deployments; more would be a burst in itself.
 const MAX_CUSTOMER_RETRIES: f64 = 10.0;
 
-/// Retries allowed, earned as a part of first attempts.
+/// A budget of retries that grows by a fraction of first attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    /// Retries that may be made now.
+    /// Retries available now.
     available: f64,
-    /// Retries that may be saved up.
+    /// The most retries that may be available.
     max: f64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that has saved up all it may.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(max: f64) -> Self {
         Self {
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Earns the part of a retry that one first attempt allows.
+    /// Adds the fraction of a retry that one first attempt earns.
     pub fn earn(&mut self, ratio: f64) {
         self.available = (self.available + ratio).min(self.max);
     }
 }
 
-/// Takes one retry off two budgets, if both have one.
+/// Takes one retry from both budgets if both have one.
 pub fn try_spend(customer: &mut RetryBudget, service: &mut RetryBudget) -> bool {
     let allowed = customer.available >= 1.0 && service.available >= 1.0;
     if allowed {
--- a/verbenaspool_policy/src/customers.rs
+++ b/verbenaspool_policy/src/customers.rs
@@ -1,8 +1,9 @@
-//! What is kept for each customer.
+//! State per customer of one service.
 //!
-//! Shares stand once for all services of a firm; the rest of a customer's state
-//! begins with its first request to the service. With 16,000 customers and 11
-//! services, state for every pair would take more than all else in the process.
+//! Shares are kept once for all services of a firm; the rest of a customer's state is
+//! created with its first request to the service. With 16,000 customers and 11
+//! services, state for every pair would take more memory than everything else in the
+//! process.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -13,35 +14,36 @@
     share::Shares,
 };
 
-/// One customer.
+/// The state of one customer.
 #[derive(Debug, Default)]
 pub struct Customer {
-    /// Its weight when capacity is short.
+    /// Its weight when capacity is scarce.
     pub share: u32,
-    /// What its requests turn out to be.
+    /// Its token usage.
     pub usage: UsageProfile,
-    /// Its waiting requests.
+    /// Its queued requests.
     pub queue: Queue,
-    /// Its seat among those that wait.
+    /// Its credit in the round robin.
     pub deficit: DeficitCounter,
-    /// Its retries.
+    /// Its retry budget.
     pub retry_budget: RetryBudget,
 }
 
-/// The customers, by name and by number. Numbers stay while the balancer lives.
+/// The customers, by name and by number. Numbers stay valid for the life of the
+/// balancer.
 #[derive(Debug, Default)]
 pub struct Customers {
     /// Each customer's number.
     numbers: HashMap<Name, u32>,
     /// The customers by number.
-    customers: Vec<Customer>,
+    by_number: Vec<Customer>,
     /// The shares of all customers of the firm.
     shares: Rc<Shares>,
 }
 
 impl Customers {
-    /// Takes new shares; gives the customers seen whose share changes, each with
-    /// its new one.
+    /// Replaces the shares. Returns the known customers whose share changes, each with
+    /// its new share.
     pub fn set_shares(&mut self, shares: &Rc<Shares>) -> Vec<(u32, u32)> {
         self.shares = shares.clone();
         let mut changed: Vec<(u32, u32)> = self
@@ -54,30 +56,29 @@
         changed
     }
 
-    /// A customer's number, given out on first sight.
+    /// Returns a customer's number; assigns one at its first request.
     #[allow(clippy::cast_possible_truncation)] // Customers are some thousands.
     pub fn number(&mut self, name: &Name) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
-        let number = self.customers.len() as u32;
+        let number = self.by_number.len() as u32;
         self.numbers.insert(name.clone(), number);
-        self.customers.push(Customer {
+        self.by_number.push(Customer {
             share: self.shares.of(name),
             ..Customer::default()
         });
         number
     }
 
-    /// A customer by number.
+    /// Returns a customer by number.
     #[must_use]
     pub fn get(&self, number: u32) -> &Customer {
-        &self.customers[number as usize]
+        &self.by_number[number as usize]
     }
 
-    /// A customer by number, to be changed.
     #[must_use]
     pub fn get_mut(&mut self, number: u32) -> &mut Customer {
-        &mut self.customers[number as usize]
+        &mut self.by_number[number as usize]
     }
 }
--- a/verbenaspool_policy/src/decision.rs
+++ b/verbenaspool_policy/src/decision.rs
@@ -1,4 +1,4 @@
-//! What the balancer answers: a start, a wait, or a refusal.
+//! The balancer's decisions: admit, wait or refuse.
 
 use std::time::Duration;
 
@@ -6,53 +6,54 @@
 
 use crate::attempt;
 
-/// Names a waiting request within one balancer; never used twice.
+/// Identifies a queued request within one balancer; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What happens to a request that was offered.
+/// The decision on a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Send it now.
     Admit(Start),
-    /// Hold it; [`crate::balancer::Balancer::poll`] resolves the ticket.
+    /// Queue it; [`crate::balancer::Balancer::poll`] resolves the ticket.
     Wait(Ticket),
-    /// Answer the caller at once: it did not run.
+    /// Answer the caller at once; the request did not run.
     Refuse(Refusal),
 }
 
 /// An attempt to send now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Start {
-    /// The attempt, to be named in `finish`.
+    /// The attempt's id, to be passed to `finish`.
     pub attempt: attempt::Id,
-    /// Where to send it.
+    /// The upstream to send it to.
     pub upstream: Name,
 }
 
-/// Why a request is not served, and when asking again makes sense.
+/// Why a request is not served, and when to retry it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Why it is not served.
     pub reason: Reason,
-    /// How long the caller should stay away.
+    /// How long the caller should wait before it retries.
     pub retry_after: Duration,
 }
 
 /// Why a request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// Its deadline can't be met with the work already ahead of it.
+    /// Its deadline can't be met with the work queued ahead of it.
     Late,
-    /// The customer has as many requests waiting as it may.
+    /// The customer has the maximum number of requests queued.
     QueueFull,
-    /// It waited, and its deadline can't be met any more.
+    /// It was queued, and its deadline can no longer be met.
     Expired,
-    /// Work that counts more took its place in the customer's queue.
+    /// It was dropped from the customer's queue so that others meet their deadlines.
     Displaced,
-    /// The service has no upstream.
+    /// The service has no upstream that takes work.
     NoUpstream,
-    /// The service's budget for retries is spent, or a retry can't end in time.
+    /// The retry budget of the customer or the service is spent, the request may not run
+    /// again, or a retry can't meet the deadline.
     NoRetry,
 }
 
@@ -85,11 +86,11 @@
     }
 }
 
-/// A ticket that waits no longer.
+/// The result of a ticket that waits no longer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resolution {
-    /// The ticket.
+    /// The ticket from [`Decision::Wait`].
     pub ticket: Ticket,
-    /// What becomes of it.
+    /// The started attempt or the refusal.
     pub result: Result<Start, Refusal>,
 }
--- a/verbenaspool_policy/src/estimate.rs
+++ b/verbenaspool_policy/src/estimate.rs
@@ -1,49 +1,49 @@
-//! The work of a request before it runs, learned from what answers took.
+//! Estimates the work of a request before it runs from past answers.
 //!
-//! Load: customers who ask for far more tokens than their answers have, each in
-//! their own way. Counting requests alone lets one long answer weigh as little
-//! as a short one; trusting `max_tokens` refuses work that would have been met.
-//! Work is counted in generated tokens; a prompt token weighs a set part of one.
+//! Customers ask for far more tokens than their answers have, each to a different
+//! degree. Counting requests would give a long answer the weight of a short one;
+//! trusting `max_tokens` would refuse requests that could be served. Work is counted in
+//! generated tokens; a prompt token weighs a configured fraction of one.
 
-/// Answers that the service's common ratio counts for against a customer's own.
-/// Eight own answers outweigh it: enough to damp one odd answer.
+/// The weight of the service's ratio against a customer's own, in answers. Eight
+/// answers of the customer outweigh it: enough to damp a single outlier.
 const PRIOR_ANSWERS: f32 = 8.0;
-/// Answers that a mean remembers. Sixty-four follow a drift of demand within a
-/// minute at one answer a second and still average out single answers.
+/// Answers over which a mean is taken. 64 follow a change of demand within a minute at
+/// one answer per second and still average out single answers.
 const WINDOW_ANSWERS: f32 = 64.0;
-/// The ratio of generated tokens assumed before the first answer.
+/// The ratio of generated tokens to `max_tokens` assumed before the first answer.
 const INITIAL_ANSWER_RATIO: f32 = 0.5;
-/// The ratio of computed prompt tokens assumed before the first answer: no cache.
+/// The ratio of computed prompt tokens assumed before the first answer: nothing is
+/// cached.
 const INITIAL_PROMPT_RATIO: f32 = 1.0;
-/// The least work of any request. Calls of plain services, which have no
-/// tokens, count as one unit each.
+/// The least work of a request. Requests to plain services, which have no tokens, count
+/// as one unit each.
 pub const MIN_WORK: f64 = 1.0;
 
-/// The mean ratio of the tokens that were done to those that were asked for:
-/// generated ones to `max_tokens`, or computed ones to the prompt's length, which
-/// cached prefixes spare a part of.
+/// The mean ratio of used to requested tokens: generated tokens to `max_tokens`, or
+/// computed prompt tokens to the prompt's length, which cached prefixes reduce.
 #[derive(Debug, Clone, Copy)]
 pub struct UsageRatio {
-    /// The mean of the ratios seen.
+    /// The mean of the observed ratios.
     mean: f32,
-    /// The answers behind it, at most [`WINDOW_ANSWERS`].
+    /// The number of answers in the mean, at most [`WINDOW_ANSWERS`].
     sample_count: f32,
 }
 
 impl UsageRatio {
-    /// The ratio of generated tokens before the first answer.
+    /// The ratio of generated tokens, before the first answer.
     #[must_use]
     pub fn for_answers() -> Self {
         Self::new(INITIAL_ANSWER_RATIO)
     }
 
-    /// The ratio of computed prompt tokens before the first answer.
+    /// The ratio of computed prompt tokens, before the first answer.
     #[must_use]
     pub fn for_prompts() -> Self {
         Self::new(INITIAL_PROMPT_RATIO)
     }
 
-    /// A ratio that nothing is known about.
+    /// A ratio without answers.
     fn new(mean: f32) -> Self {
         Self {
             mean,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Learns from one answer. An answer longer than asked for counts as whole,
-    /// so that an absurd count can't grow the estimate without bound.
+    /// Records one answer. A ratio above 1 counts as 1, so that an implausible token
+    /// count can't grow the estimate without bound.
     #[allow(clippy::cast_precision_loss)] // A ratio needs no more precision.
     pub fn record(&mut self, used: u32, requested: u32) {
         if requested == 0 {
@@ -63,7 +63,8 @@
         self.mean += (ratio - self.mean) / self.sample_count;
     }
 
-    /// The customer's ratio, filled up with the service's while answers are few.
+    /// The customer's ratio, weighted with the service's while the customer has few
+    /// answers.
     #[must_use]
     pub fn blended_with(self, service: Self) -> f64 {
         let own = self.mean * self.sample_count;
@@ -71,18 +72,18 @@
     }
 }
 
-/// The work of `prompt_tokens` computed and `tokens` generated.
+/// The work of computing `prompt_tokens` and generating `tokens`.
 #[must_use]
 pub fn work(prefill_weight: f64, prompt_tokens: f64, tokens: f64) -> f64 {
     (prefill_weight * prompt_tokens + tokens).max(MIN_WORK)
 }
 
-/// What a customer's requests turn out to be, beside what they say.
+/// How many of the requested tokens are used.
 #[derive(Debug, Clone, Copy)]
 pub struct UsageProfile {
-    /// The part of the prompt that is computed.
+    /// The fraction of prompt tokens that is computed.
     prompt: UsageRatio,
-    /// The part of `max_tokens` that is generated.
+    /// The fraction of `max_tokens` that is generated.
     answer: UsageRatio,
 }
 
@@ -96,14 +97,15 @@
 }
 
 impl UsageProfile {
-    /// Learns from an answer: what was done, of what was asked for.
+    /// Records the used tokens of an answer and those requested.
     pub fn record(&mut self, used: TokenCounts, requested: TokenCounts) {
         self.prompt
             .record(used.prompt_tokens, requested.prompt_tokens);
         self.answer.record(used.tokens, requested.tokens);
     }
 
-    /// The work to expect of a request, the service's habit filling up the customer's.
+    /// Estimates the work of a request from the customer's usage, weighted with the
+    /// service's.
     #[must_use]
     pub fn work(&self, service: &Self, requested: TokenCounts, prefill_weight: f64) -> f64 {
         let prompt = self.prompt.blended_with(service.prompt) * f64::from(requested.prompt_tokens);
@@ -112,17 +114,16 @@
     }
 }
 
-/// The size of a request or answer in tokens.
+/// Token counts of a request or an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Tokens of the answer; for a request, the most it may have.
     pub tokens: u32,
 }
 
 impl TokenCounts {
-    /// The work of this size.
+    /// The work of these tokens.
     #[must_use]
     pub fn work(self, prefill_weight: f64) -> f64 {
         work(
@@ -132,7 +133,7 @@
         )
     }
 
-    /// The size, but no more of either than in another.
+    /// These counts, each capped at that of `max`.
     #[must_use]
     pub fn capped_at(self, max: Self) -> Self {
         Self {
--- a/verbenaspool_policy/src/in_flight.rs
+++ b/verbenaspool_policy/src/in_flight.rs
@@ -1,22 +1,22 @@
-//! What is kept of an attempt in flight.
+//! Attempts in flight.
 
 use verbenaspool_state::name::Name;
 
 use crate::estimate::TokenCounts;
 
-/// An attempt in flight.
+/// An attempt in flight and what is needed when it ends.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// Its customer's number.
+    /// The customer's number.
     pub customer: u32,
-    /// Where it went.
+    /// The upstream it was sent to.
     pub upstream: Name,
-    /// Which upstream of that name it was.
+    /// The serial of that upstream, as a replaced one has the same name.
     pub serial: u64,
-    /// The work charged for it; 0 where nobody waited.
+    /// The work charged to the customer; 0 if no requests were queued.
     pub charged: f64,
-    /// What it asked for.
+    /// The prompt tokens and the most answer tokens of the request.
     pub requested: TokenCounts,
-    /// The prefix that its upstream was chosen for.
+    /// The cached prefix that the upstream was chosen for.
     pub prefix: Option<u64>,
 }
--- a/verbenaspool_policy/src/lib.rs
+++ b/verbenaspool_policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decisions under load of verbenaspool, free of I/O.
+//! Load balancing, admission control and placement decisions of verbenaspool, free of
+//! I/O.
 //!
-//! Every input comes with `now`, the monotonic time since the process started,
-//! and every decision is a value; nothing here touches a socket or a clock.
-//! [`balancer::Balancer`] joins the decisions for one service at one entry
-//! instance; each decision is a module of its own.
+//! Every input carries `now`, the monotonic time since the process started, and every
+//! decision is returned as a value; nothing here uses a socket or reads a clock.
+//! [`balancer::Balancer`] combines the decisions for one service at one entry instance;
+//! each decision has a module of its own.
 
 mod affinity;
 mod budget;
--- a/verbenaspool_policy/src/mechanism.rs
+++ b/verbenaspool_policy/src/mechanism.rs
@@ -1,30 +1,31 @@
-//! The mechanisms that the balancer joins, so that a measurement can leave one out.
+//! The mechanisms of the balancer, each of which a benchmark can disable.
 
-/// A mechanism of the decisions. All are in use unless a measurement removes
-/// one to show what gets worse without it.
+/// A mechanism of the balancer. All are enabled unless a benchmark disables one to
+/// measure its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// The estimate of work learns from what answers took.
+    /// The work estimate learns from past answers.
     Learning,
-    /// Customers share by weight instead of in order of arrival.
+    /// Customers share capacity by weight instead of in order of arrival.
     Shares,
     /// Requests that can't meet their deadline are refused at once.
     Refusal,
-    /// Within a customer's queue the largest work yields when not all can be met.
+    /// The largest request of a customer's queue is dropped when not all can meet their
+    /// deadlines.
     Displacement,
-    /// The limit of an upstream adapts.
+    /// The concurrency limit of each upstream adapts.
     Limits,
-    /// Routing weighs an upstream's pace.
+    /// Routing weighs upstreams by their pace.
     Pace,
-    /// Load reports correct the own count of work in flight.
+    /// Load reports add the requests of other entries to the entry's own count.
     Reports,
-    /// Routing follows cached prefixes.
+    /// Routing prefers upstreams with a cached prefix.
     Affinity,
-    /// Routing prefers the own zone.
+    /// Routing prefers the entry's own zone.
     Zones,
-    /// Outliers are ejected.
+    /// Slow or failing upstreams are ejected.
     Ejection,
-    /// Retries draw on a budget.
+    /// Retries are limited by a budget.
     Budget,
 }
 
@@ -45,12 +46,12 @@
     ];
 }
 
-/// The mechanisms in use.
+/// The set of enabled mechanisms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mechanisms(u32);
 
 impl Mechanisms {
-    /// Every mechanism.
+    /// Returns the set of all mechanisms.
     ///
     /// ```
     /// use verbenaspool_policy::mechanism::{Mechanism, Mechanisms};
@@ -63,13 +64,13 @@
         Self(u32::MAX)
     }
 
-    /// The set less one mechanism.
+    /// Returns the set without one mechanism.
     #[must_use]
     pub const fn without(self, mechanism: Mechanism) -> Self {
         Self(self.0 & !(1 << mechanism as u32))
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub const fn has(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u32) != 0
--- a/verbenaspool_policy/src/pace.rs
+++ b/verbenaspool_policy/src/pace.rs
@@ -1,23 +1,24 @@
-//! How long an upstream takes for one unit of work.
+//! An upstream's pace: the mean time it takes for one unit of work.
 
-/// Attempts that a mean pace remembers. Eight follow a burst within a second or
-/// two at three attempts in flight; sixteen kept limits and waits behind it.
+/// Attempts over which the mean is taken. Eight follow a burst within one or two
+/// seconds at three attempts in flight; with 16, limits and queueing lagged behind it.
 const WINDOW_ATTEMPTS: f64 = 8.0;
 
-/// The mean time an upstream takes for one unit of work, in seconds.
+/// The mean time that an upstream takes for one unit of work, in seconds, with
+/// exponential decay per attempt.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pace {
-    /// Remembered seconds.
+    /// The decayed sum of seconds.
     seconds: f64,
-    /// Remembered work.
+    /// The decayed sum of work.
     work: f64,
-    /// Remembered attempts.
+    /// The decayed number of attempts.
     attempts: f64,
 }
 
 impl Pace {
-    /// Learns from an attempt. Weighing by work keeps the fixed part of short
-    /// answers from passing for slowness.
+    /// Records an attempt. Weighting by work keeps the fixed part of short answers from
+    /// counting as slowness.
     pub fn record(&mut self, seconds: f64, work: f64) {
         let keep = 1.0 - 1.0 / WINDOW_ATTEMPTS;
         self.seconds = self.seconds * keep + seconds;
@@ -25,19 +26,19 @@
         self.attempts = self.attempts * keep + 1.0;
     }
 
-    /// The pace in seconds a unit of work, once anything is known.
+    /// The pace in seconds per unit of work, once any work is recorded.
     #[must_use]
     pub fn mean(&self) -> Option<f64> {
         (self.work > 0.0).then(|| self.seconds / self.work)
     }
 
-    /// About how many attempts the mean rests on, at most eight.
+    /// The effective number of attempts in the mean, at most [`WINDOW_ATTEMPTS`].
     #[must_use]
     pub fn attempts(&self) -> f64 {
         self.attempts
     }
 
-    /// Forgets all.
+    /// Discards all recorded attempts.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/verbenaspool_policy/src/queue.rs
+++ b/verbenaspool_policy/src/queue.rs
@@ -1,33 +1,32 @@
-//! One customer's waiting requests.
+//! The queue of one customer.
 //!
-//! Load: more work than can be done in time, for a moment or for long. Without
-//! it a queue in order of arrival grows until every request in it is too late,
-//! and goodput falls to nothing although every upstream is busy.
+//! Under overload, whether brief or sustained, a queue in order of arrival grows until
+//! every request in it is late, and goodput falls to zero although every upstream is
+//! busy.
 //!
-//! Requests wait by priority, then by the time they must start at the latest.
-//! When not all can start in time, the least urgent and largest of those in the
-//! way yields (Moore and Hodgson's rule, which keeps the most requests in time),
-//! and its caller is told at once.
+//! Requests are ordered by priority, then by their latest start. When not all can start
+//! in time, the largest of the least urgent requests in the way is dropped
+//! (Moore-Hodgson algorithm, which keeps the most requests on time), and its caller is
+//! answered at once.
 
 use std::time::Duration;
 
 use crate::decision::Ticket;
 
-/// A waiting request.
+/// A queued request as the queue orders it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedRequest {
-    /// Its ticket.
     pub ticket: Ticket,
-    /// How urgent it is; higher goes first.
+    /// Priority among the customer's requests; higher goes first.
     pub priority: u8,
     /// The latest start that still meets its deadline.
     pub latest_start: Duration,
-    /// Its estimated work.
+    /// The estimated work.
     pub work: f64,
 }
 
 impl QueuedRequest {
-    /// Whether this one goes before another.
+    /// Whether this request starts before another.
     fn precedes(&self, other: &Self) -> bool {
         (other.priority, self.latest_start) < (self.priority, other.latest_start)
     }
@@ -36,51 +35,50 @@
 /// How fast a customer's queue drains.
 #[derive(Debug, Clone, Copy)]
 pub struct DrainRate {
-    /// Work a second that the customer is sure of.
+    /// Work per second that the customer's share guarantees.
     pub work_per_second: f64,
-    /// The wait after which all work waiting now, of every customer, is done:
-    /// no request waits longer, however small its customer's rate.
+    /// The time in which all queued work of every customer is done; no request waits
+    /// longer, however small its customer's share.
     pub max_wait_seconds: f64,
 }
 
 impl DrainRate {
-    /// The wait behind `ahead` of the customer's own work, in seconds.
+    /// The wait behind `ahead` work of the same customer, in seconds.
     #[must_use]
     pub fn wait_seconds(&self, ahead: f64) -> f64 {
         (ahead / self.work_per_second).min(self.max_wait_seconds)
     }
 }
 
-/// One customer's waiting requests, in the order they start.
+/// The queued requests of one customer, in starting order.
 #[derive(Debug, Default)]
 pub struct Queue {
-    /// The requests, first to start first.
     requests: Vec<QueuedRequest>,
-    /// The sum of their work.
+    /// The total work of the requests.
     work: f64,
 }
 
 impl Queue {
-    /// The number of waiting requests.
+    /// The number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// The work waiting.
+    /// The total work of the queued requests.
     #[must_use]
     pub fn work(&self) -> f64 {
         self.work
     }
 
-    /// The request that starts next: the one that must start first or, where
-    /// `shortest` is set, the one with the least work among the most urgent.
+    /// The request that starts next: the first in order or, if `shortest_first` is set,
+    /// the one with the least work among those of the highest priority.
     #[must_use]
     pub fn next_request(&self, shortest_first: bool) -> Option<&QueuedRequest> {
         let first = self.requests.first()?;
@@ -94,7 +92,7 @@
         urgent.min_by(|a, b| a.work.total_cmp(&b.work))
     }
 
-    /// Adds a request at its place.
+    /// Inserts a request in order.
     pub fn push(&mut self, request: QueuedRequest) {
         let index = self
             .requests
@@ -103,14 +101,14 @@
         self.requests.insert(index, request);
     }
 
-    /// Takes one request out, wherever it stands.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
         let index = self.requests.iter().position(|w| w.ticket == ticket)?;
         Some(self.remove_at(index))
     }
 
-    /// The request that must yield for the others to start in time, if any:
-    /// the largest of the least urgent ones up to the first that would be late.
+    /// The request to drop for the others to start in time, if any: the largest of the
+    /// lowest priority up to and including the first that would be late.
     #[must_use]
     pub fn find_excess(&self, now: Duration, drain: &DrainRate) -> Option<Ticket> {
         let mut ahead = 0.0;
@@ -131,7 +129,7 @@
         None
     }
 
-    /// Takes the request at a place out.
+    /// Removes the request at an index.
     fn remove_at(&mut self, index: usize) -> QueuedRequest {
         let removed = self.requests.remove(index);
         self.work = if self.requests.is_empty() {
--- a/verbenaspool_policy/src/queues.rs
+++ b/verbenaspool_policy/src/queues.rs
@@ -1,4 +1,4 @@
-//! The requests that wait, of every customer.
+//! The queued requests of all customers.
 
 use std::{cmp::Reverse, collections::BinaryHeap, rc::Rc, time::Duration};
 
@@ -16,45 +16,45 @@
     share::Shares,
 };
 
-/// The customer whose queue everybody shares where shares are switched off.
+/// The customer number whose queue holds all requests when [`Mechanism::Shares`] is
+/// disabled.
 const SHARED_QUEUE: u32 = 0;
-/// Seconds over which the offered work is averaged. Over two, chance at 1.5 times
-/// the capacity ended the overload every few seconds; four ride that out and are
-/// still well below [`SUSTAINED_OVERLOAD`].
+/// Time constant of the average of offered work. With 2 s, random variation at 1.5
+/// times the capacity ended the overload every few seconds; 4 s smooths it and is still
+/// well below [`SUSTAINED_OVERLOAD`].
 const OFFERED_WINDOW_SECONDS: f64 = 4.0;
-/// Above this multiple of the capacity the offered work is an overload. Below it
-/// the queue drains or hardly grows.
+/// Offered work above this multiple of the capacity is an overload. Below it the queue
+/// drains or hardly grows.
 const OVERLOAD_RATIO: f64 = 1.1;
-/// How long an overload lasts before it counts as standing. A burst is over by
-/// then, and what it left can still be done in the order of deadlines. In a
-/// standing overload that order starts everything at the last moment, where an
-/// answer a little longer than estimated comes too late; the shortest first
-/// leaves room for that.
+/// How long an overload lasts before the shortest requests start first. A burst is over
+/// by then, and its backlog can still be done in order of deadline. In a sustained
+/// overload that order starts every request at its latest start, so that an answer
+/// slightly longer than estimated is late; shortest first leaves slack.
 const SUSTAINED_OVERLOAD: Duration = Duration::from_secs(10);
-/// Requests over which the mean work of one is taken.
+/// Requests over which the mean work of a request is averaged.
 const MEAN_WINDOW_REQUESTS: f64 = 64.0;
 
-/// Multiples of the mean that one request counts for in it, so that an absurd one
-/// can't make all turns as long as itself.
+/// Caps the work of a request in the mean at this multiple of it, so that one extreme
+/// request can't make every turn as long as itself.
 const MAX_MEAN_MULTIPLE: f64 = 16.0;
 
-/// What is kept of a request until it starts.
+/// A request and its estimated work, kept until it starts.
 #[derive(Debug, Clone)]
 pub struct PendingRequest {
-    /// Its customer's number.
+    /// The customer's number.
     pub customer: u32,
-    /// Its estimated work.
+    /// The estimated work.
     pub work: f64,
-    /// What it asks for.
+    /// The prompt tokens and the most answer tokens of the request.
     pub requested: TokenCounts,
-    /// The hashes of its prompt's prefixes.
+    /// The hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<u64>,
-    /// Upstreams to stay away from.
+    /// Upstreams where earlier attempts failed.
     pub tried: Vec<Name>,
 }
 
 impl PendingRequest {
-    /// What an upstream is sought for.
+    /// Returns the query that finds an upstream for this request.
     #[must_use]
     pub fn route_query<'a>(&'a self, now: Duration, settings: &'a Decisions) -> RouteQuery<'a> {
         RouteQuery {
@@ -66,33 +66,33 @@
     }
 }
 
-/// The waiting requests.
+/// The queued requests, one queue per customer.
 #[derive(Debug)]
 pub struct Queues {
     /// The customers and their queues.
     pub customers: Customers,
-    /// Whose turn it is.
+    /// The order in which customers start requests.
     round_robin: DeficitRoundRobin,
-    /// The mean work of a request.
+    /// The mean work of a request, credited per turn and share.
     quantum: f64,
-    /// The work offered a second, lately.
+    /// The average offered work per second.
     offered_rate: f64,
-    /// Since when more was offered than can be done.
+    /// When the current overload began.
     overloaded_since: Option<Duration>,
-    /// When a request was offered last.
+    /// When the last request was offered.
     last_offer: Duration,
-    /// The work of all waiting requests.
+    /// The work of all queued requests.
     backlog: f64,
-    /// Waiting requests.
+    /// The queued requests by ticket.
     pending: Map<Ticket, PendingRequest>,
-    /// The latest starts of waiting requests, and of some that wait no more.
+    /// The latest starts of queued requests, and of some that have left the queue.
     expiries: BinaryHeap<Reverse<(Duration, Ticket)>>,
-    /// The mechanisms in use.
+    /// The enabled mechanisms.
     mechanisms: Mechanisms,
 }
 
 impl Queues {
-    /// A room where nobody waits.
+    /// Creates empty queues.
     #[must_use]
     pub fn new(mechanisms: Mechanisms) -> Self {
         Self {
@@ -109,25 +109,25 @@
         }
     }
 
-    /// The number of waiting requests.
+    /// The number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// The work of all waiting requests.
+    /// The work of all queued requests.
     #[must_use]
     pub fn backlog(&self) -> f64 {
         self.backlog
     }
 
-    /// Takes the customers' shares; those not named get share 1.
+    /// Sets the customers' shares; a customer that isn't named has share 1.
     pub fn set_shares(&mut self, shares: &Rc<Shares>) {
         for (number, share) in self.customers.set_shares(shares) {
             let customer = self.customers.get_mut(number);
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Learns what a request's work is, for the size of a turn.
+    /// Records the work of an offered request, for the offered rate and the size of a
+    /// turn.
     pub fn observe(&mut self, now: Duration, work: f64) {
         let passed = now.saturating_sub(self.last_offer).as_secs_f64();
         self.offered_rate = self.offered_rate * (-passed / OFFERED_WINDOW_SECONDS).exp()
@@ -151,13 +152,13 @@
         self.quantum += (work - self.quantum) / MEAN_WINDOW_REQUESTS;
     }
 
-    /// How many requests wait in the queue of a customer.
+    /// The number of requests in a customer's queue.
     #[must_use]
     pub fn queued(&self, customer: u32) -> usize {
         self.customers.get(self.queue_owner(customer)).queue.len()
     }
 
-    /// Lets a request wait.
+    /// Queues a request.
     pub fn push(&mut self, request: QueuedRequest, pending: PendingRequest) {
         let queue_owner = self.queue_owner(pending.customer);
         let customer = self.customers.get_mut(queue_owner);
@@ -174,13 +175,13 @@
         self.pending.insert(request.ticket, pending);
     }
 
-    /// What is kept of a waiting request.
+    /// The queued request of a ticket.
     #[must_use]
     pub fn get(&self, ticket: Ticket) -> Option<&PendingRequest> {
         self.pending.get(&ticket)
     }
 
-    /// Takes a request out.
+    /// Removes a request from its queue.
     pub fn remove(&mut self, ticket: Ticket) -> Option<PendingRequest> {
         let pending = self.pending.remove(&ticket)?;
         let queue_owner = self.queue_owner(pending.customer);
@@ -190,7 +191,7 @@
             self.round_robin
                 .deactivate(queue_owner, customer.share, &mut customer.deficit);
         }
-        // Starting from 0 again keeps rounding errors from adding up.
+        // Resetting to 0 keeps rounding errors from adding up.
         self.backlog = if self.pending.is_empty() {
             0.0
         } else {
@@ -199,7 +200,7 @@
         Some(pending)
     }
 
-    /// The request whose turn it is to start.
+    /// The next request to start, with `capacity` work done per second for all customers.
     pub fn next_ticket(&mut self, capacity: f64) -> Option<Ticket> {
         let shortest_first = self.is_overloaded(capacity);
         loop {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Whether more has been offered than can be done for [`SUSTAINED_OVERLOAD`].
+    /// Whether the offered work has exceeded the capacity for [`SUSTAINED_OVERLOAD`].
     fn is_overloaded(&mut self, capacity: f64) -> bool {
         if self.offered_rate < OVERLOAD_RATIO * capacity {
             self.overloaded_since = None;
@@ -227,14 +228,14 @@
         self.last_offer >= since + SUSTAINED_OVERLOAD
     }
 
-    /// Charges a customer for started work, or pays it back.
+    /// Charges a customer for started work; negative work is a refund.
     pub fn charge(&mut self, customer: u32, work: f64) {
         let queue_owner = self.queue_owner(customer);
         let customer = self.customers.get_mut(queue_owner);
         customer.deficit.charge(work, self.quantum, customer.share);
     }
 
-    /// A waiting request whose latest start has passed.
+    /// Returns a queued request whose latest start has passed.
     pub fn expired(&mut self, now: Duration) -> Option<Ticket> {
         while let Some(&Reverse((latest_start, ticket))) = self.expiries.peek() {
             if latest_start >= now {
@@ -248,15 +249,15 @@
         None
     }
 
-    /// When the next request's latest start has passed.
+    /// When the next request expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         let Reverse((latest_start, _)) = self.expiries.peek()?;
         Some(latest_start.saturating_add(Duration::from_nanos(1)))
     }
 
-    /// The request of a customer that must yield for the others to start in
-    /// time, at `capacity` work a second for everybody.
+    /// The request that must be dropped from a customer's queue for the rest to start in
+    /// time, with `capacity` work done per second for all customers.
     #[must_use]
     pub fn find_excess(&self, now: Duration, customer: u32, capacity: f64) -> Option<Ticket> {
         let queue_owner = self.queue_owner(customer);
@@ -266,7 +267,7 @@
             .find_excess(now, &self.drain_rate(queue_owner, capacity))
     }
 
-    /// The wait behind all that a customer has waiting, in seconds.
+    /// The time until a customer's queued work is done, in seconds.
     #[must_use]
     pub fn wait_seconds(&self, customer: u32, capacity: f64) -> f64 {
         let queue_owner = self.queue_owner(customer);
@@ -286,7 +287,7 @@
         }
     }
 
-    /// The customer whose queue a request waits in.
+    /// The customer number whose queue holds a customer's requests.
     fn queue_owner(&self, customer: u32) -> u32 {
         if self.mechanisms.has(Mechanism::Shares) {
             customer
--- a/verbenaspool_policy/src/refusal/tests.rs
+++ b/verbenaspool_policy/src/refusal/tests.rs
@@ -4,7 +4,7 @@
 use crate::decision::Reason;
 
 #[test]
-fn times_to_stay_away_are_bounded() {
+fn retry_times_are_bounded() {
     let table = [
         (Reason::Late, 4.0, 0.0, 4_000),
         (Reason::Late, 4.0, 1.0, 6_000),
@@ -14,8 +14,12 @@
         (Reason::NoUpstream, 50.0, 0.0, 2_000),
         (Reason::NoRetry, 0.0, 0.5, 2_500),
     ];
-    for (reason, wait, random, ms) in table {
-        let told = retry_after(reason, wait, random);
-        assert_eq!(told, Duration::from_millis(ms), "{reason:?} {wait}");
+    for (reason, wait_seconds, random, ms) in table {
+        let actual = retry_after(reason, wait_seconds, random);
+        assert_eq!(
+            actual,
+            Duration::from_millis(ms),
+            "{reason:?} {wait_seconds}"
+        );
     }
 }
--- a/verbenaspool_policy/src/share.rs
+++ b/verbenaspool_policy/src/share.rs
@@ -1,19 +1,19 @@
-//! Customers' shares, which stand once for all services of a firm.
+//! Customers' shares, which apply to all services of a firm.
 
 use std::collections::HashMap;
 
 use verbenaspool_state::name::Name;
 
-/// The share of a customer that the configuration doesn't name.
+/// The share of a customer that isn't named in the configuration.
 const DEFAULT_SHARE: u32 = 1;
 
-/// The weights of a firm's customers when capacity is short, by name. A customer
-/// that isn't named has share 1.
+/// The weights of a firm's customers when capacity is scarce, by name. A customer that
+/// isn't named has share 1.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Shares(HashMap<Name, u32>);
 
 impl Shares {
-    /// A customer's share.
+    /// Returns a customer's share.
     ///
     /// ```
     /// use verbenaspool_policy::share::Shares;
--- a/verbenaspool_policy/src/slots.rs
+++ b/verbenaspool_policy/src/slots.rs
@@ -1,32 +1,32 @@
-//! The slots of one upstream, which the agent beside it keeps for requests that are on
-//! their way.
+//! The slots of one upstream, which its agent reserves for requests that are in
+//! transit.
 //!
-//! Load: tens of entries that place on hundreds of upstreams. Each hears of what the
-//! others placed a quarter of a second late, in which all of them together place as
-//! many streams as there are free slots. Without this, a fifth of the streams stood in
-//! line at an upstream that was full while others had room, and their callers left.
-//! The agent reads the upstream's report many times a second and is asked before each
-//! request, so it alone knows what is free at this moment.
+//! Tens of entries place requests on hundreds of upstreams. Each learns of the others'
+//! placements a quarter of a second late, a time in which all of them together place as
+//! many streams as there are free slots. Without reservation, a fifth of the streams
+//! waited at a full upstream while others had free slots, and their callers left. The
+//! agent reads the upstream's report many times a second and is asked before each
+//! request, so only the agent knows which slots are free.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// How long a request takes at most from the word of the agent to the upstream: there
-/// and back between two zones, a new connection, and an entry that is busy. One that
-/// takes longer stands in line there, which costs nothing but its own time.
+/// The longest time from the agent's grant until the request reaches the upstream: a
+/// round trip between two zones, a new connection, and a busy entry. A request that
+/// takes longer may wait at the upstream, which delays only that request.
 const MAX_TRANSIT: Duration = Duration::from_millis(25);
 
 /// One upstream's slots.
 #[derive(Debug, Default)]
 pub struct Slots {
-    /// Requests that it had by its last report.
+    /// Requests in the upstream's last report.
     reported: u32,
-    /// When slots were granted that the last report needn't show.
+    /// The times of grants that the last report may not include.
     granted_at: VecDeque<Duration>,
 }
 
 impl Slots {
-    /// Takes in how many requests the upstream had, by a report that was asked for at
-    /// some time.
+    /// Records the number of requests in a report of the upstream, and when the report
+    /// was requested.
     pub fn report(&mut self, requested_at: Duration, requests: u32) {
         self.reported = requests;
         let covered = |granted: &Duration| *granted + MAX_TRANSIT <= requested_at;
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Requests that the upstream has, those included that are on their way.
+    /// Requests at the upstream or in transit to it.
     #[must_use]
     pub fn requests(&self) -> u32 {
         let granted = u32::try_from(self.granted_at.len()).unwrap_or(u32::MAX);
         self.reported.saturating_add(granted)
     }
 
-    /// Keeps one of so many slots for a request, if one is free.
+    /// Reserves one of `slots` for a request, if one is free.
     ///
     /// ```
     /// use std::time::Duration;
--- a/verbenaspool_policy/src/snapshot.rs
+++ b/verbenaspool_policy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the balancer has decided so far, for metrics and status.
+//! The balancer's counters and state, for metrics and status.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 
 use crate::decision::Reason;
 
-/// Counts since the balancer was made, and its state now.
+/// Counters since the balancer was created, and its current state.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
     /// Requests offered.
     pub offered: u64,
-    /// Attempts started, retries among them.
+    /// Attempts started, including retries.
     pub started: u64,
-    /// Requests that had to wait before they started.
+    /// Requests that were queued.
     pub waited: u64,
     /// Refusals, in the order of [`Reason::ALL`].
     pub refused: [u64; Reason::ALL.len()],
     /// Retries allowed.
     pub retried: u64,
-    /// Starts that followed a cached prefix.
+    /// Attempts sent to an upstream for its cached prefix.
     pub affine: u64,
-    /// Starts outside the entry's own zone.
+    /// Attempts sent to another zone than the entry's.
     pub spilled: u64,
-    /// Times an upstream was ejected.
+    /// Ejections of upstreams.
     pub ejections: u64,
-    /// Load reports that were ignored: stale, reordered or of another incarnation.
+    /// Load reports that were ignored: repeated, reordered, of an unknown upstream or of
+    /// another incarnation.
     pub ignored_reports: u64,
-    /// Requests waiting now.
+    /// Requests queued now.
     pub waiting: usize,
-    /// How long work offered now would wait, at the present rate.
+    /// How long work offered now would wait, at the current capacity.
     pub wait: Duration,
-    /// The upstreams that the entry works with.
+    /// The upstreams in the entry's subset.
     pub upstreams: Vec<Upstream>,
 }
 
@@ -42,7 +43,7 @@
     pub name: Name,
     /// Attempts in flight from this entry.
     pub in_flight: u32,
-    /// The most attempts it may have in flight from this entry now.
+    /// The most attempts it may now have in flight from this entry.
     pub limit: u32,
     /// Whether it is ejected.
     pub ejected: bool,
