--- a/verbenaspool_policy/src/affinity.rs
+++ b/verbenaspool_policy/src/affinity.rs
@@ -1,40 +1,41 @@
-//! Which upstreams hold which prompt prefixes.
+//! Tracks which upstreams' caches hold which prompt prefixes.
 //!
-//! Load: many requests that begin alike. Sent anywhere, each upstream computes
-//! the same prefix again; sent to one, that one is overrun. What is known comes
-//! from own starts at once and from cache events late and with gaps, so it is
-//! taken as a hint: the answer's count of computed tokens corrects it, and the
-//! router leaves a holder that is loaded above its bound.
+//! Many requests begin with the same prefix. Spread over all upstreams, each computes
+//! the prefix again; sent to one, that one is overloaded. Own starts are known at once,
+//! while cache events are late and incomplete, so the table is only a hint: the number
+//! of computed tokens in an answer corrects it, and the router skips upstreams above
+//! their affinity bound.
 
 use crate::hash::Map;
 
-/// Prefixes remembered: about 1 MB at 56 bytes each, for each service.
+/// Prefixes kept: about 1 MB at 56 bytes each, for each service.
 const MAX_PREFIXES: usize = 16_384;
-/// Holders remembered for a prefix. Four carry a prefix that takes a quarter of
-/// today's 16 replicas; the bounded load spreads a hotter one over its holders.
+/// Caches kept per prefix. Four can serve a prefix with a quarter of the load of 16
+/// upstreams; the affinity bound spreads a more popular prefix over them.
 const MAX_HOLDERS: usize = 4;
-/// Prefixes learned from one request, the longest ones.
+/// Prefixes recorded per request, the longest ones.
 const MAX_RECORDED_PREFIXES: usize = 8;
 
-/// A key that stands for one upstream's cache as long as nothing emptied it.
+/// Identifies the cache of one upstream until it is emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheKey(pub u64);
 
-/// The holders of one prefix, latest first.
+/// The caches that hold one prefix, latest first.
 pub type Holders = [Option<CacheKey>; MAX_HOLDERS];
 
-/// What is known about prefixes. Two generations bound it: the old one is
-/// dropped when the young one is full, and prefixes in use move to the young.
+/// Which caches hold which prefixes. Two generations bound the size: when the current
+/// one is full it replaces the previous one, and prefixes in use move to the new
+/// current one.
 #[derive(Debug, Default)]
 pub struct Affinity {
-    /// Prefixes seen lately.
+    /// Prefixes seen since the last change of generation.
     current: Map<u64, Holders>,
-    /// Prefixes of the generation before.
+    /// Prefixes of the previous generation.
     previous: Map<u64, Holders>,
 }
 
 impl Affinity {
-    /// Records that a cache holds a prefix, or soon will.
+    /// Records that a cache holds a prefix or will hold it soon.
     pub fn insert(&mut self, prefix: u64, key: CacheKey) {
         if self.current.len() >= MAX_PREFIXES / 2 && !self.current.contains_key(&prefix) {
             self.previous = std::mem::take(&mut self.current);
@@ -75,7 +76,8 @@
         }
     }
 
-    /// The place of the longest known prefix in `prefixes`, and its holders.
+    /// Returns the index of the longest known prefix in `prefixes`, and the caches that
+    /// hold it.
     #[must_use]
     pub fn longest_match(&self, prefixes: &[u64]) -> Option<(usize, &Holders)> {
         prefixes
--- a/verbenaspool_policy/src/hash.rs
+++ b/verbenaspool_policy/src/hash.rs
@@ -1,21 +1,21 @@
-//! A hash for tables keyed by the balancer's own numbers.
+//! A fast hasher for maps keyed by internal numbers.
 //!
-//! Tickets, attempts and prefix hashes aren't chosen by callers, so that the
-//! standard hash's guard against chosen keys isn't needed, and every decision
-//! looks several of them up.
+//! Tickets, attempts and prefix hashes aren't chosen by callers, so the standard
+//! hasher's protection against chosen keys isn't needed, and every decision looks
+//! several of them up.
 
 use std::hash::{BuildHasherDefault, Hasher};
 
 /// An odd multiplier that spreads the low bits over the high ones (Fibonacci hashing).
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Hashes one number.
+/// Hashes an integer key.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Number(u64);
 
 impl Hasher for Number {
     fn finish(&self) -> u64 {
-        // The table takes its bucket from the low bits and its tag from the high ones.
+        // The map takes its bucket from the low bits and its tag from the high ones.
         self.0 ^ (self.0 >> 32)
     }
 
@@ -30,5 +30,5 @@
     }
 }
 
-/// A table keyed by a number.
+/// A map with integer keys.
 pub type Map<K, V> = std::collections::HashMap<K, V, BuildHasherDefault<Number>>;
--- a/verbenaspool_policy/src/health.rs
+++ b/verbenaspool_policy/src/health.rs
@@ -1,45 +1,45 @@
-//! Which upstreams are slow or failing beside their peers.
+//! Detects upstreams that are slow or failing compared with their peers.
 //!
-//! Load: one upstream that runs several times slower than the others, or fails
-//! everything fast. Least-loaded choice sends such an upstream more and more: it
-//! fails at once and so always looks idle.
+//! Least-loaded routing sends more and more to an upstream that fails fast, as it
+//! always looks idle. One that runs several times slower than its peers is a similar
+//! outlier.
 //!
-//! An upstream is ejected when its pace is a set multiple of the peers' median,
-//! or after a run of failures. Never more than a set share is out: when all are
-//! bad the cause is elsewhere, and sending everything to the few left would only
-//! break those too. Time out doubles with each ejection in a row, and on return
-//! an upstream's limit starts over from one attempt.
+//! An upstream is ejected when its pace exceeds a configured multiple of the peers'
+//! median, or after consecutive failures. The ejected share is limited: when all
+//! upstreams are bad the cause is elsewhere, and sending everything to the few left
+//! would overload those too. The ejection time doubles with each consecutive ejection,
+//! and afterwards the upstream's limit restarts at one attempt.
 
 use std::time::Duration;
 
-/// Attempts a pace must rest on before it is compared; fewer would eject on chance.
+/// Attempts needed before a pace is compared; fewer would eject by chance.
 const MIN_ATTEMPTS: f64 = 4.0;
-/// Failures in a row that eject. Three in a row are chance once in a thousand
-/// where one in ten fails.
+/// Consecutive failures that eject. At a failure rate of one in ten, three in a row
+/// happen by chance once in a thousand.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The first time out: long enough for a stall or restart to pass.
+/// The first ejection time: long enough for a stall or restart to pass.
 const BASE_EJECTION: Duration = Duration::from_secs(5);
-/// Doublings of the time out at most, to about a minute and a half.
+/// The most doublings of the ejection time, up to 80 s.
 const MAX_DOUBLINGS: u32 = 4;
-/// The longest time out. A clock that jumps back would make one longer; such a
-/// time out is void.
+/// The longest ejection time. A clock that jumps back would make it longer; such an
+/// ejection is ignored.
 const MAX_EJECTION: Duration = BASE_EJECTION.saturating_mul(2_u32.pow(MAX_DOUBLINGS));
-/// Time without ejection after which the next one starts with [`BASE_EJECTION`] again.
+/// The time without ejection after which the next one lasts [`BASE_EJECTION`] again.
 const EJECTION_BACKOFF_RESET: Duration = Duration::from_mins(1);
 
-/// One upstream's record.
+/// The failures and ejections of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// Failures in a row.
+    /// Consecutive failures.
     consecutive_failures: u32,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     consecutive_ejections: u32,
-    /// Until when it is out; past when it is in.
+    /// When the ejection ends; in the past if the upstream isn't ejected.
     ejected_until: Duration,
 }
 
 impl Health {
-    /// Whether the upstream is out.
+    /// Whether the upstream is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until && self.ejected_until.saturating_sub(now) <= MAX_EJECTION
@@ -55,8 +55,8 @@
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Whether the record is bad: failing, or `factor` times slower than the
-    /// peers' median on enough attempts.
+    /// Whether the upstream is failing, or slower than `factor` times the peers' median
+    /// over enough attempts.
     #[must_use]
     pub fn is_outlier(
         &self,
@@ -72,7 +72,7 @@
         slow || self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
 
-    /// Takes the upstream out for a while.
+    /// Ejects the upstream for a time that doubles with each consecutive ejection.
     pub fn eject(&mut self, now: Duration) {
         if now > self.ejected_until.saturating_add(EJECTION_BACKOFF_RESET) {
             self.consecutive_ejections = 0;
--- a/verbenaspool_policy/src/limit.rs
+++ b/verbenaspool_policy/src/limit.rs
@@ -1,56 +1,57 @@
-//! How many attempts an upstream takes at once from this entry.
+//! Limits the attempts that this entry has in flight at an upstream.
 //!
-//! Load: offered work beyond what an upstream can do. Without a limit every
-//! attempt is sent, all of them slow down together, and none meets its deadline;
-//! with a fixed one capacity lies idle or is overrun as soon as it differs from
-//! what the setting assumed.
+//! Without a limit, offered work beyond an upstream's capacity slows all attempts down
+//! together, and none meets its deadline. A fixed limit wastes capacity or overloads
+//! the upstream as soon as conditions differ from what the setting assumed.
 //!
-//! The limit grows while it is used and the pace stays near the best one seen,
-//! doubling at first, and shrinks when the pace is worse than [`SHRINK_PACE_RATIO`] times
-//! that. A batching engine is no slower until its batch is full, so the pace
-//! tells where that is; beyond it a further attempt only slows the others down,
-//! and what waits here can still be refused in time or sent elsewhere.
+//! The limit grows while it is in use and the pace stays near the best one seen,
+//! exponentially at first, and shrinks when the pace exceeds [`SHRINK_PACE_RATIO`]
+//! times the best. A batching engine doesn't slow down until its batch is full, so the
+//! pace shows the batch size; further attempts only slow the others down, while
+//! requests queued here can still be refused in time or sent elsewhere.
 
 use std::time::Duration;
 
-/// Below this multiple of the best pace the limit may grow.
+/// The limit may grow while the pace is below this multiple of the best pace.
 const GROW_PACE_RATIO: f64 = 1.1;
-/// Above this multiple of the best pace the limit shrinks, to where the pace is
-/// this multiple if it follows the number in flight.
+/// The limit shrinks when the pace is above this multiple of the best pace, to where
+/// the pace would equal it if the pace is proportional to the attempts in flight.
 const SHRINK_PACE_RATIO: f64 = 1.3;
-/// Seconds by which an attempt may take longer for reasons that are not the
-/// upstream's: the loop's timer, other work in the loop, the network. A service
-/// that answers in 1 ms is often twice as slow as its best without being any
-/// fuller; without this its limit fell to 1, and 64 callers of it got 1,312
-/// answers a second where direct calls got 25,010. Steps of engines and answers
-/// of tokens take far longer, so that for them the ratios decide.
+/// Seconds by which an attempt may take longer for reasons other than the upstream:
+/// timer resolution, other work in the event loop, the network. A service that answers
+/// in 1 ms often takes twice its best time without being busier; without this allowance
+/// its limit fell to 1, and 64 callers got 1,312 answers per second where direct calls
+/// got 25,010. Engine steps and token generation take far longer, so that for them the
+/// ratios decide.
 const NOISE_SECONDS: f64 = 0.005;
-/// What a limit keeps at least when it shrinks for the pace.
+/// The least factor by which the limit shrinks for a slow pace.
 const MIN_SHRINK_FACTOR: f64 = 0.5;
-/// What a limit keeps when work waits in front of the engine.
+/// The factor by which the limit shrinks when requests wait in front of the engine.
 const ENGINE_QUEUE_FACTOR: f64 = 0.9;
-/// How long a best pace counts. Two windows are kept, so the best is at least
-/// this and at most twice this old: longer than a burst, shorter than an hour's drift.
+/// The length of a best-pace window. Two windows are kept, so the best pace covers at
+/// least one and at most two windows: longer than a burst, shorter than drift over an
+/// hour.
 const BEST_PACE_WINDOW: Duration = Duration::from_mins(1);
 
-/// The adaptive limit of one upstream.
+/// The adaptive concurrency limit of one upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Limit {
-    /// The limit, of which the whole part counts.
+    /// The limit; its integer part applies.
     value: f64,
-    /// The best pace of the window now and of the one before.
+    /// The best pace of the current and of the previous window.
     best_pace: [f64; 2],
-    /// When the window now ends.
+    /// When the current window ends.
     window_end: Duration,
-    /// Attempts that must end before the limit may shrink again: those in flight
-    /// when it shrank tell nothing about the new limit.
+    /// Attempts that must end before the limit may shrink again: those that were in
+    /// flight when it shrank don't reflect the new limit.
     cooldown_attempts: u32,
-    /// Whether no sign of the batch's size was seen yet: the limit doubles then.
+    /// Whether the limit has not yet reached the batch size: it then grows by one per
+    /// attempt, which doubles it per round.
     slow_start: bool,
 }
 
 impl Limit {
-    /// A limit that nothing is known about yet.
+    /// Creates a limit without measurements.
     #[must_use]
     pub fn new(initial: u32) -> Self {
         Self {
@@ -62,14 +63,14 @@
         }
     }
 
-    /// The most attempts in flight.
+    /// The current limit.
     #[must_use]
     pub fn get(&self) -> f64 {
         self.value
     }
 
-    /// Learns from an attempt that ran: the mean pace now, the attempt's work, and
-    /// how many were in flight with it.
+    /// Records an attempt that ran: the mean pace now, the attempt's work, and the
+    /// attempts in flight with it.
     pub fn record(&mut self, now: Duration, pace: f64, work: f64, in_flight: u32, max_limit: u32) {
         self.record_best_pace(now, pace);
         let best_pace = self.best_pace[0].min(self.best_pace[1]);
@@ -94,21 +95,21 @@
         }
     }
 
-    /// Starts over from one attempt, for an upstream that comes back. What was
-    /// its best pace still holds, so it grows no further than that allows.
+    /// Restarts at one attempt, for an upstream that returns from ejection. The best pace
+    /// is kept and bounds the growth.
     pub fn restart(&mut self) {
         self.value = 1.0;
         self.cooldown_attempts = 0;
         self.slow_start = true;
     }
 
-    /// Learns from a load report that work waits in front of the engine: its
-    /// batch is full, so what is above it only waits there instead of here.
+    /// Shrinks the limit because a load report shows requests waiting in front of the
+    /// engine: its batch is full, and attempts beyond it only wait there instead of here.
     pub fn shrink_for_engine_queue(&mut self) {
         self.value = (self.value * ENGINE_QUEUE_FACTOR).max(1.0);
     }
 
-    /// Keeps the best pace of the last two windows.
+    /// Records the best pace of the current window, and starts a new one when it ends.
     fn record_best_pace(&mut self, now: Duration, pace: f64) {
         // A clock that jumped back would leave a window that never ends.
         if now >= self.window_end || self.window_end.saturating_sub(now) > BEST_PACE_WINDOW {
--- a/verbenaspool_policy/src/member.rs
+++ b/verbenaspool_policy/src/member.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a service has, as the entry knows them.
+//! The upstreams and entry instances of a service.
 
 use verbenaspool_state::name::Name;
 
@@ -7,16 +7,16 @@
 pub struct Member {
     /// The upstream's name.
     pub name: Name,
-    /// The availability zone it stands in.
+    /// The availability zone it is in.
     pub zone: Name,
-    /// Its group of ranks, where it belongs to one.
+    /// Its group of ranks, if it belongs to one.
     pub group: Option<Name>,
-    /// Counts the starts of the instance.
+    /// The incarnation of the instance, which increases with each start.
     pub incarnation: u64,
-    /// Its speed relative to an evenly loaded peer: 1 is even, 0.5 half as fast.
-    /// A group whose ranks are skewed is slower by its skew.
+    /// Its speed relative to an evenly loaded peer: 1 is equal, 0.5 half as fast. A group
+    /// with skewed ranks is slower by its skew.
     pub speed: f64,
-    /// Whether it takes new work; a leaving one only finishes what it has.
+    /// Whether it is leaving: it finishes its requests and takes no new ones.
     pub leaving: bool,
 }
 
@@ -25,6 +25,6 @@
 pub struct Peer {
     /// The entry instance's name.
     pub name: Name,
-    /// The availability zone it stands in.
+    /// The availability zone it is in.
     pub zone: Name,
 }
--- a/verbenaspool_policy/src/pool.rs
+++ b/verbenaspool_policy/src/pool.rs
@@ -1,4 +1,4 @@
-//! The upstreams that the entry works with, and what it knows about each.
+//! The upstreams of the entry's subset, and what is measured of each.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,51 +15,52 @@
     pace::Pace,
 };
 
-/// How often outliers are looked for: often enough to act within a second, and
-/// rarely enough that the comparison of all members costs nothing.
+/// The interval between outlier checks: short enough to act within a second, and long
+/// enough that comparing all members costs little.
 const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The age at which a load report no longer counts. Reports are seconds late as
-/// a rule; after ten the load they speak of is gone.
+/// The age at which a load report is discarded. Reports are usually seconds late; after
+/// ten seconds the reported load is gone.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
-/// How much of a report's difference from the mean counts. Reports are late, so
-/// a part of it is gone when they arrive; with all of it, entries that see the
-/// same report move together, and with none they leave their zone by chance.
+/// The weight of a report's difference from the mean. Reports are late, so part of the
+/// difference is gone when they arrive. With a weight of 1, entries that see the same
+/// report all move together; with 0, work leaves the entry's zone at random.
 const REPORT_WEIGHT: f64 = 0.5;
-/// The most running and waiting requests that a report may claim; more is taken
-/// as this, so that an absurd report can't shut an upstream out for good.
+/// The most running and waiting requests accepted from a report; a higher number is
+/// capped, so that an implausible report can't exclude an upstream for good.
 const MAX_REPORTED_REQUESTS: u32 = 100_000;
-/// Upstreams needed to tell which one is the outlier.
+/// The least number of upstreams among which an outlier can be identified.
 const MIN_UPSTREAMS_FOR_EJECTION: usize = 3;
-/// The bounds of a member's speed; outside them the figure is no measurement.
+/// The plausible range of a member's speed; a value outside it is not a measurement and
+/// is clamped.
 const SPEED_RANGE: (f64, f64) = (0.05, 20.0);
 
-/// One upstream.
+/// An upstream and its measured state.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What the list says of it.
+    /// The upstream's entry in the list of members.
     pub member: Member,
-    /// Whether it stands in the entry's own zone.
+    /// Whether it is in the entry's own zone.
     pub local: bool,
-    /// Stands for this upstream; a later one in the same place has another.
+    /// Identifies this upstream; a replacement of the same name has another serial.
     pub serial: u64,
-    /// Stands for its cache; changes when the cache is emptied.
+    /// Identifies the content of its prefix cache; changes when the cache is emptied.
     pub cache: CacheKey,
     /// Attempts in flight from this entry.
     pub in_flight: u32,
-    /// Requests of other entries there, by the last report.
+    /// Requests of other entries at the upstream, from the last report.
     pub other_requests: f64,
-    /// How long it takes for a unit of work.
+    /// The measured pace.
     pub pace: Pace,
-    /// Its adaptive limit.
+    /// The adaptive concurrency limit.
     limit: Limit,
-    /// Its record.
+    /// Failures and ejections.
     health: Health,
-    /// The last report's sequence and when it came.
+    /// The sequence number of the last report, and when it arrived.
     last_report: Option<(u64, Duration)>,
 }
 
 impl Upstream {
-    /// The most attempts in flight now; 0 while it is out.
+    /// The most attempts in flight now; 0 while the upstream is leaving or ejected.
     #[must_use]
     pub fn limit(&self, now: Duration) -> f64 {
         if self.member.leaving || self.is_ejected(now) {
@@ -75,35 +76,34 @@
     }
 }
 
-/// The upstreams, in the order of the chosen subset.
+/// The upstreams in the order of the chosen subset, and measurements over all of them.
 #[derive(Debug)]
 pub struct Pool {
-    /// The mean of what other entries have at an upstream.
+    /// The mean number of other entries' requests per upstream.
     mean_other_requests: f64,
     /// The entry's own zone.
     zone: Name,
-    /// The work a second that the upstreams do for this entry, once a pace is known.
+    /// Work per second that the upstreams do for this entry, once a pace is known.
     capacity: Option<f64>,
-    /// The upstreams.
     upstreams: Vec<Upstream>,
-    /// Where each stands.
+    /// The index of each upstream by name.
     index_by_name: HashMap<Name, usize>,
-    /// The pace of all together.
+    /// The pace over all upstreams.
     pace: Pace,
-    /// The last serial or cache key given out.
+    /// The last serial or cache key assigned.
     serial: u64,
-    /// When outliers are looked for next.
+    /// When outliers are checked next.
     next_outlier_check: Duration,
     /// Ejections so far.
     pub ejections: u64,
     /// Reports ignored so far.
     pub ignored_reports: u64,
-    /// The mechanisms in use.
+    /// The enabled mechanisms.
     pub mechanisms: Mechanisms,
 }
 
 impl Pool {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     #[must_use]
     pub fn new(zone: Name, mechanisms: Mechanisms) -> Self {
         Self {
@@ -133,7 +133,7 @@
         &self.upstreams
     }
 
-    /// Takes the members to work with; leaving ones are left out by the caller.
+    /// Replaces the members. The caller filters out those that are leaving.
     pub fn set_members(&mut self, now: Duration, members: &[&Member], settings: &Decisions) {
         let mut previous: HashMap<Name, Upstream> = self
             .upstreams
@@ -156,7 +156,7 @@
         self.update_capacity(now);
     }
 
-    /// An upstream that joins, with the limit that new ones start with.
+    /// Creates the state of a new upstream, with the initial limit.
     fn new_upstream(&mut self, member: &Member, settings: &Decisions) -> Upstream {
         self.serial += 2;
         Upstream {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Whether any upstream takes new work at all.
+    /// Whether any upstream takes new work.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.upstreams
@@ -181,13 +181,14 @@
             .any(|upstream| !upstream.member.leaving)
     }
 
-    /// The place of an upstream by name.
+    /// Returns the index of an upstream by name.
     #[must_use]
     pub fn index_of(&self, name: &Name) -> Option<usize> {
         self.index_by_name.get(name).copied()
     }
 
-    /// The place of the upstream that an attempt was sent to, if it is still there.
+    /// Returns the index of the upstream that an attempt was sent to, if it is still in
+    /// the pool.
     #[must_use]
     pub fn index_of_serial(&self, name: &Name, serial: u64) -> Option<usize> {
         self.index_of(name)
@@ -199,7 +200,7 @@
         self.upstreams[index].in_flight += 1;
     }
 
-    /// Learns from an attempt that ended after `seconds` and did `work`.
+    /// Records the end of an attempt that took `seconds` and did `work`.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Learns from a load report.
+    /// Applies a load report.
     pub fn report(&mut self, now: Duration, name: &Name, load: &LoadReport) {
         let Some(index) = self.index_of(name) else {
             self.ignored_reports += 1;
@@ -253,16 +254,16 @@
         upstream.other_requests = f64::from(total.saturating_sub(upstream.in_flight));
     }
 
-    /// Forgets what was known of an upstream's cache.
+    /// Discards what is known of an upstream's prefix cache.
     pub fn reset_cache(&mut self, index: usize) {
         self.serial += 2;
         self.upstreams[index].cache = CacheKey(self.serial);
     }
 
-    /// Looks for outliers and adds the capacity up, at most once a [`OUTLIER_CHECK_INTERVAL`];
-    /// whether it did.
+    /// Checks for outliers and updates the capacity, at most once per
+    /// [`OUTLIER_CHECK_INTERVAL`]; returns whether it did.
     pub fn refresh(&mut self, now: Duration, settings: &Decisions) -> bool {
-        // A clock that jumped back would leave a tick that is far off.
+        // A clock that jumped back would leave the next check far in the future.
         if now < self.next_outlier_check
             && self.next_outlier_check.saturating_sub(now) <= OUTLIER_CHECK_INTERVAL
         {
@@ -306,14 +307,16 @@
         }
     }
 
-    /// How many more may be ejected. One of three may be, however small the share.
+    /// How many more upstreams may be ejected; at least one in total, however small the
+    /// share.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss
     )]
     fn ejectable(&self, now: Duration, settings: &Decisions) -> usize {
-        // A subset is some thousands at most, so nothing is lost on the way.
+        // A subset has at most some thousands of upstreams, so the casts are exact
+        // enough.
         let max_ejected = (self.upstreams.len() as f64 * settings.ejection_share) as usize;
         let ejected = self
             .upstreams
@@ -323,7 +326,7 @@
         max_ejected.max(1).saturating_sub(ejected)
     }
 
-    /// The median pace, each made comparable by its member's speed.
+    /// The median pace, each normalized by its member's speed.
     fn median(&self) -> Option<f64> {
         let mut paces: Vec<f64> = self
             .upstreams
@@ -334,14 +337,14 @@
         paces.get(paces.len() / 2).copied()
     }
 
-    /// The pace of all together.
+    /// The pace over all upstreams.
     #[must_use]
     pub fn pace(&self) -> Option<f64> {
         self.pace.mean()
     }
 
-    /// The pace to expect of an upstream: its own, or before that is known the
-    /// common one by its speed.
+    /// The expected pace of an upstream: its own or, before that is known, the mean pace
+    /// adjusted by its speed.
     #[must_use]
     pub fn pace_of(&self, upstream: &Upstream) -> f64 {
         let mean_pace = self.pace.mean().unwrap_or(1.0) / upstream.member.speed;
@@ -352,14 +355,15 @@
         }
     }
 
-    /// Whether an upstream takes another attempt.
+    /// Whether an upstream's limit allows another attempt.
     #[must_use]
     pub fn has_capacity(&self, now: Duration, index: usize) -> bool {
         let upstream = &self.upstreams[index];
         f64::from(upstream.in_flight) + 1.0 <= upstream.limit(now)
     }
 
-    /// How loaded an upstream looks: what is there and one more, by its pace.
+    /// The load score of an upstream: its requests plus one, weighted by its pace. Lower
+    /// is better.
     #[must_use]
     pub fn score(&self, now: Duration, index: usize) -> f64 {
         let upstream = &self.upstreams[index];
@@ -377,13 +381,13 @@
         (f64::from(upstream.in_flight) + other_requests + 1.0) * self.pace_of(upstream)
     }
 
-    /// The work a second that the upstreams do for this entry, once a pace is known.
+    /// Work per second that the upstreams do for this entry, once a pace is known.
     #[must_use]
     pub fn capacity(&self) -> Option<f64> {
         self.capacity
     }
 
-    /// The mean of what other entries have at an upstream.
+    /// Computes the mean number of other entries' requests per upstream.
     #[allow(clippy::cast_precision_loss)] // A subset is some thousands at most.
     fn compute_mean_other_requests(&self) -> f64 {
         let sum: f64 = self
@@ -394,7 +398,7 @@
         sum / self.upstreams.len().max(1) as f64
     }
 
-    /// Adds the capacity up.
+    /// Updates the capacity and the mean number of other requests.
     fn update_capacity(&mut self, now: Duration) {
         self.mean_other_requests = self.compute_mean_other_requests();
         let Some(mean_pace) = self.pace() else {
@@ -408,7 +412,8 @@
     }
 }
 
-/// A member's speed as far as it is a measurement; 1 where it is none.
+/// Returns a member's speed clamped to [`SPEED_RANGE`], or 1 if it is not a positive
+/// finite number.
 fn sanitize_speed(reported: f64) -> f64 {
     if reported.is_finite() && reported > 0.0 {
         reported.clamp(SPEED_RANGE.0, SPEED_RANGE.1)
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -1,9 +1,9 @@
-//! Where an attempt goes.
+//! Chooses the upstream of an attempt.
 //!
-//! Load: entries that all see the same late reports. Choosing the least loaded
-//! of all sends everyone to the same upstream until the next report; two random
-//! choices, compared on what is in flight now and corrected by the reports,
-//! spread nearly as well and never herd.
+//! All entries see the same late reports. If each chose the least loaded upstream of
+//! all, every entry would choose the same one until the next report. Each therefore
+//! compares two random upstreams by the requests in flight now, corrected by the
+//! reports, which spreads load nearly as well without herding.
 
 use std::time::Duration;
 
@@ -12,49 +12,51 @@
 
 use crate::{affinity::Affinity, mechanism::Mechanism, pool::Pool};
 
-/// Random tries for one upstream with room before all are looked through.
+/// Random probes for an upstream with capacity before all are scanned.
 const RANDOM_PROBES: usize = 4;
-/// How much less loaded an upstream of another zone must look before work
-/// leaves the zone while it still has room.
+/// An upstream of another zone is chosen, while the own zone still has capacity, if its
+/// load score times this ratio is below the local one's.
 const SPILL_RATIO: f64 = 1.5;
 
-/// An upstream chosen.
+/// A chosen upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Route {
-    /// Its place in the pool.
+    /// Its index in the pool.
     pub index: usize,
-    /// The place of the prefix that it is believed to hold, if it was chosen for that.
+    /// The index of the prefix that its cache is believed to hold, if it was chosen for
+    /// that.
     pub prefix_index: Option<usize>,
 }
 
-/// What an upstream is sought for.
+/// What an upstream is chosen for.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// The time.
+    /// The current time.
     pub now: Duration,
     /// The settings.
     pub settings: &'a Decisions,
     /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: &'a [u64],
-    /// Upstreams to stay away from.
+    /// Upstreams where earlier attempts failed.
     pub tried: &'a [Name],
 }
 
 /// Chooses upstreams.
 #[derive(Debug)]
 pub struct Router {
-    /// The upstreams worked with.
+    /// The upstreams to choose from.
     pub pool: Pool,
-    /// What is known about prefixes.
+    /// Which caches hold which prefixes.
     pub affinity: Affinity,
-    /// Chooses among equals; seeded, so that runs repeat.
+    /// Source of random choices; seeded, so that runs are reproducible.
     rng: SmallRng,
-    /// Whether no upstream had room when last asked, and nothing changed since.
+    /// Whether no upstream had capacity at the last choice, and nothing has changed
+    /// since.
     full: bool,
 }
 
 impl Router {
-    /// A router for these upstreams.
+    /// Creates a router for these upstreams.
     #[must_use]
     pub fn new(pool: Pool, seed: u64) -> Self {
         Self {
@@ -65,17 +67,17 @@
         }
     }
 
-    /// Notes that an upstream may have room again.
+    /// Records that an upstream may have capacity again.
     pub fn clear_full(&mut self) {
         self.full = false;
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number between 0 and 1.
     pub fn random(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// The upstream for a request, if any takes it.
+    /// Chooses an upstream for a request, if any has capacity.
     pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Route> {
         if let Some(route) = self.pick_cache_holder(query) {
             return Some(route);
@@ -91,7 +93,8 @@
         })
     }
 
-    /// The least loaded holder of the longest known prefix that bears one more.
+    /// Chooses the least loaded upstream that holds the longest known prefix and is
+    /// within its affinity bound.
     fn pick_cache_holder(&self, query: &RouteQuery<'_>) -> Option<Route> {
         if !self.pool.mechanisms.has(Mechanism::Affinity) || query.prefixes.is_empty() {
             return None;
@@ -108,8 +111,9 @@
         })
     }
 
-    /// Whether a holder takes one more: up to the bound above its limit, as
-    /// computing the prefix anew elsewhere would take more than it slows down here.
+    /// Whether an upstream that holds the prefix takes another attempt: up to
+    /// `affinity_bound` times its limit, as computing the prefix elsewhere would cost
+    /// more than the slowdown here.
     fn within_affinity_bound(&self, query: &RouteQuery<'_>, index: usize) -> bool {
         let upstream = &self.pool.upstreams()[index];
         let limit = upstream.limit(query.now);
@@ -117,8 +121,8 @@
         f64::from(upstream.in_flight) + 1.0 <= max_in_flight && !self.is_excluded(query, index)
     }
 
-    /// The better of two random upstreams of the own zone, or of another where
-    /// the own one is full or much more loaded.
+    /// Chooses the better of two random upstreams of the own zone, or one of another zone
+    /// if the own zone is full or much more loaded.
     fn pick_upstream(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
             return self.best_of_two(query, None);
@@ -132,7 +136,8 @@
         Some(remote.filter(spills).unwrap_or(local))
     }
 
-    /// The better of two random upstreams with room, in the own zone or not.
+    /// Chooses the better of two random upstreams with capacity; `local` restricts the
+    /// choice to the own zone or to the other zones.
     fn best_of_two(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
         let first = self.random_candidate(query, local)?;
         let second = self.random_candidate(query, local)?;
@@ -140,7 +145,7 @@
         Some(if second_is_better { second } else { first })
     }
 
-    /// A random upstream with room, in the own zone or not.
+    /// Chooses a random upstream with capacity.
     fn random_candidate(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
         let count = self.pool.upstreams().len();
         if count == 0 {
@@ -157,20 +162,21 @@
         indices.find(|&index| self.is_candidate(query, index, local))
     }
 
-    /// Whether an upstream has room, in the own zone or not.
+    /// Whether an upstream has capacity and matches `local`.
     fn is_candidate(&self, query: &RouteQuery<'_>, index: usize, local: Option<bool>) -> bool {
         local.is_none_or(|local| self.pool.upstreams()[index].local == local)
             && self.pool.has_capacity(query.now, index)
             && !self.is_excluded(query, index)
     }
 
-    /// Whether to stay away from an upstream that was tried, while there are others.
+    /// Whether an upstream was tried before. Ignored once as many were tried as there are
+    /// upstreams.
     fn is_excluded(&self, query: &RouteQuery<'_>, index: usize) -> bool {
         let upstreams = self.pool.upstreams();
         query.tried.len() < upstreams.len() && query.tried.contains(&upstreams[index].member.name)
     }
 
-    /// How loaded an upstream looks.
+    /// The load score of an upstream; lower is better.
     fn score(&self, query: &RouteQuery<'_>, index: usize) -> f64 {
         self.pool.score(query.now, index)
     }
--- a/verbenaspool_policy/src/subset.rs
+++ b/verbenaspool_policy/src/subset.rs
@@ -1,26 +1,26 @@
-//! Which upstreams an entry instance works with.
+//! Chooses the subset of upstreams that an entry instance sends to.
 //!
-//! Load: a fleet in which every entry can't keep a connection and a record for
-//! every upstream. A random part leaves some upstreams to few entries and others
-//! to many, and each change of the list would move everyone's part.
+//! In a large fleet an entry can't keep a connection and state for every upstream.
+//! Random subsets would leave some upstreams with few entries and others with many, and
+//! each change of the list would change every subset.
 //!
-//! Each *upstream* picks the entries that may use it, by rendezvous hash over
-//! the entries of its zone and of the others. Every entry works the same picks
-//! out for itself, so nothing is sent; every upstream has the same number of
-//! entries, which balances better than entries that pick upstreams; and a change
-//! of one member or entry touches only the picks it is in.
+//! Each *upstream* selects the entries that may use it, by rendezvous hashing over the
+//! entries of its own zone and, apart, over those of other zones. Every entry computes
+//! the same selections, so nothing is sent. Every upstream has the same number of
+//! entries, which balances load better than entries selecting upstreams, and a change
+//! of one member or entry affects only the selections that include it.
 
 use verbenaspool_state::name::Name;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::member::{Member, Peer};
 
-/// The part of the subset that goes to the entry's own zone. The rest is where
-/// work spills to when the zone is full or lost.
+/// The fraction of the subset in the entry's own zone. The rest takes work when the
+/// zone is full or lost.
 const LOCAL_FRACTION: f64 = 0.75;
 
-/// The places in `members` of those that the entry works with: all, where they
-/// are no more than `size`, else about `size`, at most half as many again.
+/// Returns the indices in `members` of the entry's subset: all if there are at most
+/// `size`, else about `size`, at most 1.5 times as many.
 #[must_use]
 pub fn choose(
     entry: &Name,
@@ -49,7 +49,7 @@
     chosen
 }
 
-/// An entry as the picks see it.
+/// An entry instance that members may select.
 #[derive(Debug)]
 struct Candidate<'a> {
     /// The hash of its name.
@@ -58,7 +58,7 @@
     zone: &'a Name,
 }
 
-/// This entry first, then the others.
+/// Returns all entries as candidates, this entry first.
 fn entry_candidates<'a>(entry: &Name, zone: &'a Name, peers: &'a [Peer]) -> Vec<Candidate<'a>> {
     let others = peers.iter().filter(|peer| peer.name != *entry);
     let others = others.map(|peer| Candidate {
@@ -72,7 +72,7 @@
     std::iter::once(own).chain(others).collect()
 }
 
-/// Of the members at `among`, those that pick this entry.
+/// Returns those of `member_indices` whose members select this entry.
 fn members_choosing_entry(
     candidates: &[Candidate<'_>],
     members: &[Member],
@@ -88,13 +88,15 @@
         .collect();
     ranked.sort_unstable();
     let choosing = ranked.iter().filter(|(excluded, ..)| !excluded).count();
-    // Chance leaves an entry with fewer or more; the bounds keep it useful and small.
+    // The number of selecting members varies by chance; the bounds keep subsets useful
+    // and small.
     let count = choosing.clamp(size / 2, size + size / 2).min(ranked.len());
     ranked[..count].iter().map(|&(.., i)| i).collect()
 }
 
-/// Whether a member leaves this entry out, and how far back it ranks it. Members
-/// pick entries of their own zone and of the others apart.
+/// Returns whether a member leaves this entry out, the entry's hash score, and the
+/// member's index. Members select entries of their own zone and of other zones
+/// separately.
 fn rank(
     candidates: &[Candidate<'_>],
     member: &Member,
@@ -121,32 +123,32 @@
     )
 }
 
-/// How many entries a member picks, so that all members together make `picks`.
-/// Where they don't divide evenly some members take one more, always the same
-/// ones, so that a change of the list moves few.
+/// How many entries a member selects, so that all members together make `total`
+/// selections. If these don't divide evenly, some members select one more, always the
+/// same ones, so that a change of the list moves few selections.
 #[allow(clippy::cast_possible_truncation)] // A remainder of a `usize` fits.
 fn entries_for_member(key: u64, total: usize, members: usize) -> usize {
     let threshold = (u128::from(key) * members as u128) >> 64;
     total / members + usize::from((threshold as usize) < total % members)
 }
 
-/// The rank of a pair; lower is first.
+/// The rendezvous hash of a member and an entry; lower ranks first.
 fn score(member: u64, entry: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), entry)
 }
 
-/// A name's hash.
+/// The hash of a name.
 fn hash(name: &Name) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
 
-/// A part of a size, rounded up.
+/// A fraction of a size, rounded up.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
 fn fraction_of(size: usize, fraction: f64) -> usize {
-    // A subset is some thousands at most, so nothing is lost on the way.
+    // A subset has at most some thousands of upstreams, so the casts are exact enough.
     (size as f64 * fraction).ceil() as usize
 }
