--- a/verbenaspool_policy/src/pool.rs
+++ b/verbenaspool_policy/src/pool.rs
@@ -357,7 +357,7 @@
 
     /// Whether an upstream's limit allows another attempt.
     #[must_use]
-    pub fn has_capacity(&self, now: Duration, index: usize) -> bool {
+    pub fn is_below_limit(&self, now: Duration, index: usize) -> bool {
         let upstream = &self.upstreams[index];
         f64::from(upstream.in_flight) + 1.0 <= upstream.limit(now)
     }
--- a/verbenaspool_policy/src/queue.rs
+++ b/verbenaspool_policy/src/queue.rs
@@ -88,7 +88,7 @@
         let urgent = self
             .requests
             .iter()
-            .take_while(|w| w.priority == first.priority);
+            .take_while(|request| request.priority == first.priority);
         urgent.min_by(|a, b| a.work.total_cmp(&b.work))
     }
 
@@ -103,7 +103,10 @@
 
     /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
-        let index = self.requests.iter().position(|w| w.ticket == ticket)?;
+        let index = self
+            .requests
+            .iter()
+            .position(|request| request.ticket == ticket)?;
         Some(self.remove_at(index))
     }
 
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -165,7 +165,7 @@
     /// Whether an upstream has capacity and matches `local`.
     fn is_candidate(&self, query: &RouteQuery<'_>, index: usize, local: Option<bool>) -> bool {
         local.is_none_or(|local| self.pool.upstreams()[index].local == local)
-            && self.pool.has_capacity(query.now, index)
+            && self.pool.is_below_limit(query.now, index)
             && !self.is_excluded(query, index)
     }
 
