--- a/verbenaspool_policy/src/balancer/start.rs
+++ b/verbenaspool_policy/src/balancer/start.rs
@@ -32,7 +32,7 @@
         self.router.pool.set_members(now, &members, &self.settings);
     }
 
-    /// Starts the next queued request if an upstream has capacity for it.
+    /// Starts the next queued request if an upstream is below its limit.
     pub(super) fn start_next(&mut self, now: Duration) -> Option<Resolution> {
         let ticket = self.queues.next_ticket(self.capacity())?;
         let route_query = self.queues.get(ticket)?.route_query(now, &self.settings);
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Chooses an upstream for a request, if one has capacity.
+    /// Chooses an upstream for a request, if any takes another attempt.
     pub(super) fn choose_route(
         &mut self,
         now: Duration,
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -12,10 +12,10 @@
 
 use crate::{affinity::Affinity, mechanism::Mechanism, pool::Pool};
 
-/// Random probes for an upstream with capacity before all are scanned.
+/// Random probes for an upstream below its limit before all are scanned.
 const RANDOM_PROBES: usize = 4;
-/// An upstream of another zone is chosen, while the own zone still has capacity, if its
-/// load score times this ratio is below the local one's.
+/// An upstream of another zone is chosen, while one of the own zone is still below its
+/// limit, if its load score times this ratio is below the local one's.
 const SPILL_RATIO: f64 = 1.5;
 
 /// A chosen upstream.
@@ -50,8 +50,8 @@
     pub affinity: Affinity,
     /// Source of random choices; seeded, so that runs are reproducible.
     rng: SmallRng,
-    /// Whether no upstream had capacity at the last choice, and nothing has changed
-    /// since.
+    /// Whether no upstream was below its limit at the last choice, and nothing has
+    /// changed since.
     full: bool,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Records that an upstream may have capacity again.
+    /// Records that an upstream may be below its limit again.
     pub fn clear_full(&mut self) {
         self.full = false;
     }
@@ -77,7 +77,7 @@
         self.rng.random()
     }
 
-    /// Chooses an upstream for a request, if any has capacity.
+    /// Chooses an upstream for a request, if any takes another attempt.
     pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Route> {
         if let Some(route) = self.pick_cache_holder(query) {
             return Some(route);
@@ -122,7 +122,7 @@
     }
 
     /// Chooses the better of two random upstreams of the own zone, or one of another zone
-    /// if the own zone is full or much more loaded.
+    /// if those of the own zone are at their limits or much more loaded.
     fn pick_upstream(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
             return self.best_of_two(query, None);
@@ -136,8 +136,8 @@
         Some(remote.filter(spills).unwrap_or(local))
     }
 
-    /// Chooses the better of two random upstreams with capacity; `local` restricts the
-    /// choice to the own zone or to the other zones.
+    /// Chooses the better of two random upstreams below their limits; `local` restricts
+    /// the choice to the own zone or to the other zones.
     fn best_of_two(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
         let first = self.random_candidate(query, local)?;
         let second = self.random_candidate(query, local)?;
@@ -145,7 +145,7 @@
         Some(if second_is_better { second } else { first })
     }
 
-    /// Chooses a random upstream with capacity.
+    /// Chooses a random upstream below its limit.
     fn random_candidate(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
         let count = self.pool.upstreams().len();
         if count == 0 {
@@ -162,7 +162,7 @@
         indices.find(|&index| self.is_candidate(query, index, local))
     }
 
-    /// Whether an upstream has capacity and matches `local`.
+    /// Whether an upstream is below its limit and matches `local`.
     fn is_candidate(&self, query: &RouteQuery<'_>, index: usize, local: Option<bool>) -> bool {
         local.is_none_or(|local| self.pool.upstreams()[index].local == local)
             && self.pool.is_below_limit(query.now, index)
