--- a/verbenaspool_policy/src/pool.rs
+++ b/verbenaspool_policy/src/pool.rs
@@ -37,7 +37,7 @@
 /// An upstream and its measured state.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The upstream's entry in the list of members.
+    /// The upstream as listed by the service, with its speed clamped.
     pub member: Member,
     /// Whether it is in the entry's own zone.
     pub local: bool,
