--- a/verbenaspool/src/entry/admin.rs
+++ b/verbenaspool/src/entry/admin.rs
@@ -140,7 +140,7 @@
             "Upstreams ejected.",
             snapshot.ejections,
         );
-        for (reason, refused) in Reason::ALL.iter().zip(snapshot.refused) {
+        for (reason, refused) in Reason::ALL.iter().zip(snapshot.rejected) {
             let pairs = [("service", service), ("reason", reason.name())];
             let help = "Requests refused, by reason.";
             metrics
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -335,7 +335,7 @@
     fn requeue(&self, table: &Table) {
         let shares = table.customers.iter();
         let shares = shares.map(|customer| (customer.name.clone(), customer.share));
-        let shares: Rc<share::Shares> = Rc::new(shares.collect());
+        let shares: Rc<share::Table> = Rc::new(shares.collect());
         let peers = self.peers.borrow();
         let mut services = self.services.borrow_mut();
         let mut before = std::mem::take(&mut *services);
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -12,7 +12,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Outcome},
     balancer::Balancer,
-    decision::{Decision, Refusal, Start, Ticket},
+    decision::{Decision, Rejection, Start, Ticket},
     request::Request,
     snapshot::Snapshot,
 };
@@ -20,7 +20,7 @@
 use verbenaspool_transport::clock::Clock;
 
 /// What a waiting caller is told.
-type Verdict = Result<Start, Refusal>;
+type Verdict = Result<Start, Rejection>;
 
 /// The queue of one service.
 pub struct Queue {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The balancer refuses it, now or after a wait.
-    pub async fn admit(self: &Rc<Self>, request: &Request<'_>) -> Result<Attempt, Refusal> {
+    pub async fn admit(self: &Rc<Self>, request: &Request<'_>) -> Result<Attempt, Rejection> {
         let decision = self.balancer.borrow_mut().offer(self.clock.now(), request);
         self.follow(decision).await
     }
@@ -85,7 +85,7 @@
         request: &Request<'_>,
         ending: Ending,
         tried: &[Name],
-    ) -> Result<Attempt, Refusal> {
+    ) -> Result<Attempt, Rejection> {
         let decision = {
             let mut balancer = self.balancer.borrow_mut();
             balancer.retry(self.clock.now(), request, ending, tried)
@@ -94,10 +94,10 @@
     }
 
     /// Carries a decision out.
-    async fn follow(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Refusal> {
+    async fn follow(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
         let start = match decision {
             Decision::Admit(start) => start,
-            Decision::Refuse(refusal) => return Err(refusal),
+            Decision::Reject(refusal) => return Err(refusal),
             Decision::Wait(ticket) => self.wait(ticket).await?,
         };
         Ok(Attempt {
--- a/verbenaspool/src/entry/reply.rs
+++ b/verbenaspool/src/entry/reply.rs
@@ -4,7 +4,7 @@
     HeaderValue, Response,
     header::{CONTENT_TYPE, RETRY_AFTER, WWW_AUTHENTICATE},
 };
-use verbenaspool_policy::decision::{Reason, Refusal};
+use verbenaspool_policy::decision::{Reason, Rejection};
 use verbenaspool_protocol::{
     header,
     problem::{Code, Problem},
@@ -53,13 +53,13 @@
 /// use std::time::Duration;
 ///
 /// use verbenaspool::entry::reply;
-/// use verbenaspool_policy::decision::{Reason, Refusal};
+/// use verbenaspool_policy::decision::{Reason, Rejection};
 ///
-/// let refusal = Refusal { reason: Reason::QueueFull, retry_after: Duration::from_millis(40) };
+/// let refusal = Rejection { reason: Reason::QueueFull, retry_after: Duration::from_millis(40) };
 /// assert_eq!(reply::refusal(refusal).retry_after_ms, Some(40));
 /// ```
 #[must_use]
-pub fn refusal(refusal: Refusal) -> Problem {
+pub fn refusal(refusal: Rejection) -> Problem {
     let (code, message) = match refusal.reason {
         Reason::Late => (
             Code::Deadline,
--- a/verbenaspool/src/entry/upstreams.rs
+++ b/verbenaspool/src/entry/upstreams.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
 use http::HeaderValue;
-use verbenaspool_policy::{load::LoadReport, member::Member};
+use verbenaspool_policy::{load::Report, member::Member};
 use verbenaspool_protocol::load;
 use verbenaspool_state::{
     name::Name,
@@ -108,11 +108,11 @@
     /// Takes in an agent's word: notes which process answers, and gives the
     /// upstream's service and the load in the balancer's terms.
     #[must_use]
-    pub fn heard(&self, name: &Name, load: &load::Load) -> Option<(Name, LoadReport)> {
+    pub fn heard(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
         known.address.process = Some(load.agent);
-        let load = LoadReport {
+        let load = Report {
             incarnation: known.upstream.incarnation,
             sequence: load.sequence,
             running: load.running,
--- a/verbenaspool_policy/benches/decisions.rs
+++ b/verbenaspool_policy/benches/decisions.rs
@@ -18,7 +18,7 @@
 };
 use verbenaspool_policy::{
     balancer::Balancer,
-    mechanism::{Mechanism, Mechanisms},
+    mechanism::{Mechanism, Set},
 };
 use verbenaspool_state::{decisions::Decisions, name::Name};
 
@@ -43,7 +43,7 @@
             continue;
         }
         let row = |policy: &str, score: Score| show(has("--json"), case.name, policy, &score);
-        row("verbenaspool", ours(&case, Mechanisms::all()));
+        row("verbenaspool", ours(&case, Set::all()));
         for kind in Kind::ALL {
             let baseline = |entry, _: &Name| -> Box<dyn Policy> {
                 Box::new(Baseline::new(kind, entry as u64))
@@ -54,7 +54,7 @@
         if has("--ablation") {
             for mechanism in Mechanism::ALL {
                 let policy = format!("without-{mechanism:?}").to_lowercase();
-                row(&policy, ours(&case, Mechanisms::all().without(mechanism)));
+                row(&policy, ours(&case, Set::all().without(mechanism)));
             }
         }
     }
@@ -126,7 +126,7 @@
 }
 
 /// Plays a case with the balancer.
-fn ours(case: &Case, mechanisms: Mechanisms) -> Score {
+fn ours(case: &Case, mechanisms: Set) -> Score {
     let settings = Decisions::default();
     let make = |entry: usize, zone: &Name| -> Box<dyn Policy> {
         let name = world::name("entry", entry);
--- a/verbenaspool_policy/benches/play/baseline.rs
+++ b/verbenaspool_policy/benches/play/baseline.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use verbenaspool_policy::{
     attempt::{Ending, Id, Outcome},
-    decision::{Decision, Reason, Refusal, Resolution, Start, Ticket},
+    decision::{Decision, Reason, Rejection, Resolution, Start, Ticket},
     member::Member,
     request::Request,
 };
@@ -97,7 +97,7 @@
     fn offer(&mut self, _now: Duration, _request: &Request<'_>) -> Decision {
         self.next += 1;
         let Some(upstream) = self.choose() else {
-            return Decision::Refuse(Refusal {
+            return Decision::Reject(Rejection {
                 reason: Reason::NoUpstream,
                 retry_after: Duration::from_secs(1),
             });
--- a/verbenaspool_policy/benches/play/policy.rs
+++ b/verbenaspool_policy/benches/play/policy.rs
@@ -6,7 +6,7 @@
     attempt::{Ending, Id, Outcome},
     balancer::Balancer,
     decision::{Decision, Resolution, Ticket},
-    load::{CacheEvent, LoadReport},
+    load::{CacheEvent, Report},
     member::Member,
     request::Request,
 };
@@ -25,7 +25,7 @@
         ending: Ending,
         tried: &[Name],
     ) -> Decision;
-    fn report(&mut self, _now: Duration, _upstream: &Name, _load: &LoadReport) {}
+    fn report(&mut self, _now: Duration, _upstream: &Name, _load: &Report) {}
     fn cache(&mut self, _now: Duration, _upstream: &Name, _event: CacheEvent) {}
     fn next_wake(&self) -> Option<Duration> {
         None
@@ -57,7 +57,7 @@
     ) -> Decision {
         self.retry(now, request, ending, tried)
     }
-    fn report(&mut self, now: Duration, upstream: &Name, load: &LoadReport) {
+    fn report(&mut self, now: Duration, upstream: &Name, load: &Report) {
         self.load_report(now, upstream, load);
     }
     fn cache(&mut self, now: Duration, upstream: &Name, event: CacheEvent) {
--- a/verbenaspool_policy/benches/play/world.rs
+++ b/verbenaspool_policy/benches/play/world.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use verbenaspool_policy::{
     attempt::{Ending, Id, Outcome},
-    decision::{Decision, Refusal, Start, Ticket},
-    load::{CacheEvent, LoadReport},
+    decision::{Decision, Rejection, Start, Ticket},
+    load::{CacheEvent, Report},
     member::Member,
     request::Request,
 };
@@ -44,7 +44,7 @@
     Engine(usize, u64),
     Fail(u64, Ending),
     Report(usize),
-    Load(usize, usize, LoadReport),
+    Load(usize, usize, Report),
     Cache(usize, usize, CacheEvent),
     Change(Change),
     Members,
@@ -243,7 +243,7 @@
                 self.states[job] = State::Waiting(ticket);
                 self.tickets[entry].insert(ticket, job);
             }
-            Decision::Refuse(refusal) => self.refuse(now, job, refusal),
+            Decision::Reject(refusal) => self.refuse(now, job, refusal),
         }
         self.poll(now, entry);
     }
@@ -271,7 +271,7 @@
     }
 
     /// A refused caller comes back when told to, if that is before its deadline.
-    fn refuse(&mut self, now: Duration, job: usize, refusal: Refusal) {
+    fn refuse(&mut self, now: Duration, job: usize, refusal: Rejection) {
         let again = now + refusal.retry_after;
         if again < self.jobs[job].deadline && self.asks[job] < ASKS {
             self.states[job] = State::Out;
@@ -419,7 +419,7 @@
     fn report(&mut self, now: Duration, engine: usize) {
         self.engines[engine].sequence += 1;
         let (running, waiting) = self.engines[engine].load();
-        let load = LoadReport {
+        let load = Report {
             incarnation: self.engines[engine].incarnation,
             sequence: self.engines[engine].sequence,
             running,
--- a/verbenaspool_policy/src/affinity.rs
+++ b/verbenaspool_policy/src/affinity.rs
@@ -18,10 +18,10 @@
 
 /// Identifies the cache of one upstream until it is emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CacheKey(pub u64);
+pub struct Key(pub u64);
 
 /// The caches that hold one prefix, latest first.
-pub type Holders = [Option<CacheKey>; MAX_HOLDERS];
+pub type Holders = [Option<Key>; MAX_HOLDERS];
 
 /// Which caches hold which prefixes. Two generations bound the size: when the current
 /// one is full it replaces the previous one, and prefixes in use move to the new
@@ -36,7 +36,7 @@
 
 impl Affinity {
     /// Records that a cache holds a prefix or will hold it soon.
-    pub fn insert(&mut self, prefix: u64, key: CacheKey) {
+    pub fn insert(&mut self, prefix: u64, key: Key) {
         if self.current.len() >= MAX_PREFIXES / 2 && !self.current.contains_key(&prefix) {
             self.previous = std::mem::take(&mut self.current);
         }
@@ -54,7 +54,7 @@
     }
 
     /// Records the prefixes that a started request leaves in a cache.
-    pub fn record_start(&mut self, prefixes: &[u64], key: CacheKey) {
+    pub fn record_start(&mut self, prefixes: &[u64], key: Key) {
         let from = prefixes.len().saturating_sub(MAX_RECORDED_PREFIXES);
         for &prefix in &prefixes[from..] {
             self.insert(prefix, key);
@@ -62,7 +62,7 @@
     }
 
     /// Records that a cache dropped a prefix.
-    pub fn remove(&mut self, prefix: u64, key: CacheKey) {
+    pub fn remove(&mut self, prefix: u64, key: Key) {
         for holders in [
             self.current.get_mut(&prefix),
             self.previous.get_mut(&prefix),
--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -10,18 +10,18 @@
 
 use crate::{
     attempt::{Ending, Id, Outcome},
-    budget::RetryBudget,
+    budget::Budget,
     decision::{Decision, Reason, Resolution, Ticket},
-    estimate::{TokenCounts, UsageProfile},
+    estimate::{Profile, Size},
     hash::Map,
-    in_flight::InFlightAttempt,
-    mechanism::Mechanisms,
+    in_flight::Attempt,
+    mechanism::Set,
     member::{Member, Peer},
     pool::Pool,
     queues::Queues,
     request::Request,
     route::Router,
-    share::Shares,
+    share::Table,
     snapshot::Snapshot,
 };
 
@@ -68,7 +68,7 @@
 pub struct Balancer {
     settings: Decisions,
     /// The enabled mechanisms.
-    mechanisms: Mechanisms,
+    mechanisms: Set,
     /// The name of this entry instance.
     entry: Name,
     /// The entry instances that serve the service.
@@ -80,13 +80,13 @@
     /// The queued requests of all customers.
     queues: Queues,
     /// Token usage over the requests of all customers.
-    usage: UsageProfile,
+    usage: Profile,
     /// The retry budget of the service.
-    retry_budget: RetryBudget,
+    retry_budget: Budget,
     /// Queued requests that expired or were displaced since the last poll.
     evicted: Vec<Resolution>,
     /// Attempts in flight.
-    in_flight: Map<Id, InFlightAttempt>,
+    in_flight: Map<Id, Attempt>,
     /// The last ticket or attempt number assigned.
     last_id: u64,
     /// Counters for metrics; the fields that `snapshot` computes are unused.
@@ -114,7 +114,7 @@
     /// ```
     #[must_use]
     pub fn new(settings: &Decisions, entry: Name, zone: Name, seed: u64) -> Self {
-        Self::with_mechanisms(settings, entry, zone, seed, Mechanisms::all())
+        Self::with_mechanisms(settings, entry, zone, seed, Set::all())
     }
 
     /// Creates a balancer with only some mechanisms enabled, to measure the effect of
@@ -132,11 +132,11 @@
     /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// use verbenaspool_policy::mechanism::{Mechanism, Mechanisms};
+    /// use verbenaspool_policy::mechanism::{Mechanism, Set};
     ///
-    /// let mechanisms = Mechanisms::all().without(Mechanism::Affinity);
+    /// let mechanisms = Set::all().without(Mechanism::Affinity);
     /// let mut balancer = Balancer::with_mechanisms(&one, "entry-1".parse()?, zone, 1, mechanisms);
-    /// assert!(matches!(balancer.offer(now, &request), Decision::Refuse(_)));
+    /// assert!(matches!(balancer.offer(now, &request), Decision::Reject(_)));
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     #[must_use]
@@ -145,7 +145,7 @@
         entry: Name,
         zone: Name,
         seed: u64,
-        mechanisms: Mechanisms,
+        mechanisms: Set,
     ) -> Self {
         Self {
             settings: settings.clone(),
@@ -155,8 +155,8 @@
             members: Vec::new(),
             router: Router::new(Pool::new(zone, mechanisms), seed),
             queues: Queues::new(mechanisms),
-            usage: UsageProfile::default(),
-            retry_budget: RetryBudget::new(MAX_SERVICE_RETRIES),
+            usage: Profile::default(),
+            retry_budget: Budget::new(MAX_SERVICE_RETRIES),
             evicted: Vec::new(),
             in_flight: Map::default(),
             last_id: 0,
@@ -184,7 +184,7 @@
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn configure(&mut self, now: Duration, settings: &Decisions, shares: &Rc<Shares>) {
+    pub fn configure(&mut self, now: Duration, settings: &Decisions, shares: &Rc<Table>) {
         self.settings = settings.clone();
         self.queues.set_shares(shares);
         self.choose_subset(now);
@@ -353,7 +353,7 @@
             return;
         };
         self.router.clear_full();
-        let used_tokens = TokenCounts {
+        let used_tokens = Size {
             prompt_tokens: outcome.prompt_tokens,
             tokens: outcome.tokens,
         };
@@ -402,7 +402,7 @@
     /// # let now = Duration::from_secs(1);
     /// let booking = Request { idempotent: false, ..request };
     /// let decision = balancer.retry(now, &booking, Ending::Unknown, &[]);
-    /// assert!(matches!(decision, Decision::Refuse(refusal) if refusal.reason == Reason::NoRetry));
+    /// assert!(matches!(decision, Decision::Reject(rejection) if rejection.reason == Reason::NoRetry));
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn retry(
@@ -420,7 +420,7 @@
         let pending = self.pending_request(request, tried);
         let late = self.latest_start(request.deadline, pending.work) < now;
         if !safe || late || !self.try_spend_retry(pending.customer) {
-            return Decision::Refuse(self.refuse(Reason::NoRetry, pending.customer));
+            return Decision::Reject(self.reject(Reason::NoRetry, pending.customer));
         }
         self.counters.retried += 1;
         self.admit(now, request, pending)
--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -6,9 +6,9 @@
 
 use super::Balancer;
 use crate::{
-    budget, decision::Decision, decision::Reason, decision::Refusal, decision::Resolution,
-    decision::Ticket, estimate::TokenCounts, mechanism::Mechanism, queue::QueuedRequest,
-    queues::PendingRequest, refusal, request::Request,
+    budget, decision::Decision, decision::Reason, decision::Rejection, decision::Resolution,
+    decision::Ticket, estimate::Size, mechanism::Mechanism, queue::QueuedRequest,
+    queues::PendingRequest, rejection, request::Request,
 };
 
 impl Balancer {
@@ -19,7 +19,7 @@
         tried: &[Name],
     ) -> PendingRequest {
         let customer = self.queues.customers.number(request.customer);
-        let requested = TokenCounts {
+        let requested = Size {
             prompt_tokens: request.prompt_tokens,
             tokens: request.max_tokens,
         };
@@ -48,22 +48,22 @@
     ) -> Decision {
         self.refresh(now);
         if !self.router.pool.is_open() {
-            return Decision::Refuse(self.refuse(Reason::NoUpstream, pending.customer));
+            return Decision::Reject(self.reject(Reason::NoUpstream, pending.customer));
         }
         if request.deadline <= now {
-            return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
+            return Decision::Reject(self.reject(Reason::Late, pending.customer));
         }
         if self.queues.is_empty()
-            && let Some(route) = self.choose_route(now, &pending)
+            && let Some(choice) = self.choose(now, &pending)
         {
             // Spare capacity isn't charged to the customer.
-            return Decision::Admit(self.start(&pending, route, 0.0));
+            return Decision::Admit(self.start(&pending, choice, 0.0));
         }
         if self.latest_start(request.deadline, pending.work) < now {
-            return Decision::Refuse(self.refuse(Reason::Late, pending.customer));
+            return Decision::Reject(self.reject(Reason::Late, pending.customer));
         }
         if self.queues.queued(pending.customer) >= self.settings.queue as usize {
-            return Decision::Refuse(self.refuse(Reason::QueueFull, pending.customer));
+            return Decision::Reject(self.reject(Reason::QueueFull, pending.customer));
         }
         self.enqueue(now, request, pending)
     }
@@ -89,9 +89,9 @@
             && let Some(excess) = self.queues.find_excess(now, customer, self.capacity())
         {
             if excess == ticket || !self.mechanisms.has(Mechanism::Displacement) {
-                let refusal = self.refuse(Reason::Late, customer);
+                let rejection = self.reject(Reason::Late, customer);
                 self.queues.remove(ticket);
-                return Decision::Refuse(refusal);
+                return Decision::Reject(rejection);
             }
             self.evict(excess, Reason::Displaced);
         }
@@ -104,11 +104,11 @@
         let Some(customer) = self.queues.get(ticket).map(|pending| pending.customer) else {
             return;
         };
-        let refusal = self.refuse(reason, customer);
+        let rejection = self.reject(reason, customer);
         self.queues.remove(ticket);
         self.evicted.push(Resolution {
             ticket,
-            result: Err(refusal),
+            result: Err(rejection),
         });
     }
 
@@ -121,12 +121,12 @@
 
     /// Counts a refusal. `retry_after` is the time until the customer's queued work is
     /// done.
-    pub(super) fn refuse(&mut self, reason: Reason, customer: u32) -> Refusal {
-        self.counters.refused[reason as usize] += 1;
+    pub(super) fn reject(&mut self, reason: Reason, customer: u32) -> Rejection {
+        self.counters.rejected[reason as usize] += 1;
         let wait_seconds = self.queues.wait_seconds(customer, self.capacity());
-        Refusal {
+        Rejection {
             reason,
-            retry_after: refusal::retry_after(reason, wait_seconds, self.router.random()),
+            retry_after: rejection::retry_after(reason, wait_seconds, self.router.random()),
         }
     }
 
--- a/verbenaspool_policy/src/balancer/signals.rs
+++ b/verbenaspool_policy/src/balancer/signals.rs
@@ -6,7 +6,7 @@
 
 use super::Balancer;
 use crate::{
-    load::{CacheEvent, LoadReport},
+    load::{CacheEvent, Report},
     pool::Upstream,
     snapshot::{Snapshot, Upstream as UpstreamSnapshot},
 };
@@ -27,13 +27,13 @@
     /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// let load = LoadReport { incarnation: 1, sequence: 1, running: 3, waiting: 0, leaving: false };
+    /// let load = Report { incarnation: 1, sequence: 1, running: 3, waiting: 0, leaving: false };
     /// balancer.load_report(now, &member.name, &load);
     /// balancer.load_report(now, &member.name, &load);
     /// assert_eq!(balancer.snapshot(now).ignored_reports, 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn load_report(&mut self, now: Duration, upstream: &Name, load: &LoadReport) {
+    pub fn load_report(&mut self, now: Duration, upstream: &Name, load: &Report) {
         self.router.clear_full();
         self.router.pool.report(now, upstream, load);
     }
--- a/verbenaspool_policy/src/balancer/start.rs
+++ b/verbenaspool_policy/src/balancer/start.rs
@@ -5,8 +5,8 @@
 use super::Balancer;
 use crate::{
     attempt::Ending, attempt::Id, attempt::Outcome, decision::Resolution, decision::Start,
-    estimate::TokenCounts, in_flight::InFlightAttempt, member::Member, queues::PendingRequest,
-    route::Route, subset,
+    estimate::Size, in_flight::Attempt, member::Member, queues::PendingRequest, route::Choice,
+    subset,
 };
 
 impl Balancer {
@@ -35,10 +35,10 @@
     /// Starts the next queued request if an upstream is below its limit.
     pub(super) fn start_next(&mut self, now: Duration) -> Option<Resolution> {
         let ticket = self.queues.next_ticket(self.capacity())?;
-        let route_query = self.queues.get(ticket)?.route_query(now, &self.settings);
-        let route = self.router.choose(&route_query)?;
+        let query = self.queues.get(ticket)?.query(now, &self.settings);
+        let choice = self.router.choose(&query)?;
         let pending = self.queues.remove(ticket)?;
-        let start = self.start(&pending, route, pending.work);
+        let start = self.start(&pending, choice, pending.work);
         Some(Resolution {
             ticket,
             result: Ok(start),
@@ -46,34 +46,29 @@
     }
 
     /// Chooses an upstream for a request, if any takes another attempt.
-    pub(super) fn choose_route(
-        &mut self,
-        now: Duration,
-        pending: &PendingRequest,
-    ) -> Option<Route> {
-        self.router
-            .choose(&pending.route_query(now, &self.settings))
+    pub(super) fn choose(&mut self, now: Duration, pending: &PendingRequest) -> Option<Choice> {
+        self.router.choose(&pending.query(now, &self.settings))
     }
 
     /// Starts an attempt at the chosen upstream and charges `charge` to the customer.
-    pub(super) fn start(&mut self, pending: &PendingRequest, route: Route, charge: f64) -> Start {
+    pub(super) fn start(&mut self, pending: &PendingRequest, choice: Choice, charge: f64) -> Start {
         let attempt = Id(self.next_id());
-        let upstream = &self.router.pool.upstreams()[route.index];
-        let attempt_record = InFlightAttempt {
+        let upstream = &self.router.pool.upstreams()[choice.index];
+        let attempt_record = Attempt {
             customer: pending.customer,
             upstream: upstream.member.name.clone(),
             serial: upstream.serial,
             charged: charge,
             requested: pending.requested,
-            prefix: route.prefix_index.map(|index| pending.prefixes[index]),
+            prefix: choice.prefix_index.map(|index| pending.prefixes[index]),
         };
         self.counters.started += 1;
         self.counters.spilled += u64::from(!upstream.local);
-        self.counters.affine += u64::from(route.prefix_index.is_some());
+        self.counters.affine += u64::from(choice.prefix_index.is_some());
         self.router
             .affinity
             .record_start(&pending.prefixes, upstream.cache);
-        self.router.pool.start(route.index);
+        self.router.pool.start(choice.index);
         self.queues.charge(pending.customer, charge);
         if pending.tried.is_empty() {
             let ratio = self.settings.retry_ratio;
@@ -96,8 +91,8 @@
     /// corrects the charge from the estimated work to `used_work`.
     pub(super) fn record_usage(
         &mut self,
-        attempt_record: &InFlightAttempt,
-        used_tokens: TokenCounts,
+        attempt_record: &Attempt,
+        used_tokens: Size,
         used_work: f64,
     ) {
         let customer = self.queues.customers.get_mut(attempt_record.customer);
@@ -114,7 +109,7 @@
     pub(super) fn correct_cache(
         &mut self,
         index: usize,
-        attempt_record: &InFlightAttempt,
+        attempt_record: &Attempt,
         outcome: &Outcome,
     ) {
         let missed = outcome.ending == Ending::Ran
--- a/verbenaspool_policy/src/budget.rs
+++ b/verbenaspool_policy/src/budget.rs
@@ -10,20 +10,20 @@
 
 /// A budget of retries that grows by a fraction of first attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct RetryBudget {
+pub struct Budget {
     /// Retries available now.
     available: f64,
     /// The most retries that may be available.
     max: f64,
 }
 
-impl Default for RetryBudget {
+impl Default for Budget {
     fn default() -> Self {
         Self::new(MAX_CUSTOMER_RETRIES)
     }
 }
 
-impl RetryBudget {
+impl Budget {
     /// Creates a full budget.
     #[must_use]
     pub fn new(max: f64) -> Self {
@@ -40,7 +40,7 @@
 }
 
 /// Takes one retry from both budgets if both have one.
-pub fn try_spend(customer: &mut RetryBudget, service: &mut RetryBudget) -> bool {
+pub fn try_spend(customer: &mut Budget, service: &mut Budget) -> bool {
     let allowed = customer.available >= 1.0 && service.available >= 1.0;
     if allowed {
         customer.available -= 1.0;
--- a/verbenaspool_policy/src/customers.rs
+++ b/verbenaspool_policy/src/customers.rs
@@ -9,10 +9,7 @@
 
 use verbenaspool_state::name::Name;
 
-use crate::{
-    budget::RetryBudget, estimate::UsageProfile, queue::Queue, round_robin::DeficitCounter,
-    share::Shares,
-};
+use crate::{budget::Budget, estimate::Profile, queue::Queue, round_robin::Deficit, share::Table};
 
 /// The state of one customer.
 #[derive(Debug, Default)]
@@ -20,13 +17,13 @@
     /// Its weight when capacity is scarce.
     pub share: u32,
     /// Its token usage.
-    pub usage: UsageProfile,
+    pub usage: Profile,
     /// Its queued requests.
     pub queue: Queue,
     /// Its credit in the round robin.
-    pub deficit: DeficitCounter,
+    pub deficit: Deficit,
     /// Its retry budget.
-    pub retry_budget: RetryBudget,
+    pub retry_budget: Budget,
 }
 
 /// The customers, by name and by number. Numbers stay valid for the life of the
@@ -38,13 +35,13 @@
     /// The customers by number.
     by_number: Vec<Customer>,
     /// The shares of all customers of the firm.
-    shares: Rc<Shares>,
+    shares: Rc<Table>,
 }
 
 impl Customers {
     /// Replaces the shares. Returns the known customers whose share changes, each with
     /// its new share.
-    pub fn set_shares(&mut self, shares: &Rc<Shares>) -> Vec<(u32, u32)> {
+    pub fn set_shares(&mut self, shares: &Rc<Table>) -> Vec<(u32, u32)> {
         self.shares = shares.clone();
         let mut changed: Vec<(u32, u32)> = self
             .numbers
--- a/verbenaspool_policy/src/decision.rs
+++ b/verbenaspool_policy/src/decision.rs
@@ -18,7 +18,7 @@
     /// Queue it; [`crate::balancer::Balancer::poll`] resolves the ticket.
     Wait(Ticket),
     /// Answer the caller at once; the request did not run.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// An attempt to send now.
@@ -32,7 +32,7 @@
 
 /// Why a request is not served, and when to retry it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why it is not served.
     pub reason: Reason,
     /// How long the caller should wait before it retries.
@@ -58,7 +58,7 @@
 }
 
 impl Reason {
-    /// Every reason, in the order of [`crate::snapshot::Snapshot::refused`].
+    /// Every reason, in the order of [`crate::snapshot::Snapshot::rejected`].
     pub const ALL: [Self; 6] = [
         Self::Late,
         Self::QueueFull,
@@ -92,5 +92,5 @@
     /// The ticket from [`Decision::Wait`].
     pub ticket: Ticket,
     /// The started attempt or the refusal.
-    pub result: Result<Start, Refusal>,
+    pub result: Result<Start, Rejection>,
 }
--- a/verbenaspool_policy/src/estimate.rs
+++ b/verbenaspool_policy/src/estimate.rs
@@ -23,14 +23,14 @@
 /// The mean ratio of used to requested tokens: generated tokens to `max_tokens`, or
 /// computed prompt tokens to the prompt's length, which cached prefixes reduce.
 #[derive(Debug, Clone, Copy)]
-pub struct UsageRatio {
+pub struct Ratio {
     /// The mean of the observed ratios.
     mean: f32,
     /// The number of answers in the mean, at most [`WINDOW_ANSWERS`].
     sample_count: f32,
 }
 
-impl UsageRatio {
+impl Ratio {
     /// The ratio of generated tokens, before the first answer.
     #[must_use]
     pub fn for_answers() -> Self {
@@ -80,25 +80,25 @@
 
 /// How many of the requested tokens are used.
 #[derive(Debug, Clone, Copy)]
-pub struct UsageProfile {
+pub struct Profile {
     /// The fraction of prompt tokens that is computed.
-    prompt: UsageRatio,
+    prompt: Ratio,
     /// The fraction of `max_tokens` that is generated.
-    answer: UsageRatio,
+    answer: Ratio,
 }
 
-impl Default for UsageProfile {
+impl Default for Profile {
     fn default() -> Self {
         Self {
-            prompt: UsageRatio::for_prompts(),
-            answer: UsageRatio::for_answers(),
+            prompt: Ratio::for_prompts(),
+            answer: Ratio::for_answers(),
         }
     }
 }
 
-impl UsageProfile {
+impl Profile {
     /// Records the used tokens of an answer and those requested.
-    pub fn record(&mut self, used: TokenCounts, requested: TokenCounts) {
+    pub fn record(&mut self, used: Size, requested: Size) {
         self.prompt
             .record(used.prompt_tokens, requested.prompt_tokens);
         self.answer.record(used.tokens, requested.tokens);
@@ -107,7 +107,7 @@
     /// Estimates the work of a request from the customer's usage, weighted with the
     /// service's.
     #[must_use]
-    pub fn work(&self, service: &Self, requested: TokenCounts, prefill_weight: f64) -> f64 {
+    pub fn work(&self, service: &Self, requested: Size, prefill_weight: f64) -> f64 {
         let prompt = self.prompt.blended_with(service.prompt) * f64::from(requested.prompt_tokens);
         let answer = self.answer.blended_with(service.answer) * f64::from(requested.tokens);
         work(prefill_weight, prompt, answer)
@@ -116,13 +116,13 @@
 
 /// Token counts of a request or an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TokenCounts {
+pub struct Size {
     pub prompt_tokens: u32,
     /// Tokens of the answer; for a request, the most it may have.
     pub tokens: u32,
 }
 
-impl TokenCounts {
+impl Size {
     /// The work of these tokens.
     #[must_use]
     pub fn work(self, prefill_weight: f64) -> f64 {
--- a/verbenaspool_policy/src/in_flight.rs
+++ b/verbenaspool_policy/src/in_flight.rs
@@ -2,11 +2,11 @@
 
 use verbenaspool_state::name::Name;
 
-use crate::estimate::TokenCounts;
+use crate::estimate::Size;
 
 /// An attempt in flight and what is needed when it ends.
 #[derive(Debug)]
-pub struct InFlightAttempt {
+pub struct Attempt {
     /// The customer's number.
     pub customer: u32,
     /// The upstream it was sent to.
@@ -16,7 +16,7 @@
     /// The work charged to the customer; 0 if no requests were queued.
     pub charged: f64,
     /// The prompt tokens and the most answer tokens of the request.
-    pub requested: TokenCounts,
+    pub requested: Size,
     /// The cached prefix that the upstream was chosen for.
     pub prefix: Option<u64>,
 }
--- a/verbenaspool_policy/src/lib.rs
+++ b/verbenaspool_policy/src/lib.rs
@@ -18,7 +18,7 @@
 mod pool;
 mod queue;
 mod queues;
-mod refusal;
+mod rejection;
 mod round_robin;
 mod route;
 
--- a/verbenaspool_policy/src/load.rs
+++ b/verbenaspool_policy/src/load.rs
@@ -3,7 +3,7 @@
 
 /// The load of an upstream as its agent reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LoadReport {
+pub struct Report {
     /// The incarnation of the instance that the report describes.
     pub incarnation: u64,
     /// The sequence number of the report within the incarnation.
--- a/verbenaspool_policy/src/mechanism.rs
+++ b/verbenaspool_policy/src/mechanism.rs
@@ -48,15 +48,15 @@
 
 /// The set of enabled mechanisms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mechanisms(u32);
+pub struct Set(u32);
 
-impl Mechanisms {
+impl Set {
     /// Returns the set of all mechanisms.
     ///
     /// ```
-    /// use verbenaspool_policy::mechanism::{Mechanism, Mechanisms};
+    /// use verbenaspool_policy::mechanism::{Mechanism, Set};
     ///
-    /// let mechanisms = Mechanisms::all().without(Mechanism::Budget);
+    /// let mechanisms = Set::all().without(Mechanism::Budget);
     /// assert!(!mechanisms.has(Mechanism::Budget) && mechanisms.has(Mechanism::Pace));
     /// ```
     #[must_use]
--- a/verbenaspool_policy/src/pool.rs
+++ b/verbenaspool_policy/src/pool.rs
@@ -5,12 +5,12 @@
 use verbenaspool_state::{decisions::Decisions, name::Name};
 
 use crate::{
-    affinity::CacheKey,
+    affinity::Key,
     attempt::Ending,
     health::Health,
     limit::Limit,
-    load::LoadReport,
-    mechanism::{Mechanism, Mechanisms},
+    load::Report,
+    mechanism::{Mechanism, Set},
     member::Member,
     pace::Pace,
 };
@@ -44,7 +44,7 @@
     /// Identifies this upstream; a replacement of the same name has another serial.
     pub serial: u64,
     /// Identifies the content of its prefix cache; changes when the cache is emptied.
-    pub cache: CacheKey,
+    pub cache: Key,
     /// Attempts in flight from this entry.
     pub in_flight: u32,
     /// Requests of other entries at the upstream, from the last report.
@@ -99,13 +99,13 @@
     /// Reports ignored so far.
     pub ignored_reports: u64,
     /// The enabled mechanisms.
-    pub mechanisms: Mechanisms,
+    pub mechanisms: Set,
 }
 
 impl Pool {
     /// Creates a pool without upstreams.
     #[must_use]
-    pub fn new(zone: Name, mechanisms: Mechanisms) -> Self {
+    pub fn new(zone: Name, mechanisms: Set) -> Self {
         Self {
             zone,
             mean_other_requests: 0.0,
@@ -163,7 +163,7 @@
             member: member.clone(),
             local: member.zone == self.zone,
             serial: self.serial,
-            cache: CacheKey(self.serial),
+            cache: Key(self.serial),
             in_flight: 0,
             other_requests: 0.0,
             pace: Pace::default(),
@@ -229,7 +229,7 @@
     }
 
     /// Applies a load report.
-    pub fn report(&mut self, now: Duration, name: &Name, load: &LoadReport) {
+    pub fn report(&mut self, now: Duration, name: &Name, load: &Report) {
         let Some(index) = self.index_of(name) else {
             self.ignored_reports += 1;
             return;
@@ -257,7 +257,7 @@
     /// Discards what is known of an upstream's prefix cache.
     pub fn reset_cache(&mut self, index: usize) {
         self.serial += 2;
-        self.upstreams[index].cache = CacheKey(self.serial);
+        self.upstreams[index].cache = Key(self.serial);
     }
 
     /// Checks for outliers and updates the capacity, at most once per
--- a/verbenaspool_policy/src/queues.rs
+++ b/verbenaspool_policy/src/queues.rs
@@ -7,13 +7,13 @@
 use crate::{
     customers::Customers,
     decision::Ticket,
-    estimate::TokenCounts,
+    estimate::Size,
     hash::Map,
-    mechanism::{Mechanism, Mechanisms},
+    mechanism::{Mechanism, Set},
     queue::{DrainRate, QueuedRequest},
-    round_robin::DeficitRoundRobin,
-    route::RouteQuery,
-    share::Shares,
+    round_robin::Ring,
+    route::Query,
+    share::Table,
 };
 
 /// The customer number whose queue holds all requests when [`Mechanism::Shares`] is
@@ -46,7 +46,7 @@
     /// The estimated work.
     pub work: f64,
     /// The prompt tokens and the most answer tokens of the request.
-    pub requested: TokenCounts,
+    pub requested: Size,
     /// The hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<u64>,
     /// Upstreams where earlier attempts failed.
@@ -56,8 +56,8 @@
 impl PendingRequest {
     /// Returns the query that finds an upstream for this request.
     #[must_use]
-    pub fn route_query<'a>(&'a self, now: Duration, settings: &'a Decisions) -> RouteQuery<'a> {
-        RouteQuery {
+    pub fn query<'a>(&'a self, now: Duration, settings: &'a Decisions) -> Query<'a> {
+        Query {
             now,
             settings,
             prefixes: &self.prefixes,
@@ -72,7 +72,7 @@
     /// The customers and their queues.
     pub customers: Customers,
     /// The order in which customers start requests.
-    round_robin: DeficitRoundRobin,
+    round_robin: Ring,
     /// The mean work of a request, credited per turn and share.
     quantum: f64,
     /// The average offered work per second.
@@ -88,16 +88,16 @@
     /// The latest starts of queued requests, and of some that have left the queue.
     expiries: BinaryHeap<Reverse<(Duration, Ticket)>>,
     /// The enabled mechanisms.
-    mechanisms: Mechanisms,
+    mechanisms: Set,
 }
 
 impl Queues {
     /// Creates empty queues.
     #[must_use]
-    pub fn new(mechanisms: Mechanisms) -> Self {
+    pub fn new(mechanisms: Set) -> Self {
         Self {
             customers: Customers::default(),
-            round_robin: DeficitRoundRobin::default(),
+            round_robin: Ring::default(),
             quantum: 1.0,
             offered_rate: 0.0,
             overloaded_since: None,
@@ -128,7 +128,7 @@
     }
 
     /// Sets the customers' shares; a customer that isn't named has share 1.
-    pub fn set_shares(&mut self, shares: &Rc<Shares>) {
+    pub fn set_shares(&mut self, shares: &Rc<Table>) {
         for (number, share) in self.customers.set_shares(shares) {
             let customer = self.customers.get_mut(number);
             self.round_robin
--- a/verbenaspool_policy/src/round_robin.rs
+++ b/verbenaspool_policy/src/round_robin.rs
@@ -14,7 +14,7 @@
 
 /// The credit of one customer.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct DeficitCounter {
+pub struct Deficit {
     /// Work that the customer may still start in this turn; a negative value is debt.
     credit: f64,
     /// Whether the customer is in a ring.
@@ -34,7 +34,7 @@
 
 /// The rings of customers with queued requests, by customer number.
 #[derive(Debug, Default)]
-pub struct DeficitRoundRobin {
+pub struct Ring {
     /// Customers with a share above 0.
     weighted: VecDeque<u32>,
     /// Customers with share 0.
@@ -43,7 +43,7 @@
     total_share: u64,
 }
 
-impl DeficitRoundRobin {
+impl Ring {
     /// The sum of the shares of customers with queued requests.
     #[must_use]
     pub fn total_share(&self) -> u64 {
@@ -51,13 +51,7 @@
     }
 
     /// Adds a customer that has queued requests to a ring.
-    pub fn activate(
-        &mut self,
-        customer: u32,
-        share: u32,
-        quantum: f64,
-        deficit: &mut DeficitCounter,
-    ) {
+    pub fn activate(&mut self, customer: u32, share: u32, quantum: f64, deficit: &mut Deficit) {
         if deficit.active {
             return;
         }
@@ -77,7 +71,7 @@
 
     /// Whether the customer at the front may start a request. If not, its turn ends and
     /// it is credited for the next.
-    pub fn may_start(&mut self, share: u32, quantum: f64, deficit: &mut DeficitCounter) -> bool {
+    pub fn may_start(&mut self, share: u32, quantum: f64, deficit: &mut Deficit) -> bool {
         if deficit.credit > 0.0 {
             return true;
         }
@@ -87,7 +81,7 @@
     }
 
     /// Removes a customer without queued requests from its ring.
-    pub fn deactivate(&mut self, customer: u32, share: u32, deficit: &mut DeficitCounter) {
+    pub fn deactivate(&mut self, customer: u32, share: u32, deficit: &mut Deficit) {
         if !deficit.active {
             return;
         }
@@ -110,7 +104,7 @@
     }
 }
 
-impl DeficitCounter {
+impl Deficit {
     /// Charges started work; negative work is a refund.
     pub fn charge(&mut self, work: f64, quantum: f64, share: u32) {
         let turn_work = quantum * f64::from(share.max(1));
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -20,7 +20,7 @@
 
 /// A chosen upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Route {
+pub struct Choice {
     /// Its index in the pool.
     pub index: usize,
     /// The index of the prefix that its cache is believed to hold, if it was chosen for
@@ -30,7 +30,7 @@
 
 /// What an upstream is chosen for.
 #[derive(Debug, Clone, Copy)]
-pub struct RouteQuery<'a> {
+pub struct Query<'a> {
     /// The current time.
     pub now: Duration,
     /// The settings.
@@ -78,16 +78,16 @@
     }
 
     /// Chooses an upstream for a request, if any takes another attempt.
-    pub fn choose(&mut self, query: &RouteQuery<'_>) -> Option<Route> {
-        if let Some(route) = self.pick_cache_holder(query) {
-            return Some(route);
+    pub fn choose(&mut self, query: &Query<'_>) -> Option<Choice> {
+        if let Some(choice) = self.pick_cache_holder(query) {
+            return Some(choice);
         }
         if self.full {
             return None;
         }
         let index = self.pick_upstream(query);
         self.full = index.is_none() && query.tried.is_empty();
-        Some(Route {
+        Some(Choice {
             index: index?,
             prefix_index: None,
         })
@@ -95,7 +95,7 @@
 
     /// Chooses the least loaded upstream that holds the longest known prefix and is
     /// within its affinity bound.
-    fn pick_cache_holder(&self, query: &RouteQuery<'_>) -> Option<Route> {
+    fn pick_cache_holder(&self, query: &Query<'_>) -> Option<Choice> {
         if !self.pool.mechanisms.has(Mechanism::Affinity) || query.prefixes.is_empty() {
             return None;
         }
@@ -105,7 +105,7 @@
             .filter(|&index| holders.contains(&Some(upstreams[index].cache)))
             .filter(|&index| self.within_affinity_bound(query, index))
             .min_by(|&a, &b| self.score(query, a).total_cmp(&self.score(query, b)))?;
-        Some(Route {
+        Some(Choice {
             index,
             prefix_index: Some(prefix_index),
         })
@@ -114,7 +114,7 @@
     /// Whether an upstream that holds the prefix takes another attempt: up to
     /// `affinity_bound` times its limit, as computing the prefix elsewhere would cost
     /// more than the slowdown here.
-    fn within_affinity_bound(&self, query: &RouteQuery<'_>, index: usize) -> bool {
+    fn within_affinity_bound(&self, query: &Query<'_>, index: usize) -> bool {
         let upstream = &self.pool.upstreams()[index];
         let limit = upstream.limit(query.now);
         let max_in_flight = query.settings.affinity_bound * limit;
@@ -123,7 +123,7 @@
 
     /// Chooses the better of two random upstreams of the own zone, or one of another zone
     /// if those of the own zone are at their limits or much more loaded.
-    fn pick_upstream(&mut self, query: &RouteQuery<'_>) -> Option<usize> {
+    fn pick_upstream(&mut self, query: &Query<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
             return self.best_of_two(query, None);
         }
@@ -138,7 +138,7 @@
 
     /// Chooses the better of two random upstreams below their limits; `local` restricts
     /// the choice to the own zone or to the other zones.
-    fn best_of_two(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
+    fn best_of_two(&mut self, query: &Query<'_>, local: Option<bool>) -> Option<usize> {
         let first = self.random_candidate(query, local)?;
         let second = self.random_candidate(query, local)?;
         let second_is_better = self.score(query, second) < self.score(query, first);
@@ -146,7 +146,7 @@
     }
 
     /// Chooses a random upstream below its limit.
-    fn random_candidate(&mut self, query: &RouteQuery<'_>, local: Option<bool>) -> Option<usize> {
+    fn random_candidate(&mut self, query: &Query<'_>, local: Option<bool>) -> Option<usize> {
         let count = self.pool.upstreams().len();
         if count == 0 {
             return None;
@@ -163,7 +163,7 @@
     }
 
     /// Whether an upstream is below its limit and matches `local`.
-    fn is_candidate(&self, query: &RouteQuery<'_>, index: usize, local: Option<bool>) -> bool {
+    fn is_candidate(&self, query: &Query<'_>, index: usize, local: Option<bool>) -> bool {
         local.is_none_or(|local| self.pool.upstreams()[index].local == local)
             && self.pool.is_below_limit(query.now, index)
             && !self.is_excluded(query, index)
@@ -171,13 +171,13 @@
 
     /// Whether an upstream was tried before. Ignored once as many were tried as there are
     /// upstreams.
-    fn is_excluded(&self, query: &RouteQuery<'_>, index: usize) -> bool {
+    fn is_excluded(&self, query: &Query<'_>, index: usize) -> bool {
         let upstreams = self.pool.upstreams();
         query.tried.len() < upstreams.len() && query.tried.contains(&upstreams[index].member.name)
     }
 
     /// The load score of an upstream; lower is better.
-    fn score(&self, query: &RouteQuery<'_>, index: usize) -> f64 {
+    fn score(&self, query: &Query<'_>, index: usize) -> f64 {
         self.pool.score(query.now, index)
     }
 }
--- a/verbenaspool_policy/src/share.rs
+++ b/verbenaspool_policy/src/share.rs
@@ -10,19 +10,19 @@
 /// The weights of a firm's customers when capacity is scarce, by name. A customer that
 /// isn't named has share 1.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Shares(HashMap<Name, u32>);
+pub struct Table(HashMap<Name, u32>);
 
-impl Shares {
+impl Table {
     /// Returns a customer's share.
     ///
     /// ```
-    /// use verbenaspool_policy::share::Shares;
+    /// use verbenaspool_policy::share::Table;
     /// use verbenaspool_state::name::Name;
     ///
     /// let name: Name = "bowen-loft".parse().unwrap();
-    /// let shares: Shares = [(name.clone(), 3)].into_iter().collect();
+    /// let shares: Table = [(name.clone(), 3)].into_iter().collect();
     /// assert_eq!(shares.of(&name), 3);
-    /// assert_eq!(Shares::default().of(&name), 1);
+    /// assert_eq!(Table::default().of(&name), 1);
     /// ```
     #[must_use]
     pub fn of(&self, name: &Name) -> u32 {
@@ -30,7 +30,7 @@
     }
 }
 
-impl FromIterator<(Name, u32)> for Shares {
+impl FromIterator<(Name, u32)> for Table {
     fn from_iter<I: IntoIterator<Item = (Name, u32)>>(shares: I) -> Self {
         Self(shares.into_iter().collect())
     }
--- a/verbenaspool_policy/src/snapshot.rs
+++ b/verbenaspool_policy/src/snapshot.rs
@@ -16,7 +16,7 @@
     /// Requests that were queued.
     pub waited: u64,
     /// Refusals, in the order of [`Reason::ALL`].
-    pub refused: [u64; Reason::ALL.len()],
+    pub rejected: [u64; Reason::ALL.len()],
     /// Retries allowed.
     pub retried: u64,
     /// Attempts sent to an upstream for its cached prefix.
--- a/verbenaspool_policy/tests/decisions/balancer.rs
+++ b/verbenaspool_policy/tests/decisions/balancer.rs
@@ -3,7 +3,7 @@
 use verbenaspool_policy::{
     attempt::Ending,
     decision::{Decision, Reason, Ticket},
-    load::{CacheEvent, LoadReport},
+    load::{CacheEvent, Report},
     request::Request,
 };
 
@@ -222,7 +222,7 @@
 fn a_leaving_upstream_gets_nothing_new() {
     let customer = name("bowen");
     let mut balancer = balancer(&narrow(), &[member("a"), member("b")]);
-    let load = LoadReport {
+    let load = Report {
         incarnation: 1,
         sequence: 1,
         running: 0,
--- a/verbenaspool_policy/tests/decisions/input.rs
+++ b/verbenaspool_policy/tests/decisions/input.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Outcome},
     decision::{Decision, Reason},
-    load::LoadReport,
+    load::Report,
     member::Member,
     request::Request,
 };
@@ -16,7 +16,7 @@
     waiting,
 };
 
-const LOAD: LoadReport = LoadReport {
+const LOAD: Report = Report {
     incarnation: 1,
     sequence: 5,
     running: 3,
@@ -30,7 +30,7 @@
         (
             "the next",
             "a",
-            LoadReport {
+            Report {
                 sequence: 6,
                 ..LOAD
             },
@@ -40,7 +40,7 @@
         (
             "reordered",
             "a",
-            LoadReport {
+            Report {
                 sequence: 4,
                 ..LOAD
             },
@@ -49,7 +49,7 @@
         (
             "earlier incarnation",
             "a",
-            LoadReport {
+            Report {
                 incarnation: 0,
                 sequence: 9,
                 ..LOAD
@@ -59,7 +59,7 @@
         (
             "later incarnation",
             "a",
-            LoadReport {
+            Report {
                 incarnation: 2,
                 sequence: 9,
                 ..LOAD
@@ -70,7 +70,7 @@
         (
             "absurd",
             "a",
-            LoadReport {
+            Report {
                 sequence: 6,
                 running: u32::MAX,
                 waiting: u32::MAX,
--- a/verbenaspool_policy/tests/decisions/world.rs
+++ b/verbenaspool_policy/tests/decisions/world.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Id, Outcome},
     balancer::Balancer,
-    decision::{Decision, Refusal, Start, Ticket},
+    decision::{Decision, Rejection, Start, Ticket},
     member::Member,
     request::Request,
 };
@@ -70,9 +70,9 @@
     }
 }
 
-pub fn refused(decision: Decision) -> Refusal {
+pub fn refused(decision: Decision) -> Rejection {
     match decision {
-        Decision::Refuse(refusal) => refusal,
+        Decision::Reject(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
