--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -29,7 +29,7 @@
 /// customers.
 const MAX_SERVICE_RETRIES: f64 = 30.0;
 
-/// Decides which requests of one service are admitted, queued or refused at one entry
+/// Decides which requests of one service are admitted, queued or rejected at one entry
 /// instance, and which upstream each goes to.
 ///
 /// The entry calls `offer` for each request, `finish` when an attempt ends, and `poll`
@@ -242,7 +242,7 @@
         self.choose_subset(now);
     }
 
-    /// Admits, queues or refuses a request.
+    /// Admits, queues or rejects a request.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, queueing and refusal of requests.
+//! Admission, queueing and rejection of requests.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Starts a request, queues it or refuses it.
+    /// Starts a request, queues it or rejects it.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -99,7 +99,7 @@
         Decision::Wait(ticket)
     }
 
-    /// Drops a queued request; the next poll returns its refusal.
+    /// Drops a queued request; the next poll returns its rejection.
     pub(super) fn evict(&mut self, ticket: Ticket, reason: Reason) {
         let Some(customer) = self.queues.get(ticket).map(|pending| pending.customer) else {
             return;
@@ -119,7 +119,7 @@
         deadline.saturating_sub(Duration::try_from_secs_f64(service).unwrap_or(Duration::MAX))
     }
 
-    /// Counts a refusal. `retry_after` is the time until the customer's queued work is
+    /// Counts a rejection. `retry_after` is the time until the customer's queued work is
     /// done.
     pub(super) fn reject(&mut self, reason: Reason, customer: u32) -> Rejection {
         self.counters.rejected[reason as usize] += 1;
--- a/verbenaspool_policy/src/decision.rs
+++ b/verbenaspool_policy/src/decision.rs
@@ -1,4 +1,4 @@
-//! The balancer's decisions: admit, wait or refuse.
+//! The balancer's decisions: admit, wait or reject.
 
 use std::time::Duration;
 
@@ -91,6 +91,6 @@
 pub struct Resolution {
     /// The ticket from [`Decision::Wait`].
     pub ticket: Ticket,
-    /// The started attempt or the refusal.
+    /// The started attempt or the rejection.
     pub result: Result<Start, Rejection>,
 }
--- a/verbenaspool_policy/src/estimate.rs
+++ b/verbenaspool_policy/src/estimate.rs
@@ -2,7 +2,7 @@
 //!
 //! Customers ask for far more tokens than their answers have, each to a different
 //! degree. Counting requests would give a long answer the weight of a short one;
-//! trusting `max_tokens` would refuse requests that could be served. Work is counted in
+//! trusting `max_tokens` would reject requests that could be served. Work is counted in
 //! generated tokens; a prompt token weighs a configured fraction of one.
 
 /// The weight of the service's ratio against a customer's own, in answers. Eight
--- a/verbenaspool_policy/src/limit.rs
+++ b/verbenaspool_policy/src/limit.rs
@@ -8,7 +8,7 @@
 //! exponentially at first, and shrinks when the pace exceeds [`SHRINK_PACE_RATIO`]
 //! times the best. A batching engine doesn't slow down until its batch is full, so the
 //! pace shows the batch size; further attempts only slow the others down, while
-//! requests queued here can still be refused in time or sent elsewhere.
+//! requests queued here can still be rejected in time or sent elsewhere.
 
 use std::time::Duration;
 
--- a/verbenaspool_policy/src/mechanism.rs
+++ b/verbenaspool_policy/src/mechanism.rs
@@ -8,7 +8,7 @@
     Learning,
     /// Customers share capacity by weight instead of in order of arrival.
     Shares,
-    /// Requests that can't meet their deadline are refused at once.
+    /// Requests that can't meet their deadline are rejected at once.
     Refusal,
     /// The largest request of a customer's queue is dropped when not all can meet their
     /// deadlines.
--- a/verbenaspool_policy/src/rejection.rs
+++ b/verbenaspool_policy/src/rejection.rs
@@ -1,6 +1,6 @@
-//! The time after which a refused caller should retry.
+//! The time after which a rejected caller should retry.
 //!
-//! Refused callers may retry at once, or all at the same time. A refusal is final and
+//! Rejected callers may retry at once, or all at the same time. A rejection is final and
 //! immediate; its retry time is when the customer's queued work will be done, with
 //! random jitter.
 
@@ -8,12 +8,12 @@
 
 use crate::decision::Reason;
 
-/// The least retry time, so that no refused caller is told to retry at once.
+/// The least retry time, so that no rejected caller is told to retry at once.
 const MIN_RETRY_AFTER_SECONDS: f64 = 0.1;
 /// The greatest retry time. The present load doesn't predict the load more than a
 /// minute ahead.
 const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
-/// The most random jitter, as a fraction of the estimate, so that callers refused
+/// The most random jitter, as a fraction of the estimate, so that callers rejected
 /// together don't return together.
 const MAX_JITTER_RATIO: f64 = 0.5;
 /// The retry time while no upstream is known: about the time until a list of members
--- a/verbenaspool_policy/src/snapshot.rs
+++ b/verbenaspool_policy/src/snapshot.rs
@@ -15,7 +15,7 @@
     pub started: u64,
     /// Requests that were queued.
     pub waited: u64,
-    /// Refusals, in the order of [`Reason::ALL`].
+    /// Rejections, in the order of [`Reason::ALL`].
     pub rejected: [u64; Reason::ALL.len()],
     /// Retries allowed.
     pub retried: u64,
