--- a/verbenaspool_policy/benches/decisions.rs
+++ b/verbenaspool_policy/benches/decisions.rs
@@ -73,8 +73,8 @@
         let settings = Decisions::default();
         let zone = world::name("zone", 0);
         let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, number);
-        balancer.peers(Duration::ZERO, &peers);
-        balancer.members(Duration::ZERO, &members);
+        balancer.set_peers(Duration::ZERO, &peers);
+        balancer.set_members(Duration::ZERO, &members);
         let listed = resident();
         fleet::run(&mut balancer, 1);
         let after = resident();
@@ -114,8 +114,8 @@
     for (case, load, settings) in cases {
         let zone = world::name("zone", 0);
         let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, 1);
-        balancer.peers(Duration::ZERO, &peers);
-        balancer.members(Duration::ZERO, &members);
+        balancer.set_peers(Duration::ZERO, &peers);
+        balancer.set_members(Duration::ZERO, &members);
         show(case, "verbenaspool", fleet::run(&mut balancer, load));
         for kind in Kind::ALL {
             let mut baseline = Baseline::new(kind, 1);
@@ -130,7 +130,7 @@
     let settings = Decisions::default();
     let make = |entry: usize, zone: &Name| -> Box<dyn Policy> {
         let name = world::name("entry", entry);
-        Box::new(Balancer::with(
+        Box::new(Balancer::with_mechanisms(
             &settings,
             name,
             zone.clone(),
--- a/verbenaspool_policy/src/balancer.rs
+++ b/verbenaspool_policy/src/balancer.rs
@@ -1,8 +1,8 @@
-//! The decisions for one service at one entry instance, joined.
+//! The balancer of one service at one entry instance.
 
 mod admission;
-mod launch;
 mod signals;
+mod start;
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,25 +13,27 @@
     budget::Budget,
     decision::{Decision, Reason, Resolution, Ticket},
     estimate::{Profile, Size},
-    flight::Flight,
     hash::Map,
+    in_flight::Attempt,
     mechanism::Set,
     member::{Member, Peer},
     pool::Pool,
+    queues::Queues,
     request::Request,
-    room::Room,
     route::Router,
     share::Table,
     snapshot::Snapshot,
 };
 
-/// Retries saved up for the service: what three customers may save.
-const SERVICE_RETRIES: f64 = 30.0;
+/// Retries that the service's budget holds at most: as many as those of three
+/// customers.
+const MAX_SERVICE_RETRIES: f64 = 30.0;
 
-/// Decides for one service at one entry instance.
+/// Decides which requests of one service are admitted, queued or rejected at one entry
+/// instance, and which upstream each goes to.
 ///
-/// The entry calls `offer` for each request, `finish` for each attempt's end, and
-/// `poll` after every other call and at [`Balancer::next_wake`].
+/// The entry calls `offer` for each request, `finish` when an attempt ends, and `poll`
+/// after every other call and at [`Balancer::next_wake`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -48,7 +50,7 @@
 ///     speed: 1.0,
 ///     leaving: false,
 /// };
-/// balancer.members(Duration::ZERO, &[member]);
+/// balancer.set_members(Duration::ZERO, &[member]);
 /// let customer = "bowen-loft".parse()?;
 /// let request = Request {
 ///     customer: &customer,
@@ -64,37 +66,36 @@
 /// ```
 #[derive(Debug)]
 pub struct Balancer {
-    /// The settings in force.
     settings: Decisions,
-    /// The mechanisms in use.
+    /// The enabled mechanisms.
     mechanisms: Set,
-    /// The entry's own name.
+    /// The name of this entry instance.
     entry: Name,
-    /// The service's entry instances.
+    /// The entry instances that serve the service.
     peers: Vec<Peer>,
-    /// The service's upstreams that take work.
+    /// The upstreams of the service, without those that are leaving.
     members: Vec<Member>,
-    /// The upstreams worked with, and which is chosen.
+    /// Chooses among the upstreams of this entry's subset.
     router: Router,
-    /// The requests that wait.
-    room: Room,
-    /// What the requests of all customers turn out to be.
-    habit: Profile,
-    /// The service's retries.
-    budget: Budget,
-    /// Requests given up since the last poll.
-    given_up: Vec<Resolution>,
+    /// The queued requests of all customers.
+    queues: Queues,
+    /// Token usage over the requests of all customers.
+    usage: Profile,
+    /// The retry budget of the service.
+    retry_budget: Budget,
+    /// Queued requests that expired or were displaced since the last poll.
+    evicted: Vec<Resolution>,
     /// Attempts in flight.
-    flights: Map<Id, Flight>,
-    /// The number of the next ticket or attempt.
-    next: u64,
-    /// Counts for metrics.
-    counts: Snapshot,
+    in_flight: Map<Id, Attempt>,
+    /// The last ticket or attempt number assigned.
+    last_id: u64,
+    /// Counters for metrics; the fields that `snapshot` computes are unused.
+    counters: Snapshot,
 }
 
 impl Balancer {
-    /// A balancer without members. `seed` differs between entry instances, so
-    /// that they don't all choose alike.
+    /// Creates a balancer without upstreams. `seed` must differ between entry instances,
+    /// so that they don't all make the same random choices.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -105,7 +106,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
@@ -113,10 +114,11 @@
     /// ```
     #[must_use]
     pub fn new(settings: &Decisions, entry: Name, zone: Name, seed: u64) -> Self {
-        Self::with(settings, entry, zone, seed, Set::all())
+        Self::with_mechanisms(settings, entry, zone, seed, Set::all())
     }
 
-    /// A balancer with only some mechanisms, to measure what each is for.
+    /// Creates a balancer with only some mechanisms enabled, to measure the effect of
+    /// each.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -127,18 +129,24 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// use verbenaspool_policy::mechanism::{Mechanism, Set};
     ///
-    /// let set = Set::all().without(Mechanism::Affinity);
-    /// let mut balancer = Balancer::with(&one, "entry-1".parse()?, zone, 1, set);
-    /// assert!(matches!(balancer.offer(now, &request), Decision::Refuse(_)));
+    /// let mechanisms = Set::all().without(Mechanism::Affinity);
+    /// let mut balancer = Balancer::with_mechanisms(&one, "entry-1".parse()?, zone, 1, mechanisms);
+    /// assert!(matches!(balancer.offer(now, &request), Decision::Reject(_)));
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     #[must_use]
-    pub fn with(settings: &Decisions, entry: Name, zone: Name, seed: u64, mechanisms: Set) -> Self {
+    pub fn with_mechanisms(
+        settings: &Decisions,
+        entry: Name,
+        zone: Name,
+        seed: u64,
+        mechanisms: Set,
+    ) -> Self {
         Self {
             settings: settings.clone(),
             mechanisms,
@@ -146,17 +154,18 @@
             peers: Vec::new(),
             members: Vec::new(),
             router: Router::new(Pool::new(zone, mechanisms), seed),
-            room: Room::new(mechanisms),
-            habit: Profile::default(),
-            budget: Budget::new(SERVICE_RETRIES),
-            given_up: Vec::new(),
-            flights: Map::default(),
-            next: 0,
-            counts: Snapshot::default(),
+            queues: Queues::new(mechanisms),
+            usage: Profile::default(),
+            retry_budget: Budget::new(MAX_SERVICE_RETRIES),
+            evicted: Vec::new(),
+            in_flight: Map::default(),
+            last_id: 0,
+            counters: Snapshot::default(),
         }
     }
 
-    /// Takes new settings and the customers' shares; a customer not named has share 1.
+    /// Applies new settings and customers' shares. A customer that isn't named has share
+    /// 1.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -167,7 +176,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let shares = std::rc::Rc::new([(customer.clone(), 3)].into_iter().collect());
@@ -177,11 +186,12 @@
     /// ```
     pub fn configure(&mut self, now: Duration, settings: &Decisions, shares: &Rc<Table>) {
         self.settings = settings.clone();
-        self.room.set_shares(shares);
+        self.queues.set_shares(shares);
         self.choose_subset(now);
     }
 
-    /// Takes the service's whole list of upstreams; what it no longer names gets no new work.
+    /// Replaces the list of upstreams. An upstream that is missing from it gets no new
+    /// work.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -192,14 +202,14 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// balancer.members(now, &[]);
+    /// balancer.set_members(now, &[]);
     /// assert!(balancer.snapshot(now).upstreams.is_empty());
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn members(&mut self, now: Duration, members: &[Member]) {
+    pub fn set_members(&mut self, now: Duration, members: &[Member]) {
         self.members = members
             .iter()
             .filter(|member| !member.leaving)
@@ -208,7 +218,8 @@
         self.choose_subset(now);
     }
 
-    /// Takes the list of entry instances that serve the service, this one among them.
+    /// Replaces the list of entry instances that serve the service, which includes this
+    /// one.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -219,19 +230,19 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
-    /// balancer.peers(now, &[Peer { name: "entry-1".parse()?, zone }]);
+    /// balancer.set_peers(now, &[Peer { name: "entry-1".parse()?, zone }]);
     /// assert_eq!(balancer.snapshot(now).upstreams.len(), 1);
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
-    pub fn peers(&mut self, now: Duration, peers: &[Peer]) {
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer]) {
         self.peers = peers.to_vec();
         self.choose_subset(now);
     }
 
-    /// Decides on a request.
+    /// Admits, queues or rejects a request.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -242,7 +253,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert!(matches!(balancer.offer(now, &request), Decision::Admit(_)));
@@ -250,13 +261,13 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn offer(&mut self, now: Duration, request: &Request<'_>) -> Decision {
-        self.counts.offered += 1;
-        let held = self.hold(request, &[]);
-        self.room.observe(now, held.work);
-        self.admit(now, request, held)
+        self.counters.offered += 1;
+        let pending = self.pending_request(request, &[]);
+        self.queues.observe(now, pending.work);
+        self.admit(now, request, pending)
     }
 
-    /// The waiting requests that start or are given up now.
+    /// Returns the queued requests that start now or are dropped.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -267,7 +278,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let Decision::Admit(start) = balancer.offer(now, &request) else { unreachable!() };
@@ -280,17 +291,17 @@
     /// ```
     pub fn poll(&mut self, now: Duration) -> Vec<Resolution> {
         self.refresh(now);
-        while let Some(ticket) = self.room.expired(now) {
-            self.give_up(ticket, Reason::Expired);
+        while let Some(ticket) = self.queues.expired(now) {
+            self.evict(ticket, Reason::Expired);
         }
-        let mut resolved = std::mem::take(&mut self.given_up);
+        let mut resolved = std::mem::take(&mut self.evicted);
         while let Some(resolution) = self.start_next(now) {
             resolved.push(resolution);
         }
         resolved
     }
 
-    /// Takes back a waiting request whose caller left.
+    /// Removes a queued request whose caller left.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -301,7 +312,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// balancer.offer(now, &request);
@@ -312,10 +323,11 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn cancel(&mut self, _now: Duration, ticket: Ticket) {
-        self.room.remove(ticket);
+        self.queues.remove(ticket);
     }
 
-    /// Learns from an attempt that ended. An unknown or repeated attempt changes nothing.
+    /// Records the end of an attempt. An unknown attempt, or one that was finished
+    /// before, is ignored.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -326,7 +338,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// if let Decision::Admit(start) = balancer.offer(now, &request) {
@@ -337,38 +349,44 @@
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn finish(&mut self, now: Duration, attempt: Id, outcome: &Outcome) {
-        let Some(flight) = self.flights.remove(&attempt) else {
+        let Some(attempt_record) = self.in_flight.remove(&attempt) else {
             return;
         };
-        self.router.free();
-        let size = Size {
+        self.router.clear_full();
+        let used_tokens = Size {
             prompt_tokens: outcome.prompt_tokens,
             tokens: outcome.tokens,
         };
-        let size = size.within(flight.asked);
-        let done = size.work(self.settings.prefill_weight);
-        if let Some(place) = self.router.pool.find(&flight.upstream, flight.serial) {
+        let used_tokens = used_tokens.capped_at(attempt_record.requested);
+        let used_work = used_tokens.work(self.settings.prefill_weight);
+        if let Some(index) = self
+            .router
+            .pool
+            .index_of_serial(&attempt_record.upstream, attempt_record.serial)
+        {
             let seconds = outcome.took.as_secs_f64();
             self.router.pool.finish(
                 now,
-                place,
+                index,
                 outcome.ending,
                 seconds,
-                done,
+                used_work,
                 self.settings.max_limit,
             );
-            self.correct_cache(place, &flight, outcome);
+            self.correct_cache(index, &attempt_record, outcome);
         }
         match outcome.ending {
-            Ending::Ran => self.learn(&flight, size, done),
-            Ending::NotRun => self.room.charge(flight.customer, -flight.charged),
+            Ending::Ran => self.record_usage(&attempt_record, used_tokens, used_work),
+            Ending::NotRun => self
+                .queues
+                .charge(attempt_record.customer, -attempt_record.charged),
             Ending::Unknown | Ending::Cancelled => {}
         }
     }
 
-    /// Decides whether a request whose attempt ended without an answer is tried
-    /// again, away from the upstreams that were `tried`. A request that isn't
-    /// idempotent is tried again only after [`Ending::NotRun`].
+    /// Decides whether to retry a request whose attempt ended without an answer, on an
+    /// upstream that isn't in `tried`. A request that isn't idempotent is retried only
+    /// after [`Ending::NotRun`].
     ///
     /// ```
     /// # use std::time::Duration;
@@ -379,12 +397,12 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// let booking = Request { idempotent: false, ..request };
     /// let decision = balancer.retry(now, &booking, Ending::Unknown, &[]);
-    /// assert!(matches!(decision, Decision::Refuse(refusal) if refusal.reason == Reason::NoRetry));
+    /// assert!(matches!(decision, Decision::Reject(rejection) if rejection.reason == Reason::NoRetry));
     /// # Ok::<(), verbenaspool_state::name::Error>(())
     /// ```
     pub fn retry(
@@ -399,16 +417,16 @@
             Ending::Unknown => request.idempotent,
             Ending::Ran | Ending::Cancelled => false,
         };
-        let held = self.hold(request, tried);
-        let late = self.latest(request.deadline, held.work) < now;
-        if !safe || late || !self.spend(held.customer) {
-            return Decision::Refuse(self.refuse(Reason::NoRetry, held.customer));
+        let pending = self.pending_request(request, tried);
+        let late = self.latest_start(request.deadline, pending.work) < now;
+        if !safe || late || !self.try_spend_retry(pending.customer) {
+            return Decision::Reject(self.reject(Reason::NoRetry, pending.customer));
         }
-        self.counts.retried += 1;
-        self.admit(now, request, held)
+        self.counters.retried += 1;
+        self.admit(now, request, pending)
     }
 
-    /// When `poll` has something to do if nothing else happens before.
+    /// Returns when `poll` must be called next if nothing else happens before.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -419,7 +437,7 @@
     /// # let member = Member { name: "loft-1".parse()?, zone: zone.clone(), group: None, incarnation: 1, speed: 1.0, leaving: false };
     /// # let one = Decisions { initial_limit: 1, max_limit: 1, ..Decisions::default() };
     /// # let mut balancer = Balancer::new(&one, "entry-1".parse()?, zone.clone(), 1);
-    /// # balancer.members(Duration::ZERO, &[member.clone()]);
+    /// # balancer.set_members(Duration::ZERO, &[member.clone()]);
     /// # let request = Request { customer: &customer, priority: 0, deadline: Duration::from_secs(30), idempotent: true, prompt_tokens: 100, max_tokens: 200, prefixes: &[] };
     /// # let now = Duration::from_secs(1);
     /// assert_eq!(balancer.next_wake(), None);
@@ -430,8 +448,8 @@
     /// ```
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        if self.given_up.is_empty() {
-            self.room.next_expiry()
+        if self.evicted.is_empty() {
+            self.queues.next_expiry()
         } else {
             Some(Duration::ZERO)
         }
--- a/verbenaspool_policy/src/route.rs
+++ b/verbenaspool_policy/src/route.rs
@@ -1,9 +1,9 @@
-//! Where an attempt goes.
+//! Chooses the upstream of an attempt.
 //!
-//! Load: entries that all see the same late reports. Choosing the least loaded
-//! of all sends everyone to the same upstream until the next report; two random
-//! choices, compared on what is in flight now and corrected by the reports,
-//! spread nearly as well and never herd.
+//! All entries see the same late reports. If each chose the least loaded upstream of
+//! all, every entry would choose the same one until the next report. Each therefore
+//! compares two random upstreams by the requests in flight now, corrected by the
+//! reports, which spreads load nearly as well without herding.
 
 use std::time::Duration;
 
@@ -12,166 +12,172 @@
 
 use crate::{affinity::Affinity, mechanism::Mechanism, pool::Pool};
 
-/// Random tries for one upstream with room before all are looked through.
-const TRIES: usize = 4;
-/// How much less loaded an upstream of another zone must look before work
-/// leaves the zone while it still has room.
-const SPILL: f64 = 1.5;
+/// Random probes for an upstream below its limit before all are scanned.
+const RANDOM_PROBES: usize = 4;
+/// An upstream of another zone is chosen, while one of the own zone is still below its
+/// limit, if its load score times this ratio is below the local one's.
+const SPILL_RATIO: f64 = 1.5;
 
-/// An upstream chosen.
+/// A chosen upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// Its place in the pool.
-    pub place: usize,
-    /// The place of the prefix that it is believed to hold, if it was chosen for that.
-    pub prefix: Option<usize>,
+    /// Its index in the pool.
+    pub index: usize,
+    /// The index of the prefix that its cache is believed to hold, if it was chosen for
+    /// that.
+    pub prefix_index: Option<usize>,
 }
 
-/// What an upstream is sought for.
+/// What an upstream is chosen for.
 #[derive(Debug, Clone, Copy)]
-pub struct Search<'a> {
-    /// The time.
+pub struct Query<'a> {
+    /// The current time.
     pub now: Duration,
     /// The settings.
     pub settings: &'a Decisions,
     /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: &'a [u64],
-    /// Upstreams to stay away from.
+    /// Upstreams where earlier attempts failed.
     pub tried: &'a [Name],
 }
 
 /// Chooses upstreams.
 #[derive(Debug)]
 pub struct Router {
-    /// The upstreams worked with.
+    /// The upstreams to choose from.
     pub pool: Pool,
-    /// What is known about prefixes.
+    /// Which caches hold which prefixes.
     pub affinity: Affinity,
-    /// Chooses among equals; seeded, so that runs repeat.
-    random: SmallRng,
-    /// Whether no upstream had room when last asked, and nothing changed since.
+    /// Source of random choices; seeded, so that runs are reproducible.
+    rng: SmallRng,
+    /// Whether no upstream was below its limit at the last choice, and nothing has
+    /// changed since.
     full: bool,
 }
 
 impl Router {
-    /// A router for these upstreams.
+    /// Creates a router for these upstreams.
     #[must_use]
     pub fn new(pool: Pool, seed: u64) -> Self {
         Self {
             pool,
             affinity: Affinity::default(),
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             full: false,
         }
     }
 
-    /// Notes that an upstream may have room again.
-    pub fn free(&mut self) {
+    /// Records that an upstream may be below its limit again.
+    pub fn clear_full(&mut self) {
         self.full = false;
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number between 0 and 1.
     pub fn random(&mut self) -> f64 {
-        self.random.random()
+        self.rng.random()
     }
 
-    /// The upstream for a request, if any takes it.
-    pub fn choose(&mut self, search: &Search<'_>) -> Option<Choice> {
-        if let Some(choice) = self.holder(search) {
+    /// Chooses an upstream for a request, if any takes another attempt.
+    pub fn choose(&mut self, query: &Query<'_>) -> Option<Choice> {
+        if let Some(choice) = self.pick_cache_holder(query) {
             return Some(choice);
         }
         if self.full {
             return None;
         }
-        let place = self.place(search);
-        self.full = place.is_none() && search.tried.is_empty();
+        let index = self.pick_upstream(query);
+        self.full = index.is_none() && query.tried.is_empty();
         Some(Choice {
-            place: place?,
-            prefix: None,
+            index: index?,
+            prefix_index: None,
         })
     }
 
-    /// The least loaded holder of the longest known prefix that bears one more.
-    fn holder(&self, search: &Search<'_>) -> Option<Choice> {
-        if !self.pool.mechanisms.has(Mechanism::Affinity) || search.prefixes.is_empty() {
+    /// Chooses the least loaded upstream that holds the longest known prefix and is
+    /// within its affinity bound.
+    fn pick_cache_holder(&self, query: &Query<'_>) -> Option<Choice> {
+        if !self.pool.mechanisms.has(Mechanism::Affinity) || query.prefixes.is_empty() {
             return None;
         }
-        let (prefix, holders) = self.affinity.find(search.prefixes)?;
-        let list = self.pool.list();
-        let place = (0..list.len())
-            .filter(|&place| holders.contains(&Some(list[place].cache)))
-            .filter(|&place| self.bears(search, place))
-            .min_by(|&a, &b| self.score(search, a).total_cmp(&self.score(search, b)))?;
+        let (prefix_index, holders) = self.affinity.longest_match(query.prefixes)?;
+        let upstreams = self.pool.upstreams();
+        let index = (0..upstreams.len())
+            .filter(|&index| holders.contains(&Some(upstreams[index].cache)))
+            .filter(|&index| self.within_affinity_bound(query, index))
+            .min_by(|&a, &b| self.score(query, a).total_cmp(&self.score(query, b)))?;
         Some(Choice {
-            place,
-            prefix: Some(prefix),
+            index,
+            prefix_index: Some(prefix_index),
         })
     }
 
-    /// Whether a holder takes one more: up to the bound above its limit, as
-    /// computing the prefix anew elsewhere would take more than it slows down here.
-    fn bears(&self, search: &Search<'_>, place: usize) -> bool {
-        let upstream = &self.pool.list()[place];
-        let limit = upstream.limit(search.now);
-        let most = search.settings.affinity_bound * limit;
-        f64::from(upstream.in_flight) + 1.0 <= most && !self.shuns(search, place)
+    /// Whether an upstream that holds the prefix takes another attempt: up to
+    /// `affinity_bound` times its limit, as computing the prefix elsewhere would cost
+    /// more than the slowdown here.
+    fn within_affinity_bound(&self, query: &Query<'_>, index: usize) -> bool {
+        let upstream = &self.pool.upstreams()[index];
+        let limit = upstream.limit(query.now);
+        let max_in_flight = query.settings.affinity_bound * limit;
+        f64::from(upstream.in_flight) + 1.0 <= max_in_flight && !self.is_excluded(query, index)
     }
 
-    /// The better of two random upstreams of the own zone, or of another where
-    /// the own one is full or much more loaded.
-    fn place(&mut self, search: &Search<'_>) -> Option<usize> {
+    /// Chooses the better of two random upstreams of the own zone, or one of another zone
+    /// if those of the own zone are at their limits or much more loaded.
+    fn pick_upstream(&mut self, query: &Query<'_>) -> Option<usize> {
         if !self.pool.mechanisms.has(Mechanism::Zones) {
-            return self.better(search, None);
+            return self.best_of_two(query, None);
         }
-        let Some(local) = self.better(search, Some(true)) else {
-            return self.better(search, Some(false));
+        let Some(local) = self.best_of_two(query, Some(true)) else {
+            return self.best_of_two(query, Some(false));
         };
-        let remote = self.sample(search, Some(false));
+        let remote = self.random_candidate(query, Some(false));
         let spills =
-            |remote: &usize| self.score(search, *remote) * SPILL < self.score(search, local);
+            |remote: &usize| self.score(query, *remote) * SPILL_RATIO < self.score(query, local);
         Some(remote.filter(spills).unwrap_or(local))
     }
 
-    /// The better of two random upstreams with room, in the own zone or not.
-    fn better(&mut self, search: &Search<'_>, local: Option<bool>) -> Option<usize> {
-        let first = self.sample(search, local)?;
-        let second = self.sample(search, local)?;
-        let better = self.score(search, second) < self.score(search, first);
-        Some(if better { second } else { first })
+    /// Chooses the better of two random upstreams below their limits; `local` restricts
+    /// the choice to the own zone or to the other zones.
+    fn best_of_two(&mut self, query: &Query<'_>, local: Option<bool>) -> Option<usize> {
+        let first = self.random_candidate(query, local)?;
+        let second = self.random_candidate(query, local)?;
+        let second_is_better = self.score(query, second) < self.score(query, first);
+        Some(if second_is_better { second } else { first })
     }
 
-    /// A random upstream with room, in the own zone or not.
-    fn sample(&mut self, search: &Search<'_>, local: Option<bool>) -> Option<usize> {
-        let count = self.pool.list().len();
+    /// Chooses a random upstream below its limit.
+    fn random_candidate(&mut self, query: &Query<'_>, local: Option<bool>) -> Option<usize> {
+        let count = self.pool.upstreams().len();
         if count == 0 {
             return None;
         }
-        for _ in 0..TRIES {
-            let place = self.random.random_range(0..count);
-            if self.fits(search, place, local) {
-                return Some(place);
+        for _ in 0..RANDOM_PROBES {
+            let index = self.rng.random_range(0..count);
+            if self.is_candidate(query, index, local) {
+                return Some(index);
             }
         }
-        let from = self.random.random_range(0..count);
-        let mut places = (from..count).chain(0..from);
-        places.find(|&place| self.fits(search, place, local))
+        let from = self.rng.random_range(0..count);
+        let mut indices = (from..count).chain(0..from);
+        indices.find(|&index| self.is_candidate(query, index, local))
     }
 
-    /// Whether an upstream has room, in the own zone or not.
-    fn fits(&self, search: &Search<'_>, place: usize, local: Option<bool>) -> bool {
-        local.is_none_or(|local| self.pool.list()[place].local == local)
-            && self.pool.has_room(search.now, place)
-            && !self.shuns(search, place)
+    /// Whether an upstream is below its limit and matches `local`.
+    fn is_candidate(&self, query: &Query<'_>, index: usize, local: Option<bool>) -> bool {
+        local.is_none_or(|local| self.pool.upstreams()[index].local == local)
+            && self.pool.is_below_limit(query.now, index)
+            && !self.is_excluded(query, index)
     }
 
-    /// Whether to stay away from an upstream that was tried, while there are others.
-    fn shuns(&self, search: &Search<'_>, place: usize) -> bool {
-        let list = self.pool.list();
-        search.tried.len() < list.len() && search.tried.contains(&list[place].member.name)
+    /// Whether an upstream was tried before. Ignored once as many were tried as there are
+    /// upstreams.
+    fn is_excluded(&self, query: &Query<'_>, index: usize) -> bool {
+        let upstreams = self.pool.upstreams();
+        query.tried.len() < upstreams.len() && query.tried.contains(&upstreams[index].member.name)
     }
 
-    /// How loaded an upstream looks.
-    fn score(&self, search: &Search<'_>, place: usize) -> f64 {
-        self.pool.score(search.now, place)
+    /// The load score of an upstream; lower is better.
+    fn score(&self, query: &Query<'_>, index: usize) -> f64 {
+        self.pool.score(query.now, index)
     }
 }
--- a/verbenaspool_policy/src/share.rs
+++ b/verbenaspool_policy/src/share.rs
@@ -1,19 +1,19 @@
-//! Customers' shares, which stand once for all services of a firm.
+//! Customers' shares, which apply to all services of a firm.
 
 use std::collections::HashMap;
 
 use verbenaspool_state::name::Name;
 
-/// The share of a customer that the configuration doesn't name.
-const UNNAMED: u32 = 1;
+/// The share of a customer that isn't named in the configuration.
+const DEFAULT_SHARE: u32 = 1;
 
-/// The weights of a firm's customers when capacity is short, by name. A customer
-/// that isn't named has share 1.
+/// The weights of a firm's customers when capacity is scarce, by name. A customer that
+/// isn't named has share 1.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Table(HashMap<Name, u32>);
 
 impl Table {
-    /// A customer's share.
+    /// Returns a customer's share.
     ///
     /// ```
     /// use verbenaspool_policy::share::Table;
@@ -26,7 +26,7 @@
     /// ```
     #[must_use]
     pub fn of(&self, name: &Name) -> u32 {
-        self.0.get(name).copied().unwrap_or(UNNAMED)
+        self.0.get(name).copied().unwrap_or(DEFAULT_SHARE)
     }
 }
 
--- a/verbenaspool_policy/src/subset.rs
+++ b/verbenaspool_policy/src/subset.rs
@@ -1,26 +1,26 @@
-//! Which upstreams an entry instance works with.
+//! Chooses the subset of upstreams that an entry instance sends to.
 //!
-//! Load: a fleet in which every entry can't keep a connection and a record for
-//! every upstream. A random part leaves some upstreams to few entries and others
-//! to many, and each change of the list would move everyone's part.
+//! In a large fleet an entry can't keep a connection and state for every upstream.
+//! Random subsets would leave some upstreams with few entries and others with many, and
+//! each change of the list would change every subset.
 //!
-//! Each *upstream* picks the entries that may use it, by rendezvous hash over
-//! the entries of its zone and of the others. Every entry works the same picks
-//! out for itself, so nothing is sent; every upstream has the same number of
-//! entries, which balances better than entries that pick upstreams; and a change
-//! of one member or entry touches only the picks it is in.
+//! Each *upstream* selects the entries that may use it, by rendezvous hashing over the
+//! entries of its own zone and, apart, over those of other zones. Every entry computes
+//! the same selections, so nothing is sent. Every upstream has the same number of
+//! entries, which balances load better than entries selecting upstreams, and a change
+//! of one member or entry affects only the selections that include it.
 
 use verbenaspool_state::name::Name;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::member::{Member, Peer};
 
-/// The part of the subset that goes to the entry's own zone. The rest is where
-/// work spills to when the zone is full or lost.
-const OWN: f64 = 0.75;
+/// The fraction of the subset in the entry's own zone. The rest takes work when the
+/// zone is full or lost.
+const LOCAL_FRACTION: f64 = 0.75;
 
-/// The places in `members` of those that the entry works with: all, where they
-/// are no more than `size`, else about `size`, at most half as many again.
+/// Returns the indices in `members` of the entry's subset: all if there are at most
+/// `size`, else about `size`, at most 1.5 times as many.
 #[must_use]
 pub fn choose(
     entry: &Name,
@@ -32,19 +32,24 @@
     if members.len() <= size {
         return (0..members.len()).collect();
     }
-    let (own, other): (Vec<usize>, Vec<usize>) =
+    let (local, remote): (Vec<usize>, Vec<usize>) =
         (0..members.len()).partition(|&i| members[i].zone == *zone);
-    let own_size = own
+    let local_size = local
         .len()
-        .min(part(size, OWN))
-        .max(size.saturating_sub(other.len()));
-    let seats = seats(entry, zone, peers);
-    let mut chosen = pick(&seats, members, &own, own_size);
-    chosen.extend(pick(&seats, members, &other, size - own_size));
+        .min(fraction_of(size, LOCAL_FRACTION))
+        .max(size.saturating_sub(remote.len()));
+    let candidates = entry_candidates(entry, zone, peers);
+    let mut chosen = members_choosing_entry(&candidates, members, &local, local_size);
+    chosen.extend(members_choosing_entry(
+        &candidates,
+        members,
+        &remote,
+        size - local_size,
+    ));
     chosen
 }
 
-/// An entry as the picks see it.
+/// An entry instance that members may select.
 #[derive(Debug)]
 struct Candidate<'a> {
     /// The hash of its name.
@@ -53,8 +58,8 @@
     zone: &'a Name,
 }
 
-/// This entry first, then the others.
-fn seats<'a>(entry: &Name, zone: &'a Name, peers: &'a [Peer]) -> Vec<Candidate<'a>> {
+/// Returns all entries as candidates, this entry first.
+fn entry_candidates<'a>(entry: &Name, zone: &'a Name, peers: &'a [Peer]) -> Vec<Candidate<'a>> {
     let others = peers.iter().filter(|peer| peer.name != *entry);
     let others = others.map(|peer| Candidate {
         hash: hash(&peer.name),
@@ -67,69 +72,83 @@
     std::iter::once(own).chain(others).collect()
 }
 
-/// Of the members at `among`, those that pick this entry.
-fn pick(seats: &[Candidate<'_>], members: &[Member], among: &[usize], size: usize) -> Vec<usize> {
-    if among.len() <= size {
-        return among.to_vec();
+/// Returns those of `member_indices` whose members select this entry.
+fn members_choosing_entry(
+    candidates: &[Candidate<'_>],
+    members: &[Member],
+    member_indices: &[usize],
+    size: usize,
+) -> Vec<usize> {
+    if member_indices.len() <= size {
+        return member_indices.to_vec();
     }
-    let mut ranked: Vec<(bool, u64, usize)> = among
+    let mut ranked: Vec<(bool, u64, usize)> = member_indices
         .iter()
-        .map(|&i| rank(seats, &members[i], size, among.len(), i))
+        .map(|&i| rank(candidates, &members[i], size, member_indices.len(), i))
         .collect();
     ranked.sort_unstable();
-    let picked = ranked.iter().filter(|(out, ..)| !out).count();
-    // Chance leaves an entry with fewer or more; the bounds keep it useful and small.
-    let count = picked.clamp(size / 2, size + size / 2).min(ranked.len());
+    let choosing = ranked.iter().filter(|(excluded, ..)| !excluded).count();
+    // The number of selecting members varies by chance; the bounds keep subsets useful
+    // and small.
+    let count = choosing.clamp(size / 2, size + size / 2).min(ranked.len());
     ranked[..count].iter().map(|&(.., i)| i).collect()
 }
 
-/// Whether a member leaves this entry out, and how far back it ranks it. Members
-/// pick entries of their own zone and of the others apart.
+/// Returns whether a member leaves this entry out, the entry's hash score, and the
+/// member's index. Members select entries of their own zone and of other zones
+/// separately.
 fn rank(
-    seats: &[Candidate<'_>],
+    candidates: &[Candidate<'_>],
     member: &Member,
     size: usize,
-    among: usize,
-    place: usize,
+    member_count: usize,
+    index: usize,
 ) -> (bool, u64, usize) {
     let key = hash(&member.name);
-    let local = seats[0].zone == &member.zone;
-    let own = score(key, seats[0].hash);
-    let eligible = seats
+    let local = candidates[0].zone == &member.zone;
+    let own_score = score(key, candidates[0].hash);
+    let eligible = candidates
         .iter()
-        .filter(|seat| (seat.zone == &member.zone) == local);
-    let (count, ahead) = eligible.fold((0, 0), |(count, ahead), seat| {
-        (count + 1, ahead + usize::from(score(key, seat.hash) < own))
+        .filter(|candidate| (candidate.zone == &member.zone) == local);
+    let (count, ahead) = eligible.fold((0, 0), |(count, ahead), candidate| {
+        (
+            count + 1,
+            ahead + usize::from(score(key, candidate.hash) < own_score),
+        )
     });
-    (ahead >= takes(key, size * count, among), own, place)
+    (
+        ahead >= entries_for_member(key, size * count, member_count),
+        own_score,
+        index,
+    )
 }
 
-/// How many entries a member picks, so that all members together make `picks`.
-/// Where they don't divide evenly some members take one more, always the same
-/// ones, so that a change of the list moves few.
+/// How many entries a member selects, so that all members together make `total`
+/// selections. If these don't divide evenly, some members select one more, always the
+/// same ones, so that a change of the list moves few selections.
 #[allow(clippy::cast_possible_truncation)] // A remainder of a `usize` fits.
-fn takes(key: u64, picks: usize, members: usize) -> usize {
-    let chance = (u128::from(key) * members as u128) >> 64;
-    picks / members + usize::from((chance as usize) < picks % members)
+fn entries_for_member(key: u64, total: usize, members: usize) -> usize {
+    let threshold = (u128::from(key) * members as u128) >> 64;
+    total / members + usize::from((threshold as usize) < total % members)
 }
 
-/// The rank of a pair; lower is first.
+/// The rendezvous hash of a member and an entry; lower ranks first.
 fn score(member: u64, entry: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), entry)
 }
 
-/// A name's hash.
+/// The hash of a name.
 fn hash(name: &Name) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
 
-/// A part of a size, rounded up.
+/// A fraction of a size, rounded up.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn part(size: usize, part: f64) -> usize {
-    // A subset is some thousands at most, so nothing is lost on the way.
-    (size as f64 * part).ceil() as usize
+fn fraction_of(size: usize, fraction: f64) -> usize {
+    // A subset has at most some thousands of upstreams, so the casts are exact enough.
+    (size as f64 * fraction).ceil() as usize
 }
--- a/verbenaspool_policy/tests/decisions/world.rs
+++ b/verbenaspool_policy/tests/decisions/world.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::{
     attempt::{Ending, Id, Outcome},
     balancer::Balancer,
-    decision::{Decision, Refusal, Start, Ticket},
+    decision::{Decision, Rejection, Start, Ticket},
     member::Member,
     request::Request,
 };
@@ -39,7 +39,7 @@
 
 pub fn balancer(settings: &Decisions, members: &[Member]) -> Balancer {
     let mut balancer = Balancer::new(settings, name("entry-1"), name("zone-a"), 7);
-    balancer.members(Duration::ZERO, members);
+    balancer.set_members(Duration::ZERO, members);
     balancer
 }
 
@@ -70,9 +70,9 @@
     }
 }
 
-pub fn refused(decision: Decision) -> Refusal {
+pub fn refused(decision: Decision) -> Rejection {
     match decision {
-        Decision::Refuse(refusal) => refusal,
+        Decision::Reject(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
