--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -6,7 +6,7 @@
 use verbenaspool_coordination::group::{
     lead::{Lead, Output, Settings},
     member::Message,
-    message::{Ask, News, Report, Start},
+    message::{Report, ReportBody, Request, StartId},
     schedule::Span,
 };
 use verbenaspool_state::expert_map::{Map, Shape};
@@ -32,31 +32,31 @@
 }
 
 /// A rank's answer to what the lead asks.
-fn answer(seat: u16, done: u64, ask: Ask) -> Option<Report> {
-    let start = Start {
+fn answer(seat: u16, done: u64, request: Request) -> Option<Report> {
+    let start = StartId {
         incarnation: 1_764_720_000_000,
-        life: 0,
+        engine_restarts: 0,
     };
-    let news = match ask {
-        Ask::Collect { round } => News::Joined {
+    let body = match request {
+        Request::Collect { round } => ReportBody::Joined {
             round,
             done,
             spans: Vec::new(),
             running: None,
-            held: Vec::new(),
+            loaded: Vec::new(),
         },
-        Ask::Grant { spans, .. } => {
+        Request::Grant { spans, .. } => {
             let top = spans.last().map_or(done, |span: &Span| span.to);
-            News::Progress { done, top }
+            ReportBody::Progress { done, top }
         }
-        Ask::Stage { map, .. } => News::Staged { epoch: map.epoch },
-        Ask::Drop { .. } | Ask::Fetch { .. } => return None,
+        Request::Stage { map, .. } => ReportBody::Staged { epoch: map.epoch },
+        Request::Drop { .. } | Request::Fetch { .. } => return None,
     };
     Some(Report {
         seat,
         fence: 3,
         start,
-        news,
+        body,
     })
 }
 
@@ -98,16 +98,16 @@
             let Output::Send { seat, command } = output else {
                 continue;
             };
-            if let (0, Ask::Grant { spans, .. }) = (first, &command.ask) {
+            if let (0, Request::Grant { spans, .. }) = (first, &command.request) {
                 first = spans[0].from;
                 done = first;
             }
-            let ask = command.ask.clone();
+            let request = command.request.clone();
             if seat > 0 {
                 cost.messages += 1;
                 cost.bytes += size(&Message::Command(command));
             }
-            let Some(report) = answer(seat, done, ask) else {
+            let Some(report) = answer(seat, done, request) else {
                 continue;
             };
             if seat > 0 {
@@ -124,13 +124,13 @@
             let own = answer(
                 0,
                 done,
-                Ask::Grant {
-                    start: Start::default(),
+                Request::Grant {
+                    start: StartId::default(),
                     spans,
                 },
             );
             let mut own = own.expect("an answer");
-            if let News::Progress { top, .. } = &mut own.news {
+            if let ReportBody::Progress { top, .. } = &mut own.body {
                 *top = 0;
             }
             let start = Instant::now();
@@ -139,7 +139,7 @@
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
                     cost.bytes += size(&Message::Command(command.clone()));
-                    if let Some(report) = answer(seat, done, command.ask) {
+                    if let Some(report) = answer(seat, done, command.request) {
                         cost.messages += 1;
                         cost.bytes += size(&Message::Report(report.clone()));
                         lead.report(now, report);
--- a/verbenaspool_coordination/benches/switch.rs
+++ b/verbenaspool_coordination/benches/switch.rs
@@ -80,7 +80,7 @@
             group.advance(*now);
         }
     };
-    let staged = |group: &Group| (0..SHAPE.ranks).all(|s| group.state(s, 0).held.contains(&2));
+    let staged = |group: &Group| (0..SHAPE.ranks).all(|s| group.state(s, 0).loaded.contains(&2));
     let grant = |from, to, epoch| Action::Grant {
         spans: vec![Span { from, to, epoch }],
     };
--- a/verbenaspool_coordination/src/group/engine.rs
+++ b/verbenaspool_coordination/src/group/engine.rs
@@ -42,7 +42,8 @@
     /// The steps granted beyond it.
     pub spans: Vec<Span>,
     /// The epochs whose weights are loaded.
-    pub held: Vec<u64>,
+    #[serde(rename = "held")]
+    pub loaded: Vec<u64>,
     /// The placements of those maps, where they were asked for.
     pub maps: Vec<Map>,
 }
--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -13,14 +13,14 @@
 use verbenaspool_state::expert_map::{Layer, Map};
 
 use super::{
-    message::{Ask, Command, News, Refusal, Report, Start},
+    message::{Command, Refusal, Report, ReportBody, Request, StartId},
     schedule::{Schedule, Span},
 };
 
-mod assembly;
-mod service;
+mod collecting;
+mod commands;
 
-pub use super::outcome::{Abort, Output, Refused, Settings};
+pub use super::lead_io::{Abort, Output, Refused, Settings};
 
 /// How many maps one fence may bring in. An epoch is the fence times this plus
 /// a count, so two leads can't give one epoch to two maps, and an operator can
@@ -49,17 +49,17 @@
     /// Whether it has answered the round of asking.
     joined: bool,
     /// The start it joined with.
-    start: Start,
+    start: StartId,
     /// The last step it ran.
     done: u64,
     /// The last step it has acknowledged.
     top: u64,
     /// The start at which its engine was last found to have run nothing.
-    lost: Option<Start>,
+    lost: Option<StartId>,
     /// The step after which such an engine joins the others.
     place: u64,
     /// The epochs its engine holds.
-    held: BTreeSet<u64>,
+    loaded: BTreeSet<u64>,
     /// The last step it was sent a grant for.
     offered: u64,
     /// When it was last sent something.
@@ -251,19 +251,19 @@
             return Vec::new();
         };
         // A message of a start that was replaced says nothing about the present one.
-        if report.fence < self.fence && !matches!(report.news, News::Refused(_))
+        if report.fence < self.fence && !matches!(report.body, ReportBody::Refused(_))
             || report.start < seat.start
         {
             return Vec::new();
         }
         let current = seat.joined && report.start == seat.start;
-        match report.news {
-            News::Joined {
+        match report.body {
+            ReportBody::Joined {
                 round,
                 done,
                 spans,
                 running,
-                held,
+                loaded,
             } => {
                 let restarted = report.start > seat.start;
                 if round != self.round && !(round == 0 && restarted) {
@@ -278,33 +278,33 @@
                     top: spans.last().map_or(done, |span| span.to),
                     lost,
                     place: 0,
-                    held: held.into_iter().collect(),
+                    loaded: loaded.into_iter().collect(),
                     offered: 0,
                     sent: None,
                 };
                 self.join(seat, joined, &spans, running)
             }
-            News::Progress { done, top } if current => {
+            ReportBody::Progress { done, top } if current => {
                 seat.done = seat.done.max(done);
                 seat.top = seat.top.max(top);
                 Vec::new()
             }
-            News::Staged { epoch } if current => {
-                seat.held.insert(epoch);
+            ReportBody::Staged { epoch } if current => {
+                seat.loaded.insert(epoch);
                 Vec::new()
             }
-            News::Failed { epoch, reason } if current => {
+            ReportBody::Failed { epoch, reason } if current => {
                 if let Some(change) = self.change.as_mut().filter(|c| c.epoch == epoch) {
                     change.last = Some(reason);
                 }
                 Vec::new()
             }
-            News::Held { map } => {
+            ReportBody::FetchedMap { map } => {
                 self.maps.entry(map.epoch).or_insert(map);
                 Vec::new()
             }
-            News::Refused(refusal) => self.refused(report.seat, &refusal),
-            News::Diverged { step, epoch, ran } if current => {
+            ReportBody::Refused(refusal) => self.refused(report.seat, &refusal),
+            ReportBody::Diverged { step, epoch, ran } if current => {
                 self.adopt(step, epoch);
                 let seat = report.seat;
                 vec![Output::Diverged { seat, step, ran }]
@@ -330,7 +330,7 @@
                 Vec::new()
             }
             // The rank has to say anew where it stands.
-            Refusal::Start | Refusal::Unjoined => {
+            Refusal::Restarted | Refusal::Unjoined => {
                 rank.joined = false;
                 Vec::new()
             }
@@ -365,7 +365,7 @@
         spans: &[Span],
         running: Option<u64>,
     ) -> Vec<Output> {
-        let known = joined.held.last().copied().max(running).unwrap_or(0);
+        let known = joined.loaded.last().copied().max(running).unwrap_or(0);
         self.highest = self.highest.max(known);
         self.attendance[usize::from(seat)] = joined;
         if self.phase == Phase::Collecting && running > self.epoch {
@@ -437,7 +437,7 @@
             return Vec::new();
         };
         let epoch = change.epoch;
-        let staged = |seat: &&Attendance| seat.joined && seat.held.contains(&epoch);
+        let staged = |seat: &&Attendance| seat.joined && seat.loaded.contains(&epoch);
         let missing = self.attendance.len() - self.attendance.iter().filter(staged).count();
         if missing == 0 {
             self.change = None;
@@ -458,7 +458,7 @@
         }];
         for seat in 0..self.settings.shape.ranks {
             let start = self.attendance[usize::from(seat)].start;
-            outputs.push(self.send(seat, Ask::Drop { start, epoch }));
+            outputs.push(self.send(seat, Request::Drop { start, epoch }));
         }
         outputs
     }
@@ -491,11 +491,11 @@
     }
 
     /// A command under this lead's fence.
-    fn send(&self, seat: u16, ask: Ask) -> Output {
+    fn send(&self, seat: u16, request: Request) -> Output {
         let command = Command {
             fence: self.fence,
             lead: self.settings.seat,
-            ask,
+            request,
         };
         Output::Send { seat, command }
     }
--- a/verbenaspool_coordination/src/group/lead/service.rs
+++ b/verbenaspool_coordination/src/group/lead/commands.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use super::{super::message::Ask, Lead, Output, Phase};
+use super::{super::message::Request, Lead, Output, Phase};
 
 impl Lead {
     /// What a rank has to be told now.
@@ -17,43 +17,45 @@
         if held_up {
             return Vec::new();
         }
-        let asks = if rank.joined {
+        let requests = if rank.joined {
             let extended = rank.offered < self.top();
             self.wants(seat, due || at_once || extended)
         } else if due {
-            vec![Ask::Collect { round: self.round }]
+            vec![Request::Collect { round: self.round }]
         } else {
             Vec::new()
         };
-        if !asks.is_empty() {
+        if !requests.is_empty() {
             let top = self.top();
             let rank = &mut self.attendance[usize::from(seat)];
             rank.sent = Some(now);
             rank.offered = if rank.joined { top } else { 0 };
         }
-        let asks = asks.into_iter();
-        asks.map(|ask| self.send(seat, ask)).collect()
+        let requests = requests.into_iter();
+        requests.map(|request| self.send(seat, request)).collect()
     }
 
     /// What a rank that has joined lacks: maps that it has to hold, steps that
     /// it hasn't acknowledged.
-    fn wants(&self, seat: u16, due: bool) -> Vec<Ask> {
+    fn wants(&self, seat: u16, due: bool) -> Vec<Request> {
         let rank = &self.attendance[usize::from(seat)];
         let start = rank.start;
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         if !due || self.phase != Phase::Granting {
-            return asks;
+            return requests;
         }
         let granted: BTreeSet<u64> = self.schedule.epochs().collect();
         let needed = granted.into_iter().chain(self.epoch).chain(self.changing());
-        let needed: BTreeSet<u64> = needed.filter(|epoch| !rank.held.contains(epoch)).collect();
+        let needed: BTreeSet<u64> = needed
+            .filter(|epoch| !rank.loaded.contains(epoch))
+            .collect();
         for map in needed.iter().filter_map(|epoch| self.maps.get(epoch)) {
             // A map that steps wait for is loaded as fast as can be.
             let changing = self.change.as_ref();
             let change = changing.filter(|change| change.epoch == map.epoch);
             let rate = change.map_or(u64::MAX, |change| change.rate);
             let map = map.clone();
-            asks.push(Ask::Stage { start, map, rate });
+            requests.push(Request::Stage { start, map, rate });
         }
         // An engine that has run nothing starts where the others wait for it,
         // and isn't granted steps before they have said where that is.
@@ -61,10 +63,10 @@
         if from > 0 && (rank.top < self.top() || rank.done == 0) {
             let spans = self.schedule.after(from);
             if !spans.is_empty() {
-                asks.push(Ask::Grant { start, spans });
+                requests.push(Request::Grant { start, spans });
             }
         }
-        asks
+        requests
     }
 
     /// Asks for the placement of a map that steps run on and that a new lead
@@ -78,6 +80,6 @@
         }
         self.fetched = Some(now);
         self.asked = (self.asked + 1) % self.settings.shape.ranks;
-        Some(self.send(self.asked, Ask::Fetch { epoch }))
+        Some(self.send(self.asked, Request::Fetch { epoch }))
     }
 }
--- a/verbenaspool_coordination/src/group/member.rs
+++ b/verbenaspool_coordination/src/group/member.rs
@@ -11,7 +11,7 @@
 use super::{
     engine::{Action, Event},
     lead::{self, Lead, Refused},
-    message::{Command, Peer, Report},
+    message::{Command, PeerMessage, Report},
     rank::{self, Rank},
 };
 
@@ -40,7 +40,7 @@
     /// From a rank to the lead.
     Report(Report),
     /// Between two ranks.
-    Peer(Peer),
+    Peer(PeerMessage),
 }
 
 /// What an agent of a group does.
@@ -191,9 +191,9 @@
             to: lead,
             message: Message::Report(report),
         },
-        rank::Output::Peer { to, peer } => Output::Send {
+        rank::Output::Peer { to, message } => Output::Send {
             to,
-            message: Message::Peer(peer),
+            message: Message::Peer(message),
         },
         rank::Output::Engine { fence, action } => Output::Engine { fence, action },
     }
--- a/verbenaspool_coordination/src/group/message.rs
+++ b/verbenaspool_coordination/src/group/message.rs
@@ -12,11 +12,12 @@
 /// Which start of a rank a message is from or for; the later one is the greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Start {
+pub struct StartId {
     /// The start of the rank's agent; counts up.
     pub incarnation: u64,
     /// Counts the restarts of the engine that this agent has seen.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub engine_restarts: u64,
 }
 
 /// From the lead to one rank's agent.
@@ -28,13 +29,14 @@
     /// The seat of the lead's agent, where reports go.
     pub lead: u16,
     /// What is asked.
-    pub ask: Ask,
+    #[serde(rename = "ask")]
+    pub request: Request,
 }
 
 /// What a lead asks of a rank.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ask {
+pub enum Request {
     /// Refuse every lower fence from now on, and say where you stand.
     Collect {
         /// Counts the lead's rounds of asking; the answer repeats it.
@@ -44,14 +46,14 @@
     /// rank hasn't acknowledged, so a lost grant is made good by the next.
     Grant {
         /// The start of the rank that the grant is for.
-        start: Start,
+        start: StartId,
         /// The steps and their maps.
         spans: Vec<Span>,
     },
     /// Load what this map needs beside the running one.
     Stage {
         /// The start of the rank that it is for.
-        start: Start,
+        start: StartId,
         /// The map.
         map: Map,
         /// The bytes a second that the rank may load, so that loading doesn't
@@ -61,7 +63,7 @@
     /// Forget a map that no step runs on.
     Drop {
         /// The start of the rank that it is for.
-        start: Start,
+        start: StartId,
         /// The map's epoch.
         epoch: u64,
     },
@@ -81,15 +83,16 @@
     /// The fence that the rank obeys.
     pub fence: u64,
     /// The start of the rank.
-    pub start: Start,
+    pub start: StartId,
     /// What there is to say.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub body: ReportBody,
 }
 
 /// What a rank says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum News {
+pub enum ReportBody {
     /// The rank refuses every lower fence from now on, and stands here.
     Joined {
         /// The round of asking that this answers; 0 where nobody asked.
@@ -101,7 +104,8 @@
         /// The epoch of the last step run or granted, where there is one.
         running: Option<u64>,
         /// The epochs whose weights the engine holds.
-        held: Vec<u64>,
+        #[serde(rename = "held")]
+        loaded: Vec<u64>,
     },
     /// The rank has run up to `done` and may run up to `top`.
     Progress {
@@ -123,7 +127,8 @@
         reason: String,
     },
     /// The placement of a map that the lead asked for.
-    Held {
+    #[serde(rename = "held")]
+    FetchedMap {
         /// The map.
         map: Map,
     },
@@ -152,7 +157,8 @@
     },
     /// The command was meant for another start of the rank.
     #[error("the rank was restarted")]
-    Start,
+    #[serde(rename = "start")]
+    Restarted,
     /// The agent has just started and doesn't know its fence yet.
     #[error("the agent is still learning where it stands")]
     Learning,
@@ -179,7 +185,7 @@
 /// Between the agents of two ranks, when one of them has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Peer {
+pub enum PeerMessage {
     /// Which is the highest fence you have heard of?
     Probe {
         /// The seat that asks.
@@ -188,7 +194,8 @@
         incarnation: u64,
     },
     /// The highest fence heard of.
-    Floor {
+    #[serde(rename = "floor")]
+    ProbeReply {
         /// The seat that answers.
         seat: u16,
         /// The start of the agent that asked.
--- a/verbenaspool_coordination/src/group/mod.rs
+++ b/verbenaspool_coordination/src/group/mod.rs
@@ -15,5 +15,5 @@
 pub mod rank;
 pub mod schedule;
 
-mod outcome;
-mod port;
+mod lead_io;
+mod rank_io;
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -16,13 +16,13 @@
 
 use super::{
     engine::{Action, Event},
-    message::{Ask, Command, News, Peer, Refusal, Report, Start},
+    message::{Command, PeerMessage, Refusal, Report, ReportBody, Request, StartId},
     schedule::{Error, Schedule, Span},
 };
 
-mod reading;
+mod snapshot;
 
-pub use super::port::{Input, Output, Settings};
+pub use super::rank_io::{Input, Output, Settings};
 
 /// How far a rank's agent is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     /// The engine's start, once read.
     engine: Option<u64>,
     /// Counts the engine's restarts.
-    life: u64,
+    engine_restarts: u64,
     /// The steps granted beyond `done`.
     schedule: Schedule,
     /// The last step run.
@@ -71,7 +71,7 @@
     /// The last step that an order to the engine has named.
     ordered: u64,
     /// The epochs whose weights the engine holds.
-    held: BTreeSet<u64>,
+    loaded: BTreeSet<u64>,
     /// The placements known.
     maps: BTreeMap<u64, Map>,
     /// When the engine or the peers were last asked.
@@ -112,13 +112,13 @@
             owed: None,
             ticket: 0,
             engine: None,
-            life: 0,
+            engine_restarts: 0,
             schedule: Schedule::default(),
             done: 0,
             running: None,
             handed: 0,
             ordered: 0,
-            held: BTreeSet::new(),
+            loaded: BTreeSet::new(),
             maps: BTreeMap::new(),
             asked: Duration::ZERO,
             told: 0,
@@ -211,17 +211,17 @@
         let silent = |to: &u16| *to != seat && !self.floors.contains(to);
         let probe = |to| Output::Peer {
             to,
-            peer: Peer::Probe { seat, incarnation },
+            message: PeerMessage::Probe { seat, incarnation },
         };
         let seats = 0..self.settings.ranks;
         seats.filter(silent).map(probe).collect()
     }
 
     /// Another rank's agent says something.
-    fn peer(&mut self, now: Duration, peer: Peer) -> Vec<Output> {
-        match peer {
-            Peer::Probe { seat, incarnation } => {
-                let answer = Peer::Floor {
+    fn peer(&mut self, now: Duration, message: PeerMessage) -> Vec<Output> {
+        match message {
+            PeerMessage::Probe { seat, incarnation } => {
+                let answer = PeerMessage::ProbeReply {
                     seat: self.settings.seat,
                     incarnation,
                     fence: self.fence,
@@ -229,10 +229,10 @@
                 };
                 vec![Output::Peer {
                     to: seat,
-                    peer: answer,
+                    message: answer,
                 }]
             }
-            Peer::Floor {
+            PeerMessage::ProbeReply {
                 seat,
                 incarnation,
                 fence,
@@ -256,22 +256,22 @@
     fn command(&mut self, now: Duration, command: Command) -> Vec<Output> {
         let lead = command.lead;
         if let Err(refusal) = self.admit(&command) {
-            let report = self.report(News::Refused(refusal));
+            let report = self.report(ReportBody::Refused(refusal));
             return vec![Output::Report { lead, report }];
         }
-        match command.ask {
-            Ask::Collect { round } => {
+        match command.request {
+            Request::Collect { round } => {
                 self.fence = command.fence;
                 self.lead = Some(lead);
                 self.promise(round)
             }
-            Ask::Grant { spans, .. } => self.grant(now, &spans),
-            Ask::Stage { map, rate, .. } => self.stage(map, rate),
-            Ask::Drop { epoch, .. } => self.forget(epoch),
-            Ask::Fetch { epoch } => {
+            Request::Grant { spans, .. } => self.grant(now, &spans),
+            Request::Stage { map, rate, .. } => self.stage(map, rate),
+            Request::Drop { epoch, .. } => self.forget(epoch),
+            Request::Fetch { epoch } => {
                 let map = self.maps.get(&epoch).cloned();
-                let unknown = News::Refused(Refusal::Unknown);
-                self.tell(map.map_or(unknown, |map| News::Held { map }))
+                let unknown = ReportBody::Refused(Refusal::Unknown);
+                self.tell(map.map_or(unknown, |map| ReportBody::FetchedMap { map }))
             }
         }
     }
@@ -288,13 +288,15 @@
         if command.fence < self.fence {
             return Err(Refusal::Fence { fence: self.fence });
         }
-        let meant = match command.ask {
-            Ask::Collect { .. } => return Ok(()),
-            Ask::Fetch { .. } => self.start(),
-            Ask::Grant { start, .. } | Ask::Stage { start, .. } | Ask::Drop { start, .. } => start,
+        let meant = match command.request {
+            Request::Collect { .. } => return Ok(()),
+            Request::Fetch { .. } => self.start(),
+            Request::Grant { start, .. }
+            | Request::Stage { start, .. }
+            | Request::Drop { start, .. } => start,
         };
         if meant != self.start() {
-            return Err(Refusal::Start);
+            return Err(Refusal::Restarted);
         }
         if command.fence > self.fence || !self.joined {
             return Err(Refusal::Unjoined);
@@ -329,7 +331,7 @@
             Err(Error::Gap { top }) => Refusal::Gap { top },
             Err(Error::Empty) => Refusal::Gap { top: self.top() },
         };
-        self.tell(News::Refused(refusal))
+        self.tell(ReportBody::Refused(refusal))
     }
 
     /// Adds the granted steps that haven't run yet.
@@ -362,7 +364,7 @@
     /// the first whose weights it lacks: it could not run that one.
     fn hand(&mut self) -> Option<Output> {
         let mut spans = self.schedule.after(self.done);
-        let ready = |span: &Span| self.held.contains(&span.epoch);
+        let ready = |span: &Span| self.loaded.contains(&span.epoch);
         spans.truncate(spans.iter().take_while(|span| ready(span)).count());
         let top = spans.last()?.to;
         if top <= self.handed {
@@ -379,8 +381,8 @@
     /// Has the engine load a map, or says that it has.
     fn stage(&mut self, map: Map, rate: u64) -> Vec<Output> {
         let epoch = map.epoch;
-        if self.held.contains(&epoch) {
-            return self.tell(News::Staged { epoch });
+        if self.loaded.contains(&epoch) {
+            return self.tell(ReportBody::Staged { epoch });
         }
         self.maps.insert(epoch, map.clone());
         vec![self.engine(Action::Stage { map, rate })]
@@ -394,7 +396,7 @@
             return Vec::new();
         }
         self.maps.remove(&epoch);
-        self.held.remove(&epoch);
+        self.loaded.remove(&epoch);
         vec![self.engine(Action::Drop { epoch })]
     }
 
@@ -407,12 +409,12 @@
                 if self.phase != Phase::Ready || !self.maps.contains_key(&epoch) {
                     return Vec::new();
                 }
-                self.held.insert(epoch);
-                let mut outputs = self.tell(News::Staged { epoch });
+                self.loaded.insert(epoch);
+                let mut outputs = self.tell(ReportBody::Staged { epoch });
                 outputs.extend(self.hand());
                 outputs
             }
-            Event::Failed { epoch, reason } => self.tell(News::Failed { epoch, reason }),
+            Event::Failed { epoch, reason } => self.tell(ReportBody::Failed { epoch, reason }),
         }
     }
 
@@ -425,7 +427,7 @@
     fn progress(&mut self) -> Vec<Output> {
         self.told = self.done;
         let (done, top) = (self.done, self.top());
-        self.tell(News::Progress { done, top })
+        self.tell(ReportBody::Progress { done, top })
     }
 
     /// Says where the rank stands.
@@ -436,41 +438,41 @@
         self.schedule.cut(self.ordered.max(self.done));
         let spans = self.schedule.after(self.done);
         let last = spans.last().map(|span| span.epoch);
-        let news = News::Joined {
+        let body = ReportBody::Joined {
             round,
             done: self.done,
             running: last.or(self.running),
             spans,
-            held: self.held.iter().copied().collect(),
+            loaded: self.loaded.iter().copied().collect(),
         };
         Output::Report {
             lead: self.lead.unwrap_or_default(),
-            report: self.report(news),
+            report: self.report(body),
         }
     }
 
     /// A message to the lead, where there is one.
-    fn tell(&self, news: News) -> Vec<Output> {
-        let report = self.report(news);
+    fn tell(&self, body: ReportBody) -> Vec<Output> {
+        let report = self.report(body);
         let output = |lead| Output::Report { lead, report };
         self.lead.map(output).into_iter().collect()
     }
 
     /// Which start of the rank this is.
-    fn start(&self) -> Start {
-        Start {
+    fn start(&self) -> StartId {
+        StartId {
             incarnation: self.settings.incarnation,
-            life: self.life,
+            engine_restarts: self.engine_restarts,
         }
     }
 
     /// A message that names its sender.
-    fn report(&self, news: News) -> Report {
+    fn report(&self, body: ReportBody) -> Report {
         Report {
             seat: self.settings.seat,
             fence: self.fence,
             start: self.start(),
-            news,
+            body,
         }
     }
 
--- a/verbenaspool_coordination/src/group/rank/reading.rs
+++ b/verbenaspool_coordination/src/group/rank/snapshot.rs
@@ -5,7 +5,7 @@
 use super::{
     super::{
         engine::{Action, Snapshot},
-        message::News,
+        message::ReportBody,
         schedule::Schedule,
     },
     Output, Phase, Rank,
@@ -26,7 +26,7 @@
                 self.greet()
             }
             Phase::Ready if self.engine != Some(snapshot.incarnation) => {
-                self.life += 1;
+                self.engine_restarts += 1;
                 self.restart(snapshot);
                 self.greet()
             }
@@ -66,7 +66,7 @@
         let _ = self.schedule.merge(&snapshot.spans);
         self.handed = self.top();
         self.ordered = self.top();
-        self.held = snapshot.held.into_iter().collect();
+        self.loaded = snapshot.loaded.into_iter().collect();
         let maps = snapshot.maps.into_iter().map(|map| (map.epoch, map));
         self.maps.extend(maps);
     }
@@ -133,7 +133,7 @@
         let Some((step, epoch, ran)) = odd else {
             return Vec::new();
         };
-        let mut outputs = self.tell(News::Diverged { step, epoch, ran });
+        let mut outputs = self.tell(ReportBody::Diverged { step, epoch, ran });
         let spans = self.schedule.after(snapshot.done);
         outputs.push(self.engine(Action::Replace { spans }));
         outputs
@@ -145,10 +145,10 @@
         let Some(running) = self.running else {
             return Vec::new();
         };
-        let old: Vec<u64> = self.held.range(..running).copied().collect();
+        let old: Vec<u64> = self.loaded.range(..running).copied().collect();
         let mut outputs = Vec::new();
         for epoch in old {
-            self.held.remove(&epoch);
+            self.loaded.remove(&epoch);
             self.maps.remove(&epoch);
             outputs.push(self.engine(Action::Drop { epoch }));
         }
--- a/verbenaspool_coordination/src/group/port.rs
+++ b/verbenaspool_coordination/src/group/rank_io.rs
@@ -4,7 +4,7 @@
 
 use super::{
     engine::{Action, Event},
-    message::{Command, Peer, Report},
+    message::{Command, PeerMessage, Report},
 };
 
 /// Fixed properties of a rank and its engine.
@@ -35,7 +35,7 @@
     /// The lead asks something.
     Command(Command),
     /// Another rank's agent says something.
-    Peer(Peer),
+    Peer(PeerMessage),
     /// The engine says something.
     Engine(Event),
     /// Time has passed.
@@ -57,7 +57,7 @@
         /// The rank's seat.
         to: u16,
         /// What to tell.
-        peer: Peer,
+        message: PeerMessage,
     },
     /// Have the engine do something.
     Engine {
--- a/verbenaspool_coordination/tests/group/faults.rs
+++ b/verbenaspool_coordination/tests/group/faults.rs
@@ -316,7 +316,7 @@
 fn checker_sees_a_mixed_step() {
     let mut world = World::running(false);
     assert!(world.change(0, 1));
-    assert!(world.until(5_000, |world| world.group.state(2, 0).held.len() > 1));
+    assert!(world.until(5_000, |world| world.group.state(2, 0).loaded.len() > 1));
     let step = world.group.done(2) + 1;
     let spans = vec![Span {
         from: step,
--- a/verbenaspool_coordination/tests/group/world.rs
+++ b/verbenaspool_coordination/tests/group/world.rs
@@ -6,7 +6,7 @@
     engine::{Action, Event},
     lead,
     member::{Input, Member, Message, Output},
-    message::{Ask, Command, News, Report},
+    message::{Command, Report, ReportBody, Request},
     rank,
 };
 use verbenaspool_standin::{
@@ -271,7 +271,7 @@
 /// Whether the message grants steps on an epoch above this.
 pub fn commits(message: &Message, above: u64) -> bool {
     let Message::Command(Command {
-        ask: Ask::Grant { spans, .. },
+        request: Request::Grant { spans, .. },
         ..
     }) = message
     else {
@@ -285,7 +285,7 @@
     matches!(
         message,
         Message::Report(Report {
-            news: News::Staged { .. },
+            body: ReportBody::Staged { .. },
             ..
         })
     )
--- a/verbenaspool_standin/src/ranks.rs
+++ b/verbenaspool_standin/src/ranks.rs
@@ -205,7 +205,7 @@
             done: engine.done,
             running: engine.running,
             spans,
-            held: engine.held.iter().copied().collect(),
+            loaded: engine.held.iter().copied().collect(),
             maps,
         }
     }
