--- a/verbenaspool_agent/src/executor.rs
+++ b/verbenaspool_agent/src/executor.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Limited};
 use slog::{Logger, info};
 
-use verbenaspool_coordination::group::order::{Gate, Order, Outcome, State, Step};
+use verbenaspool_coordination::group::order::{Effect, Order, OrderTracker, Outcome, State};
 use verbenaspool_protocol::{
     engine,
     order::{HELD, METHOD},
@@ -40,7 +40,7 @@
 /// The taker of orders.
 #[derive(Debug)]
 pub(crate) struct Executor {
-    gate: RefCell<Gate>,
+    tracker: RefCell<OrderTracker>,
     sender: Rc<orders::Gate>,
     client: Client,
     engine: SocketAddr,
@@ -57,7 +57,7 @@
         log: Logger,
     ) -> Rc<Self> {
         Rc::new(Self {
-            gate: RefCell::new(Gate::new(clock.now())),
+            tracker: RefCell::new(OrderTracker::new(clock.now())),
             sender,
             client: Client::new(CONNECT),
             engine,
@@ -78,55 +78,55 @@
     /// Takes an order and says what came of it.
     async fn take(&self, order: Order) -> Result<Outcome, String> {
         let now = self.clock.now();
-        let step = self.gate.borrow_mut().take(now, &order);
-        let mut step = match step {
-            Step::Send { order, until } => self.send(order, until).await,
+        let effect = self.tracker.borrow_mut().submit(now, &order);
+        let mut effect = match effect {
+            Effect::Send { order, until } => self.send(order, until).await,
             // Said again while it is under way: its outcome may be readable.
-            Step::Wait => Step::Read,
-            step => step,
+            Effect::Wait => Effect::Read,
+            effect => effect,
         };
         while self.clock.now() < now + PATIENCE {
-            step = match step {
-                Step::Answer(outcome) => {
+            effect = match effect {
+                Effect::Answer(outcome) => {
                     info!(self.log, "Orders: Taken."; "order" => order.id, "fence" => order.fence,
                         "outcome" => format!("{outcome:?}"));
                     return Ok(outcome);
                 }
-                Step::Read => self.read().await,
-                Step::Send { .. } | Step::Wait => break,
+                Effect::Read => self.read().await,
+                Effect::Send { .. } | Effect::Wait => break,
             };
         }
         Err(UNDER_WAY.to_owned())
     }
 
     /// Sends an order to the engine.
-    async fn send(&self, order: Order, until: Duration) -> Step {
+    async fn send(&self, order: Order, until: Duration) -> Effect {
         let action = serde_json::to_value(&order.action).expect("an action has only plain keys");
         let fence = order.fence;
         let sent = self
             .sender
             .send(&engine::Order { fence, action }, until)
             .await;
-        let mut gate = self.gate.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         match sent {
-            Ok(_) => gate.answered(self.clock.now(), Ok(())),
-            Err(orders::Error::Refused(why)) => gate.answered(self.clock.now(), Err(why)),
-            Err(_) => gate.lost(),
+            Ok(_) => tracker.engine_answered(self.clock.now(), Ok(())),
+            Err(orders::Error::Refused(why)) => tracker.engine_answered(self.clock.now(), Err(why)),
+            Err(_) => tracker.answer_lost(),
         }
     }
 
     /// Reads the engine and tells the gate. An engine that can't be read tells
     /// nothing; it is read again until it can.
-    async fn read(&self) -> Step {
+    async fn read(&self) -> Effect {
         let now = self.clock.now();
-        let step = match self.held().await {
-            Ok(state) => self.gate.borrow_mut().read(now, &state),
-            Err(_) => Step::Read,
+        let effect = match self.held().await {
+            Ok(state) => self.tracker.borrow_mut().state_read(now, &state),
+            Err(_) => Effect::Read,
         };
-        if step == Step::Read {
+        if effect == Effect::Read {
             self.clock.sleep(PAUSE).await;
         }
-        step
+        effect
     }
 
     /// What the engine is.
--- a/verbenaspool_agent/tests/agent/orders.rs
+++ b/verbenaspool_agent/tests/agent/orders.rs
@@ -5,7 +5,9 @@
 use slog::{Discard, Logger, o};
 
 use verbenaspool_agent::agent::Agent;
-use verbenaspool_coordination::group::order::{Action, LONGEST, Order, Outcome, Reason, Role};
+use verbenaspool_coordination::group::order::{
+    Action, MAX_ORDER_LIFETIME, Order, Outcome, Reason, Role,
+};
 use verbenaspool_protocol::order::METHOD;
 use verbenaspool_standin::engine::{Config, Parts};
 use verbenaspool_transport::{clock::Paused, rpc, shutdown};
@@ -36,7 +38,7 @@
             agent.run(signal).await;
             drop(trigger);
         });
-        clock.advance(LONGEST);
+        clock.advance(MAX_ORDER_LIFETIME);
         let rpc = rpc::Client::default();
         Self {
             parts,
@@ -49,7 +51,7 @@
         let order = Order {
             id: id.to_owned(),
             fence,
-            good_ms: 5_000,
+            valid_ms: 5_000,
             action: Action::Role(role),
         };
         let timeout = Duration::from_secs(5);
--- a/verbenaspool_coordination/src/group/order.rs
+++ b/verbenaspool_coordination/src/group/order.rs
@@ -21,16 +21,16 @@
 use verbenaspool_state::name::Name;
 
 /// The longest that an order may be good for, and so the wait of a new agent.
-pub const LONGEST: Duration = Duration::from_secs(10);
+pub const MAX_ORDER_LIFETIME: Duration = Duration::from_secs(10);
 
 /// How long after an order's time its effect may still show. Its sender closed
 /// the connection then, but what had left before may lie unread at the engine,
 /// which stands on the same instance.
-const GRACE: Duration = Duration::from_secs(2);
+const LATE_EFFECT_GRACE: Duration = Duration::from_secs(2);
 
 /// How long the outcome of an order is remembered after its end. A sender that
 /// got no answer asks again within seconds.
-const REMEMBERED: Duration = Duration::from_mins(10);
+const OUTCOME_RETENTION: Duration = Duration::from_mins(10);
 
 /// What an engine is to become. Each names the state to reach rather than a step
 /// towards it, so that an engine's state tells whether it was carried out.
@@ -76,8 +76,9 @@
     /// The sender's fence.
     pub fence: u64,
     /// How long the order is good for from its arrival, in milliseconds; at
-    /// most [`LONGEST`].
-    pub good_ms: u64,
+    /// most [`MAX_ORDER_LIFETIME`].
+    #[serde(rename = "good_ms")]
+    pub valid_ms: u64,
     /// What the engine is to become.
     pub action: Action,
 }
@@ -101,15 +102,15 @@
     /// use verbenaspool_coordination::group::order::{Action, Role, State};
     ///
     /// let state = State { role: Some(Role::Decode), ..State::default() };
-    /// assert!(state.meets(&Action::Role(Role::Decode)));
-    /// assert!(!state.meets(&Action::Role(Role::Both)));
+    /// assert!(state.satisfies(&Action::Role(Role::Decode)));
+    /// assert!(!state.satisfies(&Action::Role(Role::Both)));
     /// ```
     #[must_use]
-    pub fn meets(&self, action: &Action) -> bool {
+    pub fn satisfies(&self, action: &Action) -> bool {
         match action {
             Action::Model { model, version } => {
-                let held = self.model.as_ref().map(|(model, version)| (model, version));
-                held == Some((model, version))
+                let current = self.model.as_ref().map(|(model, version)| (model, version));
+                current == Some((model, version))
             }
             Action::Adapter { adapter, version } => self.adapters.get(adapter) == Some(version),
             Action::Role(role) => self.role == Some(*role),
@@ -149,7 +150,7 @@
         wait_ms: u64,
     },
     /// The order is good for longer than allowed, or not at all.
-    #[error("an order is good for 1 to {} ms", LONGEST.as_millis())]
+    #[error("an order is good for 1 to {} ms", MAX_ORDER_LIFETIME.as_millis())]
     Deadline,
     /// The order's time was over before the engine was seen to carry it out.
     #[error("the order's time is over")]
@@ -158,7 +159,7 @@
 
 /// What the gate has its agent do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum Effect {
     /// Answer the sender.
     Answer(Outcome),
     /// Send the order to the engine, if it is there before then.
@@ -176,110 +177,110 @@
 
 /// An order on its way.
 #[derive(Debug)]
-struct Open {
+struct PendingOrder {
     order: Order,
     until: Duration,
 }
 
 /// The gate before an engine.
 #[derive(Debug)]
-pub struct Gate {
+pub struct OrderTracker {
     /// From when on orders are taken.
-    from: Duration,
+    ready_at: Duration,
     /// The highest fence seen.
     fence: u64,
     /// The order on its way.
-    open: Option<Open>,
+    pending: Option<PendingOrder>,
     /// What came of orders, and until when that is remembered.
-    known: BTreeMap<String, (Outcome, Duration)>,
+    outcomes: BTreeMap<String, (Outcome, Duration)>,
 }
 
-impl Gate {
+impl OrderTracker {
     /// The gate of an agent that starts now.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::group::order::{Action, Gate, LONGEST, Order, Outcome, Role, Step};
+    /// use verbenaspool_coordination::group::order::{Action, OrderTracker, MAX_ORDER_LIFETIME, Order, Outcome, Role, Effect};
     ///
-    /// let mut gate = Gate::new(Duration::ZERO);
+    /// let mut tracker = OrderTracker::new(Duration::ZERO);
     /// let action = Action::Role(Role::Decode);
-    /// let order = Order { id: "lead.1.1".into(), fence: 3, good_ms: 500, action };
+    /// let order = Order { id: "lead.1.1".into(), fence: 3, valid_ms: 500, action };
     /// // A late order of the agent before may still reach the engine.
-    /// assert!(matches!(gate.take(Duration::ZERO, &order), Step::Answer(Outcome::NotRun(_))));
-    /// assert!(matches!(gate.take(LONGEST, &order), Step::Send { .. }));
-    /// assert_eq!(gate.answered(LONGEST, Ok(())), Step::Answer(Outcome::Done));
+    /// assert!(matches!(tracker.submit(Duration::ZERO, &order), Effect::Answer(Outcome::NotRun(_))));
+    /// assert!(matches!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Send { .. }));
+    /// assert_eq!(tracker.engine_answered(MAX_ORDER_LIFETIME, Ok(())), Effect::Answer(Outcome::Done));
     /// // Said again, it isn't carried out again.
-    /// assert_eq!(gate.take(LONGEST, &order), Step::Answer(Outcome::Done));
+    /// assert_eq!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Answer(Outcome::Done));
     /// ```
     #[must_use]
     pub fn new(now: Duration) -> Self {
         Self {
-            from: now + LONGEST,
+            ready_at: now + MAX_ORDER_LIFETIME,
             fence: 0,
-            open: None,
-            known: BTreeMap::new(),
+            pending: None,
+            outcomes: BTreeMap::new(),
         }
     }
 
     /// An order arrives.
-    pub fn take(&mut self, now: Duration, order: &Order) -> Step {
-        self.known.retain(|_, (_, until)| *until > now);
-        if let Some((outcome, _)) = self.known.get(&order.id) {
-            return Step::Answer(outcome.clone());
+    pub fn submit(&mut self, now: Duration, order: &Order) -> Effect {
+        self.outcomes.retain(|_, (_, until)| *until > now);
+        if let Some((outcome, _)) = self.outcomes.get(&order.id) {
+            return Effect::Answer(outcome.clone());
         }
         if self
-            .open
+            .pending
             .as_ref()
-            .is_some_and(|open| open.order.id == order.id)
+            .is_some_and(|pending| pending.order.id == order.id)
         {
-            return Step::Wait;
+            return Effect::Wait;
         }
-        match self.admit(now, order) {
+        match self.check(now, order) {
             Ok(until) => {
                 self.fence = order.fence;
                 let order = order.clone();
-                self.open = Some(Open {
+                self.pending = Some(PendingOrder {
                     order: order.clone(),
                     until,
                 });
-                Step::Send { order, until }
+                Effect::Send { order, until }
             }
             // Not remembered: said again later, the order may be taken.
-            Err(reason) => Step::Answer(Outcome::NotRun(reason)),
+            Err(reason) => Effect::Answer(Outcome::NotRun(reason)),
         }
     }
 
     /// Whether an order may be sent, and until when.
-    fn admit(&self, now: Duration, order: &Order) -> Result<Duration, Reason> {
+    fn check(&self, now: Duration, order: &Order) -> Result<Duration, Reason> {
         if order.fence < self.fence {
             return Err(Reason::Fence { fence: self.fence });
         }
-        let good = Duration::from_millis(order.good_ms);
-        if good.is_zero() || good > LONGEST {
+        let validity = Duration::from_millis(order.valid_ms);
+        if validity.is_zero() || validity > MAX_ORDER_LIFETIME {
             return Err(Reason::Deadline);
         }
-        if now < self.from {
-            let wait = self.from.saturating_sub(now).as_millis();
+        if now < self.ready_at {
+            let wait = self.ready_at.saturating_sub(now).as_millis();
             let wait_ms = u64::try_from(wait).unwrap_or(u64::MAX);
             return Err(Reason::Starting { wait_ms });
         }
-        if self.open.is_some() {
+        if self.pending.is_some() {
             return Err(Reason::Busy);
         }
-        Ok(now + good)
+        Ok(now + validity)
     }
 
     /// The engine answered the order on its way: done, or refused for a reason.
-    pub fn answered(&mut self, now: Duration, answer: Result<(), String>) -> Step {
+    pub fn engine_answered(&mut self, now: Duration, answer: Result<(), String>) -> Effect {
         let outcome = answer.map_or_else(Outcome::Refused, |()| Outcome::Done);
-        self.close(now, outcome)
+        self.finish(now, outcome)
     }
 
     /// The engine's answer was lost, or its time is over: the engine is read.
     #[must_use]
-    pub fn lost(&self) -> Step {
-        self.open.as_ref().map_or(Step::Wait, |_| Step::Read)
+    pub fn answer_lost(&self) -> Effect {
+        self.pending.as_ref().map_or(Effect::Wait, |_| Effect::Read)
     }
 
     /// The engine's state was read, as of no earlier than `now`.
@@ -287,26 +288,27 @@
     /// Before the order's time and the grace are over, an engine that isn't yet
     /// what it is to become may still get the order, so nothing is concluded
     /// from that.
-    pub fn read(&mut self, now: Duration, state: &State) -> Step {
-        let Some(open) = &self.open else {
-            return Step::Wait;
+    pub fn state_read(&mut self, now: Duration, state: &State) -> Effect {
+        let Some(pending) = &self.pending else {
+            return Effect::Wait;
         };
-        if state.meets(&open.order.action) {
-            return self.close(now, Outcome::Done);
+        if state.satisfies(&pending.order.action) {
+            return self.finish(now, Outcome::Done);
         }
-        if now < open.until + GRACE {
-            return Step::Read;
+        if now < pending.until + LATE_EFFECT_GRACE {
+            return Effect::Read;
         }
-        self.close(now, Outcome::NotRun(Reason::Late))
+        self.finish(now, Outcome::NotRun(Reason::Late))
     }
 
     /// Ends the order on its way.
-    fn close(&mut self, now: Duration, outcome: Outcome) -> Step {
-        let Some(open) = self.open.take() else {
-            return Step::Wait;
+    fn finish(&mut self, now: Duration, outcome: Outcome) -> Effect {
+        let Some(pending) = self.pending.take() else {
+            return Effect::Wait;
         };
-        let until = now + REMEMBERED;
-        self.known.insert(open.order.id, (outcome.clone(), until));
-        Step::Answer(outcome)
+        let until = now + OUTCOME_RETENTION;
+        self.outcomes
+            .insert(pending.order.id, (outcome.clone(), until));
+        Effect::Answer(outcome)
     }
 }
--- a/verbenaspool_coordination/tests/group/orders.rs
+++ b/verbenaspool_coordination/tests/group/orders.rs
@@ -3,23 +3,23 @@
 use std::time::Duration;
 
 use verbenaspool_coordination::group::order::{
-    Action, Gate, LONGEST, Order, Outcome, Reason, Role, State, Step,
+    Action, Effect, MAX_ORDER_LIFETIME, Order, OrderTracker, Outcome, Reason, Role, State,
 };
 
 /// When the gate has waited out the orders of its forerunner.
-const READY: Duration = LONGEST;
+const READY: Duration = MAX_ORDER_LIFETIME;
 
 fn order(id: &str, fence: u64) -> Order {
     Order {
         id: id.to_owned(),
         fence,
-        good_ms: 500,
+        valid_ms: 500,
         action: Action::Role(Role::Decode),
     }
 }
 
-fn not_run(reason: Reason) -> Step {
-    Step::Answer(Outcome::NotRun(reason))
+fn not_run(reason: Reason) -> Effect {
+    Effect::Answer(Outcome::NotRun(reason))
 }
 
 fn state(role: Role) -> State {
@@ -32,13 +32,13 @@
 /// What is refused, and why, at the door.
 #[test]
 fn orders_are_refused_for_a_reason() {
-    let longest = u64::try_from(LONGEST.as_millis()).unwrap();
+    let longest = u64::try_from(MAX_ORDER_LIFETIME.as_millis()).unwrap();
     let endless = Order {
-        good_ms: longest + 1,
+        valid_ms: longest + 1,
         ..order("a.1", 5)
     };
     let stillborn = Order {
-        good_ms: 0,
+        valid_ms: 0,
         ..order("a.1", 5)
     };
     let starting = Reason::Starting { wait_ms: longest };
@@ -48,17 +48,17 @@
         (READY, stillborn, Reason::Deadline),
         (READY, order("b.1", 5), Reason::Busy),
     ];
-    let mut gate = Gate::new(Duration::ZERO);
+    let mut tracker = OrderTracker::new(Duration::ZERO);
     assert_eq!(
-        gate.take(Duration::ZERO, &order("a.0", 5)),
+        tracker.submit(Duration::ZERO, &order("a.0", 5)),
         not_run(starting)
     );
     assert!(matches!(
-        gate.take(READY, &order("a.0", 5)),
-        Step::Send { .. }
+        tracker.submit(READY, &order("a.0", 5)),
+        Effect::Send { .. }
     ));
     for (now, order, reason) in cases {
-        assert_eq!(gate.take(now, &order), not_run(reason), "{order:?}");
+        assert_eq!(tracker.submit(now, &order), not_run(reason), "{order:?}");
     }
 }
 
@@ -66,16 +66,16 @@
 /// while it is under way, and once it is done. The engine gets it once.
 #[test]
 fn repeated_order_is_sent_once() {
-    let mut gate = Gate::new(Duration::ZERO);
+    let mut tracker = OrderTracker::new(Duration::ZERO);
     assert!(matches!(
-        gate.take(READY, &order("a.1", 5)),
-        Step::Send { .. }
+        tracker.submit(READY, &order("a.1", 5)),
+        Effect::Send { .. }
     ));
-    assert_eq!(gate.take(READY, &order("a.1", 5)), Step::Wait);
-    gate.answered(READY, Ok(()));
+    assert_eq!(tracker.submit(READY, &order("a.1", 5)), Effect::Wait);
+    tracker.engine_answered(READY, Ok(()));
     for fence in [5, 4] {
-        let again = gate.take(READY, &order("a.1", fence));
-        assert_eq!(again, Step::Answer(Outcome::Done));
+        let again = tracker.submit(READY, &order("a.1", fence));
+        assert_eq!(again, Effect::Answer(Outcome::Done));
     }
 }
 
@@ -85,18 +85,18 @@
 fn lost_answer_is_settled_by_reading() {
     let late = READY + Duration::from_millis(2_500);
     let cases = [
-        (READY, state(Role::Decode), Step::Answer(Outcome::Done)),
-        (READY, state(Role::Both), Step::Read),
+        (READY, state(Role::Decode), Effect::Answer(Outcome::Done)),
+        (READY, state(Role::Both), Effect::Read),
         (late, state(Role::Both), not_run(Reason::Late)),
-        (late, state(Role::Decode), Step::Answer(Outcome::Done)),
+        (late, state(Role::Decode), Effect::Answer(Outcome::Done)),
     ];
     for (now, state, step) in cases {
-        let mut gate = Gate::new(Duration::ZERO);
-        gate.take(READY, &order("a.1", 5));
-        assert_eq!(gate.lost(), Step::Read);
-        assert_eq!(gate.read(now, &state), step, "{state:?}");
+        let mut tracker = OrderTracker::new(Duration::ZERO);
+        tracker.submit(READY, &order("a.1", 5));
+        assert_eq!(tracker.answer_lost(), Effect::Read);
+        assert_eq!(tracker.state_read(now, &state), step, "{state:?}");
         if now == late {
-            let again = gate.take(late, &order("a.1", 5));
+            let again = tracker.submit(late, &order("a.1", 5));
             assert_eq!(again, step, "said again, the same is answered");
         }
     }
@@ -106,9 +106,9 @@
 /// whose engine ignores fences: the gate stops it.
 #[test]
 fn late_order_of_an_old_sender_is_stopped() {
-    let mut gate = Gate::new(Duration::ZERO);
-    gate.take(READY, &order("new.1", 6));
-    gate.answered(READY, Ok(()));
-    let late = gate.take(READY, &order("old.9", 5));
+    let mut tracker = OrderTracker::new(Duration::ZERO);
+    tracker.submit(READY, &order("new.1", 6));
+    tracker.engine_answered(READY, Ok(()));
+    let late = tracker.submit(READY, &order("old.9", 5));
     assert_eq!(late, not_run(Reason::Fence { fence: 6 }));
 }
