--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -114,17 +114,17 @@
             seat: settings.seat,
             ranks: shape.ranks,
             incarnation: incarnation(),
-            checked,
-            longest: if checked { Duration::ZERO } else { LONGEST },
-            resend: RESEND,
-            stride: (settings.window / 8).max(1),
+            checks_fences: checked,
+            max_order_delay: if checked { Duration::ZERO } else { LONGEST },
+            resend_interval: RESEND,
+            progress_interval_steps: (settings.window / 8).max(1),
         };
         let lead = lead::Settings {
             seat: settings.seat,
             shape,
             window: settings.window,
-            resend: RESEND,
-            patience: PATIENCE,
+            resend_interval: RESEND,
+            staging_timeout: PATIENCE,
         };
         let rebalancing = settings.experts.rebalancing.clone();
         let rebalancer = Rebalancer::new(rebalancing, shape, settings.experts.expert_bytes);
@@ -165,7 +165,7 @@
             self.settings.clone(),
             self.log.clone(),
             self.clock.clone(),
-            move |fence| leading.input(Input::Lead { fence }),
+            move |fence| leading.input(Input::LeaseAcquired { fence }),
         ));
         let mut decided = Duration::ZERO;
         loop {
@@ -288,7 +288,7 @@
             let Some(lead) = member.lead() else {
                 return;
             };
-            if !lead.is_granting() || lead.changing().is_some() {
+            if !lead.is_granting() || lead.pending_epoch().is_some() {
                 return;
             }
             match (lead.epoch(), lead.map()) {
@@ -354,7 +354,7 @@
             fence: rank.fence(),
             step: rank.done(),
             epoch: rank.running(),
-            changing: member.lead().and_then(lead::Lead::changing),
+            changing: member.lead().and_then(lead::Lead::pending_epoch),
             skew: map.and_then(|map| self.rebalancer.borrow().skew(map)),
             changes: self.counts.changes.get(),
             aborts: self.counts.aborts.get(),
--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -72,8 +72,8 @@
         seat: 0,
         shape,
         window,
-        resend: Duration::from_millis(500),
-        patience: Duration::from_mins(10),
+        resend_interval: Duration::from_millis(500),
+        staging_timeout: Duration::from_mins(10),
     };
     let mut lead = Lead::new(settings, 3);
     let mut cost = Cost::default();
@@ -82,7 +82,7 @@
         let now = STEP * u32::try_from(step).expect("a small number");
         let start = Instant::now();
         let mut outputs = lead.tick(now);
-        if lead.is_granting() && lead.epoch().is_none() && lead.changing().is_none() {
+        if lead.is_granting() && lead.epoch().is_none() && lead.pending_epoch().is_none() {
             let map = Map::spread(1, shape);
             let (_, more) = lead
                 .propose(now, map.layers, u64::MAX)
@@ -115,7 +115,7 @@
                 cost.bytes += size(&Message::Report(report.clone()));
             }
             let start = Instant::now();
-            outputs.extend(lead.report(now, report));
+            outputs.extend(lead.handle_report(now, report));
             cost.busy += start.elapsed();
         }
         if first > 0 {
@@ -135,14 +135,14 @@
             }
             let start = Instant::now();
             // What it grants is sent with the next beat's.
-            for output in lead.report(now, own) {
+            for output in lead.handle_report(now, own) {
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
                     cost.bytes += size(&Message::Command(command.clone()));
                     if let Some(report) = answer(seat, done, command.request) {
                         cost.messages += 1;
                         cost.bytes += size(&Message::Report(report.clone()));
-                        lead.report(now, report);
+                        lead.handle_report(now, report);
                     }
                 }
             }
--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -20,17 +20,17 @@
 mod collecting;
 mod commands;
 
-pub use super::lead_io::{Abort, Output, Refused, Settings};
+pub use super::lead_io::{AbortReason, Output, ProposeError, Settings};
 
 /// How many maps one fence may bring in. An epoch is the fence times this plus
 /// a count, so two leads can't give one epoch to two maps, and an operator can
 /// read off both.
-pub const EPOCHS: u64 = 1_000_000;
+pub const EPOCHS_PER_FENCE: u64 = 1_000_000;
 
 /// How many steps one fence may grant. A group whose engines have all lost
 /// everything starts at the fence times this, so that no step's number is ever
 /// used twice and a late order or sample can't be taken for a present one.
-pub const STEPS: u64 = 10_000_000_000;
+pub const STEPS_PER_FENCE: u64 = 10_000_000_000;
 
 /// How far a lead is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,12 +40,12 @@
     /// It grants steps.
     Granting,
     /// It is over.
-    Over,
+    Ended,
 }
 
 /// What the lead knows of a rank.
 #[derive(Debug, Default)]
-struct Attendance {
+struct RankView {
     /// Whether it has answered the round of asking.
     joined: bool,
     /// The start it joined with.
@@ -53,17 +53,17 @@
     /// The last step it ran.
     done: u64,
     /// The last step it has acknowledged.
-    top: u64,
+    acked_top: u64,
     /// The start at which its engine was last found to have run nothing.
-    lost: Option<StartId>,
+    reset_start: Option<StartId>,
     /// The step after which such an engine joins the others.
-    place: u64,
+    resume_after: u64,
     /// The epochs its engine holds.
     loaded: BTreeSet<u64>,
     /// The last step it was sent a grant for.
-    offered: u64,
+    sent_top: u64,
     /// When it was last sent something.
-    sent: Option<Duration>,
+    last_sent: Option<Duration>,
 }
 
 /// A change of map under way.
@@ -74,9 +74,9 @@
     /// The bytes a second that each rank may load for it.
     rate: u64,
     /// When it was proposed.
-    since: Duration,
+    proposed_at: Duration,
     /// What an engine last said against it.
-    last: Option<String>,
+    last_failure: Option<String>,
 }
 
 /// The lead of a group.
@@ -91,21 +91,21 @@
     /// Counts the rounds of asking.
     round: u64,
     /// The ranks.
-    attendance: Vec<Attendance>,
+    ranks: Vec<RankView>,
     /// The steps granted to some rank and not known to be run.
     schedule: Schedule,
     /// The epoch of the next step to grant.
     epoch: Option<u64>,
     /// The highest epoch used.
-    highest: u64,
+    highest_epoch: u64,
     /// The change under way.
     change: Option<Change>,
     /// The placements known.
     maps: BTreeMap<u64, Map>,
     /// When a placement was last asked for.
-    fetched: Option<Duration>,
+    fetch_sent_at: Option<Duration>,
     /// The seat that was asked.
-    asked: u16,
+    fetch_seat: u16,
 }
 
 impl Lead {
@@ -122,8 +122,8 @@
     ///     seat: 0,
     ///     shape,
     ///     window: 256,
-    ///     resend: Duration::from_millis(200),
-    ///     patience: Duration::from_secs(60),
+    ///     resend_interval: Duration::from_millis(200),
+    ///     staging_timeout: Duration::from_secs(60),
     /// };
     /// let mut lead = Lead::new(settings, 1);
     /// // Its own rank is the first to promise.
@@ -131,20 +131,20 @@
     /// ```
     #[must_use]
     pub fn new(settings: Settings, fence: u64) -> Self {
-        let attendance = 0..settings.shape.ranks;
+        let seats = 0..settings.shape.ranks;
         Self {
-            attendance: attendance.map(|_| Attendance::default()).collect(),
+            ranks: seats.map(|_| RankView::default()).collect(),
             settings,
             fence,
             phase: Phase::Collecting,
             round: 1,
             schedule: Schedule::default(),
             epoch: None,
-            highest: 0,
+            highest_epoch: 0,
             change: None,
             maps: BTreeMap::new(),
-            fetched: None,
-            asked: 0,
+            fetch_sent_at: None,
+            fetch_seat: 0,
         }
     }
 
@@ -162,8 +162,8 @@
 
     /// Whether a higher fence was heard of.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.phase == Phase::Over
+    pub fn is_ended(&self) -> bool {
+        self.phase == Phase::Ended
     }
 
     /// The epoch of the next step to grant, where there is a map.
@@ -180,18 +180,14 @@
 
     /// The epoch of the change under way.
     #[must_use]
-    pub fn changing(&self) -> Option<u64> {
+    pub fn pending_epoch(&self) -> Option<u64> {
         self.change.as_ref().map(|change| change.epoch)
     }
 
     /// The last step that any rank has run, as far as is known.
     #[must_use]
     pub fn done(&self) -> u64 {
-        self.attendance
-            .iter()
-            .map(|seat| seat.done)
-            .max()
-            .unwrap_or(0)
+        self.ranks.iter().map(|rank| rank.done).max().unwrap_or(0)
     }
 
     /// Starts a change to a placement, under an epoch of this lead's own. Each
@@ -205,58 +201,58 @@
         now: Duration,
         layers: Vec<Layer>,
         rate: u64,
-    ) -> Result<(u64, Vec<Output>), Refused> {
+    ) -> Result<(u64, Vec<Output>), ProposeError> {
         match self.phase {
-            Phase::Collecting => return Err(Refused::Collecting),
-            Phase::Over => return Err(Refused::Over),
+            Phase::Collecting => return Err(ProposeError::Collecting),
+            Phase::Ended => return Err(ProposeError::Ended),
             Phase::Granting => {}
         }
         if let Some(change) = &self.change {
             let epoch = change.epoch;
-            return Err(Refused::Busy { epoch });
+            return Err(ProposeError::Busy { epoch });
         }
-        let epoch = self.highest.max(self.fence * EPOCHS) + 1;
-        if epoch >= (self.fence + 1) * EPOCHS {
-            return Err(Refused::Over);
+        let epoch = self.highest_epoch.max(self.fence * EPOCHS_PER_FENCE) + 1;
+        if epoch >= (self.fence + 1) * EPOCHS_PER_FENCE {
+            return Err(ProposeError::Ended);
         }
         let map = Map { epoch, layers };
-        map.check(self.settings.shape, self.highest)?;
-        self.highest = epoch;
+        map.check(self.settings.shape, self.highest_epoch)?;
+        self.highest_epoch = epoch;
         self.maps.insert(epoch, map);
         self.change = Some(Change {
             epoch,
             rate,
-            since: now,
-            last: None,
+            proposed_at: now,
+            last_failure: None,
         });
-        Ok((epoch, self.drive(now, true)))
+        Ok((epoch, self.advance(now, true)))
     }
 
     /// Time has passed: what has to be said, or said again.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
-        self.drive(now, false)
+        self.advance(now, false)
     }
 
     /// A rank reports.
-    pub fn report(&mut self, now: Duration, report: Report) -> Vec<Output> {
-        if self.phase == Phase::Over {
+    pub fn handle_report(&mut self, now: Duration, report: Report) -> Vec<Output> {
+        if self.phase == Phase::Ended {
             return Vec::new();
         }
         if report.fence > self.fence {
-            self.phase = Phase::Over;
+            self.phase = Phase::Ended;
             let fence = report.fence;
             return vec![Output::Deposed { fence }];
         }
-        let Some(seat) = self.attendance.get_mut(usize::from(report.seat)) else {
+        let Some(rank) = self.ranks.get_mut(usize::from(report.seat)) else {
             return Vec::new();
         };
         // A message of a start that was replaced says nothing about the present one.
         if report.fence < self.fence && !matches!(report.body, ReportBody::Refused(_))
-            || report.start < seat.start
+            || report.start < rank.start
         {
             return Vec::new();
         }
-        let current = seat.joined && report.start == seat.start;
+        let current = rank.joined && report.start == rank.start;
         match report.body {
             ReportBody::Joined {
                 round,
@@ -265,37 +261,37 @@
                 running,
                 loaded,
             } => {
-                let restarted = report.start > seat.start;
+                let restarted = report.start > rank.start;
                 if round != self.round && !(round == 0 && restarted) {
                     return Vec::new();
                 }
-                let lost = seat.lost;
+                let reset_start = rank.reset_start;
                 let seat = report.seat;
-                let joined = Attendance {
+                let joined = RankView {
                     joined: true,
                     start: report.start,
                     done,
-                    top: spans.last().map_or(done, |span| span.to),
-                    lost,
-                    place: 0,
+                    acked_top: spans.last().map_or(done, |span| span.to),
+                    reset_start,
+                    resume_after: 0,
                     loaded: loaded.into_iter().collect(),
-                    offered: 0,
-                    sent: None,
+                    sent_top: 0,
+                    last_sent: None,
                 };
-                self.join(seat, joined, &spans, running)
+                self.handle_joined(seat, joined, &spans, running)
             }
             ReportBody::Progress { done, top } if current => {
-                seat.done = seat.done.max(done);
-                seat.top = seat.top.max(top);
+                rank.done = rank.done.max(done);
+                rank.acked_top = rank.acked_top.max(top);
                 Vec::new()
             }
             ReportBody::Staged { epoch } if current => {
-                seat.loaded.insert(epoch);
+                rank.loaded.insert(epoch);
                 Vec::new()
             }
             ReportBody::Failed { epoch, reason } if current => {
                 if let Some(change) = self.change.as_mut().filter(|c| c.epoch == epoch) {
-                    change.last = Some(reason);
+                    change.last_failure = Some(reason);
                 }
                 Vec::new()
             }
@@ -303,30 +299,30 @@
                 self.maps.entry(map.epoch).or_insert(map);
                 Vec::new()
             }
-            ReportBody::Refused(refusal) => self.refused(report.seat, &refusal),
+            ReportBody::Refused(refusal) => self.handle_refusal(report.seat, &refusal),
             ReportBody::Diverged { step, epoch, ran } if current => {
-                self.adopt(step, epoch);
+                self.adopt_foreign_step(step, epoch);
                 let seat = report.seat;
                 vec![Output::Diverged { seat, step, ran }]
             }
             _ => Vec::new(),
         }
         .into_iter()
-        .chain(self.drive(now, false))
+        .chain(self.advance(now, false))
         .collect()
     }
 
     /// A rank didn't carry out a command.
-    fn refused(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
-        let rank = &mut self.attendance[usize::from(seat)];
+    fn handle_refusal(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
+        let rank = &mut self.ranks[usize::from(seat)];
         match *refusal {
             Refusal::Fence { fence } if fence > self.fence => {
-                self.phase = Phase::Over;
+                self.phase = Phase::Ended;
                 vec![Output::Deposed { fence }]
             }
             // The rank's books end earlier than was believed.
             Refusal::Gap { top } => {
-                rank.top = rank.top.min(top);
+                rank.acked_top = rank.acked_top.min(top);
                 Vec::new()
             }
             // The rank has to say anew where it stands.
@@ -344,7 +340,7 @@
 
     /// Takes in a step that an engine has from someone else. Where nobody was
     /// granted it, granting it to all on the same map keeps the step whole.
-    fn adopt(&mut self, step: u64, epoch: u64) {
+    fn adopt_foreign_step(&mut self, step: u64, epoch: u64) {
         let next = self.top() + 1;
         if step >= next && self.maps.contains_key(&epoch) {
             let span = Span {
@@ -358,87 +354,87 @@
     }
 
     /// A rank has promised to refuse lower fences.
-    fn join(
+    fn handle_joined(
         &mut self,
         seat: u16,
-        joined: Attendance,
+        joined: RankView,
         spans: &[Span],
         running: Option<u64>,
     ) -> Vec<Output> {
         let known = joined.loaded.last().copied().max(running).unwrap_or(0);
-        self.highest = self.highest.max(known);
-        self.attendance[usize::from(seat)] = joined;
+        self.highest_epoch = self.highest_epoch.max(known);
+        self.ranks[usize::from(seat)] = joined;
         if self.phase == Phase::Collecting && running > self.epoch {
             self.epoch = running;
         }
         let mut outputs = Vec::new();
         for span in spans {
-            outputs.extend(self.note(seat, *span));
+            outputs.extend(self.merge_reported_span(seat, *span));
         }
         outputs
     }
 
     /// Adds what a rank was granted to the schedule. Ranks report in any order,
     /// so a span may lie before, in or after what is listed.
-    fn note(&mut self, seat: u16, span: Span) -> Option<Output> {
+    fn merge_reported_span(&mut self, seat: u16, span: Span) -> Option<Output> {
         let first = self.schedule.first();
-        let listed = if first.is_some_and(|first| span.from < first) {
-            let mut whole = Schedule::default();
+        let result = if first.is_some_and(|first| span.from < first) {
+            let mut merged = Schedule::default();
             let rest = self.schedule.after(0);
-            let merged = whole.merge(&[span]).and_then(|()| whole.merge(&rest));
-            merged.map(|()| self.schedule = whole)
+            let result = merged.merge(&[span]).and_then(|()| merged.merge(&rest));
+            result.map(|()| self.schedule = merged)
         } else {
             self.schedule.merge(&[span])
         };
         let step = span.from;
         let ran = false;
-        listed.err().map(|_| Output::Diverged { seat, step, ran })
+        result.err().map(|_| Output::Diverged { seat, step, ran })
     }
 
     /// The last step granted to anyone.
     fn top(&self) -> u64 {
-        self.schedule.top().unwrap_or(0).max(self.base())
+        self.schedule.top().unwrap_or(0).max(self.base_step())
     }
 
     /// The step after which the group goes on.
-    fn base(&self) -> u64 {
+    fn base_step(&self) -> u64 {
         let first = self.schedule.first().map(|step| step - 1);
         match self.done() {
-            0 => first.unwrap_or(self.fence * STEPS),
+            0 => first.unwrap_or(self.fence * STEPS_PER_FENCE),
             done => done,
         }
     }
 
     /// Goes on as far as what is known allows.
-    fn drive(&mut self, now: Duration, at_once: bool) -> Vec<Output> {
+    fn advance(&mut self, now: Duration, resend_now: bool) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let whole = self.phase != Phase::Over && self.assemble();
-        if self.phase == Phase::Collecting && whole {
+        let all_joined = self.phase != Phase::Ended && self.try_assemble();
+        if self.phase == Phase::Collecting && all_joined {
             self.phase = Phase::Granting;
         }
         match self.phase {
-            Phase::Over => return outputs,
+            Phase::Ended => return outputs,
             Phase::Collecting => {}
             Phase::Granting => {
-                outputs.extend(self.settle(now));
-                self.extend();
+                outputs.extend(self.resolve_change(now));
+                self.extend_grants();
             }
         }
         for seat in 0..self.settings.shape.ranks {
-            outputs.extend(self.serve(now, seat, at_once));
+            outputs.extend(self.commands_for(now, seat, resend_now));
         }
-        outputs.extend(self.fetch(now));
+        outputs.extend(self.fetch_missing_map(now));
         outputs
     }
 
     /// Decides the change under way, once every rank has staged it or too long.
-    fn settle(&mut self, now: Duration) -> Vec<Output> {
+    fn resolve_change(&mut self, now: Duration) -> Vec<Output> {
         let Some(change) = &self.change else {
             return Vec::new();
         };
         let epoch = change.epoch;
-        let staged = |seat: &&Attendance| seat.joined && seat.loaded.contains(&epoch);
-        let missing = self.attendance.len() - self.attendance.iter().filter(staged).count();
+        let staged = |rank: &&RankView| rank.joined && rank.loaded.contains(&epoch);
+        let missing = self.ranks.len() - self.ranks.iter().filter(staged).count();
         if missing == 0 {
             self.change = None;
             self.epoch = Some(epoch);
@@ -446,30 +442,39 @@
             // The old map is kept until the schedule has left it behind.
             return vec![Output::Switched { epoch, step }];
         }
-        if now < change.since + self.settings.patience {
+        if now < change.proposed_at + self.settings.staging_timeout {
             return Vec::new();
         }
-        let last = change.last.clone();
+        let last_failure = change.last_failure.clone();
         self.change = None;
         self.maps.remove(&epoch);
         let mut outputs = vec![Output::Aborted {
             epoch,
-            reason: Abort::Slow { missing, last },
+            reason: AbortReason::StagingTimeout {
+                missing,
+                last_failure,
+            },
         }];
         for seat in 0..self.settings.shape.ranks {
-            let start = self.attendance[usize::from(seat)].start;
-            outputs.push(self.send(seat, Request::Drop { start, epoch }));
+            let start = self.ranks[usize::from(seat)].start;
+            outputs.push(self.command(seat, Request::Drop { start, epoch }));
         }
         outputs
     }
 
     /// Grants further steps once half of those granted are run.
-    fn extend(&mut self) {
-        let done = self.base();
-        let known = |seat: &Attendance| if seat.done == 0 { seat.place } else { seat.top };
-        let shortest = self.attendance.iter().map(known).min().unwrap_or(0);
-        if shortest > 0 {
-            self.schedule.trim(done.min(shortest));
+    fn extend_grants(&mut self) {
+        let done = self.base_step();
+        let acked = |rank: &RankView| {
+            if rank.done == 0 {
+                rank.resume_after
+            } else {
+                rank.acked_top
+            }
+        };
+        let lowest_acked = self.ranks.iter().map(acked).min().unwrap_or(0);
+        if lowest_acked > 0 {
+            self.schedule.trim(done.min(lowest_acked));
         }
         let Some(epoch) = self.epoch else {
             return;
@@ -491,7 +496,7 @@
     }
 
     /// A command under this lead's fence.
-    fn send(&self, seat: u16, request: Request) -> Output {
+    fn command(&self, seat: u16, request: Request) -> Output {
         let command = Command {
             fence: self.fence,
             lead: self.settings.seat,
--- a/verbenaspool_coordination/src/group/lead/collecting.rs
+++ b/verbenaspool_coordination/src/group/lead/collecting.rs
@@ -10,35 +10,35 @@
     /// What they said before it was lost may be many steps old: the engine
     /// would start at a step that the others have left behind, and the group
     /// would stand for good. So they are asked once more.
-    pub(super) fn assemble(&mut self) -> bool {
-        if !self.attendance.iter().all(|seat| seat.joined) {
+    pub(super) fn try_assemble(&mut self) -> bool {
+        if !self.ranks.iter().all(|rank| rank.joined) {
             return false;
         }
-        let stands = self.done() > 0;
-        let base = self.base();
-        let mut anew = false;
-        for seat in self.attendance.iter_mut().filter(|seat| seat.done == 0) {
-            if stands && seat.lost != Some(seat.start) {
-                seat.lost = Some(seat.start);
-                anew = true;
+        let others_have_run = self.done() > 0;
+        let base = self.base_step();
+        let mut newly_reset = false;
+        for rank in self.ranks.iter_mut().filter(|rank| rank.done == 0) {
+            if others_have_run && rank.reset_start != Some(rank.start) {
+                rank.reset_start = Some(rank.start);
+                newly_reset = true;
             }
-            if seat.place == 0 {
-                seat.place = base;
+            if rank.resume_after == 0 {
+                rank.resume_after = base;
             }
         }
-        if anew {
-            self.recollect();
+        if newly_reset {
+            self.restart_collection();
         }
-        !anew
+        !newly_reset
     }
 
     /// Asks all ranks anew where they stand, under the same fence.
-    fn recollect(&mut self) {
+    fn restart_collection(&mut self) {
         self.phase = Phase::Collecting;
         self.round += 1;
-        for seat in &mut self.attendance {
-            seat.joined = false;
-            seat.sent = None;
+        for rank in &mut self.ranks {
+            rank.joined = false;
+            rank.last_sent = None;
         }
     }
 }
--- a/verbenaspool_coordination/src/group/lead/commands.rs
+++ b/verbenaspool_coordination/src/group/lead/commands.rs
@@ -6,20 +6,27 @@
 
 impl Lead {
     /// What a rank has to be told now.
-    pub(super) fn serve(&mut self, now: Duration, seat: u16, at_once: bool) -> Vec<Output> {
+    pub(super) fn commands_for(
+        &mut self,
+        now: Duration,
+        seat: u16,
+        resend_now: bool,
+    ) -> Vec<Output> {
         let own = usize::from(self.settings.seat);
-        let rank = &self.attendance[usize::from(seat)];
-        let due = rank.sent.is_none_or(|t| now >= t + self.settings.resend);
+        let rank = &self.ranks[usize::from(seat)];
+        let due = rank
+            .last_sent
+            .is_none_or(|sent| now >= sent + self.settings.resend_interval);
         // The lead's own rank promises first: from then on its agent tells a
         // rank that starts anew of this fence.
-        let held_up =
-            usize::from(seat) != own && !self.attendance[own].joined && rank.sent.is_none();
-        if held_up {
+        let waits_for_own_rank =
+            usize::from(seat) != own && !self.ranks[own].joined && rank.last_sent.is_none();
+        if waits_for_own_rank {
             return Vec::new();
         }
         let requests = if rank.joined {
-            let extended = rank.offered < self.top();
-            self.wants(seat, due || at_once || extended)
+            let extended = rank.sent_top < self.top();
+            self.requests_for(seat, due || resend_now || extended)
         } else if due {
             vec![Request::Collect { round: self.round }]
         } else {
@@ -27,25 +34,30 @@
         };
         if !requests.is_empty() {
             let top = self.top();
-            let rank = &mut self.attendance[usize::from(seat)];
-            rank.sent = Some(now);
-            rank.offered = if rank.joined { top } else { 0 };
+            let rank = &mut self.ranks[usize::from(seat)];
+            rank.last_sent = Some(now);
+            rank.sent_top = if rank.joined { top } else { 0 };
         }
         let requests = requests.into_iter();
-        requests.map(|request| self.send(seat, request)).collect()
+        requests
+            .map(|request| self.command(seat, request))
+            .collect()
     }
 
     /// What a rank that has joined lacks: maps that it has to hold, steps that
     /// it hasn't acknowledged.
-    fn wants(&self, seat: u16, due: bool) -> Vec<Request> {
-        let rank = &self.attendance[usize::from(seat)];
+    fn requests_for(&self, seat: u16, due: bool) -> Vec<Request> {
+        let rank = &self.ranks[usize::from(seat)];
         let start = rank.start;
         let mut requests = Vec::new();
         if !due || self.phase != Phase::Granting {
             return requests;
         }
         let granted: BTreeSet<u64> = self.schedule.epochs().collect();
-        let needed = granted.into_iter().chain(self.epoch).chain(self.changing());
+        let needed = granted
+            .into_iter()
+            .chain(self.epoch)
+            .chain(self.pending_epoch());
         let needed: BTreeSet<u64> = needed
             .filter(|epoch| !rank.loaded.contains(epoch))
             .collect();
@@ -59,8 +71,12 @@
         }
         // An engine that has run nothing starts where the others wait for it,
         // and isn't granted steps before they have said where that is.
-        let from = if rank.done == 0 { rank.place } else { rank.top };
-        if from > 0 && (rank.top < self.top() || rank.done == 0) {
+        let from = if rank.done == 0 {
+            rank.resume_after
+        } else {
+            rank.acked_top
+        };
+        if from > 0 && (rank.acked_top < self.top() || rank.done == 0) {
             let spans = self.schedule.after(from);
             if !spans.is_empty() {
                 requests.push(Request::Grant { start, spans });
@@ -72,14 +88,17 @@
     /// Asks for the placement of a map that steps run on and that a new lead
     /// doesn't know, at one rank after the other: an agent may know it whose
     /// engine has lost the weights.
-    pub(super) fn fetch(&mut self, now: Duration) -> Option<Output> {
+    pub(super) fn fetch_missing_map(&mut self, now: Duration) -> Option<Output> {
         let mut used = self.schedule.epochs().chain(self.epoch);
         let epoch = used.find(|epoch| !self.maps.contains_key(epoch))?;
-        if self.fetched.is_some_and(|t| now < t + self.settings.resend) {
+        if self
+            .fetch_sent_at
+            .is_some_and(|sent| now < sent + self.settings.resend_interval)
+        {
             return None;
         }
-        self.fetched = Some(now);
-        self.asked = (self.asked + 1) % self.settings.shape.ranks;
-        Some(self.send(self.asked, Request::Fetch { epoch }))
+        self.fetch_sent_at = Some(now);
+        self.fetch_seat = (self.fetch_seat + 1) % self.settings.shape.ranks;
+        Some(self.command(self.fetch_seat, Request::Fetch { epoch }))
     }
 }
--- a/verbenaspool_coordination/src/group/lead_io.rs
+++ b/verbenaspool_coordination/src/group/lead_io.rs
@@ -18,9 +18,9 @@
     /// that long without a lead.
     pub window: u64,
     /// After how long an unanswered message is sent again.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// How long all ranks together may take to stage a map.
-    pub patience: Duration,
+    pub staging_timeout: Duration,
 }
 
 /// What a lead does.
@@ -45,7 +45,7 @@
         /// The epoch that is never used.
         epoch: u64,
         /// Why.
-        reason: Abort,
+        reason: AbortReason,
     },
     /// A rank's engine had a step on a map that wasn't granted.
     Diverged {
@@ -65,20 +65,20 @@
 
 /// Why a change was given up.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Abort {
+pub enum AbortReason {
     /// Some ranks didn't stage the map in time.
-    #[error("{missing} ranks didn't stage it in time; the last failure: {last:?}")]
-    Slow {
+    #[error("{missing} ranks didn't stage it in time; the last failure: {last_failure:?}")]
+    StagingTimeout {
         /// How many.
         missing: usize,
         /// What an engine last said, where one did.
-        last: Option<String>,
+        last_failure: Option<String>,
     },
 }
 
 /// Why a proposed map isn't taken up.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ProposeError {
     /// The lead hasn't heard from all ranks yet.
     #[error("the lead is still collecting the ranks")]
     Collecting,
@@ -93,5 +93,5 @@
     Unfit(#[from] Problem),
     /// A lead with a higher fence took over, or this one's epochs are used up.
     #[error("this lead is over")]
-    Over,
+    Ended,
 }
--- a/verbenaspool_coordination/src/group/member.rs
+++ b/verbenaspool_coordination/src/group/member.rs
@@ -10,7 +10,7 @@
 
 use super::{
     engine::{Action, Event},
-    lead::{self, Lead, Refused},
+    lead::{self, Lead, ProposeError},
     message::{Command, PeerMessage, Report},
     rank::{self, Rank},
 };
@@ -23,7 +23,7 @@
     /// The engine says something.
     Engine(Event),
     /// The platform gave this agent the lead's lease under a fence.
-    Lead {
+    LeaseAcquired {
         /// The fence.
         fence: u64,
     },
@@ -72,7 +72,7 @@
     /// The lead, while this agent is it.
     lead: Option<Lead>,
     /// How a lead works.
-    settings: lead::Settings,
+    lead_settings: lead::Settings,
 }
 
 impl Member {
@@ -82,7 +82,7 @@
         Self {
             rank: Rank::new(rank),
             lead: None,
-            settings: lead,
+            lead_settings: lead,
         }
     }
 
@@ -101,16 +101,16 @@
     /// Takes in what happened and returns what to do about it.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let outputs = match input {
-            Input::Message(Message::Report(report)) => self.report(now, report),
+            Input::Message(Message::Report(report)) => self.handle_report(now, report),
             Input::Message(Message::Command(command)) => {
-                self.step(now, rank::Input::Command(command))
+                self.handle_rank(now, rank::Input::Command(command))
             }
-            Input::Message(Message::Peer(peer)) => self.step(now, rank::Input::Peer(peer)),
-            Input::Engine(event) => self.step(now, rank::Input::Engine(event)),
-            Input::Lead { fence } => self.take(now, fence),
+            Input::Message(Message::Peer(peer)) => self.handle_rank(now, rank::Input::Peer(peer)),
+            Input::Engine(event) => self.handle_rank(now, rank::Input::Engine(event)),
+            Input::LeaseAcquired { fence } => self.start_lead(now, fence),
             Input::Tick => self.tick(now),
         };
-        self.yield_lead();
+        self.drop_ended_lead();
         outputs
     }
 
@@ -125,40 +125,42 @@
         now: Duration,
         layers: Vec<Layer>,
         rate: u64,
-    ) -> Result<(u64, Vec<Output>), Refused> {
-        let lead = self.lead.as_mut().ok_or(Refused::Over)?;
+    ) -> Result<(u64, Vec<Output>), ProposeError> {
+        let lead = self.lead.as_mut().ok_or(ProposeError::Ended)?;
         let (epoch, outputs) = lead.propose(now, layers, rate)?;
         Ok((epoch, outputs.into_iter().map(from_lead).collect()))
     }
 
     /// Takes the lead under a fence, unless a higher one is known.
-    fn take(&mut self, now: Duration, fence: u64) -> Vec<Output> {
+    fn start_lead(&mut self, now: Duration, fence: u64) -> Vec<Output> {
         if fence <= self.rank.fence() {
             return Vec::new();
         }
-        self.rank.raise(fence);
-        let lead = self.lead.insert(Lead::new(self.settings.clone(), fence));
+        self.rank.raise_fence(fence);
+        let lead = self
+            .lead
+            .insert(Lead::new(self.lead_settings.clone(), fence));
         lead.tick(now).into_iter().map(from_lead).collect()
     }
 
     /// A rank reports to the lead.
-    fn report(&mut self, now: Duration, report: Report) -> Vec<Output> {
+    fn handle_report(&mut self, now: Duration, report: Report) -> Vec<Output> {
         let Some(lead) = &mut self.lead else {
             return Vec::new();
         };
-        let outputs = lead.report(now, report);
+        let outputs = lead.handle_report(now, report);
         outputs.into_iter().map(from_lead).collect()
     }
 
     /// Something happens to the rank.
-    fn step(&mut self, now: Duration, input: rank::Input) -> Vec<Output> {
+    fn handle_rank(&mut self, now: Duration, input: rank::Input) -> Vec<Output> {
         let outputs = self.rank.handle(now, input);
         outputs.into_iter().map(from_rank).collect()
     }
 
     /// Time has passed.
     fn tick(&mut self, now: Duration) -> Vec<Output> {
-        let mut outputs = self.step(now, rank::Input::Tick);
+        let mut outputs = self.handle_rank(now, rank::Input::Tick);
         if let Some(lead) = &mut self.lead {
             outputs.extend(lead.tick(now).into_iter().map(from_lead));
         }
@@ -166,10 +168,10 @@
     }
 
     /// Gives up a lead that is over.
-    fn yield_lead(&mut self) {
+    fn drop_ended_lead(&mut self) {
         let fence = self.rank.fence();
         self.lead
-            .take_if(|lead| lead.is_over() || lead.fence() < fence);
+            .take_if(|lead| lead.is_ended() || lead.fence() < fence);
     }
 }
 
--- a/verbenaspool_coordination/src/group/message.rs
+++ b/verbenaspool_coordination/src/group/message.rs
@@ -194,8 +194,7 @@
         incarnation: u64,
     },
     /// The highest fence heard of.
-    #[serde(rename = "floor")]
-    ProbeReply {
+    Floor {
         /// The seat that answers.
         seat: u16,
         /// The start of the agent that asked.
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -45,7 +45,7 @@
     /// When the agent started.
     started: Option<Duration>,
     /// The peers that have answered since.
-    floors: BTreeSet<u16>,
+    probe_replies: BTreeSet<u16>,
     /// The highest fence heard of.
     fence: u64,
     /// The seat of the lead that holds it.
@@ -53,11 +53,11 @@
     /// Whether the rank has joined that lead.
     joined: bool,
     /// The round of asking to answer once the engine has been read.
-    owed: Option<u64>,
+    pending_round: Option<u64>,
     /// The ticket of the last reading asked for.
     ticket: u64,
     /// The engine's start, once read.
-    engine: Option<u64>,
+    engine_incarnation: Option<u64>,
     /// Counts the engine's restarts.
     engine_restarts: u64,
     /// The steps granted beyond `done`.
@@ -67,17 +67,17 @@
     /// The epoch of the last step run.
     running: Option<u64>,
     /// The last step that the engine was seen to know of.
-    handed: u64,
+    confirmed_top: u64,
     /// The last step that an order to the engine has named.
-    ordered: u64,
+    sent_top: u64,
     /// The epochs whose weights the engine holds.
     loaded: BTreeSet<u64>,
     /// The placements known.
     maps: BTreeMap<u64, Map>,
     /// When the engine or the peers were last asked.
-    asked: Duration,
+    last_sent: Duration,
     /// The step up to which progress was last reported.
-    told: u64,
+    reported_done: u64,
 }
 
 impl Rank {
@@ -92,10 +92,10 @@
     ///     seat: 0,
     ///     ranks: 8,
     ///     incarnation: 1,
-    ///     checked: false,
-    ///     longest: Duration::from_secs(2),
-    ///     resend: Duration::from_millis(200),
-    ///     stride: 128,
+    ///     checks_fences: false,
+    ///     max_order_delay: Duration::from_secs(2),
+    ///     resend_interval: Duration::from_millis(200),
+    ///     progress_interval_steps: 128,
     /// });
     /// assert!(!rank.is_ready());
     /// ```
@@ -105,23 +105,23 @@
             settings,
             phase: Phase::Learning,
             started: None,
-            floors: BTreeSet::new(),
+            probe_replies: BTreeSet::new(),
             fence: 0,
             lead: None,
             joined: false,
-            owed: None,
+            pending_round: None,
             ticket: 0,
-            engine: None,
+            engine_incarnation: None,
             engine_restarts: 0,
             schedule: Schedule::default(),
             done: 0,
             running: None,
-            handed: 0,
-            ordered: 0,
+            confirmed_top: 0,
+            sent_top: 0,
             loaded: BTreeSet::new(),
             maps: BTreeMap::new(),
-            asked: Duration::ZERO,
-            told: 0,
+            last_sent: Duration::ZERO,
+            reported_done: 0,
         }
     }
 
@@ -158,7 +158,7 @@
     /// Notes a fence that this agent's own lead has taken. It comes before the
     /// lead's first message, so that a peer that starts and asks for the floor
     /// hears of every fence that any rank may have promised to obey.
-    pub fn raise(&mut self, fence: u64) {
+    pub fn raise_fence(&mut self, fence: u64) {
         if fence > self.fence {
             self.fence = fence;
             self.lead = Some(self.settings.seat);
@@ -169,36 +169,36 @@
     /// Takes in what happened and returns what to do about it.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
-            Input::Command(command) => self.command(now, command),
-            Input::Peer(peer) => self.peer(now, peer),
-            Input::Engine(event) => self.event(now, event),
+            Input::Command(command) => self.handle_command(now, command),
+            Input::Peer(peer) => self.handle_peer(now, peer),
+            Input::Engine(event) => self.handle_event(now, event),
             Input::Tick => self.tick(now),
         }
     }
 
     /// Time has passed.
     fn tick(&mut self, now: Duration) -> Vec<Output> {
-        let due = self.started.is_none() || now >= self.asked + self.settings.resend;
+        let due = self.started.is_none() || now >= self.last_sent + self.settings.resend_interval;
         let started = *self.started.get_or_insert(now);
         let mut outputs = Vec::new();
         if self.phase == Phase::Learning {
-            let known = self.floors.len() + 1 >= usize::from(self.settings.ranks);
-            if known && now >= started + self.settings.longest {
+            let all_replied = self.probe_replies.len() + 1 >= usize::from(self.settings.ranks);
+            if all_replied && now >= started + self.settings.max_order_delay {
                 self.phase = Phase::Reading;
-                self.asked = now;
-                outputs.push(self.look());
+                self.last_sent = now;
+                outputs.push(self.read_engine());
             } else if due {
-                self.asked = now;
+                self.last_sent = now;
                 outputs.extend(self.probes());
             }
         } else if due {
-            self.asked = now;
+            self.last_sent = now;
             match self.phase {
-                Phase::Reading => outputs.push(self.look()),
-                _ if self.owed.is_some() => outputs.push(self.look()),
+                Phase::Reading => outputs.push(self.read_engine()),
+                _ if self.pending_round.is_some() => outputs.push(self.read_engine()),
                 // The engine confirms a grant by the state it reports; until
                 // then the order or its answer may have been lost.
-                _ => outputs.extend(self.hand()),
+                _ => outputs.extend(self.forward_grants()),
             }
         }
         outputs
@@ -208,20 +208,20 @@
     fn probes(&self) -> Vec<Output> {
         let seat = self.settings.seat;
         let incarnation = self.settings.incarnation;
-        let silent = |to: &u16| *to != seat && !self.floors.contains(to);
+        let is_unanswered = |to: &u16| *to != seat && !self.probe_replies.contains(to);
         let probe = |to| Output::Peer {
             to,
             message: PeerMessage::Probe { seat, incarnation },
         };
         let seats = 0..self.settings.ranks;
-        seats.filter(silent).map(probe).collect()
+        seats.filter(is_unanswered).map(probe).collect()
     }
 
     /// Another rank's agent says something.
-    fn peer(&mut self, now: Duration, message: PeerMessage) -> Vec<Output> {
+    fn handle_peer(&mut self, now: Duration, message: PeerMessage) -> Vec<Output> {
         match message {
             PeerMessage::Probe { seat, incarnation } => {
-                let answer = PeerMessage::ProbeReply {
+                let answer = PeerMessage::Floor {
                     seat: self.settings.seat,
                     incarnation,
                     fence: self.fence,
@@ -232,17 +232,17 @@
                     message: answer,
                 }]
             }
-            PeerMessage::ProbeReply {
+            PeerMessage::Floor {
                 seat,
                 incarnation,
                 fence,
                 lead,
             } => {
-                let mine = incarnation == self.settings.incarnation;
-                if !mine || self.phase != Phase::Learning {
+                let is_own_probe = incarnation == self.settings.incarnation;
+                if !is_own_probe || self.phase != Phase::Learning {
                     return Vec::new();
                 }
-                self.floors.insert(seat);
+                self.probe_replies.insert(seat);
                 if fence > self.fence {
                     self.fence = fence;
                     self.lead = lead;
@@ -253,9 +253,9 @@
     }
 
     /// The lead asks something.
-    fn command(&mut self, now: Duration, command: Command) -> Vec<Output> {
+    fn handle_command(&mut self, now: Duration, command: Command) -> Vec<Output> {
         let lead = command.lead;
-        if let Err(refusal) = self.admit(&command) {
+        if let Err(refusal) = self.check_command(&command) {
             let report = self.report(ReportBody::Refused(refusal));
             return vec![Output::Report { lead, report }];
         }
@@ -263,15 +263,15 @@
             Request::Collect { round } => {
                 self.fence = command.fence;
                 self.lead = Some(lead);
-                self.promise(round)
+                self.begin_join(round)
             }
-            Request::Grant { spans, .. } => self.grant(now, &spans),
-            Request::Stage { map, rate, .. } => self.stage(map, rate),
-            Request::Drop { epoch, .. } => self.forget(epoch),
+            Request::Grant { spans, .. } => self.handle_grant(now, &spans),
+            Request::Stage { map, rate, .. } => self.stage_map(map, rate),
+            Request::Drop { epoch, .. } => self.drop_map(epoch),
             Request::Fetch { epoch } => {
                 let map = self.maps.get(&epoch).cloned();
                 let unknown = ReportBody::Refused(Refusal::Unknown);
-                self.tell(map.map_or(unknown, |map| ReportBody::FetchedMap { map }))
+                self.report_to_lead(map.map_or(unknown, |map| ReportBody::FetchedMap { map }))
             }
         }
     }
@@ -281,21 +281,21 @@
     /// An old lead that wakes from a pause, and its messages that were held up
     /// on the way, are told by their fence. Those held up since before this
     /// agent started are told by the start they name.
-    fn admit(&self, command: &Command) -> Result<(), Refusal> {
+    fn check_command(&self, command: &Command) -> Result<(), Refusal> {
         if self.phase != Phase::Ready {
             return Err(Refusal::Learning);
         }
         if command.fence < self.fence {
             return Err(Refusal::Fence { fence: self.fence });
         }
-        let meant = match command.request {
+        let intended = match command.request {
             Request::Collect { .. } => return Ok(()),
-            Request::Fetch { .. } => self.start(),
+            Request::Fetch { .. } => self.start_id(),
             Request::Grant { start, .. }
             | Request::Stage { start, .. }
             | Request::Drop { start, .. } => start,
         };
-        if meant != self.start() {
+        if intended != self.start_id() {
             return Err(Refusal::Restarted);
         }
         if command.fence > self.fence || !self.joined {
@@ -306,36 +306,36 @@
 
     /// Has the engine read, so as to answer a round of asking with where it
     /// stands now. Where it checks fences, it refuses lower ones from then on.
-    fn promise(&mut self, round: u64) -> Vec<Output> {
-        self.owed = Some(round);
-        vec![self.look()]
+    fn begin_join(&mut self, round: u64) -> Vec<Output> {
+        self.pending_round = Some(round);
+        vec![self.read_engine()]
     }
 
     /// Has the engine read. Answers to earlier readings no longer count.
-    fn look(&mut self) -> Output {
+    fn read_engine(&mut self) -> Output {
         self.ticket += 1;
         let ticket = self.ticket;
-        self.engine(Action::Read { ticket })
+        self.engine_order(Action::Read { ticket })
     }
 
     /// Takes a grant into the schedule and hands it on.
-    fn grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
-        let refusal = match self.take(spans) {
+    fn handle_grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
+        let refusal = match self.merge_grant(spans) {
             Ok(()) => {
-                self.asked = now;
-                let mut outputs = self.progress();
-                outputs.extend(self.hand());
+                self.last_sent = now;
+                let mut outputs = self.report_progress();
+                outputs.extend(self.forward_grants());
                 return outputs;
             }
             Err(Error::Conflict { step, .. }) => Refusal::Conflict { step },
             Err(Error::Gap { top }) => Refusal::Gap { top },
             Err(Error::Empty) => Refusal::Gap { top: self.top() },
         };
-        self.tell(ReportBody::Refused(refusal))
+        self.report_to_lead(ReportBody::Refused(refusal))
     }
 
     /// Adds the granted steps that haven't run yet.
-    fn take(&mut self, spans: &[Span]) -> Result<(), Error> {
+    fn merge_grant(&mut self, spans: &[Span]) -> Result<(), Error> {
         let mut granted = Schedule::default();
         granted.merge(spans)?;
         let spans = granted.after(self.done);
@@ -355,66 +355,68 @@
         granted.merge(&self.schedule.after(first - 1))?;
         if granted != self.schedule {
             self.schedule = granted;
-            self.handed = 0;
+            self.confirmed_top = 0;
         }
         Ok(())
     }
 
     /// Hands the engine the granted steps that it isn't seen to know of, up to
     /// the first whose weights it lacks: it could not run that one.
-    fn hand(&mut self) -> Option<Output> {
+    fn forward_grants(&mut self) -> Option<Output> {
         let mut spans = self.schedule.after(self.done);
         let ready = |span: &Span| self.loaded.contains(&span.epoch);
         spans.truncate(spans.iter().take_while(|span| ready(span)).count());
         let top = spans.last()?.to;
-        if top <= self.handed {
+        if top <= self.confirmed_top {
             return None;
         }
-        self.ordered = self.ordered.max(top);
+        self.sent_top = self.sent_top.max(top);
         let action = match self.done {
             0 => Action::Replace { spans },
             _ => Action::Grant { spans },
         };
-        Some(self.engine(action))
+        Some(self.engine_order(action))
     }
 
     /// Has the engine load a map, or says that it has.
-    fn stage(&mut self, map: Map, rate: u64) -> Vec<Output> {
+    fn stage_map(&mut self, map: Map, rate: u64) -> Vec<Output> {
         let epoch = map.epoch;
         if self.loaded.contains(&epoch) {
-            return self.tell(ReportBody::Staged { epoch });
+            return self.report_to_lead(ReportBody::Staged { epoch });
         }
         self.maps.insert(epoch, map.clone());
-        vec![self.engine(Action::Stage { map, rate })]
+        vec![self.engine_order(Action::Stage { map, rate })]
     }
 
     /// Forgets a map, unless a step runs on it: the drop of an abandoned change
     /// can't be meant for a map that was granted.
-    fn forget(&mut self, epoch: u64) -> Vec<Output> {
+    fn drop_map(&mut self, epoch: u64) -> Vec<Output> {
         let used = self.running == Some(epoch) || self.schedule.epochs().any(|e| e == epoch);
         if used || !self.maps.contains_key(&epoch) {
             return Vec::new();
         }
         self.maps.remove(&epoch);
         self.loaded.remove(&epoch);
-        vec![self.engine(Action::Drop { epoch })]
+        vec![self.engine_order(Action::Drop { epoch })]
     }
 
     /// The engine says something.
-    fn event(&mut self, now: Duration, event: Event) -> Vec<Output> {
+    fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Output> {
         match event {
-            Event::State(snapshot) => self.read(now, snapshot),
+            Event::State(snapshot) => self.handle_snapshot(now, snapshot),
             Event::Staged { epoch } => {
                 // A map that was dropped meanwhile is of no use any more.
                 if self.phase != Phase::Ready || !self.maps.contains_key(&epoch) {
                     return Vec::new();
                 }
                 self.loaded.insert(epoch);
-                let mut outputs = self.tell(ReportBody::Staged { epoch });
-                outputs.extend(self.hand());
+                let mut outputs = self.report_to_lead(ReportBody::Staged { epoch });
+                outputs.extend(self.forward_grants());
                 outputs
             }
-            Event::Failed { epoch, reason } => self.tell(ReportBody::Failed { epoch, reason }),
+            Event::Failed { epoch, reason } => {
+                self.report_to_lead(ReportBody::Failed { epoch, reason })
+            }
         }
     }
 
@@ -424,18 +426,18 @@
     }
 
     /// Says how far the rank is.
-    fn progress(&mut self) -> Vec<Output> {
-        self.told = self.done;
+    fn report_progress(&mut self) -> Vec<Output> {
+        self.reported_done = self.done;
         let (done, top) = (self.done, self.top());
-        self.tell(ReportBody::Progress { done, top })
+        self.report_to_lead(ReportBody::Progress { done, top })
     }
 
     /// Says where the rank stands.
     ///
     /// Steps that no order to the engine has named can't be run any more once
     /// the fence is promised, so the lead is free to decide them anew.
-    fn join(&mut self, round: u64) -> Output {
-        self.schedule.cut(self.ordered.max(self.done));
+    fn joined_report(&mut self, round: u64) -> Output {
+        self.schedule.cut(self.sent_top.max(self.done));
         let spans = self.schedule.after(self.done);
         let last = spans.last().map(|span| span.epoch);
         let body = ReportBody::Joined {
@@ -452,14 +454,14 @@
     }
 
     /// A message to the lead, where there is one.
-    fn tell(&self, body: ReportBody) -> Vec<Output> {
+    fn report_to_lead(&self, body: ReportBody) -> Vec<Output> {
         let report = self.report(body);
         let output = |lead| Output::Report { lead, report };
         self.lead.map(output).into_iter().collect()
     }
 
     /// Which start of the rank this is.
-    fn start(&self) -> StartId {
+    fn start_id(&self) -> StartId {
         StartId {
             incarnation: self.settings.incarnation,
             engine_restarts: self.engine_restarts,
@@ -471,13 +473,13 @@
         Report {
             seat: self.settings.seat,
             fence: self.fence,
-            start: self.start(),
+            start: self.start_id(),
             body,
         }
     }
 
     /// An order to the engine.
-    fn engine(&self, action: Action) -> Output {
+    fn engine_order(&self, action: Action) -> Output {
         Output::Engine {
             fence: self.fence,
             action,
--- a/verbenaspool_coordination/src/group/rank_io.rs
+++ b/verbenaspool_coordination/src/group/rank_io.rs
@@ -18,15 +18,15 @@
     pub incarnation: u64,
     /// Whether the engine refuses orders with an old fence. A late order to it
     /// has no effect once it has seen a higher fence.
-    pub checked: bool,
+    pub checks_fences: bool,
     /// The longest that an order may be on its way to an engine that ignores
     /// fences. A new agent waits it out before it reads the engine.
-    pub longest: Duration,
+    pub max_order_delay: Duration,
     /// After how long an unanswered message is sent again.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// How many steps pass between two reports of progress to a lead beside the
     /// rank; other ranks report when they take a grant.
-    pub stride: u64,
+    pub progress_interval_steps: u64,
 }
 
 /// What happens to a rank's agent.
--- a/verbenaspool_coordination/tests/group/faults.rs
+++ b/verbenaspool_coordination/tests/group/faults.rs
@@ -5,35 +5,41 @@
 use verbenaspool_coordination::group::{engine::Action, lead, message::Refusal, schedule::Span};
 use verbenaspool_standin::history::steps::Violation;
 
-use crate::world::{Fate, PATIENCE, World, commits, staged};
+use crate::simulation::{
+    Delivery, STAGING_TIMEOUT, Simulation, grants_epoch_above, is_staged_report,
+};
 
 /// The epoch of the first map under the first fence.
-const FIRST: u64 = 1_000_001;
+const FIRST_EPOCH: u64 = 1_000_001;
 
 /// The fate of what is hit; all else passes.
-fn when(hit: bool, fate: Fate) -> Fate {
-    if hit { fate } else { Fate::Pass }
+fn when(hit: bool, delivery: Delivery) -> Delivery {
+    if hit { delivery } else { Delivery::Normal }
 }
 
 /// How a case goes: it starts on a group that runs on its first map.
-type Play = fn(&mut World);
+type Case = fn(&mut Simulation);
 
 /// Plays a case with engines of both kinds. At its end the group runs on the
 /// map that it names, has come further, and no step was mixed.
-fn play(case: &str, epoch: u64, play: Play) {
+fn run_case(case: &str, epoch: u64, steps: Case) {
     for checked in [true, false] {
-        let mut world = World::running(checked);
-        play(&mut world);
+        let mut simulation = Simulation::running(checked);
+        steps(&mut simulation);
         let case = format!("{case}, fences checked: {checked}");
-        let before = world.group.done(0);
-        world.run(8_000);
-        assert!(world.check().is_ok(), "{case}: {:?}", world.check());
+        let before = simulation.group.done(0);
+        simulation.run_ms(8_000);
         assert!(
-            world.group.done(0) > before + 100,
+            simulation.check_history().is_ok(),
+            "{case}: {:?}",
+            simulation.check_history()
+        );
+        assert!(
+            simulation.group.done(0) > before + 100,
             "{case}: the group stands"
         );
         let running: Vec<_> = (0..3)
-            .map(|seat| world.member(seat).rank().running())
+            .map(|seat| simulation.member(seat).rank().running())
             .collect();
         assert_eq!(running, [Some(epoch); 3], "{case}");
     }
@@ -44,13 +50,13 @@
 #[test]
 fn change_without_a_stall() {
     for checked in [true, false] {
-        let mut world = World::running(checked);
-        let waited = world.group.waited();
-        assert!(world.change(0, 1));
-        world.run(10_000);
-        assert_eq!(world.group.waited(), waited);
-        assert_eq!(world.member(2).rank().running(), Some(FIRST + 1));
-        assert!(world.check().is_ok());
+        let mut simulation = Simulation::running(checked);
+        let waited = simulation.group.waited();
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(10_000);
+        assert_eq!(simulation.group.waited(), waited);
+        assert_eq!(simulation.member(2).rank().running(), Some(FIRST_EPOCH + 1));
+        assert!(simulation.check_history().is_ok());
     }
 }
 
@@ -59,36 +65,40 @@
 /// its way to one rank, whose group waits for it instead.
 #[test]
 fn commit_lost_repeated_or_late() {
-    play("lost to rank 2 for a second", FIRST + 1, |world| {
-        let mut left = 10;
-        world.filter = Box::new(move |_, to, message| {
-            let hit = to == 2 && commits(message, FIRST) && left > 0;
-            left -= u32::from(hit);
-            when(hit, Fate::Lose)
-        });
-        assert!(world.change(0, 1));
-    });
-    play("repeated after minutes", FIRST + 2, |world| {
-        world.filter = Box::new(|_, _, message| {
+    run_case(
+        "lost to rank 2 for a second",
+        FIRST_EPOCH + 1,
+        |simulation| {
+            let mut left = 10;
+            simulation.message_faults = Box::new(move |_, to, message| {
+                let hit = to == 2 && grants_epoch_above(message, FIRST_EPOCH) && left > 0;
+                left -= u32::from(hit);
+                when(hit, Delivery::Drop)
+            });
+            assert!(simulation.propose_map(0, 1));
+        },
+    );
+    run_case("repeated after minutes", FIRST_EPOCH + 2, |simulation| {
+        simulation.message_faults = Box::new(|_, _, message| {
             when(
-                commits(message, FIRST),
-                Fate::Twice(Duration::from_secs(150)),
+                grants_epoch_above(message, FIRST_EPOCH),
+                Delivery::Duplicate(Duration::from_secs(150)),
             )
         });
-        assert!(world.change(0, 1));
-        world.run(60_000);
-        assert!(world.change(0, 2));
-        world.run(160_000);
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(60_000);
+        assert!(simulation.propose_map(0, 2));
+        simulation.run_ms(160_000);
     });
-    play("late by minutes to rank 1", FIRST + 1, |world| {
+    run_case("late by minutes to rank 1", FIRST_EPOCH + 1, |simulation| {
         let mut left = 3;
-        world.filter = Box::new(move |_, to, message| {
-            let hit = to == 1 && commits(message, FIRST) && left > 0;
+        simulation.message_faults = Box::new(move |_, to, message| {
+            let hit = to == 1 && grants_epoch_above(message, FIRST_EPOCH) && left > 0;
             left -= u32::from(hit);
-            when(hit, Fate::Late(Duration::from_mins(2)))
+            when(hit, Delivery::Delay(Duration::from_mins(2)))
         });
-        assert!(world.change(0, 1));
-        world.run(125_000);
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(125_000);
     });
 }
 
@@ -97,38 +107,43 @@
 /// of them was granted a second map.
 #[test]
 fn lead_dies_around_the_switch() {
-    play("before the switch", FIRST, |world| {
-        world.filter = Box::new(|_, _, message| when(staged(message), Fate::Lose));
-        assert!(world.change(0, 1));
-        world.run(300);
-        world.restart(0);
-        world.lead(1);
+    run_case("before the switch", FIRST_EPOCH, |simulation| {
+        simulation.message_faults =
+            Box::new(|_, _, message| when(is_staged_report(message), Delivery::Drop));
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(300);
+        simulation.restart_agent(0);
+        simulation.grant_lease(1);
     });
-    play(
+    run_case(
         "during it: rank 1 has the grant, rank 2 not",
-        FIRST + 1,
-        |world| {
-            world.filter =
-                Box::new(|_, to, message| when(to != 1 && commits(message, FIRST), Fate::Lose));
-            assert!(world.change(0, 1));
-            assert!(world.until(5_000, |world| world.notices.len() > 1));
-            world.run(1_500);
-            world.restart(0);
-            world.filter = Box::new(|_, _, _| Fate::Pass);
-            world.lead(2);
+        FIRST_EPOCH + 1,
+        |simulation| {
+            simulation.message_faults = Box::new(|_, to, message| {
+                when(
+                    to != 1 && grants_epoch_above(message, FIRST_EPOCH),
+                    Delivery::Drop,
+                )
+            });
+            assert!(simulation.propose_map(0, 1));
+            assert!(simulation.run_until(5_000, |simulation| simulation.notices.len() > 1));
+            simulation.run_ms(1_500);
+            simulation.restart_agent(0);
+            simulation.message_faults = Box::new(|_, _, _| Delivery::Normal);
+            simulation.grant_lease(2);
         },
     );
-    play("after it", FIRST + 1, |world| {
-        assert!(world.change(0, 1));
-        world.run(6_000);
-        world.restart(0);
-        world.lead(1);
+    run_case("after it", FIRST_EPOCH + 1, |simulation| {
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(6_000);
+        simulation.restart_agent(0);
+        simulation.grant_lease(1);
     });
-    play("and leads again", 2_000_001, |world| {
-        world.restart(0);
-        world.lead(0);
-        world.run(2_000);
-        assert!(world.change(0, 1));
+    run_case("and leads again", 2_000_001, |simulation| {
+        simulation.restart_agent(0);
+        simulation.grant_lease(0);
+        simulation.run_ms(2_000);
+        assert!(simulation.propose_map(0, 1));
     });
 }
 
@@ -136,41 +151,46 @@
 /// then the old one wakes and goes on as if nothing had happened.
 #[test]
 fn lead_paused_past_its_lease() {
-    play("wakes as the old lead", 2_000_001, |world| {
-        world.pause(0, 6_000);
-        world.lead(1);
-        world.run(7_000);
-        assert!(world.change(1, 1));
-        assert!(world.member(0).lead().is_none());
-    });
-    play("while its own change is under way", 2_000_001, |world| {
-        assert!(world.change(0, 1));
-        world.pause(0, 3_000);
-        world.run(100);
-        world.lead(1);
-        world.run(4_000);
-        assert!(world.change(1, 2));
+    run_case("wakes as the old lead", 2_000_001, |simulation| {
+        simulation.pause_agent(0, 6_000);
+        simulation.grant_lease(1);
+        simulation.run_ms(7_000);
+        assert!(simulation.propose_map(1, 1));
+        assert!(simulation.member(0).lead().is_none());
     });
+    run_case(
+        "while its own change is under way",
+        2_000_001,
+        |simulation| {
+            assert!(simulation.propose_map(0, 1));
+            simulation.pause_agent(0, 3_000);
+            simulation.run_ms(100);
+            simulation.grant_lease(1);
+            simulation.run_ms(4_000);
+            assert!(simulation.propose_map(1, 2));
+        },
+    );
 }
 
 /// Two agents believe that they lead and both propose a map at once. Only the
 /// one with the higher fence gets all ranks' promises.
 #[test]
 fn two_leads_and_racing_changes() {
-    play("two leads", 2_000_001, |world| {
+    run_case("two leads", 2_000_001, |simulation| {
         let cut = |from: u16, to: u16| from != to && (from == 0 || to == 0);
-        world.filter =
-            Box::new(move |from, to, _| when(cut(from, to), Fate::Late(Duration::from_secs(3))));
-        assert!(world.change(0, 1));
-        world.lead(1);
-        world.run(4_000);
-        world.filter = Box::new(|_, _, _| Fate::Pass);
-        world.run(4_000);
-        assert!(world.change(1, 2));
+        simulation.message_faults = Box::new(move |from, to, _| {
+            when(cut(from, to), Delivery::Delay(Duration::from_secs(3)))
+        });
+        assert!(simulation.propose_map(0, 1));
+        simulation.grant_lease(1);
+        simulation.run_ms(4_000);
+        simulation.message_faults = Box::new(|_, _, _| Delivery::Normal);
+        simulation.run_ms(4_000);
+        assert!(simulation.propose_map(1, 2));
     });
-    play("two changes at one lead", FIRST + 1, |world| {
-        assert!(world.change(0, 1));
-        assert!(!world.change(0, 2));
+    run_case("two changes at one lead", FIRST_EPOCH + 1, |simulation| {
+        assert!(simulation.propose_map(0, 1));
+        assert!(!simulation.propose_map(0, 2));
     });
 }
 
@@ -178,38 +198,44 @@
 /// promised nor the steps that it let its engine run.
 #[test]
 fn rank_agent_restarts() {
-    play("between changes", FIRST + 1, |world| {
-        world.restart(2);
-        world.run(1_500);
-        assert!(world.change(0, 1));
+    run_case("between changes", FIRST_EPOCH + 1, |simulation| {
+        simulation.restart_agent(2);
+        simulation.run_ms(1_500);
+        assert!(simulation.propose_map(0, 1));
     });
-    play("in the middle of one", FIRST + 1, |world| {
-        assert!(world.change(0, 1));
-        world.run(30);
-        world.restart(2);
+    run_case("in the middle of one", FIRST_EPOCH + 1, |simulation| {
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(30);
+        simulation.restart_agent(2);
     });
-    play("all at once, and a new lead", 2_000_001, |world| {
-        (0..3).for_each(|seat| world.restart(seat));
-        world.lead(1);
-        world.run(3_000);
-        assert!(world.change(1, 1));
+    run_case("all at once, and a new lead", 2_000_001, |simulation| {
+        (0..3).for_each(|seat| simulation.restart_agent(seat));
+        simulation.grant_lease(1);
+        simulation.run_ms(3_000);
+        assert!(simulation.propose_map(1, 1));
     });
-    play(
+    run_case(
         "having promised a new lead, with the old one awake",
         2_000_001,
-        |world| {
-            world.filter = Box::new(|from, to, _| {
-                when(from == 1 && to == 0, Fate::Late(Duration::from_secs(4)))
+        |simulation| {
+            simulation.message_faults = Box::new(|from, to, _| {
+                when(
+                    from == 1 && to == 0,
+                    Delivery::Delay(Duration::from_secs(4)),
+                )
             });
-            world.lead(1);
-            world.run(600);
-            world.restart(2);
-            world.run(5_000);
-            world.filter = Box::new(|_, _, _| Fate::Pass);
-            assert!(world.until(3_000, |world| {
-                world.member(1).lead().is_some_and(lead::Lead::is_granting)
+            simulation.grant_lease(1);
+            simulation.run_ms(600);
+            simulation.restart_agent(2);
+            simulation.run_ms(5_000);
+            simulation.message_faults = Box::new(|_, _, _| Delivery::Normal);
+            assert!(simulation.run_until(3_000, |simulation| {
+                simulation
+                    .member(1)
+                    .lead()
+                    .is_some_and(lead::Lead::is_granting)
             }));
-            assert!(world.change(1, 1));
+            assert!(simulation.propose_map(1, 1));
         },
     );
 }
@@ -218,15 +244,15 @@
 /// in a step for it; it loads its experts again and joins them there.
 #[test]
 fn engine_restarts() {
-    play("and joins again", FIRST, |world| {
-        world.group.restart(1);
-        world.run(5_000);
+    run_case("and joins again", FIRST_EPOCH, |simulation| {
+        simulation.group.restart(1);
+        simulation.run_ms(5_000);
     });
-    play("in the middle of a change", FIRST + 1, |world| {
-        assert!(world.change(0, 1));
-        world.run(100);
-        world.group.restart(1);
-        world.run(5_000);
+    run_case("in the middle of a change", FIRST_EPOCH + 1, |simulation| {
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(100);
+        simulation.group.restart(1);
+        simulation.run_ms(5_000);
     });
 }
 
@@ -234,37 +260,43 @@
 /// the group goes on with its map.
 #[test]
 fn weight_store_slow_or_refusing() {
-    play("refusing for good", FIRST, |world| {
-        world.group.store().refuse(true);
-        assert!(world.change(0, 1));
-        world.run(6_000);
+    run_case("refusing for good", FIRST_EPOCH, |simulation| {
+        simulation.group.store().refuse(true);
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(6_000);
         let aborted = |notice: &lead::Output| matches!(notice, lead::Output::Aborted { .. });
-        assert!(world.notices.iter().any(aborted));
-    });
-    play("refusing for a while", FIRST + 1, |world| {
-        world.group.store().refuse(true);
-        assert!(world.change(0, 1));
-        world.run(1_000);
-        world.group.store().refuse(false);
+        assert!(simulation.notices.iter().any(aborted));
     });
-    play("too slow, then a change that fits", FIRST + 2, |world| {
-        world.group.store().limit(100);
-        assert!(world.change(0, 1));
-        world.run(u64::try_from(PATIENCE.as_millis()).unwrap() + 1_000);
-        world.group.store().limit(100_000);
-        world.run(60_000);
-        assert!(world.change(0, 2));
+    run_case("refusing for a while", FIRST_EPOCH + 1, |simulation| {
+        simulation.group.store().refuse(true);
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(1_000);
+        simulation.group.store().refuse(false);
     });
+    run_case(
+        "too slow, then a change that fits",
+        FIRST_EPOCH + 2,
+        |simulation| {
+            simulation.group.store().limit(100);
+            assert!(simulation.propose_map(0, 1));
+            simulation.run_ms(u64::try_from(STAGING_TIMEOUT.as_millis()).unwrap() + 1_000);
+            simulation.group.store().limit(100_000);
+            simulation.run_ms(60_000);
+            assert!(simulation.propose_map(0, 2));
+        },
+    );
 }
 
 /// One rank stalls for seconds in the middle of a change: the group waits for
 /// it and nobody runs ahead.
 #[test]
 fn rank_stalls() {
-    play("in a change", FIRST + 1, |world| {
-        world.group.stall(1, world.now + Duration::from_secs(3));
-        assert!(world.change(0, 1));
-        world.run(3_000);
+    run_case("in a change", FIRST_EPOCH + 1, |simulation| {
+        simulation
+            .group
+            .stall(1, simulation.now + Duration::from_secs(3));
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(3_000);
     });
 }
 
@@ -272,12 +304,12 @@
 /// on, maps change, and an agent that restarts finds its place without it.
 #[test]
 fn platform_down() {
-    play("for minutes", FIRST + 2, |world| {
-        assert!(world.change(0, 1));
-        world.run(60_000);
-        world.restart(1);
-        world.run(60_000);
-        assert!(world.change(0, 2));
+    run_case("for minutes", FIRST_EPOCH + 2, |simulation| {
+        assert!(simulation.propose_map(0, 1));
+        simulation.run_ms(60_000);
+        simulation.restart_agent(1);
+        simulation.run_ms(60_000);
+        assert!(simulation.propose_map(0, 2));
     });
 }
 
@@ -288,21 +320,25 @@
 #[test]
 fn late_order_to_the_engine() {
     for checked in [true, false] {
-        let mut world = World::running(checked);
-        world.lead(1);
-        world.run(3_000);
-        assert!(world.change(1, 1));
-        world.run(6_000);
-        let done = world.group.done(2);
+        let mut simulation = Simulation::running(checked);
+        simulation.grant_lease(1);
+        simulation.run_ms(3_000);
+        assert!(simulation.propose_map(1, 1));
+        simulation.run_ms(6_000);
+        let done = simulation.group.done(2);
         let spans = vec![Span {
             from: done + 20,
             to: done + 24,
-            epoch: FIRST,
+            epoch: FIRST_EPOCH,
         }];
-        world.inject(2, 1, Action::Grant { spans });
-        world.run(3_000);
-        assert!(world.check().is_ok(), "{:?}", world.check());
-        let found = world
+        simulation.inject_order(2, 1, Action::Grant { spans });
+        simulation.run_ms(3_000);
+        assert!(
+            simulation.check_history().is_ok(),
+            "{:?}",
+            simulation.check_history()
+        );
+        let found = simulation
             .notices
             .iter()
             .any(|notice| matches!(notice, lead::Output::Diverged { .. }));
@@ -314,18 +350,24 @@
 /// here two ranks are told different maps past all agents.
 #[test]
 fn checker_sees_a_mixed_step() {
-    let mut world = World::running(false);
-    assert!(world.change(0, 1));
-    assert!(world.until(5_000, |world| world.group.state(2, 0).loaded.len() > 1));
-    let step = world.group.done(2) + 1;
+    let mut simulation = Simulation::running(false);
+    assert!(simulation.propose_map(0, 1));
+    assert!(simulation.run_until(
+        5_000,
+        |simulation| simulation.group.state(2, 0).loaded.len() > 1
+    ));
+    let step = simulation.group.done(2) + 1;
     let spans = vec![Span {
         from: step,
         to: step,
-        epoch: FIRST + 1,
+        epoch: FIRST_EPOCH + 1,
     }];
-    world.inject(2, 0, Action::Grant { spans });
-    world.run(50);
-    assert!(matches!(world.check(), Err(Violation::Mixed { .. })));
+    simulation.inject_order(2, 0, Action::Grant { spans });
+    simulation.run_ms(50);
+    assert!(matches!(
+        simulation.check_history(),
+        Err(Violation::Mixed { .. })
+    ));
 }
 
 /// Operators read why a command was refused.
--- a/verbenaspool_coordination/tests/group/interleavings.rs
+++ b/verbenaspool_coordination/tests/group/interleavings.rs
@@ -9,7 +9,7 @@
 use rand::{Rng as _, SeedableRng as _, rngs::SmallRng};
 use verbenaspool_coordination::group::lead::Lead;
 
-use crate::world::{Fate, LONGEST, SHAPE, World};
+use crate::simulation::{Delivery, MAX_ORDER_DELAY, SHAPE, Simulation};
 
 /// How many interleavings are played for each kind of engine; kept low for the
 /// time of a test run, raised by hand after changes to the protocol.
@@ -36,7 +36,7 @@
     Refuse(bool),
     /// From now on, this part of all messages in a hundred is lost, late by up
     /// to minutes, or repeated; all drawn from the seed.
-    Network { odd: u8, seed: u64 },
+    Network { faulty_percent: u8, seed: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -48,7 +48,7 @@
         2 => (SEATS, 10..5_000_u64).prop_map(|(seat, millis)| Event::Pause(seat, millis)),
         1 => (SEATS, 10..3_000_u64).prop_map(|(seat, millis)| Event::Stall(seat, millis)),
         1 => any::<bool>().prop_map(Event::Refuse),
-        3 => (0..60_u8, any::<u64>()).prop_map(|(odd, seed)| Event::Network { odd, seed }),
+        3 => (0..60_u8, any::<u64>()).prop_map(|(faulty_percent, seed)| Event::Network { faulty_percent, seed }),
     ]
 }
 
@@ -58,81 +58,96 @@
 }
 
 /// What becomes of the messages and orders on a bad network.
-fn disturb(world: &mut World, odd: u8, seed: u64) {
+fn inject_network_faults(simulation: &mut Simulation, faulty_percent: u8, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    world.filter = Box::new(move |_, _, _| {
-        if rng.random_range(0..100) >= odd {
-            return Fate::Pass;
+    simulation.message_faults = Box::new(move |_, _, _| {
+        if rng.random_range(0..100) >= faulty_percent {
+            return Delivery::Normal;
         }
-        let late = match rng.random_range(0..3) {
+        let delay = match rng.random_range(0..3) {
             0 => rng.random_range(10..200),
             1 => rng.random_range(200..5_000),
             _ => rng.random_range(5_000..150_000),
         };
         match rng.random_range(0..3) {
-            0 => Fate::Lose,
-            1 => Fate::Late(Duration::from_millis(late)),
-            _ => Fate::Twice(Duration::from_millis(late)),
+            0 => Delivery::Drop,
+            1 => Delivery::Delay(Duration::from_millis(delay)),
+            _ => Delivery::Duplicate(Duration::from_millis(delay)),
         }
     });
     let mut rng = SmallRng::seed_from_u64(!seed);
-    world.gate = Box::new(move |_, _, _| {
-        let late = rng.random_range(10..400);
-        assert!(Duration::from_millis(late) < LONGEST);
-        match rng.random_range(0..100) < odd {
-            true if rng.random() => Fate::Lose,
-            true => Fate::Late(Duration::from_millis(late)),
-            false => Fate::Pass,
+    simulation.order_faults = Box::new(move |_, _, _| {
+        let delay = rng.random_range(10..400);
+        assert!(Duration::from_millis(delay) < MAX_ORDER_DELAY);
+        match rng.random_range(0..100) < faulty_percent {
+            true if rng.random() => Delivery::Drop,
+            true => Delivery::Delay(Duration::from_millis(delay)),
+            false => Delivery::Normal,
         }
     });
 }
 
-fn happen(world: &mut World, event: &Event) {
+fn apply(simulation: &mut Simulation, event: &Event) {
     match *event {
-        Event::Restart(seat) => world.restart(seat),
-        Event::Reset(seat) => world.group.restart(seat),
-        Event::Lead(seat) => world.lead(seat),
-        Event::Change(seat, turn) => drop(world.change(seat, turn)),
-        Event::Pause(seat, millis) => world.pause(seat, millis),
+        Event::Restart(seat) => simulation.restart_agent(seat),
+        Event::Reset(seat) => simulation.group.restart(seat),
+        Event::Lead(seat) => simulation.grant_lease(seat),
+        Event::Change(seat, turn) => drop(simulation.propose_map(seat, turn)),
+        Event::Pause(seat, millis) => simulation.pause_agent(seat, millis),
         Event::Stall(seat, millis) => {
-            let until = world.now + Duration::from_millis(millis);
-            world.group.stall(seat, until);
+            let until = simulation.now + Duration::from_millis(millis);
+            simulation.group.stall(seat, until);
         }
-        Event::Refuse(refusing) => world.group.store().refuse(refusing),
-        Event::Network { odd, seed } => disturb(world, odd, seed),
+        Event::Refuse(refusing) => simulation.group.store().refuse(refusing),
+        Event::Network {
+            faulty_percent,
+            seed,
+        } => inject_network_faults(simulation, faulty_percent, seed),
     }
 }
 
 /// Plays one history, then lets all faults end: no step was mixed, and the
 /// group goes on once an agent gets the lease.
-fn play(checked: bool, history: Vec<(u64, Event)>) -> Result<(), TestCaseError> {
-    let mut world = World::running(checked);
+fn run_case(checked: bool, history: Vec<(u64, Event)>) -> Result<(), TestCaseError> {
+    let mut simulation = Simulation::running(checked);
     for (after, event) in history {
-        world.run(after);
-        happen(&mut world, &event);
+        simulation.run_ms(after);
+        apply(&mut simulation, &event);
     }
-    world.filter = Box::new(|_, _, _| Fate::Pass);
-    world.gate = Box::new(|_, _, _| Fate::Pass);
-    world.group.store().refuse(false);
-    world.run(6_000);
-    world.lead(1);
-    let granting = |world: &World| world.member(1).lead().is_some_and(Lead::is_granting);
-    prop_assert!(world.until(10_000, granting), "the lead hears not from all");
-    if world
+    simulation.message_faults = Box::new(|_, _, _| Delivery::Normal);
+    simulation.order_faults = Box::new(|_, _, _| Delivery::Normal);
+    simulation.group.store().refuse(false);
+    simulation.run_ms(6_000);
+    simulation.grant_lease(1);
+    let granting =
+        |simulation: &Simulation| simulation.member(1).lead().is_some_and(Lead::is_granting);
+    prop_assert!(
+        simulation.run_until(10_000, granting),
+        "the lead hears not from all"
+    );
+    if simulation
         .member(1)
         .lead()
         .is_some_and(|lead| lead.map().is_none())
     {
         // All engines have lost everything, so there is no map left.
-        world.change(1, 0);
+        simulation.propose_map(1, 0);
     }
-    let done = world.group.done(1);
-    world.run(8_000);
-    prop_assert!(world.group.done(1) > done, "the group stands");
-    prop_assert!(world.check().is_ok(), "{:?}", world.check());
+    let done = simulation.group.done(1);
+    simulation.run_ms(8_000);
+    prop_assert!(simulation.group.done(1) > done, "the group stands");
+    prop_assert!(
+        simulation.check_history().is_ok(),
+        "{:?}",
+        simulation.check_history()
+    );
     // All that was late by minutes arrives in the end.
-    world.run(150_000);
-    prop_assert!(world.check().is_ok(), "{:?}", world.check());
+    simulation.run_ms(150_000);
+    prop_assert!(
+        simulation.check_history().is_ok(),
+        "{:?}",
+        simulation.check_history()
+    );
     Ok(())
 }
 
@@ -144,7 +159,7 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let outcome = runner.run(&history(), |history| play(checked, history));
+    let outcome = runner.run(&history(), |history| run_case(checked, history));
     assert!(outcome.is_ok(), "{}", outcome.unwrap_err());
 }
 
--- a/verbenaspool_coordination/tests/group/main.rs
+++ b/verbenaspool_coordination/tests/group/main.rs
@@ -4,4 +4,4 @@
 mod faults;
 mod interleavings;
 mod orders;
-mod world;
+mod simulation;
--- a/verbenaspool_coordination/tests/group/world.rs
+++ b/verbenaspool_coordination/tests/group/simulation.rs
@@ -24,50 +24,50 @@
     slots: 3,
 };
 /// How far apart two moments are.
-const BEAT: Duration = Duration::from_millis(10);
+const TICK: Duration = Duration::from_millis(10);
 /// The longest that an order is on its way to an engine, but for those held back.
-pub const LONGEST: Duration = Duration::from_millis(500);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_millis(500);
 /// How long a change may take to be staged.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub const STAGING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What becomes of a message or order.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fate {
-    Pass,
-    Lose,
-    Late(Duration),
-    Twice(Duration),
+pub enum Delivery {
+    Normal,
+    Drop,
+    Delay(Duration),
+    Duplicate(Duration),
 }
 
 /// Something on its way.
 #[derive(Debug, Clone)]
-enum Cargo {
+enum Payload {
     Message(Message),
     Order(u64, Action),
 }
 
 /// Decides what becomes of each message: by sender, receiver and content.
-type Filter = Box<dyn FnMut(u16, u16, &Message) -> Fate>;
+type MessageFaults = Box<dyn FnMut(u16, u16, &Message) -> Delivery>;
 /// Decides what becomes of each order to an engine.
-type Gate = Box<dyn FnMut(u16, u64, &Action) -> Fate>;
+type OrderFaults = Box<dyn FnMut(u16, u64, &Action) -> Delivery>;
 
 /// All of it.
-pub struct World {
+pub struct Simulation {
     pub now: Duration,
     pub group: Group,
-    pub filter: Filter,
-    pub gate: Gate,
+    pub message_faults: MessageFaults,
+    pub order_faults: OrderFaults,
     pub notices: Vec<lead::Output>,
     members: Vec<Member>,
     incarnations: Vec<u64>,
-    paused: Vec<Duration>,
+    paused_until: Vec<Duration>,
     inbox: Vec<Vec<Message>>,
-    way: Vec<(Duration, u16, Cargo)>,
+    in_flight: Vec<(Duration, u16, Payload)>,
     fence: u64,
     checked: bool,
 }
 
-impl World {
+impl Simulation {
     pub fn new(checked: bool) -> Self {
         let settings = ranks::Settings {
             ranks: SHAPE.ranks,
@@ -75,93 +75,93 @@
             checked,
             expert_bytes: 1_000,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             group: Group::new(settings, Store::new(100_000)),
-            filter: Box::new(|_, _, _| Fate::Pass),
-            gate: Box::new(|_, _, _| Fate::Pass),
+            message_faults: Box::new(|_, _, _| Delivery::Normal),
+            order_faults: Box::new(|_, _, _| Delivery::Normal),
             notices: Vec::new(),
             members: Vec::new(),
             incarnations: vec![0; usize::from(SHAPE.ranks)],
-            paused: vec![Duration::ZERO; usize::from(SHAPE.ranks)],
+            paused_until: vec![Duration::ZERO; usize::from(SHAPE.ranks)],
             inbox: vec![Vec::new(); usize::from(SHAPE.ranks)],
-            way: Vec::new(),
+            in_flight: Vec::new(),
             fence: 0,
             checked,
         };
         for seat in 0..SHAPE.ranks {
-            let member = world.fresh(seat);
-            world.members.push(member);
+            let member = simulation.new_member(seat);
+            simulation.members.push(member);
         }
-        world
+        simulation
     }
 
     /// A group that runs on its first map, led by seat 0.
     pub fn running(checked: bool) -> Self {
-        let mut world = Self::new(checked);
-        world.run(2_000);
-        world.lead(0);
-        world.run(500);
-        world.change(0, 0);
-        world.run(2_000);
-        assert!(world.group.history().len() > 50, "the group stands");
-        world
+        let mut simulation = Self::new(checked);
+        simulation.run_ms(2_000);
+        simulation.grant_lease(0);
+        simulation.run_ms(500);
+        simulation.propose_map(0, 0);
+        simulation.run_ms(2_000);
+        assert!(simulation.group.history().len() > 50, "the group stands");
+        simulation
     }
 
     /// A new start of the agent at a seat.
-    fn fresh(&mut self, seat: u16) -> Member {
+    fn new_member(&mut self, seat: u16) -> Member {
         let incarnation = &mut self.incarnations[usize::from(seat)];
         *incarnation += 1;
         let rank = rank::Settings {
             seat,
             ranks: SHAPE.ranks,
             incarnation: *incarnation,
-            checked: self.checked,
-            longest: if self.checked {
+            checks_fences: self.checked,
+            max_order_delay: if self.checked {
                 Duration::ZERO
             } else {
-                LONGEST
+                MAX_ORDER_DELAY
             },
-            resend: Duration::from_millis(100),
-            stride: 8,
+            resend_interval: Duration::from_millis(100),
+            progress_interval_steps: 8,
         };
         let lead = lead::Settings {
             seat,
             shape: SHAPE,
             window: 100,
-            resend: Duration::from_millis(100),
-            patience: PATIENCE,
+            resend_interval: Duration::from_millis(100),
+            staging_timeout: STAGING_TIMEOUT,
         };
         Member::new(rank, lead)
     }
 
     /// The agent at a seat dies and is started anew.
-    pub fn restart(&mut self, seat: u16) {
-        let member = self.fresh(seat);
+    pub fn restart_agent(&mut self, seat: u16) {
+        let member = self.new_member(seat);
         self.members[usize::from(seat)] = member;
         self.inbox[usize::from(seat)].clear();
     }
 
     /// The agent at a seat does nothing for so many milliseconds.
-    pub fn pause(&mut self, seat: u16, millis: u64) {
-        self.paused[usize::from(seat)] = self.now + Duration::from_millis(millis);
+    pub fn pause_agent(&mut self, seat: u16, millis: u64) {
+        self.paused_until[usize::from(seat)] = self.now + Duration::from_millis(millis);
     }
 
     /// The platform gives the lease to the agent at a seat.
-    pub fn lead(&mut self, seat: u16) {
+    pub fn grant_lease(&mut self, seat: u16) {
         self.fence += 1;
         let fence = self.fence;
-        self.input(seat, Input::Lead { fence });
+        self.input(seat, Input::LeaseAcquired { fence });
     }
 
     /// Proposes a map that differs with `turn`; whether it was taken up.
-    pub fn change(&mut self, seat: u16, turn: u16) -> bool {
+    pub fn propose_map(&mut self, seat: u16, turn: u16) -> bool {
         let mut map = Map::spread(1, SHAPE);
         map.layers[0].ranks.rotate_left(usize::from(turn));
         let member = &mut self.members[usize::from(seat)];
         match member.propose(self.now, map.layers, u64::MAX) {
             Ok((_, outputs)) => {
-                self.carry(seat, outputs);
+                self.dispatch(seat, outputs);
                 true
             }
             Err(_) => false,
@@ -173,53 +173,55 @@
     }
 
     /// Lets so many milliseconds pass.
-    pub fn run(&mut self, millis: u64) {
+    pub fn run_ms(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
-            self.now += BEAT;
+            self.now += TICK;
             self.group.advance(self.now);
             self.deliver();
             for seat in 0..SHAPE.ranks {
-                self.attend(seat);
+                self.run_agent(seat);
             }
         }
     }
 
     /// Runs until the condition holds, at most so many milliseconds.
-    pub fn until(&mut self, millis: u64, held: impl Fn(&Self) -> bool) -> bool {
+    pub fn run_until(&mut self, millis: u64, held: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end && !held(self) {
-            self.run(10);
+            self.run_ms(10);
         }
         held(self)
     }
 
     /// Judges the history and returns the number of steps.
-    pub fn check(&self) -> Result<usize, steps::Violation> {
+    pub fn check_history(&self) -> Result<usize, steps::Violation> {
         steps::check(self.group.history())
     }
 
     /// Puts an order on its way past everything: late, from nobody present.
-    pub fn inject(&mut self, seat: u16, fence: u64, action: Action) {
+    pub fn inject_order(&mut self, seat: u16, fence: u64, action: Action) {
         self.group.order(self.now, seat, fence, action);
     }
 
     /// What is due arrives.
     fn deliver(&mut self) {
         let now = self.now;
-        let due = self.way.extract_if(.., |way| way.0 <= now);
+        let due = self
+            .in_flight
+            .extract_if(.., |in_flight| in_flight.0 <= now);
         let due: Vec<_> = due.collect();
-        for (_, to, cargo) in due {
-            match cargo {
-                Cargo::Message(message) => self.inbox[usize::from(to)].push(message),
-                Cargo::Order(fence, action) => drop(self.group.order(now, to, fence, action)),
+        for (_, to, payload) in due {
+            match payload {
+                Payload::Message(message) => self.inbox[usize::from(to)].push(message),
+                Payload::Order(fence, action) => drop(self.group.order(now, to, fence, action)),
             }
         }
     }
 
     /// The agent at a seat does what it can, unless it is paused.
-    fn attend(&mut self, seat: u16) {
-        if self.paused[usize::from(seat)] > self.now {
+    fn run_agent(&mut self, seat: u16) {
+        if self.paused_until[usize::from(seat)] > self.now {
             return;
         }
         for message in std::mem::take(&mut self.inbox[usize::from(seat)]) {
@@ -235,41 +237,41 @@
 
     fn input(&mut self, seat: u16, input: Input) {
         let outputs = self.members[usize::from(seat)].handle(self.now, input);
-        self.carry(seat, outputs);
+        self.dispatch(seat, outputs);
     }
 
     /// Sends off what an agent does.
-    fn carry(&mut self, seat: u16, outputs: Vec<Output>) {
+    fn dispatch(&mut self, seat: u16, outputs: Vec<Output>) {
         for output in outputs {
-            let (fate, to, cargo) = match output {
+            let (delivery, to, payload) = match output {
                 Output::Notice(notice) => {
                     self.notices.push(notice);
                     continue;
                 }
                 Output::Send { to, message } => {
-                    let fate = (self.filter)(seat, to, &message);
-                    (fate, to, Cargo::Message(message))
+                    let delivery = (self.message_faults)(seat, to, &message);
+                    (delivery, to, Payload::Message(message))
                 }
                 Output::Engine { fence, action } => {
-                    let fate = (self.gate)(seat, fence, &action);
-                    (fate, seat, Cargo::Order(fence, action))
+                    let delivery = (self.order_faults)(seat, fence, &action);
+                    (delivery, seat, Payload::Order(fence, action))
                 }
             };
-            let (first, second) = match fate {
-                Fate::Pass => (Some(BEAT), None),
-                Fate::Lose => (None, None),
-                Fate::Late(late) => (Some(late), None),
-                Fate::Twice(late) => (Some(BEAT), Some(late)),
+            let (first, second) = match delivery {
+                Delivery::Normal => (Some(TICK), None),
+                Delivery::Drop => (None, None),
+                Delivery::Delay(delay) => (Some(delay), None),
+                Delivery::Duplicate(delay) => (Some(TICK), Some(delay)),
             };
-            for late in [first, second].into_iter().flatten() {
-                self.way.push((self.now + late, to, cargo.clone()));
+            for delay in [first, second].into_iter().flatten() {
+                self.in_flight.push((self.now + delay, to, payload.clone()));
             }
         }
     }
 }
 
 /// Whether the message grants steps on an epoch above this.
-pub fn commits(message: &Message, above: u64) -> bool {
+pub fn grants_epoch_above(message: &Message, above: u64) -> bool {
     let Message::Command(Command {
         request: Request::Grant { spans, .. },
         ..
@@ -281,7 +283,7 @@
 }
 
 /// Whether the message says that a rank has staged a map.
-pub fn staged(message: &Message) -> bool {
+pub fn is_staged_report(message: &Message) -> bool {
     matches!(
         message,
         Message::Report(Report {
