--- a/verbenaspool_coordination/src/group/lead_io.rs
+++ b/verbenaspool_coordination/src/group/lead_io.rs
@@ -1,4 +1,4 @@
-//! What goes into a lead and comes out of it.
+//! Settings, outputs and errors of a lead.
 
 use std::time::Duration;
 
@@ -6,92 +6,92 @@
 
 use super::message::Command;
 
-/// Fixed properties of a lead.
+/// Settings of a lead.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The seat of the lead's own rank.
     pub seat: u16,
     /// The group's layout.
     pub shape: Shape,
-    /// How many steps are granted ahead of the last one run. A change of map
-    /// takes effect at most this many steps after it was staged; ranks run on
-    /// that long without a lead.
+    /// How many steps are granted ahead of the last one run. A new map takes
+    /// effect at most this many steps after it was staged, and ranks continue for
+    /// that many steps without a lead.
     pub window: u64,
-    /// After how long an unanswered message is sent again.
+    /// The interval for resending a message that has shown no effect.
     pub resend_interval: Duration,
-    /// How long all ranks together may take to stage a map.
+    /// How long the ranks may take to stage a map before the change is aborted.
     pub staging_timeout: Duration,
 }
 
-/// What a lead does.
+/// An output of a lead.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send to the agent of the rank at a seat.
+    /// Send a command to the agent of a rank.
     Send {
         /// The rank's seat.
         seat: u16,
-        /// What to send.
+        /// The command.
         command: Command,
     },
-    /// The change is settled: this step is the first on the new map.
+    /// All ranks have staged the new map; this step is the first one on it.
     Switched {
         /// The new map's epoch.
         epoch: u64,
         /// The step.
         step: u64,
     },
-    /// The change was given up; the map in force stays.
+    /// The change was aborted; the current map stays in use.
     Aborted {
-        /// The epoch that is never used.
+        /// The epoch of the abandoned map; no step runs on it.
         epoch: u64,
-        /// Why.
+        /// The reason.
         reason: AbortReason,
     },
-    /// A rank's engine had a step on a map that wasn't granted.
+    /// A rank's engine was given or has run a step on a map that wasn't granted.
     Diverged {
         /// The rank's seat.
         seat: u16,
         /// The step.
         step: u64,
-        /// Whether the step was run already.
+        /// Whether the step has already run.
         ran: bool,
     },
-    /// A higher fence was heard of: this lead is over and sends nothing more.
+    /// A rank reported a higher fence: this lead has ended and sends nothing more.
     Deposed {
         /// The higher fence.
         fence: u64,
     },
 }
 
-/// Why a change was given up.
+/// Why a change of map was aborted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AbortReason {
-    /// Some ranks didn't stage the map in time.
-    #[error("{missing} ranks didn't stage it in time; the last failure: {last_failure:?}")]
+    /// Some ranks didn't stage the map within the staging timeout.
+    #[error("{missing} ranks didn't stage the map in time; last failure: {last_failure:?}")]
     StagingTimeout {
-        /// How many.
+        /// The number of these ranks.
         missing: usize,
-        /// What an engine last said, where one did.
+        /// The last error of an engine, if any.
         last_failure: Option<String>,
     },
 }
 
-/// Why a proposed map isn't taken up.
+/// Why a proposed map was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// The lead hasn't heard from all ranks yet.
-    #[error("the lead is still collecting the ranks")]
+    /// Not all ranks have joined the lead yet.
+    #[error("the lead is still collecting the ranks' states")]
     Collecting,
-    /// Another change is under way.
-    #[error("the change to epoch {epoch} is under way")]
+    /// Another change is in progress.
+    #[error("the change to epoch {epoch} is in progress")]
     Busy {
-        /// Its epoch.
+        /// The epoch of the other change.
         epoch: u64,
     },
     /// The map doesn't fit the group.
     #[error("the map doesn't fit the group: {0}")]
     Unfit(#[from] Problem),
-    /// A lead with a higher fence took over, or this one's epochs are used up.
-    #[error("this lead is over")]
+    /// A lead with a higher fence took over, or this lead has used up its epochs.
+    #[error("the lead was replaced or has used up its epochs")]
     Ended,
 }
--- a/verbenaspool_coordination/src/group/member.rs
+++ b/verbenaspool_coordination/src/group/member.rs
@@ -1,8 +1,8 @@
-//! One agent of a group: its rank, and the lead while it holds the lease.
+//! One agent of a group: its rank, and the lead while the agent holds the lease.
 //!
-//! The two are kept together because one depends on the other's promise: the
-//! rank answers for every fence that the lead beside it has taken, and a lead
-//! is over as soon as the rank beside it has promised a higher one.
+//! They are kept together because each depends on the other's fence: the rank
+//! reports every fence that the lead of this agent has taken, and the lead ends
+//! as soon as the rank follows a higher fence.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
     rank::{self, Rank},
 };
 
-/// What happens to an agent of a group.
+/// An input of an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// A message from another agent of the group, or from this one.
     Message(Message),
-    /// The engine says something.
+    /// A message from the engine.
     Engine(Event),
-    /// The platform gave this agent the lead's lease under a fence.
+    /// This agent acquired the lead's lease.
     LeaseAcquired {
-        /// The fence.
+        /// The fence of the lease.
         fence: u64,
     },
-    /// Time has passed.
+    /// A periodic call that drives timeouts and resending.
     Tick,
 }
 
-/// What agents of a group send each other.
+/// A message between agents of a group.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
@@ -43,24 +43,24 @@
     Peer(PeerMessage),
 }
 
-/// What an agent of a group does.
+/// An output of an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send to the agent at a seat, which may be this one.
+    /// Send a message to the agent at a seat, possibly this one.
     Send {
         /// The seat.
         to: u16,
         /// The message.
         message: Message,
     },
-    /// Have the engine do something.
+    /// Send an order to the engine.
     Engine {
-        /// The fence that the order carries.
+        /// The fence of the order.
         fence: u64,
-        /// What it is to do.
+        /// The order.
         action: Action,
     },
-    /// Something that operators may want to know happened.
+    /// An event of the lead to log and count.
     Notice(lead::Output),
 }
 
@@ -69,14 +69,14 @@
 pub struct Member {
     /// The rank.
     rank: Rank,
-    /// The lead, while this agent is it.
+    /// The lead, while this agent is the lead.
     lead: Option<Lead>,
-    /// How a lead works.
+    /// The settings of a lead on this agent.
     lead_settings: lead::Settings,
 }
 
 impl Member {
-    /// An agent that has just started and leads nobody.
+    /// Creates an agent that has just started and isn't the lead.
     #[must_use]
     pub fn new(rank: rank::Settings, lead: lead::Settings) -> Self {
         Self {
@@ -86,19 +86,19 @@
         }
     }
 
-    /// The rank.
+    /// Returns the rank.
     #[must_use]
     pub fn rank(&self) -> &Rank {
         &self.rank
     }
 
-    /// The lead, while this agent is it.
+    /// Returns the lead, while this agent is the lead.
     #[must_use]
     pub fn lead(&self) -> Option<&Lead> {
         self.lead.as_ref()
     }
 
-    /// Takes in what happened and returns what to do about it.
+    /// Handles an input and returns the resulting outputs.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let outputs = match input {
             Input::Message(Message::Report(report)) => self.handle_report(now, report),
@@ -114,12 +114,12 @@
         outputs
     }
 
-    /// Starts a change of map, where this agent is the lead. Each rank loads at
-    /// most `rate` bytes a second for it.
+    /// Starts a change of map, if this agent is the lead. Each rank loads at most
+    /// `rate` bytes per second for it.
     ///
     /// # Errors
     ///
-    /// Why the placement isn't taken up; the map in force stays.
+    /// Why the placement is rejected; the current map stays in use.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -131,7 +131,7 @@
         Ok((epoch, outputs.into_iter().map(from_lead).collect()))
     }
 
-    /// Takes the lead under a fence, unless a higher one is known.
+    /// Becomes the lead under a fence, unless this fence or a higher one is known.
     fn start_lead(&mut self, now: Duration, fence: u64) -> Vec<Output> {
         if fence <= self.rank.fence() {
             return Vec::new();
@@ -143,7 +143,7 @@
         lead.tick(now).into_iter().map(from_lead).collect()
     }
 
-    /// A rank reports to the lead.
+    /// Passes a rank's report to the lead.
     fn handle_report(&mut self, now: Duration, report: Report) -> Vec<Output> {
         let Some(lead) = &mut self.lead else {
             return Vec::new();
@@ -152,13 +152,13 @@
         outputs.into_iter().map(from_lead).collect()
     }
 
-    /// Something happens to the rank.
+    /// Passes an input to the rank.
     fn handle_rank(&mut self, now: Duration, input: rank::Input) -> Vec<Output> {
         let outputs = self.rank.handle(now, input);
         outputs.into_iter().map(from_rank).collect()
     }
 
-    /// Time has passed.
+    /// Runs the periodic work of the rank and the lead.
     fn tick(&mut self, now: Duration) -> Vec<Output> {
         let mut outputs = self.handle_rank(now, rank::Input::Tick);
         if let Some(lead) = &mut self.lead {
@@ -167,7 +167,7 @@
         outputs
     }
 
-    /// Gives up a lead that is over.
+    /// Drops a lead that has ended or whose fence the rank no longer follows.
     fn drop_ended_lead(&mut self) {
         let fence = self.rank.fence();
         self.lead
@@ -175,7 +175,7 @@
     }
 }
 
-/// What the lead does, as what its agent does.
+/// Converts an output of the lead to an output of the agent.
 fn from_lead(output: lead::Output) -> Output {
     match output {
         lead::Output::Send { seat, command } => Output::Send {
@@ -186,7 +186,7 @@
     }
 }
 
-/// What the rank does, as what its agent does.
+/// Converts an output of the rank to an output of the agent.
 fn from_rank(output: rank::Output) -> Output {
     match output {
         rank::Output::Report { lead, report } => Output::Send {
--- a/verbenaspool_coordination/src/group/message.rs
+++ b/verbenaspool_coordination/src/group/message.rs
@@ -1,107 +1,108 @@
-//! What the agents of a group say to each other.
+//! Messages between the agents of a group.
 //!
-//! Every message may be lost, repeated, reordered or late by minutes. So each
-//! names the fence it belongs to and the start of the agent it is meant for,
-//! and each can be said again without a further effect.
+//! Any message may be lost, duplicated, reordered or delayed by minutes.
+//! Therefore each message carries the fence it belongs to and the start of the
+//! agent it is addressed to, and all messages are idempotent.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::expert_map::Map;
 
 use super::schedule::Span;
 
-/// Which start of a rank a message is from or for; the later one is the greater.
+/// Identifies the start of a rank that a message comes from or goes to. Later
+/// starts compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartId {
-    /// The start of the rank's agent; counts up.
+    /// The start of the rank's agent; higher after every restart.
     pub incarnation: u64,
-    /// Counts the restarts of the engine that this agent has seen.
+    /// The number of engine restarts that this agent has observed.
     #[serde(rename = "life")]
     pub engine_restarts: u64,
 }
 
-/// From the lead to one rank's agent.
+/// A message from the lead to one rank's agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
     /// The lead's fence.
     pub fence: u64,
-    /// The seat of the lead's agent, where reports go.
+    /// The seat of the lead's agent, which receives the reports.
     pub lead: u16,
-    /// What is asked.
+    /// The request.
     #[serde(rename = "ask")]
     pub request: Request,
 }
 
-/// What a lead asks of a rank.
+/// A request of the lead to a rank.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// Refuse every lower fence from now on, and say where you stand.
+    /// Reject every lower fence from now on, and report the rank's state.
     Collect {
-        /// Counts the lead's rounds of asking; the answer repeats it.
+        /// The lead's collection round, copied into the answer.
         round: u64,
     },
     /// Run these steps. The list starts no later than the first step that the
-    /// rank hasn't acknowledged, so a lost grant is made good by the next.
+    /// rank hasn't acknowledged, so the next grant makes up for a lost one.
     Grant {
-        /// The start of the rank that the grant is for.
+        /// The start of the rank that this is addressed to.
         start: StartId,
         /// The steps and their maps.
         spans: Vec<Span>,
     },
-    /// Load what this map needs beside the running one.
+    /// Load the weights of this map while steps go on with the current one.
     Stage {
-        /// The start of the rank that it is for.
+        /// The start of the rank that this is addressed to.
         start: StartId,
         /// The map.
         map: Map,
-        /// The bytes a second that the rank may load, so that loading doesn't
-        /// slow steps by more than the service allows.
+        /// The maximum load rate of the rank in bytes per second, so that
+        /// loading doesn't slow steps by more than the service allows.
         rate: u64,
     },
-    /// Forget a map that no step runs on.
+    /// Unload a map that no step runs on.
     Drop {
-        /// The start of the rank that it is for.
+        /// The start of the rank that this is addressed to.
         start: StartId,
         /// The map's epoch.
         epoch: u64,
     },
-    /// Send the placement of a map that you hold.
+    /// Send the placement of a map, if the rank knows it.
     Fetch {
         /// The map's epoch.
         epoch: u64,
     },
 }
 
-/// From a rank's agent to the lead.
+/// A message from a rank's agent to the lead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
     /// The rank's seat.
     pub seat: u16,
-    /// The fence that the rank obeys.
+    /// The fence that the rank follows.
     pub fence: u64,
     /// The start of the rank.
     pub start: StartId,
-    /// What there is to say.
+    /// The content.
     #[serde(rename = "news")]
     pub body: ReportBody,
 }
 
-/// What a rank says.
+/// The content of a rank's report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportBody {
-    /// The rank refuses every lower fence from now on, and stands here.
+    /// The rank rejects every lower fence from now on. Its state follows.
     Joined {
-        /// The round of asking that this answers; 0 where nobody asked.
+        /// The collection round that this answers; 0 if it is unsolicited.
         round: u64,
-        /// The last step run; 0 where the engine has run none.
+        /// The last step run; 0 if the engine has run none.
         done: u64,
-        /// The steps granted beyond it.
+        /// The steps granted after `done`.
         spans: Vec<Span>,
-        /// The epoch of the last step run or granted, where there is one.
+        /// The epoch of the last step granted, or else run, if there is one.
         running: Option<u64>,
         /// The epochs whose weights the engine holds.
         #[serde(rename = "held")]
@@ -119,89 +120,90 @@
         /// The map's epoch.
         epoch: u64,
     },
-    /// The engine couldn't load a map.
+    /// The engine failed to load a map.
     Failed {
         /// The map's epoch.
         epoch: u64,
-        /// What the engine or the weight store said.
+        /// The error of the engine or the weight store.
         reason: String,
     },
-    /// The placement of a map that the lead asked for.
+    /// The placement of a map that the lead requested.
     #[serde(rename = "held")]
     FetchedMap {
         /// The map.
         map: Map,
     },
-    /// The command wasn't carried out.
+    /// The command was rejected.
     Refused(Refusal),
-    /// The engine holds or ran a step on a map that wasn't granted.
+    /// The engine was given or has run a step on a map that wasn't granted.
     Diverged {
         /// The step.
         step: u64,
-        /// The epoch that the engine has for it.
+        /// The epoch of the engine's map for this step.
         epoch: u64,
-        /// Whether the step was run already.
+        /// Whether the step has already run.
         ran: bool,
     },
 }
 
-/// Why a rank didn't carry out a command.
+/// Why a rank rejected a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// A lead with a higher fence was heard.
+    /// A higher fence is known.
     #[error("fence {fence} was seen")]
     Fence {
         /// The higher fence.
         fence: u64,
     },
-    /// The command was meant for another start of the rank.
+    /// The command is addressed to another start of the rank.
     #[error("the rank was restarted")]
     #[serde(rename = "start")]
     Restarted,
     /// The agent has just started and doesn't know its fence yet.
-    #[error("the agent is still learning where it stands")]
+    #[error("the agent is still recovering its fence and state")]
     Learning,
     /// The rank hasn't joined this lead.
     #[error("the rank hasn't joined this lead")]
     Unjoined,
-    /// A step would get a second map.
-    #[error("step {step} has another map")]
+    /// The grant names a second map for a step.
+    #[error("step {step} is granted on another map")]
     Conflict {
         /// The step.
         step: u64,
     },
-    /// The grant starts too late.
-    #[error("the steps after {top} are missing")]
+    /// The grant leaves a gap after the last granted step.
+    #[error("the grant leaves a gap after step {top}")]
     Gap {
         /// The last step granted.
         top: u64,
     },
     /// The rank doesn't know the map.
-    #[error("the map isn't known here")]
+    #[error("the rank doesn't know the map")]
     Unknown,
 }
 
-/// Between the agents of two ranks, when one of them has started.
+/// A message between the agents of two ranks, one of which has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerMessage {
-    /// Which is the highest fence you have heard of?
+    /// Asks for the highest fence that the receiver knows.
     Probe {
-        /// The seat that asks.
+        /// The sender's seat.
         seat: u16,
-        /// The start of the agent that asks.
+        /// The sender's start.
         incarnation: u64,
     },
-    /// The highest fence heard of.
+    /// The answer to a probe. The asking agent adopts the highest fence of all
+    /// answers.
     Floor {
-        /// The seat that answers.
+        /// The sender's seat.
         seat: u16,
-        /// The start of the agent that asked.
+        /// The start of the agent that asked, from its probe.
         incarnation: u64,
-        /// The fence.
+        /// The highest fence that the sender knows.
         fence: u64,
-        /// The seat of the lead that holds it, where known.
+        /// The seat of the lead with that fence, if known.
         lead: Option<u16>,
     },
 }
--- a/verbenaspool_coordination/src/group/mod.rs
+++ b/verbenaspool_coordination/src/group/mod.rs
@@ -1,11 +1,15 @@
-//! Groups of ranks in lock-step: in every step, all ranks use one expert map.
+//! Protocol of a group of ranks that run in lock-step: in every step, all ranks
+//! use the same expert map.
 //!
-//! One rank's agent is the lead. It grants steps ahead of need, each on one
-//! map; a rank's engine runs only granted steps. A change of map is loaded
-//! beside the running one on every rank and then named in the next grant, so
-//! no rank stops for it. A new lead takes a higher fence, has every rank refuse
-//! the lower ones, learns from every rank what it was granted, and goes on
-//! above that. A rank that can't follow makes its group wait, never diverge.
+//! The agent of one rank is the lead. It grants steps in advance, each on one
+//! map, and a rank's engine runs only granted steps. Every rank loads a new map
+//! while steps go on with the current one, and the next grant then names the new
+//! map, so a change pauses no rank. A new lead gets a higher fence, makes every
+//! rank reject lower fences, collects from every rank which steps it was granted,
+//! and grants only steps above those. A rank that can't proceed makes the group
+//! wait; it never makes ranks diverge.
+//!
+//! A rank is addressed by its seat: its index in the group, from 0.
 
 pub mod engine;
 pub mod lead;
--- a/verbenaspool_coordination/src/group/order.rs
+++ b/verbenaspool_coordination/src/group/order.rs
@@ -1,39 +1,41 @@
-//! The gate for orders to an engine: load a model, an adapter or a version, or
-//! change its role.
+//! Orders to an engine: load a model or an adapter in some version, or change
+//! the engine's role. The agent admits one order at a time and tracks it until
+//! its outcome is known.
 //!
 //! Failures guarded against:
-//! - An order is said twice, since its answer was lost: its id is remembered
-//!   with what came of it, so it is carried out once.
-//! - An order arrives after its sender was replaced: a lower fence than the
-//!   highest seen is refused, also where the engine itself ignores fences.
-//! - An order arrives late: it carries how long it is good for, and is refused
-//!   after that.
-//! - The engine's answer is lost: what came of it is read from the engine's
-//!   state, and until then nothing else is sent.
-//! - This agent is restarted and knows neither fence nor ids: an order of its
-//!   forerunner may still be on its way to the engine, so the first order waits
-//!   until the longest time that an order may be on its way is over, and the
-//!   engine is read before it.
+//! - An order is sent again because its answer was lost: outcomes are kept by
+//!   order ID, so the order is executed once.
+//! - An order arrives after its sender was replaced: a fence lower than the
+//!   highest one seen is rejected, even if the engine itself ignores fences.
+//! - An order arrives late: it carries its validity, and isn't executed after
+//!   that.
+//! - The engine's answer is lost: the outcome is read from the engine's state,
+//!   and no other order is sent before it is known.
+//! - This agent restarts and has lost fence and IDs, while an order of its
+//!   predecessor may still be in flight to the engine: no order is admitted for
+//!   the longest validity that an order can have, and the engine is read before
+//!   the first one.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::name::Name;
 
-/// The longest that an order may be good for, and so the wait of a new agent.
+/// The maximum validity of an order, and therefore how long a new agent rejects
+/// orders.
 pub const MAX_ORDER_LIFETIME: Duration = Duration::from_secs(10);
 
-/// How long after an order's time its effect may still show. Its sender closed
-/// the connection then, but what had left before may lie unread at the engine,
-/// which stands on the same instance.
+/// How long after an order has expired it may still take effect. The agent closes
+/// the connection at expiry, but bytes sent before may still be unread at the
+/// engine, which runs on the same instance.
 const LATE_EFFECT_GRACE: Duration = Duration::from_secs(2);
 
-/// How long the outcome of an order is remembered after its end. A sender that
-/// got no answer asks again within seconds.
+/// How long the outcome of an order is kept. A sender that got no answer retries
+/// within seconds.
 const OUTCOME_RETENTION: Duration = Duration::from_mins(10);
 
-/// What an engine is to become. Each names the state to reach rather than a step
-/// towards it, so that an engine's state tells whether it was carried out.
+/// What an order asks for. Each action names the target state rather than a
+/// transition, so that the engine's state shows whether it was executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -44,46 +46,46 @@
         /// Its version.
         version: String,
     },
-    /// Hold this adapter.
+    /// Load this adapter.
     Adapter {
         /// The adapter.
         adapter: Name,
         /// Its version.
         version: String,
     },
-    /// Take this role.
+    /// Switch to this role.
     Role(Role),
 }
 
-/// What part of the work an engine does.
+/// Which phases of inference an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// It reads prompts.
+    /// Prompt processing.
     Prefill,
-    /// It generates tokens.
+    /// Token generation.
     Decode,
-    /// It does both.
+    /// Both phases.
     Both,
 }
 
-/// An order as its sender says it, and says it again.
+/// An order, unchanged when its sender retries it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The order's own id: the sender's name, its start and a count.
+    /// The order's unique ID: the sender's name, its start and a counter.
     pub id: String,
     /// The sender's fence.
     pub fence: u64,
-    /// How long the order is good for from its arrival, in milliseconds; at
-    /// most [`MAX_ORDER_LIFETIME`].
+    /// How long the order is valid after its arrival, in milliseconds; at most
+    /// [`MAX_ORDER_LIFETIME`].
     #[serde(rename = "good_ms")]
     pub valid_ms: u64,
-    /// What the engine is to become.
+    /// The target state.
     pub action: Action,
 }
 
-/// What the engine is, as far as orders change it.
+/// The part of an engine's state that orders change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
@@ -96,7 +98,7 @@
 }
 
 impl State {
-    /// Whether the engine is what an order wants it to be.
+    /// Returns whether the engine has reached the target state of an order.
     ///
     /// ```
     /// use verbenaspool_coordination::group::order::{Action, Role, State};
@@ -118,19 +120,19 @@
     }
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The engine is what the order wanted.
+    /// The engine has reached the target state.
     Done,
-    /// The engine refused.
+    /// The engine rejected the order.
     Refused(String),
-    /// The order didn't reach the engine, or had no effect.
+    /// The order wasn't sent to the engine, or had no effect in time.
     NotRun(Reason),
 }
 
-/// Why an order was not run.
+/// Why an order wasn't executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -140,63 +142,63 @@
         /// The higher fence.
         fence: u64,
     },
-    /// Another order is on its way to the engine.
-    #[error("another order is under way")]
+    /// Another order is pending.
+    #[error("another order is pending")]
     Busy,
-    /// The agent has just started; the order may be said again then.
-    #[error("the agent has just started, say it again in {wait_ms} ms")]
+    /// The agent has just started. The order can be retried after the wait.
+    #[error("the agent has just started; retry in {wait_ms} ms")]
     Starting {
-        /// In how many milliseconds.
+        /// The wait in milliseconds.
         wait_ms: u64,
     },
-    /// The order is good for longer than allowed, or not at all.
-    #[error("an order is good for 1 to {} ms", MAX_ORDER_LIFETIME.as_millis())]
+    /// The order's validity is zero or above the maximum.
+    #[error("an order's validity must be 1 to {} ms", MAX_ORDER_LIFETIME.as_millis())]
     Deadline,
-    /// The order's time was over before the engine was seen to carry it out.
-    #[error("the order's time is over")]
+    /// The order expired before the engine was seen to reach the target state.
+    #[error("the order expired")]
     Late,
 }
 
-/// What the gate has its agent do.
+/// What the agent has to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Answer the sender.
     Answer(Outcome),
-    /// Send the order to the engine, if it is there before then.
+    /// Send the order to the engine before the deadline.
     Send {
         /// The order.
         order: Order,
-        /// Until when it may be sent.
+        /// The deadline.
         until: Duration,
     },
     /// Read the engine's state.
     Read,
-    /// Nothing now; the order is under way.
+    /// Nothing; the order is pending already, or no order is.
     Wait,
 }
 
-/// An order on its way.
+/// An order whose outcome isn't known yet.
 #[derive(Debug)]
 struct PendingOrder {
     order: Order,
     until: Duration,
 }
 
-/// The gate before an engine.
+/// Admits orders to one engine and tracks their outcomes.
 #[derive(Debug)]
 pub struct OrderTracker {
-    /// From when on orders are taken.
+    /// When the first order may be admitted.
     ready_at: Duration,
     /// The highest fence seen.
     fence: u64,
-    /// The order on its way.
+    /// The order whose outcome isn't known yet.
     pending: Option<PendingOrder>,
-    /// What came of orders, and until when that is remembered.
+    /// Outcomes by order ID, and when each is discarded.
     outcomes: BTreeMap<String, (Outcome, Duration)>,
 }
 
 impl OrderTracker {
-    /// The gate of an agent that starts now.
+    /// Creates the tracker of an agent that starts at `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -206,11 +208,11 @@
     /// let mut tracker = OrderTracker::new(Duration::ZERO);
     /// let action = Action::Role(Role::Decode);
     /// let order = Order { id: "lead.1.1".into(), fence: 3, valid_ms: 500, action };
-    /// // A late order of the agent before may still reach the engine.
+    /// // A late order of the previous agent may still reach the engine.
     /// assert!(matches!(tracker.submit(Duration::ZERO, &order), Effect::Answer(Outcome::NotRun(_))));
     /// assert!(matches!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Send { .. }));
     /// assert_eq!(tracker.engine_answered(MAX_ORDER_LIFETIME, Ok(())), Effect::Answer(Outcome::Done));
-    /// // Said again, it isn't carried out again.
+    /// // A retry gets the recorded outcome.
     /// assert_eq!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Answer(Outcome::Done));
     /// ```
     #[must_use]
@@ -223,7 +225,7 @@
         }
     }
 
-    /// An order arrives.
+    /// Handles an order from a sender.
     pub fn submit(&mut self, now: Duration, order: &Order) -> Effect {
         self.outcomes.retain(|_, (_, until)| *until > now);
         if let Some((outcome, _)) = self.outcomes.get(&order.id) {
@@ -246,12 +248,12 @@
                 });
                 Effect::Send { order, until }
             }
-            // Not remembered: said again later, the order may be taken.
+            // This outcome isn't kept, so a later retry may be admitted.
             Err(reason) => Effect::Answer(Outcome::NotRun(reason)),
         }
     }
 
-    /// Whether an order may be sent, and until when.
+    /// Returns the deadline of an order, or why it can't be admitted.
     fn check(&self, now: Duration, order: &Order) -> Result<Duration, Reason> {
         if order.fence < self.fence {
             return Err(Reason::Fence { fence: self.fence });
@@ -271,23 +273,24 @@
         Ok(now + validity)
     }
 
-    /// The engine answered the order on its way: done, or refused for a reason.
+    /// Handles the engine's answer to the pending order: success, or the error with
+    /// which the engine rejected it.
     pub fn engine_answered(&mut self, now: Duration, answer: Result<(), String>) -> Effect {
         let outcome = answer.map_or_else(Outcome::Refused, |()| Outcome::Done);
         self.finish(now, outcome)
     }
 
-    /// The engine's answer was lost, or its time is over: the engine is read.
+    /// Handles a lost answer or the expiry of the pending order: its outcome has to
+    /// be read from the engine's state.
     #[must_use]
     pub fn answer_lost(&self) -> Effect {
         self.pending.as_ref().map_or(Effect::Wait, |_| Effect::Read)
     }
 
-    /// The engine's state was read, as of no earlier than `now`.
+    /// Handles the engine's state, which was read at `now` or later.
     ///
-    /// Before the order's time and the grace are over, an engine that isn't yet
-    /// what it is to become may still get the order, so nothing is concluded
-    /// from that.
+    /// Until the order has expired and [`LATE_EFFECT_GRACE`] is over, the engine may
+    /// still execute it, so a state that differs from the target is inconclusive.
     pub fn state_read(&mut self, now: Duration, state: &State) -> Effect {
         let Some(pending) = &self.pending else {
             return Effect::Wait;
@@ -301,7 +304,7 @@
         self.finish(now, Outcome::NotRun(Reason::Late))
     }
 
-    /// Ends the order on its way.
+    /// Records the outcome of the pending order.
     fn finish(&mut self, now: Duration, outcome: Outcome) -> Effect {
         let Some(pending) = self.pending.take() else {
             return Effect::Wait;
--- a/verbenaspool_coordination/src/group/rank_io.rs
+++ b/verbenaspool_coordination/src/group/rank_io.rs
@@ -1,4 +1,4 @@
-//! What goes into a rank's agent and comes out of it.
+//! Settings, inputs and outputs of a rank.
 
 use std::time::Duration;
 
@@ -7,63 +7,63 @@
     message::{Command, PeerMessage, Report},
 };
 
-/// Fixed properties of a rank and its engine.
+/// Settings of a rank and its engine.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The rank's seat in the group, from 0.
     pub seat: u16,
     /// How many ranks the group has.
     pub ranks: u16,
-    /// The start of this agent; counts up.
+    /// The start of this agent; higher after every restart.
     pub incarnation: u64,
-    /// Whether the engine refuses orders with an old fence. A late order to it
-    /// has no effect once it has seen a higher fence.
+    /// Whether the engine rejects orders with a lower fence than the highest one
+    /// that it has seen, so that late orders have no effect.
     pub checks_fences: bool,
-    /// The longest that an order may be on its way to an engine that ignores
-    /// fences. A new agent waits it out before it reads the engine.
+    /// How long an order may be in flight to an engine that ignores fences. A new
+    /// agent waits that long before it reads the engine.
     pub max_order_delay: Duration,
-    /// After how long an unanswered message is sent again.
+    /// The interval for resending a message that has shown no effect.
     pub resend_interval: Duration,
-    /// How many steps pass between two reports of progress to a lead beside the
-    /// rank; other ranks report when they take a grant.
+    /// The number of steps between two progress reports to a lead on the same
+    /// agent. Other ranks report progress when they receive a grant.
     pub progress_interval_steps: u64,
 }
 
-/// What happens to a rank's agent.
+/// An input of a rank.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// The lead asks something.
+    /// A command of the lead.
     Command(Command),
-    /// Another rank's agent says something.
+    /// A message from another rank's agent.
     Peer(PeerMessage),
-    /// The engine says something.
+    /// A message from the engine.
     Engine(Event),
-    /// Time has passed.
+    /// A periodic call that drives timeouts and resending.
     Tick,
 }
 
-/// What a rank's agent does.
+/// An output of a rank.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Tell the lead at a seat.
+    /// Send a report to the lead.
     Report {
         /// The lead's seat.
         lead: u16,
-        /// What to tell.
+        /// The report.
         report: Report,
     },
-    /// Tell the agent of another rank.
+    /// Send a message to the agent of another rank.
     Peer {
-        /// The rank's seat.
+        /// The other rank's seat.
         to: u16,
-        /// What to tell.
+        /// The message.
         message: PeerMessage,
     },
-    /// Have the engine do something.
+    /// Send an order to the engine.
     Engine {
-        /// The fence that the order carries.
+        /// The fence of the order.
         fence: u64,
-        /// What it is to do.
+        /// The order.
         action: Action,
     },
 }
--- a/verbenaspool_coordination/src/group/schedule.rs
+++ b/verbenaspool_coordination/src/group/schedule.rs
@@ -1,34 +1,34 @@
-//! Which step runs on which map: the contiguous list that a lead grants from
-//! and a rank steps through.
+//! The schedule: which step runs on which map. The lead keeps one of the steps
+//! that it granted, and each rank one of the steps that it has yet to run.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// Steps that run on one map.
+/// A range of steps that run on one map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
     /// The first step.
     pub from: u64,
-    /// The last step, itself included.
+    /// The last step, inclusive.
     pub to: u64,
     /// The epoch of the map.
     pub epoch: u64,
 }
 
-/// A gapless list of spans in the order of their steps.
+/// A contiguous list of spans in step order.
 ///
-/// It refuses to give a step a second map, which is the invariant that all of
-/// the group's protocol serves.
+/// It rejects a second map for a step. This is the invariant that the whole group
+/// protocol maintains.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// The spans, each starting where the one before ended.
+    /// The spans; each starts right after the previous one ends.
     spans: VecDeque<Span>,
 }
 
 impl Schedule {
-    /// The last step on the list, or `None` where it is empty.
+    /// Returns the last step, or `None` if the schedule is empty.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -44,7 +44,7 @@
         self.spans.back().map(|span| span.to)
     }
 
-    /// The first step on the list, or `None` where it is empty.
+    /// Returns the first step, or `None` if the schedule is empty.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::Schedule;
@@ -56,7 +56,7 @@
         self.spans.front().map(|span| span.from)
     }
 
-    /// The epoch that a step runs on, where the step is on the list.
+    /// Returns the epoch that a step runs on, if the step is scheduled.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -74,8 +74,8 @@
         Some(span.epoch)
     }
 
-    /// Adds spans. Steps that are on the list already have to carry the same
-    /// epoch, new ones have to follow the list's end. Nothing is added on error.
+    /// Adds spans. Steps that are scheduled already must have the same epoch, and
+    /// new steps must follow the last one. On error the schedule is unchanged.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Error, Schedule, Span};
@@ -90,7 +90,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Conflict`] for a second map on a step, [`Error::Gap`] for a hole.
+    /// [`Error::Conflict`] for a second map on a step, [`Error::Gap`] for missing
+    /// steps, [`Error::Empty`] for a span without steps.
     pub fn merge(&mut self, spans: &[Span]) -> Result<(), Error> {
         let mut merged = self.clone();
         for &span in spans {
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Forgets the steps up to and including `done`.
+    /// Removes the steps up to and including `done`.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Forgets the steps after `top`.
+    /// Removes the steps after `top`.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -174,7 +175,7 @@
         }
     }
 
-    /// The spans of the steps after `step`.
+    /// Returns the spans of the steps after `step`.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -191,7 +192,7 @@
         rest.spans.into()
     }
 
-    /// The epochs on the list, lowest step first.
+    /// Returns the epochs in step order.
     ///
     /// ```
     /// use verbenaspool_coordination::group::schedule::{Schedule, Span};
@@ -206,26 +207,26 @@
     }
 }
 
-/// Why spans can't be added.
+/// Why spans can't be added to a schedule.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A step would get a second map.
-    #[error("step {step} runs on epoch {listed}, not on {found}")]
+    /// The step is scheduled on another map.
+    #[error("step {step} is scheduled on epoch {listed}, not on {found}")]
     Conflict {
         /// The first such step.
         step: u64,
-        /// The epoch it has.
+        /// The epoch in the schedule.
         listed: u64,
-        /// The epoch it would get.
+        /// The epoch in the added span.
         found: u64,
     },
-    /// The span starts beyond the step after the list's end.
-    #[error("the steps right after {top} are missing")]
+    /// There are unscheduled steps between the schedule's end and the span.
+    #[error("the span leaves a gap after step {top}")]
     Gap {
-        /// The list's last step.
+        /// The last step of the schedule.
         top: u64,
     },
     /// The span ends before it starts.
-    #[error("the span holds no step")]
+    #[error("the span contains no steps")]
     Empty,
 }
