--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -1,9 +1,10 @@
-//! The lead's side: which steps are granted on which map.
+//! The lead of a group, which grants steps on maps to the ranks.
 //!
-//! A lead starts by *collecting*: every rank has to promise to refuse lower
-//! fences and to say what it was granted. Only then does it grant, above the
-//! highest step that any rank holds. A change of map is staged on all ranks
-//! first and then takes effect at the next step that nobody was granted yet.
+//! A lead starts by *collecting*: every rank has to join, that is, reject lower
+//! fences from then on and report which steps it was granted. Only then does the
+//! lead grant steps, above the highest one that any rank was granted. A new map is
+//! staged on all ranks first and takes effect at the next step that no rank was
+//! granted yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,94 +23,95 @@
 
 pub use super::lead_io::{AbortReason, Output, ProposeError, Settings};
 
-/// How many maps one fence may bring in. An epoch is the fence times this plus
-/// a count, so two leads can't give one epoch to two maps, and an operator can
-/// read off both.
+/// The number of epochs per fence. An epoch is the fence times this plus a counter,
+/// so that two leads can't give the same epoch to two maps, and operators can read
+/// both numbers from it.
 pub const EPOCHS_PER_FENCE: u64 = 1_000_000;
 
-/// How many steps one fence may grant. A group whose engines have all lost
-/// everything starts at the fence times this, so that no step's number is ever
-/// used twice and a late order or sample can't be taken for a present one.
+/// The number of steps per fence. A group whose engines have all lost their state
+/// starts at the fence times this, so that no step number is used twice and a late
+/// order or sample can't be mistaken for a current one.
 pub const STEPS_PER_FENCE: u64 = 10_000_000_000;
 
-/// How far a lead is.
+/// The phase of a lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It collects promises.
+    /// Waiting for all ranks to join.
     Collecting,
-    /// It grants steps.
+    /// Granting steps.
     Granting,
-    /// It is over.
+    /// Replaced by a lead with a higher fence; sends nothing more.
     Ended,
 }
 
-/// What the lead knows of a rank.
+/// The lead's view of a rank.
 #[derive(Debug, Default)]
 struct RankView {
-    /// Whether it has answered the round of asking.
+    /// Whether it has joined in the current collection round.
     joined: bool,
-    /// The start it joined with.
+    /// The start with which it joined.
     start: StartId,
     /// The last step it ran.
     done: u64,
-    /// The last step it has acknowledged.
+    /// The last step whose grant it has acknowledged.
     acked_top: u64,
-    /// The start at which its engine was last found to have run nothing.
+    /// The last start with which its engine joined after others but had run nothing.
     reset_start: Option<StartId>,
-    /// The step after which such an engine joins the others.
+    /// The step after which an engine that has run nothing joins the others; 0 while
+    /// that isn't known.
     resume_after: u64,
-    /// The epochs its engine holds.
+    /// The epochs whose weights its engine holds.
     loaded: BTreeSet<u64>,
-    /// The last step it was sent a grant for.
+    /// The last step in a grant sent to it.
     sent_top: u64,
-    /// When it was last sent something.
+    /// When a command was last sent to it.
     last_sent: Option<Duration>,
 }
 
-/// A change of map under way.
+/// A change of map in progress.
 #[derive(Debug)]
 struct Change {
     /// The new map's epoch.
     epoch: u64,
-    /// The bytes a second that each rank may load for it.
+    /// The maximum load rate of each rank in bytes per second.
     rate: u64,
     /// When it was proposed.
     proposed_at: Duration,
-    /// What an engine last said against it.
+    /// The last error of an engine that failed to load the map.
     last_failure: Option<String>,
 }
 
 /// The lead of a group.
 #[derive(Debug)]
 pub struct Lead {
-    /// Fixed properties.
+    /// The settings.
     settings: Settings,
-    /// The fence that the platform gave.
+    /// The fence of the lease.
     fence: u64,
-    /// How far the lead is.
+    /// The current phase.
     phase: Phase,
-    /// Counts the rounds of asking.
+    /// The current collection round, from 1.
     round: u64,
-    /// The ranks.
+    /// The ranks by seat.
     ranks: Vec<RankView>,
-    /// The steps granted to some rank and not known to be run.
+    /// The steps granted to any rank and not known to be run.
     schedule: Schedule,
     /// The epoch of the next step to grant.
     epoch: Option<u64>,
-    /// The highest epoch used.
+    /// The highest epoch known.
     highest_epoch: u64,
-    /// The change under way.
+    /// The change in progress.
     change: Option<Change>,
-    /// The placements known.
+    /// The known placements by epoch.
     maps: BTreeMap<u64, Map>,
-    /// When a placement was last asked for.
+    /// When a placement was last requested.
     fetch_sent_at: Option<Duration>,
-    /// The seat that was asked.
+    /// The seat of that request.
     fetch_seat: u16,
 }
 
 impl Lead {
-    /// A lead with the fence that the platform gave it.
+    /// Creates a lead with the fence of its lease.
     ///
     /// ```
     /// use std::time::Duration;
@@ -148,54 +150,54 @@
         }
     }
 
-    /// The lead's fence.
+    /// Returns the lead's fence.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// Whether all ranks have joined and steps are granted.
+    /// Returns whether all ranks have joined and steps are granted.
     #[must_use]
     pub fn is_granting(&self) -> bool {
         self.phase == Phase::Granting
     }
 
-    /// Whether a higher fence was heard of.
+    /// Returns whether a rank reported a higher fence.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
-    /// The epoch of the next step to grant, where there is a map.
+    /// Returns the epoch of the next step to grant, if there is a map.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// The placement that the next step to grant runs on.
+    /// Returns the placement of the next step to grant, if it is known.
     #[must_use]
     pub fn map(&self) -> Option<&Map> {
         self.maps.get(&self.epoch?)
     }
 
-    /// The epoch of the change under way.
+    /// Returns the epoch of the change in progress.
     #[must_use]
     pub fn pending_epoch(&self) -> Option<u64> {
         self.change.as_ref().map(|change| change.epoch)
     }
 
-    /// The last step that any rank has run, as far as is known.
+    /// Returns the last step that any rank is known to have run.
     #[must_use]
     pub fn done(&self) -> u64 {
         self.ranks.iter().map(|rank| rank.done).max().unwrap_or(0)
     }
 
-    /// Starts a change to a placement, under an epoch of this lead's own. Each
-    /// rank loads at most `rate` bytes a second for it.
+    /// Starts a change to a placement, under a new epoch of this lead. Each rank
+    /// loads at most `rate` bytes per second for it.
     ///
     /// # Errors
     ///
-    /// Why the placement isn't taken up; the map in force stays.
+    /// Why the placement is rejected; the current map stays in use.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -228,12 +230,12 @@
         Ok((epoch, self.advance(now, true)))
     }
 
-    /// Time has passed: what has to be said, or said again.
+    /// Runs the periodic work: timeouts and resending.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         self.advance(now, false)
     }
 
-    /// A rank reports.
+    /// Handles the report of a rank.
     pub fn handle_report(&mut self, now: Duration, report: Report) -> Vec<Output> {
         if self.phase == Phase::Ended {
             return Vec::new();
@@ -246,7 +248,7 @@
         let Some(rank) = self.ranks.get_mut(usize::from(report.seat)) else {
             return Vec::new();
         };
-        // A message of a start that was replaced says nothing about the present one.
+        // A report from an earlier start says nothing about the current one.
         if report.fence < self.fence && !matches!(report.body, ReportBody::Refused(_))
             || report.start < rank.start
         {
@@ -312,7 +314,7 @@
         .collect()
     }
 
-    /// A rank didn't carry out a command.
+    /// Handles a rank's refusal of a command.
     fn handle_refusal(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
         let rank = &mut self.ranks[usize::from(seat)];
         match *refusal {
@@ -320,12 +322,12 @@
                 self.phase = Phase::Ended;
                 vec![Output::Deposed { fence }]
             }
-            // The rank's books end earlier than was believed.
+            // The rank's schedule ends earlier than was assumed.
             Refusal::Gap { top } => {
                 rank.acked_top = rank.acked_top.min(top);
                 Vec::new()
             }
-            // The rank has to say anew where it stands.
+            // The rank has to join again and report its state.
             Refusal::Restarted | Refusal::Unjoined => {
                 rank.joined = false;
                 Vec::new()
@@ -338,8 +340,9 @@
         }
     }
 
-    /// Takes in a step that an engine has from someone else. Where nobody was
-    /// granted it, granting it to all on the same map keeps the step whole.
+    /// Handles a step that an engine was given by another agent. If no rank was
+    /// granted the step, granting it to all ranks on that map keeps the step
+    /// consistent.
     fn adopt_foreign_step(&mut self, step: u64, epoch: u64) {
         let next = self.top() + 1;
         if step >= next && self.maps.contains_key(&epoch) {
@@ -348,12 +351,12 @@
                 to: step,
                 epoch,
             };
-            // The span follows the schedule's end.
+            // This can't fail: the span follows the schedule's end.
             let _ = self.schedule.merge(&[span]);
         }
     }
 
-    /// A rank has promised to refuse lower fences.
+    /// Records the state of a rank that has joined.
     fn handle_joined(
         &mut self,
         seat: u16,
@@ -374,8 +377,8 @@
         outputs
     }
 
-    /// Adds what a rank was granted to the schedule. Ranks report in any order,
-    /// so a span may lie before, in or after what is listed.
+    /// Adds a span that a rank was granted to the schedule. Ranks report in any
+    /// order, so the span may lie before, within or after the scheduled steps.
     fn merge_reported_span(&mut self, seat: u16, span: Span) -> Option<Output> {
         let first = self.schedule.first();
         let result = if first.is_some_and(|first| span.from < first) {
@@ -391,12 +394,12 @@
         result.err().map(|_| Output::Diverged { seat, step, ran })
     }
 
-    /// The last step granted to anyone.
+    /// Returns the last step granted to any rank.
     fn top(&self) -> u64 {
         self.schedule.top().unwrap_or(0).max(self.base_step())
     }
 
-    /// The step after which the group goes on.
+    /// Returns the step after which the group continues.
     fn base_step(&self) -> u64 {
         let first = self.schedule.first().map(|step| step - 1);
         match self.done() {
@@ -405,7 +408,8 @@
         }
     }
 
-    /// Goes on as far as what is known allows.
+    /// Proceeds as far as the known state of the ranks allows, and returns the
+    /// commands that are due.
     fn advance(&mut self, now: Duration, resend_now: bool) -> Vec<Output> {
         let mut outputs = Vec::new();
         let all_joined = self.phase != Phase::Ended && self.try_assemble();
@@ -427,7 +431,8 @@
         outputs
     }
 
-    /// Decides the change under way, once every rank has staged it or too long.
+    /// Completes the change in progress once all ranks have staged the map, or aborts
+    /// it after the staging timeout.
     fn resolve_change(&mut self, now: Duration) -> Vec<Output> {
         let Some(change) = &self.change else {
             return Vec::new();
@@ -439,7 +444,7 @@
             self.change = None;
             self.epoch = Some(epoch);
             let step = self.top() + 1;
-            // The old map is kept until the schedule has left it behind.
+            // The old map is kept until no scheduled step runs on it.
             return vec![Output::Switched { epoch, step }];
         }
         if now < change.proposed_at + self.settings.staging_timeout {
@@ -462,7 +467,8 @@
         outputs
     }
 
-    /// Grants further steps once half of those granted are run.
+    /// Extends the schedule to the full window once half of the window has run, and
+    /// forgets steps that are acknowledged and run, and unused maps.
     fn extend_grants(&mut self) {
         let done = self.base_step();
         let acked = |rank: &RankView| {
@@ -488,14 +494,14 @@
             to: done + self.settings.window,
             epoch,
         };
-        // The span follows the schedule's end.
+        // This can't fail: the span follows the schedule's end.
         let _ = self.schedule.merge(&[span]);
         let oldest = self.schedule.epochs().next().unwrap_or(epoch);
         let oldest = oldest.min(epoch);
         self.maps.retain(|&epoch, _| epoch >= oldest);
     }
 
-    /// A command under this lead's fence.
+    /// Creates a command with this lead's fence.
     fn command(&self, seat: u16, request: Request) -> Output {
         let command = Command {
             fence: self.fence,
--- a/verbenaspool_coordination/src/group/lead/collecting.rs
+++ b/verbenaspool_coordination/src/group/lead/collecting.rs
@@ -1,15 +1,15 @@
-//! When a lead has heard enough from all ranks.
+//! Decides when a lead has collected the state of all ranks.
 
 use super::{Lead, Phase};
 
 impl Lead {
-    /// Whether all ranks have joined, each engine that has lost everything
-    /// before the others last said where they stand.
+    /// Returns whether all ranks have joined. If an engine has newly lost its state,
+    /// starts another collection round and returns `false`.
     ///
-    /// Such an engine has to join at the step where the others wait for it.
-    /// What they said before it was lost may be many steps old: the engine
-    /// would start at a step that the others have left behind, and the group
-    /// would stand for good. So they are asked once more.
+    /// Such an engine has to start at the step where the others wait for it. What
+    /// they reported before it lost its state may be many steps old: the engine
+    /// would start at a step that the others have already run, and the group would
+    /// stop for good.
     pub(super) fn try_assemble(&mut self) -> bool {
         if !self.ranks.iter().all(|rank| rank.joined) {
             return false;
@@ -32,7 +32,7 @@
         !newly_reset
     }
 
-    /// Asks all ranks anew where they stand, under the same fence.
+    /// Starts another collection round under the same fence.
     fn restart_collection(&mut self) {
         self.phase = Phase::Collecting;
         self.round += 1;
--- a/verbenaspool_coordination/src/group/lead/commands.rs
+++ b/verbenaspool_coordination/src/group/lead/commands.rs
@@ -1,11 +1,11 @@
-//! What each rank has to be told.
+//! The commands that the lead sends to each rank.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use super::{super::message::Request, Lead, Output, Phase};
 
 impl Lead {
-    /// What a rank has to be told now.
+    /// Returns the commands to send to a rank now.
     pub(super) fn commands_for(
         &mut self,
         now: Duration,
@@ -17,8 +17,8 @@
         let due = rank
             .last_sent
             .is_none_or(|sent| now >= sent + self.settings.resend_interval);
-        // The lead's own rank promises first: from then on its agent tells a
-        // rank that starts anew of this fence.
+        // The lead's own rank joins first: from then on its agent reports this fence
+        // to a restarted rank.
         let waits_for_own_rank =
             usize::from(seat) != own && !self.ranks[own].joined && rank.last_sent.is_none();
         if waits_for_own_rank {
@@ -44,8 +44,8 @@
             .collect()
     }
 
-    /// What a rank that has joined lacks: maps that it has to hold, steps that
-    /// it hasn't acknowledged.
+    /// Returns the requests for what a joined rank lacks: maps that it needs and
+    /// steps that it hasn't acknowledged.
     fn requests_for(&self, seat: u16, due: bool) -> Vec<Request> {
         let rank = &self.ranks[usize::from(seat)];
         let start = rank.start;
@@ -62,15 +62,15 @@
             .filter(|epoch| !rank.loaded.contains(epoch))
             .collect();
         for map in needed.iter().filter_map(|epoch| self.maps.get(epoch)) {
-            // A map that steps wait for is loaded as fast as can be.
+            // A map that granted steps need is loaded without a rate limit.
             let changing = self.change.as_ref();
             let change = changing.filter(|change| change.epoch == map.epoch);
             let rate = change.map_or(u64::MAX, |change| change.rate);
             let map = map.clone();
             requests.push(Request::Stage { start, map, rate });
         }
-        // An engine that has run nothing starts where the others wait for it,
-        // and isn't granted steps before they have said where that is.
+        // An engine that has run nothing starts at the step where the others wait
+        // for it. It isn't granted steps before that step is known.
         let from = if rank.done == 0 {
             rank.resume_after
         } else {
@@ -85,9 +85,10 @@
         requests
     }
 
-    /// Asks for the placement of a map that steps run on and that a new lead
-    /// doesn't know, at one rank after the other: an agent may know it whose
-    /// engine has lost the weights.
+    /// Requests the placement of a map that steps run on and that this lead, being
+    /// new, doesn't know. It asks one rank after the other, including those without
+    /// the weights: an agent may know the placement although its engine has lost the
+    /// weights.
     pub(super) fn fetch_missing_map(&mut self, now: Duration) -> Option<Output> {
         let mut used = self.schedule.epochs().chain(self.epoch);
         let epoch = used.find(|epoch| !self.maps.contains_key(epoch))?;
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -1,11 +1,11 @@
-//! A rank's side: what its agent lets its engine do.
+//! A rank's agent, which forwards the lead's grants to its engine.
 //!
-//! The agent is the engine's only source of steps. It starts out *learning*:
-//! it may have promised a lead to refuse lower fences before it was restarted,
-//! and a promise forgotten would let an old lead's grant give a step a second
-//! map. It therefore asks the agents of all other ranks for the highest fence
-//! they know, waits until no order of its previous start can still reach the
-//! engine, and only then reads from the engine what was granted.
+//! The agent is the engine's only source of steps. It starts by *learning*: before
+//! a restart it may have promised a lead to reject lower fences, and without that
+//! promise an old lead's grant could give a step a second map. It therefore asks
+//! the agents of all other ranks for the highest fence they know, waits until no
+//! order of its previous start can still reach the engine, and only then reads the
+//! granted steps from the engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,64 +24,64 @@
 
 pub use super::rank_io::{Input, Output, Settings};
 
-/// How far a rank's agent is.
+/// The phase of a rank's agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It collects the fence from its peers and waits out orders on their way.
+    /// Asking its peers for the fence and waiting for orders in flight to expire.
     Learning,
-    /// It reads its engine.
+    /// Reading the engine's state.
     Reading,
-    /// It knows where it stands.
+    /// Knows the fence and the engine's state.
     Ready,
 }
 
 /// A rank's agent.
 #[derive(Debug)]
 pub struct Rank {
-    /// Fixed properties.
+    /// The settings.
     settings: Settings,
-    /// How far the agent is.
+    /// The current phase.
     phase: Phase,
-    /// When the agent started.
+    /// When the agent handled its first tick.
     started: Option<Duration>,
-    /// The peers that have answered since.
+    /// The seats of the peers that have answered a probe.
     probe_replies: BTreeSet<u16>,
-    /// The highest fence heard of.
+    /// The highest fence known.
     fence: u64,
-    /// The seat of the lead that holds it.
+    /// The seat of the lead with that fence, if known.
     lead: Option<u16>,
     /// Whether the rank has joined that lead.
     joined: bool,
-    /// The round of asking to answer once the engine has been read.
+    /// The collection round to answer once the engine has been read.
     pending_round: Option<u64>,
-    /// The ticket of the last reading asked for.
+    /// The ticket of the last read order.
     ticket: u64,
-    /// The engine's start, once read.
+    /// The engine's incarnation, once read.
     engine_incarnation: Option<u64>,
-    /// Counts the engine's restarts.
+    /// The number of engine restarts observed.
     engine_restarts: u64,
-    /// The steps granted beyond `done`.
+    /// The steps granted after `done`.
     schedule: Schedule,
     /// The last step run.
     done: u64,
     /// The epoch of the last step run.
     running: Option<u64>,
-    /// The last step that the engine was seen to know of.
+    /// The last granted step in the engine's reported state.
     confirmed_top: u64,
-    /// The last step that an order to the engine has named.
+    /// The last step in any order sent to the engine.
     sent_top: u64,
     /// The epochs whose weights the engine holds.
     loaded: BTreeSet<u64>,
-    /// The placements known.
+    /// The known placements by epoch.
     maps: BTreeMap<u64, Map>,
-    /// When the engine or the peers were last asked.
+    /// When probes, a read order or grants were last sent.
     last_sent: Duration,
-    /// The step up to which progress was last reported.
+    /// The value of `done` in the last progress report.
     reported_done: u64,
 }
 
 impl Rank {
-    /// An agent that has just started.
+    /// Creates an agent that has just started.
     ///
     /// ```
     /// use std::time::Duration;
@@ -125,39 +125,39 @@
         }
     }
 
-    /// Whether the agent knows where it stands.
+    /// Returns whether the agent knows its fence and the engine's state.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// The highest fence heard of.
+    /// Returns the highest fence known.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The last step run, as far as the engine has said.
+    /// Returns the last step that the engine has reported as run.
     #[must_use]
     pub fn done(&self) -> u64 {
         self.done
     }
 
-    /// The epoch of the last step run.
+    /// Returns the epoch of the last step run.
     #[must_use]
     pub fn running(&self) -> Option<u64> {
         self.running
     }
 
-    /// The placement of a map, where it is known.
+    /// Returns the placement of a map, if it is known.
     #[must_use]
     pub fn map(&self, epoch: u64) -> Option<&Map> {
         self.maps.get(&epoch)
     }
 
-    /// Notes a fence that this agent's own lead has taken. It comes before the
-    /// lead's first message, so that a peer that starts and asks for the floor
-    /// hears of every fence that any rank may have promised to obey.
+    /// Records the fence of this agent's own lead. This must happen before the
+    /// lead's first message, so that a restarted peer learns from its probes of
+    /// every fence that any rank may have promised to follow.
     pub fn raise_fence(&mut self, fence: u64) {
         if fence > self.fence {
             self.fence = fence;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes in what happened and returns what to do about it.
+    /// Handles an input and returns the resulting outputs.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Command(command) => self.handle_command(now, command),
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Time has passed.
+    /// Runs the periodic work: leaves the learning phase when that is safe, and
+    /// resends what has shown no effect.
     fn tick(&mut self, now: Duration) -> Vec<Output> {
         let due = self.started.is_none() || now >= self.last_sent + self.settings.resend_interval;
         let started = *self.started.get_or_insert(now);
@@ -196,15 +197,15 @@
             match self.phase {
                 Phase::Reading => outputs.push(self.read_engine()),
                 _ if self.pending_round.is_some() => outputs.push(self.read_engine()),
-                // The engine confirms a grant by the state it reports; until
-                // then the order or its answer may have been lost.
+                // The engine confirms a grant by its reported state. Until then
+                // the order may have been lost.
                 _ => outputs.extend(self.forward_grants()),
             }
         }
         outputs
     }
 
-    /// Questions to the peers that haven't answered.
+    /// Returns probes to the peers that haven't answered.
     fn probes(&self) -> Vec<Output> {
         let seat = self.settings.seat;
         let incarnation = self.settings.incarnation;
@@ -217,7 +218,7 @@
         seats.filter(is_unanswered).map(probe).collect()
     }
 
-    /// Another rank's agent says something.
+    /// Handles a message from another rank's agent.
     fn handle_peer(&mut self, now: Duration, message: PeerMessage) -> Vec<Output> {
         match message {
             PeerMessage::Probe { seat, incarnation } => {
@@ -252,7 +253,7 @@
         }
     }
 
-    /// The lead asks something.
+    /// Handles a command of the lead.
     fn handle_command(&mut self, now: Duration, command: Command) -> Vec<Output> {
         let lead = command.lead;
         if let Err(refusal) = self.check_command(&command) {
@@ -276,11 +277,11 @@
         }
     }
 
-    /// Whether a command may be carried out.
+    /// Checks whether a command may be executed.
     ///
-    /// An old lead that wakes from a pause, and its messages that were held up
-    /// on the way, are told by their fence. Those held up since before this
-    /// agent started are told by the start they name.
+    /// The fence identifies the commands of an old lead that resumes after a pause
+    /// and those that were delayed in flight. The start identifies commands that
+    /// have been in flight since before this agent or its engine restarted.
     fn check_command(&self, command: &Command) -> Result<(), Refusal> {
         if self.phase != Phase::Ready {
             return Err(Refusal::Learning);
@@ -304,21 +305,21 @@
         Ok(())
     }
 
-    /// Has the engine read, so as to answer a round of asking with where it
-    /// stands now. Where it checks fences, it refuses lower ones from then on.
+    /// Reads the engine, to answer a collection round with its current state. An
+    /// engine that checks fences rejects lower ones from then on.
     fn begin_join(&mut self, round: u64) -> Vec<Output> {
         self.pending_round = Some(round);
         vec![self.read_engine()]
     }
 
-    /// Has the engine read. Answers to earlier readings no longer count.
+    /// Reads the engine. Answers to earlier read orders are outdated from now on.
     fn read_engine(&mut self) -> Output {
         self.ticket += 1;
         let ticket = self.ticket;
         self.engine_order(Action::Read { ticket })
     }
 
-    /// Takes a grant into the schedule and hands it on.
+    /// Adds a grant to the schedule and forwards it to the engine.
     fn handle_grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
         let refusal = match self.merge_grant(spans) {
             Ok(()) => {
@@ -334,7 +335,7 @@
         self.report_to_lead(ReportBody::Refused(refusal))
     }
 
-    /// Adds the granted steps that haven't run yet.
+    /// Adds the granted steps that haven't run yet to the schedule.
     fn merge_grant(&mut self, spans: &[Span]) -> Result<(), Error> {
         let mut granted = Schedule::default();
         granted.merge(spans)?;
@@ -349,9 +350,9 @@
             }
             return self.schedule.merge(&spans);
         }
-        // An engine that has run nothing starts where the grant does: that is
-        // where the others wait for it. It may have been handed an earlier
-        // start, by an order that was on its way when it was restarted.
+        // An engine that has run nothing starts at the first granted step, where
+        // the others wait for it. It may have been given earlier steps by an order
+        // that was in flight when it restarted.
         granted.merge(&self.schedule.after(first - 1))?;
         if granted != self.schedule {
             self.schedule = granted;
@@ -360,8 +361,9 @@
         Ok(())
     }
 
-    /// Hands the engine the granted steps that it isn't seen to know of, up to
-    /// the first whose weights it lacks: it could not run that one.
+    /// Sends the engine the granted steps, if its reported state lacks any of them.
+    /// Stops before the first step whose weights aren't loaded, since the engine
+    /// can't run it.
     fn forward_grants(&mut self) -> Option<Output> {
         let mut spans = self.schedule.after(self.done);
         let ready = |span: &Span| self.loaded.contains(&span.epoch);
@@ -378,7 +380,7 @@
         Some(self.engine_order(action))
     }
 
-    /// Has the engine load a map, or says that it has.
+    /// Makes the engine load a map, or reports that it is loaded already.
     fn stage_map(&mut self, map: Map, rate: u64) -> Vec<Output> {
         let epoch = map.epoch;
         if self.loaded.contains(&epoch) {
@@ -388,8 +390,8 @@
         vec![self.engine_order(Action::Stage { map, rate })]
     }
 
-    /// Forgets a map, unless a step runs on it: the drop of an abandoned change
-    /// can't be meant for a map that was granted.
+    /// Unloads a map, unless a step runs on it: an abandoned change never names a
+    /// map that was granted.
     fn drop_map(&mut self, epoch: u64) -> Vec<Output> {
         let used = self.running == Some(epoch) || self.schedule.epochs().any(|e| e == epoch);
         if used || !self.maps.contains_key(&epoch) {
@@ -400,12 +402,12 @@
         vec![self.engine_order(Action::Drop { epoch })]
     }
 
-    /// The engine says something.
+    /// Handles a message from the engine.
     fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Output> {
         match event {
             Event::State(snapshot) => self.handle_snapshot(now, snapshot),
             Event::Staged { epoch } => {
-                // A map that was dropped meanwhile is of no use any more.
+                // The map may have been dropped meanwhile.
                 if self.phase != Phase::Ready || !self.maps.contains_key(&epoch) {
                     return Vec::new();
                 }
@@ -420,22 +422,22 @@
         }
     }
 
-    /// The last step granted.
+    /// Returns the last step granted, or `done` if none is.
     fn top(&self) -> u64 {
         self.schedule.top().unwrap_or(self.done)
     }
 
-    /// Says how far the rank is.
+    /// Reports the rank's progress to the lead.
     fn report_progress(&mut self) -> Vec<Output> {
         self.reported_done = self.done;
         let (done, top) = (self.done, self.top());
         self.report_to_lead(ReportBody::Progress { done, top })
     }
 
-    /// Says where the rank stands.
+    /// Reports the rank's state to the lead it joins.
     ///
-    /// Steps that no order to the engine has named can't be run any more once
-    /// the fence is promised, so the lead is free to decide them anew.
+    /// Steps that were never sent to the engine are removed: they can't run any more
+    /// once the rank follows the new fence, so the lead may grant them again.
     fn joined_report(&mut self, round: u64) -> Output {
         self.schedule.cut(self.sent_top.max(self.done));
         let spans = self.schedule.after(self.done);
@@ -453,14 +455,14 @@
         }
     }
 
-    /// A message to the lead, where there is one.
+    /// Sends a report to the lead, if one is known.
     fn report_to_lead(&self, body: ReportBody) -> Vec<Output> {
         let report = self.report(body);
         let output = |lead| Output::Report { lead, report };
         self.lead.map(output).into_iter().collect()
     }
 
-    /// Which start of the rank this is.
+    /// Returns the current start of the rank.
     fn start_id(&self) -> StartId {
         StartId {
             incarnation: self.settings.incarnation,
@@ -468,7 +470,7 @@
         }
     }
 
-    /// A message that names its sender.
+    /// Creates a report with the rank's seat, fence and start.
     fn report(&self, body: ReportBody) -> Report {
         Report {
             seat: self.settings.seat,
@@ -478,7 +480,7 @@
         }
     }
 
-    /// An order to the engine.
+    /// Creates an order to the engine with the current fence.
     fn engine_order(&self, action: Action) -> Output {
         Output::Engine {
             fence: self.fence,
--- a/verbenaspool_coordination/src/group/rank/snapshot.rs
+++ b/verbenaspool_coordination/src/group/rank/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a rank's agent makes of where its engine stands.
+//! Handles the state that a rank's engine reports.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 };
 
 impl Rank {
-    /// Takes in where the engine stands.
+    /// Handles the engine's state.
     pub(super) fn handle_snapshot(&mut self, now: Duration, snapshot: Snapshot) -> Vec<Output> {
         match self.phase {
-            // An engine read too early might still get an order of the
-            // previous agent, which would then be in nobody's books.
+            // An order of the previous agent may still reach the engine after
+            // this state was read; no agent would know of its steps.
             Phase::Learning => Vec::new(),
-            // What was read before the wait ended may be out of date.
+            // A state read before the wait ended may be outdated.
             Phase::Reading if snapshot.ticket != self.ticket => Vec::new(),
             Phase::Reading => {
                 self.phase = Phase::Ready;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Answers the round of asking that waits for this reading.
+    /// Answers the pending collection round, if this state was read for it.
     fn finish_join(&mut self, snapshot: &Snapshot) -> Vec<Output> {
         let refuses = snapshot.fence.is_some_and(|fence| fence >= self.fence);
         let seen = snapshot.ticket == self.ticket && (refuses || !self.settings.checks_fences);
@@ -49,12 +49,13 @@
         vec![self.joined_report(round)]
     }
 
-    /// Takes over all that the engine says.
+    /// Replaces the agent's state with that of a restarted or newly read engine.
     fn reset_from_snapshot(&mut self, snapshot: Snapshot) {
         self.engine_incarnation = Some(snapshot.incarnation);
         self.joined = false;
         if let Some(fence) = snapshot.fence.filter(|&fence| fence > self.fence) {
-            // The engine saw a promise that this agent's forerunner made.
+            // The engine knows a fence that the previous agent had promised to
+            // follow.
             self.fence = fence;
             self.lead = None;
         }
@@ -62,7 +63,8 @@
         self.reported_done = snapshot.done;
         self.running = snapshot.running;
         self.schedule = Schedule::default();
-        // An engine's own list has no holes; one that had would be cut there.
+        // The engine's spans are contiguous. If they weren't, the schedule would
+        // stay empty.
         let _ = self.schedule.merge(&snapshot.spans);
         self.confirmed_top = self.top();
         self.sent_top = self.top();
@@ -71,7 +73,7 @@
         self.maps.extend(maps);
     }
 
-    /// Tells the lead that holds the fence, where known, that the rank is here.
+    /// Joins the lead with the current fence again, if it is known.
     fn rejoin_lead(&mut self) -> Vec<Output> {
         if self.lead.is_none() {
             return Vec::new();
@@ -79,10 +81,10 @@
         self.begin_join(0)
     }
 
-    /// Takes in how far the engine has come since.
+    /// Updates progress from the engine's state.
     fn update_progress(&mut self, now: Duration, snapshot: &Snapshot) -> Vec<Output> {
         if snapshot.done < self.done {
-            // A report that was overtaken by a later one.
+            // The state is older than one handled before.
             return Vec::new();
         }
         if snapshot.done == 0 {
@@ -99,8 +101,8 @@
         let listed = snapshot.spans.last().map_or(0, |span| span.to);
         self.confirmed_top = listed.max(self.done);
         outputs.extend(self.drop_old_maps());
-        // Ranks run in lock-step, so the lead hears from its own how far all
-        // are; a hundred others would tell it the same over the network.
+        // Ranks run in lock-step, so the progress of the lead's own rank is that of
+        // all; reports of a hundred others over the network would add nothing.
         let lead_is_local = self.lead == Some(self.settings.seat);
         if lead_is_local && self.done >= self.reported_done + self.settings.progress_interval_steps
         {
@@ -113,11 +115,11 @@
         outputs
     }
 
-    /// Looks for steps that the engine has from someone else.
+    /// Detects steps that the engine was given by another agent.
     ///
-    /// An engine that ignores fences may be reached by an agent that was paused
-    /// and replaced. Nothing can prevent that, so it is found here, reported,
-    /// and taken back where the step hasn't run.
+    /// An order of an agent that was paused and replaced can reach an engine that
+    /// ignores fences. Nothing can prevent that, so it is detected here, reported to
+    /// the lead, and reverted for steps that haven't run.
     fn detect_divergence(&self, snapshot: &Snapshot) -> Vec<Output> {
         let granted = |step| self.schedule.epoch(step);
         let mut divergence = None;
@@ -141,8 +143,8 @@
         outputs
     }
 
-    /// Has the engine forget the maps that every rank has left behind: to have
-    /// run a step of a later map takes that all ranks have started it.
+    /// Unloads the maps that no rank needs any more: this rank has run a step on a
+    /// later map, which means that all ranks have started that step.
     fn drop_old_maps(&mut self) -> Vec<Output> {
         let Some(running) = self.running else {
             return Vec::new();
