--- a/verbenaspool_agent/tests/agent/orders.rs
+++ b/verbenaspool_agent/tests/agent/orders.rs
@@ -6,7 +6,7 @@
 
 use verbenaspool_agent::agent::Agent;
 use verbenaspool_coordination::group::order::{
-    Action, MAX_ORDER_LIFETIME, Order, Outcome, Reason, Role,
+    Action, MAX_ORDER_VALIDITY, Order, Outcome, Reason, Role,
 };
 use verbenaspool_protocol::order::METHOD;
 use verbenaspool_standin::engine::{Config, Parts};
@@ -38,7 +38,7 @@
             agent.run(signal).await;
             drop(trigger);
         });
-        clock.advance(MAX_ORDER_LIFETIME);
+        clock.advance(MAX_ORDER_VALIDITY);
         let rpc = rpc::Client::default();
         Self {
             parts,
--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -12,27 +12,27 @@
 use verbenaspool_state::expert_map::{Map, Shape};
 
 /// How long a step takes.
-const STEP: Duration = Duration::from_millis(25);
+const STEP_TIME: Duration = Duration::from_millis(25);
 /// How many steps are played.
 const STEPS: u64 = 40_000;
 /// How often the lead is told the time, in steps.
-const BEAT: usize = 2;
+const STEPS_PER_TICK: usize = 2;
 
 /// What a run came to.
 #[derive(Debug, Default)]
 struct Cost {
     messages: usize,
     bytes: usize,
-    busy: Duration,
+    busy_time: Duration,
 }
 
 /// The JSON bytes of a message.
-fn size(message: &Message) -> usize {
+fn json_bytes(message: &Message) -> usize {
     serde_json::to_vec(message).map_or(0, |text| text.len())
 }
 
 /// A rank's answer to what the lead asks.
-fn answer(seat: u16, done: u64, request: Request) -> Option<Report> {
+fn reply(seat: u16, done: u64, request: Request) -> Option<Report> {
     let start = StartId {
         incarnation: 1_764_720_000_000,
         engine_restarts: 0,
@@ -61,7 +61,7 @@
 }
 
 /// Plays a healthy group under one lead.
-fn play(ranks: u16, window: u64) -> Cost {
+fn run(ranks: u16, window: u64) -> Cost {
     let shape = Shape {
         ranks,
         experts: 256,
@@ -78,18 +78,18 @@
     let mut lead = Lead::new(settings, 3);
     let mut cost = Cost::default();
     let (mut first, mut done, mut ready) = (0, 0, false);
-    for step in (0..STEPS).step_by(BEAT) {
-        let now = STEP * u32::try_from(step).expect("a small number");
+    for step in (0..STEPS).step_by(STEPS_PER_TICK) {
+        let now = STEP_TIME * u32::try_from(step).expect("a small number");
         let start = Instant::now();
         let mut outputs = lead.tick(now);
         if lead.is_granting() && lead.epoch().is_none() && lead.pending_epoch().is_none() {
             let map = Map::spread(1, shape);
-            let (_, more) = lead
+            let (_, proposed) = lead
                 .propose(now, map.layers, u64::MAX)
                 .expect("a map that fits");
-            outputs.extend(more);
+            outputs.extend(proposed);
         }
-        cost.busy += start.elapsed();
+        cost.busy_time += start.elapsed();
         if first > 0 && !ready {
             // The first grants are through; what comes now is the steady state.
             (ready, cost) = (true, Cost::default());
@@ -105,23 +105,23 @@
             let request = command.request.clone();
             if seat > 0 {
                 cost.messages += 1;
-                cost.bytes += size(&Message::Command(command));
+                cost.bytes += json_bytes(&Message::Command(command));
             }
-            let Some(report) = answer(seat, done, request) else {
+            let Some(report) = reply(seat, done, request) else {
                 continue;
             };
             if seat > 0 {
                 cost.messages += 1;
-                cost.bytes += size(&Message::Report(report.clone()));
+                cost.bytes += json_bytes(&Message::Report(report.clone()));
             }
             let start = Instant::now();
             outputs.extend(lead.handle_report(now, report));
-            cost.busy += start.elapsed();
+            cost.busy_time += start.elapsed();
         }
         if first > 0 {
             done += 2;
             let spans = Vec::new();
-            let own = answer(
+            let own_report = reply(
                 0,
                 done,
                 Request::Grant {
@@ -129,24 +129,24 @@
                     spans,
                 },
             );
-            let mut own = own.expect("an answer");
-            if let ReportBody::Progress { top, .. } = &mut own.body {
+            let mut own_report = own_report.expect("an answer");
+            if let ReportBody::Progress { top, .. } = &mut own_report.body {
                 *top = 0;
             }
             let start = Instant::now();
             // What it grants is sent with the next beat's.
-            for output in lead.handle_report(now, own) {
+            for output in lead.handle_report(now, own_report) {
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
-                    cost.bytes += size(&Message::Command(command.clone()));
-                    if let Some(report) = answer(seat, done, command.request) {
+                    cost.bytes += json_bytes(&Message::Command(command.clone()));
+                    if let Some(report) = reply(seat, done, command.request) {
                         cost.messages += 1;
-                        cost.bytes += size(&Message::Report(report.clone()));
+                        cost.bytes += json_bytes(&Message::Report(report.clone()));
                         lead.handle_report(now, report);
                     }
                 }
             }
-            cost.busy += start.elapsed();
+            cost.busy_time += start.elapsed();
         }
     }
     cost
@@ -155,12 +155,12 @@
 fn main() {
     let json = std::env::args().any(|argument| argument == "--json");
     for (ranks, window) in [(8, 256), (128, 256), (128, 1024), (128, 2048)] {
-        let cost = play(ranks, window);
+        let cost = run(ranks, window);
         let steps = u32::try_from(STEPS).expect("a small number");
-        let seconds = (STEP * steps).as_secs_f64();
+        let seconds = (STEP_TIME * steps).as_secs_f64();
         #[allow(clippy::cast_precision_loss)] // Small counts.
         let (messages, bytes) = (cost.messages as f64 / seconds, cost.bytes as f64 / seconds);
-        let core = 100.0 * cost.busy.as_secs_f64() / seconds;
+        let core = 100.0 * cost.busy_time.as_secs_f64() / seconds;
         if json {
             println!(
                 "{{\"ranks\":{ranks},\"window\":{window},\"messages_a_second\":{messages:.2},\
--- a/verbenaspool_coordination/benches/switch.rs
+++ b/verbenaspool_coordination/benches/switch.rs
@@ -19,23 +19,23 @@
     slots: 10,
 };
 /// How long a step takes.
-const STEP: Duration = Duration::from_millis(25);
+const STEP_TIME: Duration = Duration::from_millis(25);
 /// How many steps are granted ahead. It is kept low here, so that it hides little.
-const AHEAD: u64 = 8;
+const STEPS_AHEAD: u64 = 8;
 /// The resolution of played time.
-const BEAT: Duration = Duration::from_millis(1);
+const TICK: Duration = Duration::from_millis(1);
 /// The size of one expert's weights.
 const EXPERT_BYTES: u64 = 44_040_192;
 /// The rate of the weight store, in bytes a second.
-const STORE: u64 = 2_000_000_000;
+const STORE_BYTES_PER_SECOND: u64 = 2_000_000_000;
 /// How long a message between agents or an order to an engine takes.
-const MESSAGE: Duration = Duration::from_millis(1);
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 /// How long a write to the platform takes, and an event from it.
-const PLATFORM: Duration = Duration::from_millis(5);
+const PLATFORM_DELAY: Duration = Duration::from_millis(5);
 
 /// How a change is agreed.
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum ChangeMethod {
     /// Named in the grant of steps beyond those granted.
     Grants,
     /// The group stops, loads, and goes on.
@@ -45,38 +45,38 @@
 }
 
 /// Lets the group end the steps up to this one.
-fn finish(group: &mut Group, now: &mut Duration, step: u64) {
+fn run_through(group: &mut Group, now: &mut Duration, step: u64) {
     while group.done(0) < step {
-        *now += BEAT;
+        *now += TICK;
         group.advance(*now);
     }
     // The last one has started.
-    let end = *now + STEP;
+    let end = *now + STEP_TIME;
     while *now < end {
-        *now += BEAT;
+        *now += TICK;
         group.advance(*now);
     }
 }
 
 /// Plays one change and returns how long the group stood.
-fn play(way: Way, outage: Duration) -> Duration {
+fn measure_stall(method: ChangeMethod, outage: Duration) -> Duration {
     let settings = Settings {
         ranks: SHAPE.ranks,
-        step: STEP,
+        step: STEP_TIME,
         checked: true,
         expert_bytes: EXPERT_BYTES,
     };
-    let mut group = Group::new(settings, Store::new(STORE));
+    let mut group = Group::new(settings, Store::new(STORE_BYTES_PER_SECOND));
     let mut now = Duration::ZERO;
-    let all = |group: &mut Group, now: Duration, action: &Action| {
+    let order_all = |group: &mut Group, now: Duration, action: &Action| {
         for seat in 0..SHAPE.ranks {
             group.order(now, seat, 1, action.clone());
         }
     };
-    let run = |group: &mut Group, now: &mut Duration, time: Duration| {
+    let run_for = |group: &mut Group, now: &mut Duration, time: Duration| {
         let end = *now + time;
         while *now < end {
-            *now += BEAT;
+            *now += TICK;
             group.advance(*now);
         }
     };
@@ -88,58 +88,65 @@
         map,
         rate: u64::MAX,
     };
-    let first = Map::spread(1, SHAPE);
-    all(&mut group, now, &stage(first.clone()));
-    run(&mut group, &mut now, Duration::from_mins(1));
-    all(&mut group, now, &grant(1, AHEAD, 1));
-    run(&mut group, &mut now, STEP * 2);
-    let mut second = Map { epoch: 2, ..first };
-    for layer in &mut second.layers {
+    let first_map = Map::spread(1, SHAPE);
+    order_all(&mut group, now, &stage(first_map.clone()));
+    run_for(&mut group, &mut now, Duration::from_mins(1));
+    order_all(&mut group, now, &grant(1, STEPS_AHEAD, 1));
+    run_for(&mut group, &mut now, STEP_TIME * 2);
+    let mut second_map = Map {
+        epoch: 2,
+        ..first_map
+    };
+    for layer in &mut second_map.layers {
         layer.ranks.rotate_left(1);
     }
-    let stood = group.waited();
-    let mut top = AHEAD;
-    if let Way::Stop = way {
+    let waited_before = group.waited();
+    let mut top = STEPS_AHEAD;
+    if let ChangeMethod::Stop = method {
         // The group ends what was granted, and stands from then on.
-        finish(&mut group, &mut now, top);
+        run_through(&mut group, &mut now, top);
     }
-    all(&mut group, now, &stage(second));
+    order_all(&mut group, now, &stage(second_map));
     while !staged(&group) {
         // Steps go on while weights load, but for a group that was stopped.
-        if !matches!(way, Way::Stop) && group.done(0) + AHEAD / 2 > top {
-            all(&mut group, now, &grant(top + 1, top + AHEAD, 1));
-            top += AHEAD;
+        if !matches!(method, ChangeMethod::Stop) && group.done(0) + STEPS_AHEAD / 2 > top {
+            order_all(&mut group, now, &grant(top + 1, top + STEPS_AHEAD, 1));
+            top += STEPS_AHEAD;
         }
-        run(&mut group, &mut now, BEAT);
+        run_for(&mut group, &mut now, TICK);
     }
     // From when a rank says that it is prepared until it has read the decision,
     // it may start no step: it could be on either map. It writes that to the
     // platform, the coordinator sees it, writes the decision, the rank sees it.
-    let agreed = match way {
-        Way::Grants | Way::Stop => MESSAGE * 2,
-        Way::TwoPhase => {
-            finish(&mut group, &mut now, top);
-            PLATFORM * 4 + outage
+    let agreement = match method {
+        ChangeMethod::Grants | ChangeMethod::Stop => MESSAGE_DELAY * 2,
+        ChangeMethod::TwoPhase => {
+            run_through(&mut group, &mut now, top);
+            PLATFORM_DELAY * 4 + outage
         }
     };
-    run(&mut group, &mut now, agreed);
-    all(&mut group, now, &grant(top + 1, top + 400, 2));
-    run(&mut group, &mut now, STEP * 300);
+    run_for(&mut group, &mut now, agreement);
+    order_all(&mut group, now, &grant(top + 1, top + 400, 2));
+    run_for(&mut group, &mut now, STEP_TIME * 300);
     assert!(group.history().iter().any(|entry| entry.epoch == 2));
-    group.waited().saturating_sub(stood)
+    group.waited().saturating_sub(waited_before)
 }
 
 fn main() {
     let outage = Duration::from_mins(1);
     let json = std::env::args().any(|argument| argument == "--json");
     for (case, outage) in [("healthy", Duration::ZERO), ("platform-down-60s", outage)] {
-        for way in [Way::Grants, Way::Stop, Way::TwoPhase] {
-            let stall = play(way, outage).as_millis();
-            let way = format!("{way:?}").to_lowercase();
+        for method in [
+            ChangeMethod::Grants,
+            ChangeMethod::Stop,
+            ChangeMethod::TwoPhase,
+        ] {
+            let stall = measure_stall(method, outage).as_millis();
+            let method = format!("{method:?}").to_lowercase();
             if json {
-                println!("{{\"case\":\"{case}\",\"way\":\"{way}\",\"stall_ms\":{stall}}}");
+                println!("{{\"case\":\"{case}\",\"way\":\"{method}\",\"stall_ms\":{stall}}}");
             } else {
-                println!("{case:18} {way:9} {stall:6} ms");
+                println!("{case:18} {method:9} {stall:6} ms");
             }
         }
     }
--- a/verbenaspool_coordination/src/group/order.rs
+++ b/verbenaspool_coordination/src/group/order.rs
@@ -23,7 +23,7 @@
 
 /// The maximum validity of an order, and therefore how long a new agent rejects
 /// orders.
-pub const MAX_ORDER_LIFETIME: Duration = Duration::from_secs(10);
+pub const MAX_ORDER_VALIDITY: Duration = Duration::from_secs(10);
 
 /// How long after an order has expired it may still take effect. The agent closes
 /// the connection at expiry, but bytes sent before may still be unread at the
@@ -78,7 +78,7 @@
     /// The sender's fence.
     pub fence: u64,
     /// How long the order is valid after its arrival, in milliseconds; at most
-    /// [`MAX_ORDER_LIFETIME`].
+    /// [`MAX_ORDER_VALIDITY`].
     #[serde(rename = "good_ms")]
     pub valid_ms: u64,
     /// The target state.
@@ -152,7 +152,7 @@
         wait_ms: u64,
     },
     /// The order's validity is zero or above the maximum.
-    #[error("an order's validity must be 1 to {} ms", MAX_ORDER_LIFETIME.as_millis())]
+    #[error("an order's validity must be 1 to {} ms", MAX_ORDER_VALIDITY.as_millis())]
     Deadline,
     /// The order expired before the engine was seen to reach the target state.
     #[error("the order expired")]
@@ -203,22 +203,22 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::group::order::{Action, OrderTracker, MAX_ORDER_LIFETIME, Order, Outcome, Role, Effect};
+    /// use verbenaspool_coordination::group::order::{Action, OrderTracker, MAX_ORDER_VALIDITY, Order, Outcome, Role, Effect};
     ///
     /// let mut tracker = OrderTracker::new(Duration::ZERO);
     /// let action = Action::Role(Role::Decode);
     /// let order = Order { id: "lead.1.1".into(), fence: 3, valid_ms: 500, action };
     /// // A late order of the previous agent may still reach the engine.
     /// assert!(matches!(tracker.submit(Duration::ZERO, &order), Effect::Answer(Outcome::NotRun(_))));
-    /// assert!(matches!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Send { .. }));
-    /// assert_eq!(tracker.engine_answered(MAX_ORDER_LIFETIME, Ok(())), Effect::Answer(Outcome::Done));
+    /// assert!(matches!(tracker.submit(MAX_ORDER_VALIDITY, &order), Effect::Send { .. }));
+    /// assert_eq!(tracker.engine_answered(MAX_ORDER_VALIDITY, Ok(())), Effect::Answer(Outcome::Done));
     /// // A retry gets the recorded outcome.
-    /// assert_eq!(tracker.submit(MAX_ORDER_LIFETIME, &order), Effect::Answer(Outcome::Done));
+    /// assert_eq!(tracker.submit(MAX_ORDER_VALIDITY, &order), Effect::Answer(Outcome::Done));
     /// ```
     #[must_use]
     pub fn new(now: Duration) -> Self {
         Self {
-            ready_at: now + MAX_ORDER_LIFETIME,
+            ready_at: now + MAX_ORDER_VALIDITY,
             fence: 0,
             pending: None,
             outcomes: BTreeMap::new(),
@@ -259,7 +259,7 @@
             return Err(Reason::Fence { fence: self.fence });
         }
         let validity = Duration::from_millis(order.valid_ms);
-        if validity.is_zero() || validity > MAX_ORDER_LIFETIME {
+        if validity.is_zero() || validity > MAX_ORDER_VALIDITY {
             return Err(Reason::Deadline);
         }
         if now < self.ready_at {
--- a/verbenaspool_coordination/tests/group/orders.rs
+++ b/verbenaspool_coordination/tests/group/orders.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use verbenaspool_coordination::group::order::{
-    Action, Effect, MAX_ORDER_LIFETIME, Order, OrderTracker, Outcome, Reason, Role, State,
+    Action, Effect, MAX_ORDER_VALIDITY, Order, OrderTracker, Outcome, Reason, Role, State,
 };
 
 /// When the gate has waited out the orders of its forerunner.
-const READY: Duration = MAX_ORDER_LIFETIME;
+const READY: Duration = MAX_ORDER_VALIDITY;
 
 fn order(id: &str, fence: u64) -> Order {
     Order {
@@ -31,21 +31,21 @@
 
 /// What is refused, and why, at the door.
 #[test]
-fn orders_are_refused_for_a_reason() {
-    let longest = u64::try_from(MAX_ORDER_LIFETIME.as_millis()).unwrap();
-    let endless = Order {
+fn orders_are_rejected_with_a_reason() {
+    let longest = u64::try_from(MAX_ORDER_VALIDITY.as_millis()).unwrap();
+    let too_long = Order {
         valid_ms: longest + 1,
         ..order("a.1", 5)
     };
-    let stillborn = Order {
+    let zero = Order {
         valid_ms: 0,
         ..order("a.1", 5)
     };
     let starting = Reason::Starting { wait_ms: longest };
     let cases = [
         (READY, order("old.1", 4), Reason::Fence { fence: 5 }),
-        (READY, endless, Reason::Deadline),
-        (READY, stillborn, Reason::Deadline),
+        (READY, too_long, Reason::Deadline),
+        (READY, zero, Reason::Deadline),
         (READY, order("b.1", 5), Reason::Busy),
     ];
     let mut tracker = OrderTracker::new(Duration::ZERO);
@@ -82,7 +82,7 @@
 /// The engine's answer is lost. Whether the order took effect is read from the
 /// engine; that it didn't is only said once it can't any more.
 #[test]
-fn lost_answer_is_settled_by_reading() {
+fn lost_answer_is_resolved_from_the_state() {
     let late = READY + Duration::from_millis(2_500);
     let cases = [
         (READY, state(Role::Decode), Effect::Answer(Outcome::Done)),
@@ -105,7 +105,7 @@
 /// The sender was replaced, and its last order comes late, by way of an agent
 /// whose engine ignores fences: the gate stops it.
 #[test]
-fn late_order_of_an_old_sender_is_stopped() {
+fn late_order_of_a_replaced_sender_is_rejected() {
     let mut tracker = OrderTracker::new(Duration::ZERO);
     tracker.submit(READY, &order("new.1", 6));
     tracker.engine_answered(READY, Ok(()));
--- a/verbenaspool_coordination/tests/group/simulation.rs
+++ b/verbenaspool_coordination/tests/group/simulation.rs
@@ -186,12 +186,12 @@
     }
 
     /// Runs until the condition holds, at most so many milliseconds.
-    pub fn run_until(&mut self, millis: u64, held: impl Fn(&Self) -> bool) -> bool {
+    pub fn run_until(&mut self, millis: u64, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
-        while self.now < end && !held(self) {
+        while self.now < end && !condition(self) {
             self.run_ms(10);
         }
-        held(self)
+        condition(self)
     }
 
     /// Judges the history and returns the number of steps.
