--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -1,5 +1,7 @@
-//! What a lead costs: messages, bytes and processor time, by the group's size and
-//! window: `cargo bench --bench lead`. All ranks are healthy; time is played.
+//! Measures the cost of a lead: messages, bytes and processor time, by group size
+//! and window. All ranks are healthy, and time is virtual.
+//!
+//! Run with `cargo bench --bench lead`.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +13,14 @@
 };
 use verbenaspool_state::expert_map::{Map, Shape};
 
-/// How long a step takes.
+/// The duration of a step.
 const STEP_TIME: Duration = Duration::from_millis(25);
-/// How many steps are played.
+/// The number of simulated steps.
 const STEPS: u64 = 40_000;
-/// How often the lead is told the time, in steps.
+/// The number of steps between two ticks of the lead.
 const STEPS_PER_TICK: usize = 2;
 
-/// What a run came to.
+/// The cost of a run.
 #[derive(Debug, Default)]
 struct Cost {
     messages: usize,
@@ -26,12 +28,12 @@
     busy_time: Duration,
 }
 
-/// The JSON bytes of a message.
+/// Returns the size of a message in JSON.
 fn json_bytes(message: &Message) -> usize {
     serde_json::to_vec(message).map_or(0, |text| text.len())
 }
 
-/// A rank's answer to what the lead asks.
+/// Returns a rank's answer to a request of the lead.
 fn reply(seat: u16, done: u64, request: Request) -> Option<Report> {
     let start = StartId {
         incarnation: 1_764_720_000_000,
@@ -60,7 +62,7 @@
     })
 }
 
-/// Plays a healthy group under one lead.
+/// Simulates a healthy group with one lead.
 fn run(ranks: u16, window: u64) -> Cost {
     let shape = Shape {
         ranks,
@@ -91,7 +93,7 @@
         }
         cost.busy_time += start.elapsed();
         if first > 0 && !ready {
-            // The first grants are through; what comes now is the steady state.
+            // The first grants are done; measure the steady state from here.
             (ready, cost) = (true, Cost::default());
         }
         while let Some(output) = outputs.pop() {
@@ -134,7 +136,7 @@
                 *top = 0;
             }
             let start = Instant::now();
-            // What it grants is sent with the next beat's.
+            // These grants count as sent with those of the next tick.
             for output in lead.handle_report(now, own_report) {
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
--- a/verbenaspool_coordination/benches/switch.rs
+++ b/verbenaspool_coordination/benches/switch.rs
@@ -1,6 +1,8 @@
-//! How long ranks stand for a change of map: grants, against stopping the group
-//! and against two-phase commit through the platform. Time is played, so the
-//! figures don't depend on the machine: `cargo bench --bench switch`.
+//! Measures how long a change of map stalls ranks: with grants, compared with
+//! stopping the group and with two-phase commit through the platform. Time is
+//! virtual, so the figures don't depend on the machine.
+//!
+//! Run with `cargo bench --bench switch`.
 
 use std::time::Duration;
 
@@ -11,46 +13,46 @@
 };
 use verbenaspool_state::expert_map::{Map, Shape};
 
-/// The group.
+/// The layout of the group.
 const SHAPE: Shape = Shape {
     ranks: 8,
     experts: 64,
     layers: 4,
     slots: 10,
 };
-/// How long a step takes.
+/// The duration of a step.
 const STEP_TIME: Duration = Duration::from_millis(25);
-/// How many steps are granted ahead. It is kept low here, so that it hides little.
+/// How many steps are granted ahead. It is low, so that it hides little of a stall.
 const STEPS_AHEAD: u64 = 8;
-/// The resolution of played time.
+/// The resolution of virtual time.
 const TICK: Duration = Duration::from_millis(1);
-/// The size of one expert's weights.
+/// The size of one expert's weights in bytes.
 const EXPERT_BYTES: u64 = 44_040_192;
-/// The rate of the weight store, in bytes a second.
+/// The rate of the weight store in bytes per second.
 const STORE_BYTES_PER_SECOND: u64 = 2_000_000_000;
-/// How long a message between agents or an order to an engine takes.
+/// The delay of a message between agents or of an order to an engine.
 const MESSAGE_DELAY: Duration = Duration::from_millis(1);
-/// How long a write to the platform takes, and an event from it.
+/// The delay of a write to the platform, and of an event from it.
 const PLATFORM_DELAY: Duration = Duration::from_millis(5);
 
-/// How a change is agreed.
+/// How ranks agree on the first step on the new map.
 #[derive(Debug, Clone, Copy)]
 enum ChangeMethod {
-    /// Named in the grant of steps beyond those granted.
+    /// The grant of further steps names the new map.
     Grants,
-    /// The group stops, loads, and goes on.
+    /// The group stops, loads the map and continues.
     Stop,
-    /// Ranks load, write that they are prepared, hold, and read the decision.
+    /// Ranks load the map, write that they are prepared, stop, and read the decision.
     TwoPhase,
 }
 
-/// Lets the group end the steps up to this one.
+/// Runs the group to the end of this step.
 fn run_through(group: &mut Group, now: &mut Duration, step: u64) {
     while group.done(0) < step {
         *now += TICK;
         group.advance(*now);
     }
-    // The last one has started.
+    // The last step has started; let it end.
     let end = *now + STEP_TIME;
     while *now < end {
         *now += TICK;
@@ -58,7 +60,7 @@
     }
 }
 
-/// Plays one change and returns how long the group stood.
+/// Simulates one change and returns how long the group stalled.
 fn measure_stall(method: ChangeMethod, outage: Duration) -> Duration {
     let settings = Settings {
         ranks: SHAPE.ranks,
@@ -103,21 +105,22 @@
     let waited_before = group.waited();
     let mut top = STEPS_AHEAD;
     if let ChangeMethod::Stop = method {
-        // The group ends what was granted, and stands from then on.
+        // The group runs the granted steps and then stops.
         run_through(&mut group, &mut now, top);
     }
     order_all(&mut group, now, &stage(second_map));
     while !staged(&group) {
-        // Steps go on while weights load, but for a group that was stopped.
+        // Steps go on while weights load, except in a stopped group.
         if !matches!(method, ChangeMethod::Stop) && group.done(0) + STEPS_AHEAD / 2 > top {
             order_all(&mut group, now, &grant(top + 1, top + STEPS_AHEAD, 1));
             top += STEPS_AHEAD;
         }
         run_for(&mut group, &mut now, TICK);
     }
-    // From when a rank says that it is prepared until it has read the decision,
-    // it may start no step: it could be on either map. It writes that to the
-    // platform, the coordinator sees it, writes the decision, the rank sees it.
+    // A rank that is prepared can't start a step before it has read the decision,
+    // since the step could be on either map. That takes four platform delays: the
+    // rank writes that it is prepared, the coordinator reads that and writes the
+    // decision, and the rank reads it.
     let agreement = match method {
         ChangeMethod::Grants | ChangeMethod::Stop => MESSAGE_DELAY * 2,
         ChangeMethod::TwoPhase => {
--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -128,7 +128,7 @@
     ///     staging_timeout: Duration::from_secs(60),
     /// };
     /// let mut lead = Lead::new(settings, 1);
-    /// // Its own rank is the first to promise.
+    /// // Its own rank has to join first.
     /// assert!(matches!(lead.tick(Duration::ZERO)[..], [Output::Send { seat: 0, .. }]));
     /// ```
     #[must_use]
--- a/verbenaspool_coordination/tests/group/faults.rs
+++ b/verbenaspool_coordination/tests/group/faults.rs
@@ -1,4 +1,4 @@
-//! The table of faults.
+//! Tests of a group under one kind of fault each.
 
 use std::time::Duration;
 
@@ -12,16 +12,17 @@
 /// The epoch of the first map under the first fence.
 const FIRST_EPOCH: u64 = 1_000_001;
 
-/// The fate of what is hit; all else passes.
+/// Returns `delivery` if the message is affected, else normal delivery.
 fn when(hit: bool, delivery: Delivery) -> Delivery {
     if hit { delivery } else { Delivery::Normal }
 }
 
-/// How a case goes: it starts on a group that runs on its first map.
+/// The steps of a case, from a group that runs on its first map.
 type Case = fn(&mut Simulation);
 
-/// Plays a case with engines of both kinds. At its end the group runs on the
-/// map that it names, has come further, and no step was mixed.
+/// Runs a case with engines that check fences and with engines that ignore them.
+/// At the end, the group must have made progress on the map `epoch`, and no step
+/// may have run on two maps.
 fn run_case(case: &str, epoch: u64, steps: Case) {
     for checked in [true, false] {
         let mut simulation = Simulation::running(checked);
@@ -36,7 +37,7 @@
         );
         assert!(
             simulation.group.done(0) > before + 100,
-            "{case}: the group stands"
+            "{case}: the group has stopped"
         );
         let running: Vec<_> = (0..3)
             .map(|seat| simulation.member(seat).rank().running())
@@ -45,8 +46,8 @@
     }
 }
 
-/// A skipper's quote is half a sentence when the map changes. The change is
-/// staged while steps go on, and no step waits for it.
+/// Guards against answers that pause during a change of map. The map is staged
+/// while steps go on, so no step has to wait for it.
 #[test]
 fn change_without_a_stall() {
     for checked in [true, false] {
@@ -60,9 +61,9 @@
     }
 }
 
-/// Users see garbled text when one rank misses the change and goes on with the
-/// old map. Here the grant that names the new map is lost, repeated or late on
-/// its way to one rank, whose group waits for it instead.
+/// Guards against garbled answers when one rank continues on the old map, because
+/// the grant that names the new map is lost, duplicated or delayed on its way to
+/// that rank. The group has to wait for the rank.
 #[test]
 fn commit_lost_repeated_or_late() {
     run_case(
@@ -78,7 +79,7 @@
             assert!(simulation.propose_map(0, 1));
         },
     );
-    run_case("repeated after minutes", FIRST_EPOCH + 2, |simulation| {
+    run_case("duplicated after minutes", FIRST_EPOCH + 2, |simulation| {
         simulation.message_faults = Box::new(|_, _, message| {
             when(
                 grants_epoch_above(message, FIRST_EPOCH),
@@ -90,21 +91,25 @@
         assert!(simulation.propose_map(0, 2));
         simulation.run_ms(160_000);
     });
-    run_case("late by minutes to rank 1", FIRST_EPOCH + 1, |simulation| {
-        let mut left = 3;
-        simulation.message_faults = Box::new(move |_, to, message| {
-            let hit = to == 1 && grants_epoch_above(message, FIRST_EPOCH) && left > 0;
-            left -= u32::from(hit);
-            when(hit, Delivery::Delay(Duration::from_mins(2)))
-        });
-        assert!(simulation.propose_map(0, 1));
-        simulation.run_ms(125_000);
-    });
+    run_case(
+        "delayed by minutes to rank 1",
+        FIRST_EPOCH + 1,
+        |simulation| {
+            let mut left = 3;
+            simulation.message_faults = Box::new(move |_, to, message| {
+                let hit = to == 1 && grants_epoch_above(message, FIRST_EPOCH) && left > 0;
+                left -= u32::from(hit);
+                when(hit, Delivery::Delay(Duration::from_mins(2)))
+            });
+            assert!(simulation.propose_map(0, 1));
+            simulation.run_ms(125_000);
+        },
+    );
 }
 
-/// The lead's agent dies while a map changes; another agent takes the lease.
-/// Ranks hold different grants, and the new lead must not give a step that one
-/// of them was granted a second map.
+/// Guards against a new lead that gives a second map to a step which a rank was
+/// already granted. The lead's agent crashes during a change of map, when ranks
+/// have different grants, and another agent acquires the lease.
 #[test]
 fn lead_dies_around_the_switch() {
     run_case("before the switch", FIRST_EPOCH, |simulation| {
@@ -116,7 +121,7 @@
         simulation.grant_lease(1);
     });
     run_case(
-        "during it: rank 1 has the grant, rank 2 not",
+        "during the switch: rank 1 has the grant, rank 2 does not",
         FIRST_EPOCH + 1,
         |simulation| {
             simulation.message_faults = Box::new(|_, to, message| {
@@ -133,13 +138,13 @@
             simulation.grant_lease(2);
         },
     );
-    run_case("after it", FIRST_EPOCH + 1, |simulation| {
+    run_case("after the switch", FIRST_EPOCH + 1, |simulation| {
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(6_000);
         simulation.restart_agent(0);
         simulation.grant_lease(1);
     });
-    run_case("and leads again", 2_000_001, |simulation| {
+    run_case("restarted lead leads again", 2_000_001, |simulation| {
         simulation.restart_agent(0);
         simulation.grant_lease(0);
         simulation.run_ms(2_000);
@@ -147,11 +152,11 @@
     });
 }
 
-/// The lead is paused past its lease, another takes over and changes the map;
-/// then the old one wakes and goes on as if nothing had happened.
+/// Guards against an old lead that continues after a pause. Its lease expired
+/// meanwhile, and another lead has changed the map.
 #[test]
 fn lead_paused_past_its_lease() {
-    run_case("wakes as the old lead", 2_000_001, |simulation| {
+    run_case("resumes as the old lead", 2_000_001, |simulation| {
         simulation.pause_agent(0, 6_000);
         simulation.grant_lease(1);
         simulation.run_ms(7_000);
@@ -159,7 +164,7 @@
         assert!(simulation.member(0).lead().is_none());
     });
     run_case(
-        "while its own change is under way",
+        "while its own change is in progress",
         2_000_001,
         |simulation| {
             assert!(simulation.propose_map(0, 1));
@@ -172,8 +177,8 @@
     );
 }
 
-/// Two agents believe that they lead and both propose a map at once. Only the
-/// one with the higher fence gets all ranks' promises.
+/// Guards against two leads that change the map at the same time. Only the one
+/// with the higher fence is joined by all ranks.
 #[test]
 fn two_leads_and_racing_changes() {
     run_case("two leads", 2_000_001, |simulation| {
@@ -194,8 +199,8 @@
     });
 }
 
-/// A rank's agent is replaced and knows nothing: neither the fence that it
-/// promised nor the steps that it let its engine run.
+/// Guards against a restarted agent that follows an old lead. It has lost the
+/// fence that it promised to follow and the steps that it granted to its engine.
 #[test]
 fn rank_agent_restarts() {
     run_case("between changes", FIRST_EPOCH + 1, |simulation| {
@@ -203,19 +208,23 @@
         simulation.run_ms(1_500);
         assert!(simulation.propose_map(0, 1));
     });
-    run_case("in the middle of one", FIRST_EPOCH + 1, |simulation| {
+    run_case("in the middle of a change", FIRST_EPOCH + 1, |simulation| {
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(30);
         simulation.restart_agent(2);
     });
-    run_case("all at once, and a new lead", 2_000_001, |simulation| {
-        (0..3).for_each(|seat| simulation.restart_agent(seat));
-        simulation.grant_lease(1);
-        simulation.run_ms(3_000);
-        assert!(simulation.propose_map(1, 1));
-    });
     run_case(
-        "having promised a new lead, with the old one awake",
+        "all agents at once, then a new lead",
+        2_000_001,
+        |simulation| {
+            (0..3).for_each(|seat| simulation.restart_agent(seat));
+            simulation.grant_lease(1);
+            simulation.run_ms(3_000);
+            assert!(simulation.propose_map(1, 1));
+        },
+    );
+    run_case(
+        "after it joined a new lead, with the old one running",
         2_000_001,
         |simulation| {
             simulation.message_faults = Box::new(|from, to, _| {
@@ -240,11 +249,12 @@
     );
 }
 
-/// An engine is restarted and holds neither steps nor weights. The others wait
-/// in a step for it; it loads its experts again and joins them there.
+/// Guards against a group that stops for good after an engine restart. The engine
+/// has lost its steps and weights; it has to load them again and join at the step
+/// where the others wait.
 #[test]
 fn engine_restarts() {
-    run_case("and joins again", FIRST_EPOCH, |simulation| {
+    run_case("between changes", FIRST_EPOCH, |simulation| {
         simulation.group.restart(1);
         simulation.run_ms(5_000);
     });
@@ -256,18 +266,18 @@
     });
 }
 
-/// The weight store is slow or refuses. The change waits or is given up, and
-/// the group goes on with its map.
+/// Guards against a group that stops when the weight store is slow or rejects
+/// loads. The change has to wait or abort while steps go on with the current map.
 #[test]
 fn weight_store_slow_or_refusing() {
-    run_case("refusing for good", FIRST_EPOCH, |simulation| {
+    run_case("rejecting permanently", FIRST_EPOCH, |simulation| {
         simulation.group.store().refuse(true);
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(6_000);
         let aborted = |notice: &lead::Output| matches!(notice, lead::Output::Aborted { .. });
         assert!(simulation.notices.iter().any(aborted));
     });
-    run_case("refusing for a while", FIRST_EPOCH + 1, |simulation| {
+    run_case("rejecting for a second", FIRST_EPOCH + 1, |simulation| {
         simulation.group.store().refuse(true);
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(1_000);
@@ -287,11 +297,11 @@
     );
 }
 
-/// One rank stalls for seconds in the middle of a change: the group waits for
-/// it and nobody runs ahead.
+/// Guards against ranks that run ahead of one that stalls for seconds during a
+/// change. The group has to wait for it.
 #[test]
 fn rank_stalls() {
-    run_case("in a change", FIRST_EPOCH + 1, |simulation| {
+    run_case("during a change", FIRST_EPOCH + 1, |simulation| {
         simulation
             .group
             .stall(1, simulation.now + Duration::from_secs(3));
@@ -300,8 +310,9 @@
     });
 }
 
-/// The platform is down throughout: no lease can be had or renewed. Steps go
-/// on, maps change, and an agent that restarts finds its place without it.
+/// Guards against a group that depends on the platform. While the platform is down
+/// and no lease can be acquired or renewed, steps go on, maps change, and a
+/// restarted agent recovers its state.
 #[test]
 fn platform_down() {
     run_case("for minutes", FIRST_EPOCH + 2, |simulation| {
@@ -313,10 +324,10 @@
     });
 }
 
-/// An agent was paused between its check and its send, and replaced meanwhile.
-/// When it wakes, its order reaches an engine that ignores fences. Where the
-/// step hasn't run, the order is found and taken back; where it has, the mixed
-/// step is reported. An engine that checks fences refuses it.
+/// Guards against the late order of an agent that was paused between its check and
+/// its send, and replaced meanwhile. An engine that checks fences rejects the
+/// order. With one that ignores them, the order is detected: it is reverted if the
+/// step hasn't run, and else the step on two maps is reported.
 #[test]
 fn late_order_to_the_engine() {
     for checked in [true, false] {
@@ -346,8 +357,8 @@
     }
 }
 
-/// The checker of all these runs has to see a mixed step when there is one:
-/// here two ranks are told different maps past all agents.
+/// Guards against a history checker that misses a step on two maps. Here two ranks
+/// are given different maps, bypassing their agents.
 #[test]
 fn checker_sees_a_mixed_step() {
     let mut simulation = Simulation::running(false);
@@ -370,7 +381,7 @@
     ));
 }
 
-/// Operators read why a command was refused.
+/// Guards against refusals whose text doesn't name the reason.
 #[test]
 fn refusals_say_why() {
     let refusal = Refusal::Fence { fence: 7 };
--- a/verbenaspool_coordination/tests/group/interleavings.rs
+++ b/verbenaspool_coordination/tests/group/interleavings.rs
@@ -1,4 +1,4 @@
-//! Interleavings of faults, drawn at random from a fixed seed.
+//! Random interleavings of faults, generated from a fixed seed.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 
 use crate::simulation::{Delivery, MAX_ORDER_DELAY, SHAPE, Simulation};
 
-/// How many interleavings are played for each kind of engine; kept low for the
-/// time of a test run, raised by hand after changes to the protocol.
+/// The number of interleavings for each kind of engine. It is low to keep test
+/// runs short; raise it by hand after changes to the protocol.
 const CASES: u32 = 25;
-/// A seat of the group.
+/// The seats of the group.
 const SEATS: std::ops::Range<u16> = 0..SHAPE.ranks;
 
-/// Something that happens to the group.
+/// An event in a history.
 #[derive(Debug, Clone)]
 enum Event {
-    /// An agent dies and is started anew.
+    /// An agent crashes and restarts.
     Restart(u16),
-    /// An engine loses everything.
+    /// An engine restarts and loses its state.
     Reset(u16),
-    /// An agent gets the lease under the next fence.
+    /// An agent acquires the lease with the next fence.
     Lead(u16),
-    /// An agent proposes a map, if it leads.
+    /// An agent proposes a map, if it is the lead.
     Change(u16, u16),
-    /// An agent does nothing for so many milliseconds.
+    /// An agent is paused for this many milliseconds.
     Pause(u16, u64),
-    /// An engine does nothing for so many milliseconds.
+    /// An engine stalls for this many milliseconds.
     Stall(u16, u64),
-    /// The weight store refuses, or serves again.
+    /// The weight store starts or stops rejecting loads.
     Refuse(bool),
-    /// From now on, this part of all messages in a hundred is lost, late by up
-    /// to minutes, or repeated; all drawn from the seed.
+    /// From now on, this percentage of messages is lost, delayed by up to minutes
+    /// or duplicated, as the seed determines.
     Network { faulty_percent: u8, seed: u64 },
 }
 
@@ -52,12 +52,12 @@
     ]
 }
 
-/// A history is a list of events, each after so many milliseconds.
+/// Generates a history: events, each with the delay before it in milliseconds.
 fn history() -> impl Strategy<Value = Vec<(u64, Event)>> {
     prop::collection::vec((0..1_500_u64, event()), 1..30)
 }
 
-/// What becomes of the messages and orders on a bad network.
+/// Makes the network lose, delay and duplicate messages, and lose and delay orders.
 fn inject_network_faults(simulation: &mut Simulation, faulty_percent: u8, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     simulation.message_faults = Box::new(move |_, _, _| {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Plays one history, then lets all faults end: no step was mixed, and the
-/// group goes on once an agent gets the lease.
+/// Runs one history, then ends all faults. No step may have run on two maps, and
+/// the group must continue once an agent acquires the lease.
 fn run_case(checked: bool, history: Vec<(u64, Event)>) -> Result<(), TestCaseError> {
     let mut simulation = Simulation::running(checked);
     for (after, event) in history {
@@ -123,25 +123,25 @@
         |simulation: &Simulation| simulation.member(1).lead().is_some_and(Lead::is_granting);
     prop_assert!(
         simulation.run_until(10_000, granting),
-        "the lead hears not from all"
+        "not all ranks joined the lead"
     );
     if simulation
         .member(1)
         .lead()
         .is_some_and(|lead| lead.map().is_none())
     {
-        // All engines have lost everything, so there is no map left.
+        // All engines have lost their state, so there is no map.
         simulation.propose_map(1, 0);
     }
     let done = simulation.group.done(1);
     simulation.run_ms(8_000);
-    prop_assert!(simulation.group.done(1) > done, "the group stands");
+    prop_assert!(simulation.group.done(1) > done, "the group has stopped");
     prop_assert!(
         simulation.check_history().is_ok(),
         "{:?}",
         simulation.check_history()
     );
-    // All that was late by minutes arrives in the end.
+    // Let the messages arrive that were delayed by minutes.
     simulation.run_ms(150_000);
     prop_assert!(
         simulation.check_history().is_ok(),
@@ -163,15 +163,16 @@
     assert!(outcome.is_ok(), "{}", outcome.unwrap_err());
 }
 
-/// Answers are garbled whenever two ranks of one step use two maps, whatever
-/// led there; and nobody is answered while a group stands for good.
+/// Guards against two ranks running a step on different maps, which garbles
+/// answers, and against a group that stops for good. Random faults of the network,
+/// agents, engines and the weight store can lead to either.
 #[test]
 fn any_faults_with_engines_that_check_fences() {
     explore(true);
 }
 
-/// The same where engines obey whoever speaks last, as long as an order is on
-/// its way no longer than the agents assume.
+/// The same for engines that follow the last order received. No order is in flight
+/// for longer than agents assume.
 #[test]
 fn any_faults_with_engines_that_ignore_fences() {
     explore(false);
--- a/verbenaspool_coordination/tests/group/main.rs
+++ b/verbenaspool_coordination/tests/group/main.rs
@@ -1,5 +1,5 @@
-//! Groups of ranks under faults: whatever happens to messages, agents, engines
-//! and the weight store, every step is run on one map.
+//! Tests of groups of ranks under faults of messages, agents, engines and the
+//! weight store: all ranks must run each step on the same map.
 
 mod faults;
 mod interleavings;
--- a/verbenaspool_coordination/tests/group/orders.rs
+++ b/verbenaspool_coordination/tests/group/orders.rs
@@ -1,4 +1,4 @@
-//! The gate for orders under faults.
+//! Tests of the order tracker under faults.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
     Action, Effect, MAX_ORDER_VALIDITY, Order, OrderTracker, Outcome, Reason, Role, State,
 };
 
-/// When the gate has waited out the orders of its forerunner.
+/// When the tracker starts to admit orders: those of the previous agent have
+/// expired.
 const READY: Duration = MAX_ORDER_VALIDITY;
 
 fn order(id: &str, fence: u64) -> Order {
@@ -29,7 +30,8 @@
     }
 }
 
-/// What is refused, and why, at the door.
+/// Guards against executing an order that has an old fence, an invalid validity,
+/// a pending order before it, or arrives right after the agent's start.
 #[test]
 fn orders_are_rejected_with_a_reason() {
     let longest = u64::try_from(MAX_ORDER_VALIDITY.as_millis()).unwrap();
@@ -62,8 +64,8 @@
     }
 }
 
-/// An operator's change of role gets no answer, so the sender says it again:
-/// while it is under way, and once it is done. The engine gets it once.
+/// Guards against executing an order twice. A sender that gets no answer to a
+/// change of role retries it, both while it is pending and after it is done.
 #[test]
 fn repeated_order_is_sent_once() {
     let mut tracker = OrderTracker::new(Duration::ZERO);
@@ -79,8 +81,9 @@
     }
 }
 
-/// The engine's answer is lost. Whether the order took effect is read from the
-/// engine; that it didn't is only said once it can't any more.
+/// Guards against reporting a wrong outcome when the engine's answer is lost. The
+/// outcome is read from the engine's state, and "not run" is reported only once
+/// the order can't take effect any more.
 #[test]
 fn lost_answer_is_resolved_from_the_state() {
     let late = READY + Duration::from_millis(2_500);
@@ -97,13 +100,13 @@
         assert_eq!(tracker.state_read(now, &state), step, "{state:?}");
         if now == late {
             let again = tracker.submit(late, &order("a.1", 5));
-            assert_eq!(again, step, "said again, the same is answered");
+            assert_eq!(again, step, "a retry gets the same outcome");
         }
     }
 }
 
-/// The sender was replaced, and its last order comes late, by way of an agent
-/// whose engine ignores fences: the gate stops it.
+/// Guards against a late order of a sender that was replaced reaching an engine
+/// that ignores fences.
 #[test]
 fn late_order_of_a_replaced_sender_is_rejected() {
     let mut tracker = OrderTracker::new(Duration::ZERO);
--- a/verbenaspool_coordination/tests/group/simulation.rs
+++ b/verbenaspool_coordination/tests/group/simulation.rs
@@ -1,4 +1,5 @@
-//! The agents of a group, their messages and their engines, on played time.
+//! Simulates the agents of a group, their messages and their engines in virtual
+//! time.
 
 use std::time::Duration;
 
@@ -16,21 +17,21 @@
 };
 use verbenaspool_state::expert_map::{Map, Shape};
 
-/// The group that the tests play.
+/// The layout of the simulated group.
 pub const SHAPE: Shape = Shape {
     ranks: 3,
     experts: 6,
     layers: 1,
     slots: 3,
 };
-/// How far apart two moments are.
+/// The resolution of virtual time.
 const TICK: Duration = Duration::from_millis(10);
-/// The longest that an order is on its way to an engine, but for those held back.
+/// How long an order may be in flight to an engine, except for injected ones.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_millis(500);
-/// How long a change may take to be staged.
+/// How long the ranks may take to stage a map.
 pub const STAGING_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What becomes of a message or order.
+/// How a message or order is delivered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Delivery {
     Normal,
@@ -39,19 +40,19 @@
     Duplicate(Duration),
 }
 
-/// Something on its way.
+/// A message or order in flight.
 #[derive(Debug, Clone)]
 enum Payload {
     Message(Message),
     Order(u64, Action),
 }
 
-/// Decides what becomes of each message: by sender, receiver and content.
+/// Decides how each message is delivered, from sender, receiver and content.
 type MessageFaults = Box<dyn FnMut(u16, u16, &Message) -> Delivery>;
-/// Decides what becomes of each order to an engine.
+/// Decides how each order to an engine is delivered, from seat, fence and content.
 type OrderFaults = Box<dyn FnMut(u16, u64, &Action) -> Delivery>;
 
-/// All of it.
+/// A simulated group with its agents, engines and network.
 pub struct Simulation {
     pub now: Duration,
     pub group: Group,
@@ -96,7 +97,7 @@
         simulation
     }
 
-    /// A group that runs on its first map, led by seat 0.
+    /// Creates a group that runs on its first map, with seat 0 as the lead.
     pub fn running(checked: bool) -> Self {
         let mut simulation = Self::new(checked);
         simulation.run_ms(2_000);
@@ -104,11 +105,14 @@
         simulation.run_ms(500);
         simulation.propose_map(0, 0);
         simulation.run_ms(2_000);
-        assert!(simulation.group.history().len() > 50, "the group stands");
+        assert!(
+            simulation.group.history().len() > 50,
+            "the group has stopped"
+        );
         simulation
     }
 
-    /// A new start of the agent at a seat.
+    /// Creates the agent at a seat with its next incarnation.
     fn new_member(&mut self, seat: u16) -> Member {
         let incarnation = &mut self.incarnations[usize::from(seat)];
         *incarnation += 1;
@@ -135,26 +139,26 @@
         Member::new(rank, lead)
     }
 
-    /// The agent at a seat dies and is started anew.
+    /// Crashes and restarts the agent at a seat.
     pub fn restart_agent(&mut self, seat: u16) {
         let member = self.new_member(seat);
         self.members[usize::from(seat)] = member;
         self.inbox[usize::from(seat)].clear();
     }
 
-    /// The agent at a seat does nothing for so many milliseconds.
+    /// Pauses the agent at a seat.
     pub fn pause_agent(&mut self, seat: u16, millis: u64) {
         self.paused_until[usize::from(seat)] = self.now + Duration::from_millis(millis);
     }
 
-    /// The platform gives the lease to the agent at a seat.
+    /// Grants the lease to the agent at a seat, with the next fence.
     pub fn grant_lease(&mut self, seat: u16) {
         self.fence += 1;
         let fence = self.fence;
         self.input(seat, Input::LeaseAcquired { fence });
     }
 
-    /// Proposes a map that differs with `turn`; whether it was taken up.
+    /// Proposes a map that differs with `turn`. Returns whether it was accepted.
     pub fn propose_map(&mut self, seat: u16, turn: u16) -> bool {
         let mut map = Map::spread(1, SHAPE);
         map.layers[0].ranks.rotate_left(usize::from(turn));
@@ -172,7 +176,7 @@
         &self.members[usize::from(seat)]
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances the simulation by this many milliseconds.
     pub fn run_ms(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
@@ -185,7 +189,8 @@
         }
     }
 
-    /// Runs until the condition holds, at most so many milliseconds.
+    /// Runs until the condition holds, for at most this many milliseconds. Returns
+    /// whether it holds.
     pub fn run_until(&mut self, millis: u64, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end && !condition(self) {
@@ -194,17 +199,17 @@
         condition(self)
     }
 
-    /// Judges the history and returns the number of steps.
+    /// Checks that no step ran on two maps, and returns the number of steps.
     pub fn check_history(&self) -> Result<usize, steps::Violation> {
         steps::check(self.group.history())
     }
 
-    /// Puts an order on its way past everything: late, from nobody present.
+    /// Passes an order to an engine directly, as a late order of a replaced agent.
     pub fn inject_order(&mut self, seat: u16, fence: u64, action: Action) {
         self.group.order(self.now, seat, fence, action);
     }
 
-    /// What is due arrives.
+    /// Delivers the messages and orders that are due.
     fn deliver(&mut self) {
         let now = self.now;
         let due = self
@@ -219,7 +224,7 @@
         }
     }
 
-    /// The agent at a seat does what it can, unless it is paused.
+    /// Runs the agent at a seat, unless it is paused.
     fn run_agent(&mut self, seat: u16) {
         if self.paused_until[usize::from(seat)] > self.now {
             return;
@@ -240,7 +245,7 @@
         self.dispatch(seat, outputs);
     }
 
-    /// Sends off what an agent does.
+    /// Executes the outputs of an agent.
     fn dispatch(&mut self, seat: u16, outputs: Vec<Output>) {
         for output in outputs {
             let (delivery, to, payload) = match output {
@@ -270,7 +275,7 @@
     }
 }
 
-/// Whether the message grants steps on an epoch above this.
+/// Returns whether the message grants steps on an epoch above `above`.
 pub fn grants_epoch_above(message: &Message, above: u64) -> bool {
     let Message::Command(Command {
         request: Request::Grant { spans, .. },
@@ -282,7 +287,7 @@
     spans.iter().any(|span| span.epoch > above)
 }
 
-/// Whether the message says that a rank has staged a map.
+/// Returns whether the message reports a staged map.
 pub fn is_staged_report(message: &Message) -> bool {
     matches!(
         message,
