--- a/verbenaspool_coordination/tests/group/interleavings.rs
+++ b/verbenaspool_coordination/tests/group/interleavings.rs
@@ -25,9 +25,9 @@
     /// An engine restarts and loses its state.
     Reset(u16),
     /// An agent acquires the lease with the next fence.
-    Lead(u16),
+    GrantLease(u16),
     /// An agent proposes a map, if it is the lead.
-    Change(u16, u16),
+    ProposeMap(u16, u16),
     /// An agent is paused for this many milliseconds.
     Pause(u16, u64),
     /// An engine stalls for this many milliseconds.
@@ -43,8 +43,8 @@
     prop_oneof![
         2 => SEATS.prop_map(Event::Restart),
         1 => SEATS.prop_map(Event::Reset),
-        3 => SEATS.prop_map(Event::Lead),
-        4 => (SEATS, 0..3_u16).prop_map(|(seat, turn)| Event::Change(seat, turn)),
+        3 => SEATS.prop_map(Event::GrantLease),
+        4 => (SEATS, 0..3_u16).prop_map(|(seat, turn)| Event::ProposeMap(seat, turn)),
         2 => (SEATS, 10..5_000_u64).prop_map(|(seat, millis)| Event::Pause(seat, millis)),
         1 => (SEATS, 10..3_000_u64).prop_map(|(seat, millis)| Event::Stall(seat, millis)),
         1 => any::<bool>().prop_map(Event::Refuse),
@@ -91,8 +91,8 @@
     match *event {
         Event::Restart(seat) => simulation.restart_agent(seat),
         Event::Reset(seat) => simulation.group.restart(seat),
-        Event::Lead(seat) => simulation.grant_lease(seat),
-        Event::Change(seat, turn) => drop(simulation.propose_map(seat, turn)),
+        Event::GrantLease(seat) => simulation.grant_lease(seat),
+        Event::ProposeMap(seat, turn) => drop(simulation.propose_map(seat, turn)),
         Event::Pause(seat, millis) => simulation.pause_agent(seat, millis),
         Event::Stall(seat, millis) => {
             let until = simulation.now + Duration::from_millis(millis);
