--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -1,67 +1,69 @@
-//! What a lead costs: messages, bytes and processor time, by the group's size and
-//! window: `cargo bench --bench lead`. All ranks are healthy; time is played.
+//! Measures the cost of a lead: messages, bytes and processor time, by group size
+//! and window. All ranks are healthy, and time is virtual.
+//!
+//! Run with `cargo bench --bench lead`.
 
 use std::time::{Duration, Instant};
 
 use verbenaspool_coordination::group::{
     lead::{Lead, Output, Settings},
     member::Message,
-    message::{Ask, News, Report, Start},
+    message::{Report, ReportBody, Request, StartId},
     schedule::Span,
 };
 use verbenaspool_state::expert_map::{Map, Shape};
 
-/// How long a step takes.
-const STEP: Duration = Duration::from_millis(25);
-/// How many steps are played.
+/// The duration of a step.
+const STEP_TIME: Duration = Duration::from_millis(25);
+/// The number of simulated steps.
 const STEPS: u64 = 40_000;
-/// How often the lead is told the time, in steps.
-const BEAT: usize = 2;
+/// The number of steps between two ticks of the lead.
+const STEPS_PER_TICK: usize = 2;
 
-/// What a run came to.
+/// The cost of a run.
 #[derive(Debug, Default)]
 struct Cost {
     messages: usize,
     bytes: usize,
-    busy: Duration,
+    busy_time: Duration,
 }
 
-/// The JSON bytes of a message.
-fn size(message: &Message) -> usize {
+/// Returns the size of a message in JSON.
+fn json_bytes(message: &Message) -> usize {
     serde_json::to_vec(message).map_or(0, |text| text.len())
 }
 
-/// A rank's answer to what the lead asks.
-fn answer(seat: u16, done: u64, ask: Ask) -> Option<Report> {
-    let start = Start {
+/// Returns a rank's answer to a request of the lead.
+fn reply(seat: u16, done: u64, request: Request) -> Option<Report> {
+    let start = StartId {
         incarnation: 1_764_720_000_000,
-        life: 0,
+        engine_restarts: 0,
     };
-    let news = match ask {
-        Ask::Collect { round } => News::Joined {
+    let body = match request {
+        Request::Collect { round } => ReportBody::Joined {
             round,
             done,
             spans: Vec::new(),
             running: None,
-            held: Vec::new(),
+            loaded: Vec::new(),
         },
-        Ask::Grant { spans, .. } => {
+        Request::Grant { spans, .. } => {
             let top = spans.last().map_or(done, |span: &Span| span.to);
-            News::Progress { done, top }
+            ReportBody::Progress { done, top }
         }
-        Ask::Stage { map, .. } => News::Staged { epoch: map.epoch },
-        Ask::Drop { .. } | Ask::Fetch { .. } => return None,
+        Request::Stage { map, .. } => ReportBody::Staged { epoch: map.epoch },
+        Request::Drop { .. } | Request::Fetch { .. } => return None,
     };
     Some(Report {
         seat,
         fence: 3,
         start,
-        news,
+        body,
     })
 }
 
-/// Plays a healthy group under one lead.
-fn play(ranks: u16, window: u64) -> Cost {
+/// Simulates a healthy group with one lead.
+fn run(ranks: u16, window: u64) -> Cost {
     let shape = Shape {
         ranks,
         experts: 256,
@@ -72,81 +74,81 @@
         seat: 0,
         shape,
         window,
-        resend: Duration::from_millis(500),
-        patience: Duration::from_mins(10),
+        resend_interval: Duration::from_millis(500),
+        staging_timeout: Duration::from_mins(10),
     };
     let mut lead = Lead::new(settings, 3);
     let mut cost = Cost::default();
     let (mut first, mut done, mut ready) = (0, 0, false);
-    for step in (0..STEPS).step_by(BEAT) {
-        let now = STEP * u32::try_from(step).expect("a small number");
+    for step in (0..STEPS).step_by(STEPS_PER_TICK) {
+        let now = STEP_TIME * u32::try_from(step).expect("a small number");
         let start = Instant::now();
         let mut outputs = lead.tick(now);
-        if lead.is_granting() && lead.epoch().is_none() && lead.changing().is_none() {
+        if lead.is_granting() && lead.epoch().is_none() && lead.pending_epoch().is_none() {
             let map = Map::spread(1, shape);
-            let (_, more) = lead
+            let (_, proposed) = lead
                 .propose(now, map.layers, u64::MAX)
                 .expect("a map that fits");
-            outputs.extend(more);
+            outputs.extend(proposed);
         }
-        cost.busy += start.elapsed();
+        cost.busy_time += start.elapsed();
         if first > 0 && !ready {
-            // The first grants are through; what comes now is the steady state.
+            // The first grants are done; measure the steady state from here.
             (ready, cost) = (true, Cost::default());
         }
         while let Some(output) = outputs.pop() {
             let Output::Send { seat, command } = output else {
                 continue;
             };
-            if let (0, Ask::Grant { spans, .. }) = (first, &command.ask) {
+            if let (0, Request::Grant { spans, .. }) = (first, &command.request) {
                 first = spans[0].from;
                 done = first;
             }
-            let ask = command.ask.clone();
+            let request = command.request.clone();
             if seat > 0 {
                 cost.messages += 1;
-                cost.bytes += size(&Message::Command(command));
+                cost.bytes += json_bytes(&Message::Command(command));
             }
-            let Some(report) = answer(seat, done, ask) else {
+            let Some(report) = reply(seat, done, request) else {
                 continue;
             };
             if seat > 0 {
                 cost.messages += 1;
-                cost.bytes += size(&Message::Report(report.clone()));
+                cost.bytes += json_bytes(&Message::Report(report.clone()));
             }
             let start = Instant::now();
-            outputs.extend(lead.report(now, report));
-            cost.busy += start.elapsed();
+            outputs.extend(lead.handle_report(now, report));
+            cost.busy_time += start.elapsed();
         }
         if first > 0 {
             done += 2;
             let spans = Vec::new();
-            let own = answer(
+            let own_report = reply(
                 0,
                 done,
-                Ask::Grant {
-                    start: Start::default(),
+                Request::Grant {
+                    start: StartId::default(),
                     spans,
                 },
             );
-            let mut own = own.expect("an answer");
-            if let News::Progress { top, .. } = &mut own.news {
+            let mut own_report = own_report.expect("an answer");
+            if let ReportBody::Progress { top, .. } = &mut own_report.body {
                 *top = 0;
             }
             let start = Instant::now();
-            // What it grants is sent with the next beat's.
-            for output in lead.report(now, own) {
+            // These grants count as sent with those of the next tick.
+            for output in lead.handle_report(now, own_report) {
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
-                    cost.bytes += size(&Message::Command(command.clone()));
-                    if let Some(report) = answer(seat, done, command.ask) {
+                    cost.bytes += json_bytes(&Message::Command(command.clone()));
+                    if let Some(report) = reply(seat, done, command.request) {
                         cost.messages += 1;
-                        cost.bytes += size(&Message::Report(report.clone()));
-                        lead.report(now, report);
+                        cost.bytes += json_bytes(&Message::Report(report.clone()));
+                        lead.handle_report(now, report);
                     }
                 }
             }
-            cost.busy += start.elapsed();
+            cost.busy_time += start.elapsed();
         }
     }
     cost
@@ -155,12 +157,12 @@
 fn main() {
     let json = std::env::args().any(|argument| argument == "--json");
     for (ranks, window) in [(8, 256), (128, 256), (128, 1024), (128, 2048)] {
-        let cost = play(ranks, window);
+        let cost = run(ranks, window);
         let steps = u32::try_from(STEPS).expect("a small number");
-        let seconds = (STEP * steps).as_secs_f64();
+        let seconds = (STEP_TIME * steps).as_secs_f64();
         #[allow(clippy::cast_precision_loss)] // Small counts.
         let (messages, bytes) = (cost.messages as f64 / seconds, cost.bytes as f64 / seconds);
-        let core = 100.0 * cost.busy.as_secs_f64() / seconds;
+        let core = 100.0 * cost.busy_time.as_secs_f64() / seconds;
         if json {
             println!(
                 "{{\"ranks\":{ranks},\"window\":{window},\"messages_a_second\":{messages:.2},\
--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -1,9 +1,10 @@
-//! The lead's side: which steps are granted on which map.
+//! The lead of a group, which grants steps on maps to the ranks.
 //!
-//! A lead starts by *collecting*: every rank has to promise to refuse lower
-//! fences and to say what it was granted. Only then does it grant, above the
-//! highest step that any rank holds. A change of map is staged on all ranks
-//! first and then takes effect at the next step that nobody was granted yet.
+//! A lead starts by *collecting*: every rank has to join, that is, reject lower
+//! fences from then on and report which steps it was granted. Only then does the
+//! lead grant steps, above the highest one that any rank was granted. A new map is
+//! staged on all ranks first and takes effect at the next step that no rank was
+//! granted yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,103 +14,104 @@
 use verbenaspool_state::expert_map::{Layer, Map};
 
 use super::{
-    message::{Ask, Command, News, Refusal, Report, Start},
+    message::{Command, Refusal, Report, ReportBody, Request, StartId},
     schedule::{Schedule, Span},
 };
 
-mod assembly;
-mod service;
+mod collecting;
+mod commands;
 
-pub use super::outcome::{Abort, Output, Refused, Settings};
+pub use super::lead_io::{AbortReason, Output, ProposeError, Settings};
 
-/// How many maps one fence may bring in. An epoch is the fence times this plus
-/// a count, so two leads can't give one epoch to two maps, and an operator can
-/// read off both.
-pub const EPOCHS: u64 = 1_000_000;
+/// The number of epochs per fence. An epoch is the fence times this plus a counter,
+/// so that two leads can't give the same epoch to two maps, and operators can read
+/// both numbers from it.
+pub const EPOCHS_PER_FENCE: u64 = 1_000_000;
 
-/// How many steps one fence may grant. A group whose engines have all lost
-/// everything starts at the fence times this, so that no step's number is ever
-/// used twice and a late order or sample can't be taken for a present one.
-pub const STEPS: u64 = 10_000_000_000;
+/// The number of steps per fence. A group whose engines have all lost their state
+/// starts at the fence times this, so that no step number is used twice and a late
+/// order or sample can't be mistaken for a current one.
+pub const STEPS_PER_FENCE: u64 = 10_000_000_000;
 
-/// How far a lead is.
+/// The phase of a lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It collects promises.
+    /// Waiting for all ranks to join.
     Collecting,
-    /// It grants steps.
+    /// Granting steps.
     Granting,
-    /// It is over.
-    Over,
+    /// Replaced by a lead with a higher fence; sends nothing more.
+    Ended,
 }
 
-/// What the lead knows of a rank.
+/// The lead's view of a rank.
 #[derive(Debug, Default)]
-struct Attendance {
-    /// Whether it has answered the round of asking.
+struct RankView {
+    /// Whether it has joined in the current collection round.
     joined: bool,
-    /// The start it joined with.
-    start: Start,
+    /// The start with which it joined.
+    start: StartId,
     /// The last step it ran.
     done: u64,
-    /// The last step it has acknowledged.
-    top: u64,
-    /// The start at which its engine was last found to have run nothing.
-    lost: Option<Start>,
-    /// The step after which such an engine joins the others.
-    place: u64,
-    /// The epochs its engine holds.
-    held: BTreeSet<u64>,
-    /// The last step it was sent a grant for.
-    offered: u64,
-    /// When it was last sent something.
-    sent: Option<Duration>,
+    /// The last step whose grant it has acknowledged.
+    acked_top: u64,
+    /// The last start with which its engine joined after others but had run nothing.
+    reset_start: Option<StartId>,
+    /// The step after which an engine that has run nothing joins the others; 0 while
+    /// that isn't known.
+    resume_after: u64,
+    /// The epochs whose weights its engine holds.
+    loaded: BTreeSet<u64>,
+    /// The last step in a grant sent to it.
+    sent_top: u64,
+    /// When a command was last sent to it.
+    last_sent: Option<Duration>,
 }
 
-/// A change of map under way.
+/// A change of map in progress.
 #[derive(Debug)]
 struct Change {
     /// The new map's epoch.
     epoch: u64,
-    /// The bytes a second that each rank may load for it.
+    /// The maximum load rate of each rank in bytes per second.
     rate: u64,
     /// When it was proposed.
-    since: Duration,
-    /// What an engine last said against it.
-    last: Option<String>,
+    proposed_at: Duration,
+    /// The last error of an engine that failed to load the map.
+    last_failure: Option<String>,
 }
 
 /// The lead of a group.
 #[derive(Debug)]
 pub struct Lead {
-    /// Fixed properties.
+    /// The settings.
     settings: Settings,
-    /// The fence that the platform gave.
+    /// The fence of the lease.
     fence: u64,
-    /// How far the lead is.
+    /// The current phase.
     phase: Phase,
-    /// Counts the rounds of asking.
+    /// The current collection round, from 1.
     round: u64,
-    /// The ranks.
-    attendance: Vec<Attendance>,
-    /// The steps granted to some rank and not known to be run.
+    /// The ranks by seat.
+    ranks: Vec<RankView>,
+    /// The steps granted to any rank and not known to be run.
     schedule: Schedule,
     /// The epoch of the next step to grant.
     epoch: Option<u64>,
-    /// The highest epoch used.
-    highest: u64,
-    /// The change under way.
+    /// The highest epoch known.
+    highest_epoch: u64,
+    /// The change in progress.
     change: Option<Change>,
-    /// The placements known.
+    /// The known placements by epoch.
     maps: BTreeMap<u64, Map>,
-    /// When a placement was last asked for.
-    fetched: Option<Duration>,
-    /// The seat that was asked.
-    asked: u16,
+    /// When a placement was last requested.
+    fetch_sent_at: Option<Duration>,
+    /// The seat of that request.
+    fetch_seat: u16,
 }
 
 impl Lead {
-    /// A lead with the fence that the platform gave it.
+    /// Creates a lead with the fence of its lease.
     ///
     /// ```
     /// use std::time::Duration;
@@ -122,215 +124,211 @@
     ///     seat: 0,
     ///     shape,
     ///     window: 256,
-    ///     resend: Duration::from_millis(200),
-    ///     patience: Duration::from_secs(60),
+    ///     resend_interval: Duration::from_millis(200),
+    ///     staging_timeout: Duration::from_secs(60),
     /// };
     /// let mut lead = Lead::new(settings, 1);
-    /// // Its own rank is the first to promise.
+    /// // Its own rank has to join first.
     /// assert!(matches!(lead.tick(Duration::ZERO)[..], [Output::Send { seat: 0, .. }]));
     /// ```
     #[must_use]
     pub fn new(settings: Settings, fence: u64) -> Self {
-        let attendance = 0..settings.shape.ranks;
+        let seats = 0..settings.shape.ranks;
         Self {
-            attendance: attendance.map(|_| Attendance::default()).collect(),
+            ranks: seats.map(|_| RankView::default()).collect(),
             settings,
             fence,
             phase: Phase::Collecting,
             round: 1,
             schedule: Schedule::default(),
             epoch: None,
-            highest: 0,
+            highest_epoch: 0,
             change: None,
             maps: BTreeMap::new(),
-            fetched: None,
-            asked: 0,
+            fetch_sent_at: None,
+            fetch_seat: 0,
         }
     }
 
-    /// The lead's fence.
+    /// Returns the lead's fence.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// Whether all ranks have joined and steps are granted.
+    /// Returns whether all ranks have joined and steps are granted.
     #[must_use]
     pub fn is_granting(&self) -> bool {
         self.phase == Phase::Granting
     }
 
-    /// Whether a higher fence was heard of.
+    /// Returns whether a rank reported a higher fence.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.phase == Phase::Over
+    pub fn is_ended(&self) -> bool {
+        self.phase == Phase::Ended
     }
 
-    /// The epoch of the next step to grant, where there is a map.
+    /// Returns the epoch of the next step to grant, if there is a map.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// The placement that the next step to grant runs on.
+    /// Returns the placement of the next step to grant, if it is known.
     #[must_use]
     pub fn map(&self) -> Option<&Map> {
         self.maps.get(&self.epoch?)
     }
 
-    /// The epoch of the change under way.
+    /// Returns the epoch of the change in progress.
     #[must_use]
-    pub fn changing(&self) -> Option<u64> {
+    pub fn pending_epoch(&self) -> Option<u64> {
         self.change.as_ref().map(|change| change.epoch)
     }
 
-    /// The last step that any rank has run, as far as is known.
+    /// Returns the last step that any rank is known to have run.
     #[must_use]
     pub fn done(&self) -> u64 {
-        self.attendance
-            .iter()
-            .map(|seat| seat.done)
-            .max()
-            .unwrap_or(0)
+        self.ranks.iter().map(|rank| rank.done).max().unwrap_or(0)
     }
 
-    /// Starts a change to a placement, under an epoch of this lead's own. Each
-    /// rank loads at most `rate` bytes a second for it.
+    /// Starts a change to a placement, under a new epoch of this lead. Each rank
+    /// loads at most `rate` bytes per second for it.
     ///
     /// # Errors
     ///
-    /// Why the placement isn't taken up; the map in force stays.
+    /// Why the placement is rejected; the current map stays in use.
     pub fn propose(
         &mut self,
         now: Duration,
         layers: Vec<Layer>,
         rate: u64,
-    ) -> Result<(u64, Vec<Output>), Refused> {
+    ) -> Result<(u64, Vec<Output>), ProposeError> {
         match self.phase {
-            Phase::Collecting => return Err(Refused::Collecting),
-            Phase::Over => return Err(Refused::Over),
+            Phase::Collecting => return Err(ProposeError::Collecting),
+            Phase::Ended => return Err(ProposeError::Ended),
             Phase::Granting => {}
         }
         if let Some(change) = &self.change {
             let epoch = change.epoch;
-            return Err(Refused::Busy { epoch });
+            return Err(ProposeError::Busy { epoch });
         }
-        let epoch = self.highest.max(self.fence * EPOCHS) + 1;
-        if epoch >= (self.fence + 1) * EPOCHS {
-            return Err(Refused::Over);
+        let epoch = self.highest_epoch.max(self.fence * EPOCHS_PER_FENCE) + 1;
+        if epoch >= (self.fence + 1) * EPOCHS_PER_FENCE {
+            return Err(ProposeError::Ended);
         }
         let map = Map { epoch, layers };
-        map.check(self.settings.shape, self.highest)?;
-        self.highest = epoch;
+        map.check(self.settings.shape, self.highest_epoch)?;
+        self.highest_epoch = epoch;
         self.maps.insert(epoch, map);
         self.change = Some(Change {
             epoch,
             rate,
-            since: now,
-            last: None,
+            proposed_at: now,
+            last_failure: None,
         });
-        Ok((epoch, self.drive(now, true)))
+        Ok((epoch, self.advance(now, true)))
     }
 
-    /// Time has passed: what has to be said, or said again.
+    /// Runs the periodic work: timeouts and resending.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
-        self.drive(now, false)
+        self.advance(now, false)
     }
 
-    /// A rank reports.
-    pub fn report(&mut self, now: Duration, report: Report) -> Vec<Output> {
-        if self.phase == Phase::Over {
+    /// Handles the report of a rank.
+    pub fn handle_report(&mut self, now: Duration, report: Report) -> Vec<Output> {
+        if self.phase == Phase::Ended {
             return Vec::new();
         }
         if report.fence > self.fence {
-            self.phase = Phase::Over;
+            self.phase = Phase::Ended;
             let fence = report.fence;
             return vec![Output::Deposed { fence }];
         }
-        let Some(seat) = self.attendance.get_mut(usize::from(report.seat)) else {
+        let Some(rank) = self.ranks.get_mut(usize::from(report.seat)) else {
             return Vec::new();
         };
-        // A message of a start that was replaced says nothing about the present one.
-        if report.fence < self.fence && !matches!(report.news, News::Refused(_))
-            || report.start < seat.start
+        // A report from an earlier start says nothing about the current one.
+        if report.fence < self.fence && !matches!(report.body, ReportBody::Refused(_))
+            || report.start < rank.start
         {
             return Vec::new();
         }
-        let current = seat.joined && report.start == seat.start;
-        match report.news {
-            News::Joined {
+        let current = rank.joined && report.start == rank.start;
+        match report.body {
+            ReportBody::Joined {
                 round,
                 done,
                 spans,
                 running,
-                held,
+                loaded,
             } => {
-                let restarted = report.start > seat.start;
+                let restarted = report.start > rank.start;
                 if round != self.round && !(round == 0 && restarted) {
                     return Vec::new();
                 }
-                let lost = seat.lost;
+                let reset_start = rank.reset_start;
                 let seat = report.seat;
-                let joined = Attendance {
+                let joined = RankView {
                     joined: true,
                     start: report.start,
                     done,
-                    top: spans.last().map_or(done, |span| span.to),
-                    lost,
-                    place: 0,
-                    held: held.into_iter().collect(),
-                    offered: 0,
-                    sent: None,
+                    acked_top: spans.last().map_or(done, |span| span.to),
+                    reset_start,
+                    resume_after: 0,
+                    loaded: loaded.into_iter().collect(),
+                    sent_top: 0,
+                    last_sent: None,
                 };
-                self.join(seat, joined, &spans, running)
+                self.handle_joined(seat, joined, &spans, running)
             }
-            News::Progress { done, top } if current => {
-                seat.done = seat.done.max(done);
-                seat.top = seat.top.max(top);
+            ReportBody::Progress { done, top } if current => {
+                rank.done = rank.done.max(done);
+                rank.acked_top = rank.acked_top.max(top);
                 Vec::new()
             }
-            News::Staged { epoch } if current => {
-                seat.held.insert(epoch);
+            ReportBody::Staged { epoch } if current => {
+                rank.loaded.insert(epoch);
                 Vec::new()
             }
-            News::Failed { epoch, reason } if current => {
+            ReportBody::Failed { epoch, reason } if current => {
                 if let Some(change) = self.change.as_mut().filter(|c| c.epoch == epoch) {
-                    change.last = Some(reason);
+                    change.last_failure = Some(reason);
                 }
                 Vec::new()
             }
-            News::Held { map } => {
+            ReportBody::FetchedMap { map } => {
                 self.maps.entry(map.epoch).or_insert(map);
                 Vec::new()
             }
-            News::Refused(refusal) => self.refused(report.seat, &refusal),
-            News::Diverged { step, epoch, ran } if current => {
-                self.adopt(step, epoch);
+            ReportBody::Refused(refusal) => self.handle_refusal(report.seat, &refusal),
+            ReportBody::Diverged { step, epoch, ran } if current => {
+                self.adopt_foreign_step(step, epoch);
                 let seat = report.seat;
                 vec![Output::Diverged { seat, step, ran }]
             }
             _ => Vec::new(),
         }
         .into_iter()
-        .chain(self.drive(now, false))
+        .chain(self.advance(now, false))
         .collect()
     }
 
-    /// A rank didn't carry out a command.
-    fn refused(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
-        let rank = &mut self.attendance[usize::from(seat)];
+    /// Handles a rank's refusal of a command.
+    fn handle_refusal(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
+        let rank = &mut self.ranks[usize::from(seat)];
         match *refusal {
             Refusal::Fence { fence } if fence > self.fence => {
-                self.phase = Phase::Over;
+                self.phase = Phase::Ended;
                 vec![Output::Deposed { fence }]
             }
-            // The rank's books end earlier than was believed.
+            // The rank's schedule ends earlier than was assumed.
             Refusal::Gap { top } => {
-                rank.top = rank.top.min(top);
+                rank.acked_top = rank.acked_top.min(top);
                 Vec::new()
             }
-            // The rank has to say anew where it stands.
-            Refusal::Start | Refusal::Unjoined => {
+            // The rank has to join again and report its state.
+            Refusal::Restarted | Refusal::Unjoined => {
                 rank.joined = false;
                 Vec::new()
             }
@@ -342,9 +340,10 @@
         }
     }
 
-    /// Takes in a step that an engine has from someone else. Where nobody was
-    /// granted it, granting it to all on the same map keeps the step whole.
-    fn adopt(&mut self, step: u64, epoch: u64) {
+    /// Handles a step that an engine was given by another agent. If no rank was
+    /// granted the step, granting it to all ranks on that map keeps the step
+    /// consistent.
+    fn adopt_foreign_step(&mut self, step: u64, epoch: u64) {
         let next = self.top() + 1;
         if step >= next && self.maps.contains_key(&epoch) {
             let span = Span {
@@ -352,124 +351,136 @@
                 to: step,
                 epoch,
             };
-            // The span follows the schedule's end.
+            // This can't fail: the span follows the schedule's end.
             let _ = self.schedule.merge(&[span]);
         }
     }
 
-    /// A rank has promised to refuse lower fences.
-    fn join(
+    /// Records the state of a rank that has joined.
+    fn handle_joined(
         &mut self,
         seat: u16,
-        joined: Attendance,
+        joined: RankView,
         spans: &[Span],
         running: Option<u64>,
     ) -> Vec<Output> {
-        let known = joined.held.last().copied().max(running).unwrap_or(0);
-        self.highest = self.highest.max(known);
-        self.attendance[usize::from(seat)] = joined;
+        let known = joined.loaded.last().copied().max(running).unwrap_or(0);
+        self.highest_epoch = self.highest_epoch.max(known);
+        self.ranks[usize::from(seat)] = joined;
         if self.phase == Phase::Collecting && running > self.epoch {
             self.epoch = running;
         }
         let mut outputs = Vec::new();
         for span in spans {
-            outputs.extend(self.note(seat, *span));
+            outputs.extend(self.merge_reported_span(seat, *span));
         }
         outputs
     }
 
-    /// Adds what a rank was granted to the schedule. Ranks report in any order,
-    /// so a span may lie before, in or after what is listed.
-    fn note(&mut self, seat: u16, span: Span) -> Option<Output> {
+    /// Adds a span that a rank was granted to the schedule. Ranks report in any
+    /// order, so the span may lie before, within or after the scheduled steps.
+    fn merge_reported_span(&mut self, seat: u16, span: Span) -> Option<Output> {
         let first = self.schedule.first();
-        let listed = if first.is_some_and(|first| span.from < first) {
-            let mut whole = Schedule::default();
+        let result = if first.is_some_and(|first| span.from < first) {
+            let mut merged = Schedule::default();
             let rest = self.schedule.after(0);
-            let merged = whole.merge(&[span]).and_then(|()| whole.merge(&rest));
-            merged.map(|()| self.schedule = whole)
+            let result = merged.merge(&[span]).and_then(|()| merged.merge(&rest));
+            result.map(|()| self.schedule = merged)
         } else {
             self.schedule.merge(&[span])
         };
         let step = span.from;
         let ran = false;
-        listed.err().map(|_| Output::Diverged { seat, step, ran })
+        result.err().map(|_| Output::Diverged { seat, step, ran })
     }
 
-    /// The last step granted to anyone.
+    /// Returns the last step granted to any rank.
     fn top(&self) -> u64 {
-        self.schedule.top().unwrap_or(0).max(self.base())
+        self.schedule.top().unwrap_or(0).max(self.base_step())
     }
 
-    /// The step after which the group goes on.
-    fn base(&self) -> u64 {
+    /// Returns the step after which the group continues.
+    fn base_step(&self) -> u64 {
         let first = self.schedule.first().map(|step| step - 1);
         match self.done() {
-            0 => first.unwrap_or(self.fence * STEPS),
+            0 => first.unwrap_or(self.fence * STEPS_PER_FENCE),
             done => done,
         }
     }
 
-    /// Goes on as far as what is known allows.
-    fn drive(&mut self, now: Duration, at_once: bool) -> Vec<Output> {
+    /// Proceeds as far as the known state of the ranks allows, and returns the
+    /// commands that are due.
+    fn advance(&mut self, now: Duration, resend_now: bool) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let whole = self.phase != Phase::Over && self.assemble();
-        if self.phase == Phase::Collecting && whole {
+        let all_joined = self.phase != Phase::Ended && self.try_assemble();
+        if self.phase == Phase::Collecting && all_joined {
             self.phase = Phase::Granting;
         }
         match self.phase {
-            Phase::Over => return outputs,
+            Phase::Ended => return outputs,
             Phase::Collecting => {}
             Phase::Granting => {
-                outputs.extend(self.settle(now));
-                self.extend();
+                outputs.extend(self.resolve_change(now));
+                self.extend_grants();
             }
         }
         for seat in 0..self.settings.shape.ranks {
-            outputs.extend(self.serve(now, seat, at_once));
+            outputs.extend(self.commands_for(now, seat, resend_now));
         }
-        outputs.extend(self.fetch(now));
+        outputs.extend(self.fetch_missing_map(now));
         outputs
     }
 
-    /// Decides the change under way, once every rank has staged it or too long.
-    fn settle(&mut self, now: Duration) -> Vec<Output> {
+    /// Completes the change in progress once all ranks have staged the map, or aborts
+    /// it after the staging timeout.
+    fn resolve_change(&mut self, now: Duration) -> Vec<Output> {
         let Some(change) = &self.change else {
             return Vec::new();
         };
         let epoch = change.epoch;
-        let staged = |seat: &&Attendance| seat.joined && seat.held.contains(&epoch);
-        let missing = self.attendance.len() - self.attendance.iter().filter(staged).count();
+        let staged = |rank: &&RankView| rank.joined && rank.loaded.contains(&epoch);
+        let missing = self.ranks.len() - self.ranks.iter().filter(staged).count();
         if missing == 0 {
             self.change = None;
             self.epoch = Some(epoch);
             let step = self.top() + 1;
-            // The old map is kept until the schedule has left it behind.
+            // The old map is kept until no scheduled step runs on it.
             return vec![Output::Switched { epoch, step }];
         }
-        if now < change.since + self.settings.patience {
+        if now < change.proposed_at + self.settings.staging_timeout {
             return Vec::new();
         }
-        let last = change.last.clone();
+        let last_failure = change.last_failure.clone();
         self.change = None;
         self.maps.remove(&epoch);
         let mut outputs = vec![Output::Aborted {
             epoch,
-            reason: Abort::Slow { missing, last },
+            reason: AbortReason::StagingTimeout {
+                missing,
+                last_failure,
+            },
         }];
         for seat in 0..self.settings.shape.ranks {
-            let start = self.attendance[usize::from(seat)].start;
-            outputs.push(self.send(seat, Ask::Drop { start, epoch }));
+            let start = self.ranks[usize::from(seat)].start;
+            outputs.push(self.command(seat, Request::Drop { start, epoch }));
         }
         outputs
     }
 
-    /// Grants further steps once half of those granted are run.
-    fn extend(&mut self) {
-        let done = self.base();
-        let known = |seat: &Attendance| if seat.done == 0 { seat.place } else { seat.top };
-        let shortest = self.attendance.iter().map(known).min().unwrap_or(0);
-        if shortest > 0 {
-            self.schedule.trim(done.min(shortest));
+    /// Extends the schedule to the full window once half of the window has run, and
+    /// forgets steps that are acknowledged and run, and unused maps.
+    fn extend_grants(&mut self) {
+        let done = self.base_step();
+        let acked = |rank: &RankView| {
+            if rank.done == 0 {
+                rank.resume_after
+            } else {
+                rank.acked_top
+            }
+        };
+        let lowest_acked = self.ranks.iter().map(acked).min().unwrap_or(0);
+        if lowest_acked > 0 {
+            self.schedule.trim(done.min(lowest_acked));
         }
         let Some(epoch) = self.epoch else {
             return;
@@ -483,19 +494,19 @@
             to: done + self.settings.window,
             epoch,
         };
-        // The span follows the schedule's end.
+        // This can't fail: the span follows the schedule's end.
         let _ = self.schedule.merge(&[span]);
         let oldest = self.schedule.epochs().next().unwrap_or(epoch);
         let oldest = oldest.min(epoch);
         self.maps.retain(|&epoch, _| epoch >= oldest);
     }
 
-    /// A command under this lead's fence.
-    fn send(&self, seat: u16, ask: Ask) -> Output {
+    /// Creates a command with this lead's fence.
+    fn command(&self, seat: u16, request: Request) -> Output {
         let command = Command {
             fence: self.fence,
             lead: self.settings.seat,
-            ask,
+            request,
         };
         Output::Send { seat, command }
     }
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -1,11 +1,11 @@
-//! A rank's side: what its agent lets its engine do.
+//! A rank's agent, which forwards the lead's grants to its engine.
 //!
-//! The agent is the engine's only source of steps. It starts out *learning*:
-//! it may have promised a lead to refuse lower fences before it was restarted,
-//! and a promise forgotten would let an old lead's grant give a step a second
-//! map. It therefore asks the agents of all other ranks for the highest fence
-//! they know, waits until no order of its previous start can still reach the
-//! engine, and only then reads from the engine what was granted.
+//! The agent is the engine's only source of steps. It starts by *learning*: before
+//! a restart it may have promised a lead to reject lower fences, and without that
+//! promise an old lead's grant could give a step a second map. It therefore asks
+//! the agents of all other ranks for the highest fence they know, waits until no
+//! order of its previous start can still reach the engine, and only then reads the
+//! granted steps from the engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,72 +16,72 @@
 
 use super::{
     engine::{Action, Event},
-    message::{Ask, Command, News, Peer, Refusal, Report, Start},
+    message::{Command, PeerMessage, Refusal, Report, ReportBody, Request, StartId},
     schedule::{Error, Schedule, Span},
 };
 
-mod reading;
+mod snapshot;
 
-pub use super::port::{Input, Output, Settings};
+pub use super::rank_io::{Input, Output, Settings};
 
-/// How far a rank's agent is.
+/// The phase of a rank's agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It collects the fence from its peers and waits out orders on their way.
+    /// Asking its peers for the fence and waiting for orders in flight to expire.
     Learning,
-    /// It reads its engine.
+    /// Reading the engine's state.
     Reading,
-    /// It knows where it stands.
+    /// Knows the fence and the engine's state.
     Ready,
 }
 
 /// A rank's agent.
 #[derive(Debug)]
 pub struct Rank {
-    /// Fixed properties.
+    /// The settings.
     settings: Settings,
-    /// How far the agent is.
+    /// The current phase.
     phase: Phase,
-    /// When the agent started.
+    /// When the agent handled its first tick.
     started: Option<Duration>,
-    /// The peers that have answered since.
-    floors: BTreeSet<u16>,
-    /// The highest fence heard of.
+    /// The seats of the peers that have answered a probe.
+    probe_replies: BTreeSet<u16>,
+    /// The highest fence known.
     fence: u64,
-    /// The seat of the lead that holds it.
+    /// The seat of the lead with that fence, if known.
     lead: Option<u16>,
     /// Whether the rank has joined that lead.
     joined: bool,
-    /// The round of asking to answer once the engine has been read.
-    owed: Option<u64>,
-    /// The ticket of the last reading asked for.
+    /// The collection round to answer once the engine has been read.
+    pending_round: Option<u64>,
+    /// The ticket of the last read order.
     ticket: u64,
-    /// The engine's start, once read.
-    engine: Option<u64>,
-    /// Counts the engine's restarts.
-    life: u64,
-    /// The steps granted beyond `done`.
+    /// The engine's incarnation, once read.
+    engine_incarnation: Option<u64>,
+    /// The number of engine restarts observed.
+    engine_restarts: u64,
+    /// The steps granted after `done`.
     schedule: Schedule,
     /// The last step run.
     done: u64,
     /// The epoch of the last step run.
     running: Option<u64>,
-    /// The last step that the engine was seen to know of.
-    handed: u64,
-    /// The last step that an order to the engine has named.
-    ordered: u64,
+    /// The last granted step in the engine's reported state.
+    confirmed_top: u64,
+    /// The last step in any order sent to the engine.
+    sent_top: u64,
     /// The epochs whose weights the engine holds.
-    held: BTreeSet<u64>,
-    /// The placements known.
+    loaded: BTreeSet<u64>,
+    /// The known placements by epoch.
     maps: BTreeMap<u64, Map>,
-    /// When the engine or the peers were last asked.
-    asked: Duration,
-    /// The step up to which progress was last reported.
-    told: u64,
+    /// When probes, a read order or grants were last sent.
+    last_sent: Duration,
+    /// The value of `done` in the last progress report.
+    reported_done: u64,
 }
 
 impl Rank {
-    /// An agent that has just started.
+    /// Creates an agent that has just started.
     ///
     /// ```
     /// use std::time::Duration;
@@ -92,10 +92,10 @@
     ///     seat: 0,
     ///     ranks: 8,
     ///     incarnation: 1,
-    ///     checked: false,
-    ///     longest: Duration::from_secs(2),
-    ///     resend: Duration::from_millis(200),
-    ///     stride: 128,
+    ///     checks_fences: false,
+    ///     max_order_delay: Duration::from_secs(2),
+    ///     resend_interval: Duration::from_millis(200),
+    ///     progress_interval_steps: 128,
     /// });
     /// assert!(!rank.is_ready());
     /// ```
@@ -105,60 +105,60 @@
             settings,
             phase: Phase::Learning,
             started: None,
-            floors: BTreeSet::new(),
+            probe_replies: BTreeSet::new(),
             fence: 0,
             lead: None,
             joined: false,
-            owed: None,
+            pending_round: None,
             ticket: 0,
-            engine: None,
-            life: 0,
+            engine_incarnation: None,
+            engine_restarts: 0,
             schedule: Schedule::default(),
             done: 0,
             running: None,
-            handed: 0,
-            ordered: 0,
-            held: BTreeSet::new(),
+            confirmed_top: 0,
+            sent_top: 0,
+            loaded: BTreeSet::new(),
             maps: BTreeMap::new(),
-            asked: Duration::ZERO,
-            told: 0,
+            last_sent: Duration::ZERO,
+            reported_done: 0,
         }
     }
 
-    /// Whether the agent knows where it stands.
+    /// Returns whether the agent knows its fence and the engine's state.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// The highest fence heard of.
+    /// Returns the highest fence known.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The last step run, as far as the engine has said.
+    /// Returns the last step that the engine has reported as run.
     #[must_use]
     pub fn done(&self) -> u64 {
         self.done
     }
 
-    /// The epoch of the last step run.
+    /// Returns the epoch of the last step run.
     #[must_use]
     pub fn running(&self) -> Option<u64> {
         self.running
     }
 
-    /// The placement of a map, where it is known.
+    /// Returns the placement of a map, if it is known.
     #[must_use]
     pub fn map(&self, epoch: u64) -> Option<&Map> {
         self.maps.get(&epoch)
     }
 
-    /// Notes a fence that this agent's own lead has taken. It comes before the
-    /// lead's first message, so that a peer that starts and asks for the floor
-    /// hears of every fence that any rank may have promised to obey.
-    pub fn raise(&mut self, fence: u64) {
+    /// Records the fence of this agent's own lead. This must happen before the
+    /// lead's first message, so that a restarted peer learns from its probes of
+    /// every fence that any rank may have promised to follow.
+    pub fn raise_fence(&mut self, fence: u64) {
         if fence > self.fence {
             self.fence = fence;
             self.lead = Some(self.settings.seat);
@@ -166,62 +166,63 @@
         }
     }
 
-    /// Takes in what happened and returns what to do about it.
+    /// Handles an input and returns the resulting outputs.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
-            Input::Command(command) => self.command(now, command),
-            Input::Peer(peer) => self.peer(now, peer),
-            Input::Engine(event) => self.event(now, event),
+            Input::Command(command) => self.handle_command(now, command),
+            Input::Peer(peer) => self.handle_peer(now, peer),
+            Input::Engine(event) => self.handle_event(now, event),
             Input::Tick => self.tick(now),
         }
     }
 
-    /// Time has passed.
+    /// Runs the periodic work: leaves the learning phase when that is safe, and
+    /// resends what has shown no effect.
     fn tick(&mut self, now: Duration) -> Vec<Output> {
-        let due = self.started.is_none() || now >= self.asked + self.settings.resend;
+        let due = self.started.is_none() || now >= self.last_sent + self.settings.resend_interval;
         let started = *self.started.get_or_insert(now);
         let mut outputs = Vec::new();
         if self.phase == Phase::Learning {
-            let known = self.floors.len() + 1 >= usize::from(self.settings.ranks);
-            if known && now >= started + self.settings.longest {
+            let all_replied = self.probe_replies.len() + 1 >= usize::from(self.settings.ranks);
+            if all_replied && now >= started + self.settings.max_order_delay {
                 self.phase = Phase::Reading;
-                self.asked = now;
-                outputs.push(self.look());
+                self.last_sent = now;
+                outputs.push(self.read_engine());
             } else if due {
-                self.asked = now;
+                self.last_sent = now;
                 outputs.extend(self.probes());
             }
         } else if due {
-            self.asked = now;
+            self.last_sent = now;
             match self.phase {
-                Phase::Reading => outputs.push(self.look()),
-                _ if self.owed.is_some() => outputs.push(self.look()),
-                // The engine confirms a grant by the state it reports; until
-                // then the order or its answer may have been lost.
-                _ => outputs.extend(self.hand()),
+                Phase::Reading => outputs.push(self.read_engine()),
+                _ if self.pending_round.is_some() => outputs.push(self.read_engine()),
+                // The engine confirms a grant by its reported state. Until then
+                // the order may have been lost.
+                _ => outputs.extend(self.forward_grants()),
             }
         }
         outputs
     }
 
-    /// Questions to the peers that haven't answered.
+    /// Returns probes to the peers that haven't answered.
     fn probes(&self) -> Vec<Output> {
         let seat = self.settings.seat;
         let incarnation = self.settings.incarnation;
-        let silent = |to: &u16| *to != seat && !self.floors.contains(to);
+        let is_unanswered = |to: &u16| *to != seat && !self.probe_replies.contains(to);
         let probe = |to| Output::Peer {
             to,
-            peer: Peer::Probe { seat, incarnation },
+            message: PeerMessage::Probe { seat, incarnation },
         };
         let seats = 0..self.settings.ranks;
-        seats.filter(silent).map(probe).collect()
+        seats.filter(is_unanswered).map(probe).collect()
     }
 
-    /// Another rank's agent says something.
-    fn peer(&mut self, now: Duration, peer: Peer) -> Vec<Output> {
-        match peer {
-            Peer::Probe { seat, incarnation } => {
-                let answer = Peer::Floor {
+    /// Handles a message from another rank's agent.
+    fn handle_peer(&mut self, now: Duration, message: PeerMessage) -> Vec<Output> {
+        match message {
+            PeerMessage::Probe { seat, incarnation } => {
+                let answer = PeerMessage::Floor {
                     seat: self.settings.seat,
                     incarnation,
                     fence: self.fence,
@@ -229,20 +230,20 @@
                 };
                 vec![Output::Peer {
                     to: seat,
-                    peer: answer,
+                    message: answer,
                 }]
             }
-            Peer::Floor {
+            PeerMessage::Floor {
                 seat,
                 incarnation,
                 fence,
                 lead,
             } => {
-                let mine = incarnation == self.settings.incarnation;
-                if !mine || self.phase != Phase::Learning {
+                let is_own_probe = incarnation == self.settings.incarnation;
+                if !is_own_probe || self.phase != Phase::Learning {
                     return Vec::new();
                 }
-                self.floors.insert(seat);
+                self.probe_replies.insert(seat);
                 if fence > self.fence {
                     self.fence = fence;
                     self.lead = lead;
@@ -252,49 +253,51 @@
         }
     }
 
-    /// The lead asks something.
-    fn command(&mut self, now: Duration, command: Command) -> Vec<Output> {
+    /// Handles a command of the lead.
+    fn handle_command(&mut self, now: Duration, command: Command) -> Vec<Output> {
         let lead = command.lead;
-        if let Err(refusal) = self.admit(&command) {
-            let report = self.report(News::Refused(refusal));
+        if let Err(refusal) = self.check_command(&command) {
+            let report = self.report(ReportBody::Refused(refusal));
             return vec![Output::Report { lead, report }];
         }
-        match command.ask {
-            Ask::Collect { round } => {
+        match command.request {
+            Request::Collect { round } => {
                 self.fence = command.fence;
                 self.lead = Some(lead);
-                self.promise(round)
+                self.begin_join(round)
             }
-            Ask::Grant { spans, .. } => self.grant(now, &spans),
-            Ask::Stage { map, rate, .. } => self.stage(map, rate),
-            Ask::Drop { epoch, .. } => self.forget(epoch),
-            Ask::Fetch { epoch } => {
+            Request::Grant { spans, .. } => self.handle_grant(now, &spans),
+            Request::Stage { map, rate, .. } => self.stage_map(map, rate),
+            Request::Drop { epoch, .. } => self.drop_map(epoch),
+            Request::Fetch { epoch } => {
                 let map = self.maps.get(&epoch).cloned();
-                let unknown = News::Refused(Refusal::Unknown);
-                self.tell(map.map_or(unknown, |map| News::Held { map }))
+                let unknown = ReportBody::Refused(Refusal::Unknown);
+                self.report_to_lead(map.map_or(unknown, |map| ReportBody::FetchedMap { map }))
             }
         }
     }
 
-    /// Whether a command may be carried out.
+    /// Checks whether a command may be executed.
     ///
-    /// An old lead that wakes from a pause, and its messages that were held up
-    /// on the way, are told by their fence. Those held up since before this
-    /// agent started are told by the start they name.
-    fn admit(&self, command: &Command) -> Result<(), Refusal> {
+    /// The fence identifies the commands of an old lead that resumes after a pause
+    /// and those that were delayed in flight. The start identifies commands that
+    /// have been in flight since before this agent or its engine restarted.
+    fn check_command(&self, command: &Command) -> Result<(), Refusal> {
         if self.phase != Phase::Ready {
             return Err(Refusal::Learning);
         }
         if command.fence < self.fence {
             return Err(Refusal::Fence { fence: self.fence });
         }
-        let meant = match command.ask {
-            Ask::Collect { .. } => return Ok(()),
-            Ask::Fetch { .. } => self.start(),
-            Ask::Grant { start, .. } | Ask::Stage { start, .. } | Ask::Drop { start, .. } => start,
+        let intended = match command.request {
+            Request::Collect { .. } => return Ok(()),
+            Request::Fetch { .. } => self.start_id(),
+            Request::Grant { start, .. }
+            | Request::Stage { start, .. }
+            | Request::Drop { start, .. } => start,
         };
-        if meant != self.start() {
-            return Err(Refusal::Start);
+        if intended != self.start_id() {
+            return Err(Refusal::Restarted);
         }
         if command.fence > self.fence || !self.joined {
             return Err(Refusal::Unjoined);
@@ -302,38 +305,38 @@
         Ok(())
     }
 
-    /// Has the engine read, so as to answer a round of asking with where it
-    /// stands now. Where it checks fences, it refuses lower ones from then on.
-    fn promise(&mut self, round: u64) -> Vec<Output> {
-        self.owed = Some(round);
-        vec![self.look()]
+    /// Reads the engine, to answer a collection round with its current state. An
+    /// engine that checks fences rejects lower ones from then on.
+    fn begin_join(&mut self, round: u64) -> Vec<Output> {
+        self.pending_round = Some(round);
+        vec![self.read_engine()]
     }
 
-    /// Has the engine read. Answers to earlier readings no longer count.
-    fn look(&mut self) -> Output {
+    /// Reads the engine. Answers to earlier read orders are outdated from now on.
+    fn read_engine(&mut self) -> Output {
         self.ticket += 1;
         let ticket = self.ticket;
-        self.engine(Action::Read { ticket })
+        self.engine_order(Action::Read { ticket })
     }
 
-    /// Takes a grant into the schedule and hands it on.
-    fn grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
-        let refusal = match self.take(spans) {
+    /// Adds a grant to the schedule and forwards it to the engine.
+    fn handle_grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
+        let refusal = match self.merge_grant(spans) {
             Ok(()) => {
-                self.asked = now;
-                let mut outputs = self.progress();
-                outputs.extend(self.hand());
+                self.last_sent = now;
+                let mut outputs = self.report_progress();
+                outputs.extend(self.forward_grants());
                 return outputs;
             }
             Err(Error::Conflict { step, .. }) => Refusal::Conflict { step },
             Err(Error::Gap { top }) => Refusal::Gap { top },
             Err(Error::Empty) => Refusal::Gap { top: self.top() },
         };
-        self.tell(News::Refused(refusal))
+        self.report_to_lead(ReportBody::Refused(refusal))
     }
 
-    /// Adds the granted steps that haven't run yet.
-    fn take(&mut self, spans: &[Span]) -> Result<(), Error> {
+    /// Adds the granted steps that haven't run yet to the schedule.
+    fn merge_grant(&mut self, spans: &[Span]) -> Result<(), Error> {
         let mut granted = Schedule::default();
         granted.merge(spans)?;
         let spans = granted.after(self.done);
@@ -347,135 +350,138 @@
             }
             return self.schedule.merge(&spans);
         }
-        // An engine that has run nothing starts where the grant does: that is
-        // where the others wait for it. It may have been handed an earlier
-        // start, by an order that was on its way when it was restarted.
+        // An engine that has run nothing starts at the first granted step, where
+        // the others wait for it. It may have been given earlier steps by an order
+        // that was in flight when it restarted.
         granted.merge(&self.schedule.after(first - 1))?;
         if granted != self.schedule {
             self.schedule = granted;
-            self.handed = 0;
+            self.confirmed_top = 0;
         }
         Ok(())
     }
 
-    /// Hands the engine the granted steps that it isn't seen to know of, up to
-    /// the first whose weights it lacks: it could not run that one.
-    fn hand(&mut self) -> Option<Output> {
+    /// Sends the engine the granted steps, if its reported state lacks any of them.
+    /// Stops before the first step whose weights aren't loaded, since the engine
+    /// can't run it.
+    fn forward_grants(&mut self) -> Option<Output> {
         let mut spans = self.schedule.after(self.done);
-        let ready = |span: &Span| self.held.contains(&span.epoch);
+        let ready = |span: &Span| self.loaded.contains(&span.epoch);
         spans.truncate(spans.iter().take_while(|span| ready(span)).count());
         let top = spans.last()?.to;
-        if top <= self.handed {
+        if top <= self.confirmed_top {
             return None;
         }
-        self.ordered = self.ordered.max(top);
+        self.sent_top = self.sent_top.max(top);
         let action = match self.done {
             0 => Action::Replace { spans },
             _ => Action::Grant { spans },
         };
-        Some(self.engine(action))
+        Some(self.engine_order(action))
     }
 
-    /// Has the engine load a map, or says that it has.
-    fn stage(&mut self, map: Map, rate: u64) -> Vec<Output> {
+    /// Makes the engine load a map, or reports that it is loaded already.
+    fn stage_map(&mut self, map: Map, rate: u64) -> Vec<Output> {
         let epoch = map.epoch;
-        if self.held.contains(&epoch) {
-            return self.tell(News::Staged { epoch });
+        if self.loaded.contains(&epoch) {
+            return self.report_to_lead(ReportBody::Staged { epoch });
         }
         self.maps.insert(epoch, map.clone());
-        vec![self.engine(Action::Stage { map, rate })]
+        vec![self.engine_order(Action::Stage { map, rate })]
     }
 
-    /// Forgets a map, unless a step runs on it: the drop of an abandoned change
-    /// can't be meant for a map that was granted.
-    fn forget(&mut self, epoch: u64) -> Vec<Output> {
+    /// Unloads a map, unless a step runs on it: an abandoned change never names a
+    /// map that was granted.
+    fn drop_map(&mut self, epoch: u64) -> Vec<Output> {
         let used = self.running == Some(epoch) || self.schedule.epochs().any(|e| e == epoch);
         if used || !self.maps.contains_key(&epoch) {
             return Vec::new();
         }
         self.maps.remove(&epoch);
-        self.held.remove(&epoch);
-        vec![self.engine(Action::Drop { epoch })]
+        self.loaded.remove(&epoch);
+        vec![self.engine_order(Action::Drop { epoch })]
     }
 
-    /// The engine says something.
-    fn event(&mut self, now: Duration, event: Event) -> Vec<Output> {
+    /// Handles a message from the engine.
+    fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Output> {
         match event {
-            Event::State(snapshot) => self.read(now, snapshot),
+            Event::State(snapshot) => self.handle_snapshot(now, snapshot),
             Event::Staged { epoch } => {
-                // A map that was dropped meanwhile is of no use any more.
+                // The map may have been dropped meanwhile.
                 if self.phase != Phase::Ready || !self.maps.contains_key(&epoch) {
                     return Vec::new();
                 }
-                self.held.insert(epoch);
-                let mut outputs = self.tell(News::Staged { epoch });
-                outputs.extend(self.hand());
+                self.loaded.insert(epoch);
+                let mut outputs = self.report_to_lead(ReportBody::Staged { epoch });
+                outputs.extend(self.forward_grants());
                 outputs
             }
-            Event::Failed { epoch, reason } => self.tell(News::Failed { epoch, reason }),
+            Event::Failed { epoch, reason } => {
+                self.report_to_lead(ReportBody::Failed { epoch, reason })
+            }
         }
     }
 
-    /// The last step granted.
+    /// Returns the last step granted, or `done` if none is.
     fn top(&self) -> u64 {
         self.schedule.top().unwrap_or(self.done)
     }
 
-    /// Says how far the rank is.
-    fn progress(&mut self) -> Vec<Output> {
-        self.told = self.done;
+    /// Reports the rank's progress to the lead.
+    fn report_progress(&mut self) -> Vec<Output> {
+        self.reported_done = self.done;
         let (done, top) = (self.done, self.top());
-        self.tell(News::Progress { done, top })
+        self.report_to_lead(ReportBody::Progress { done, top })
     }
 
-    /// Says where the rank stands.
+    /// Reports the rank's state to the lead it joins.
     ///
-    /// Steps that no order to the engine has named can't be run any more once
-    /// the fence is promised, so the lead is free to decide them anew.
-    fn join(&mut self, round: u64) -> Output {
-        self.schedule.cut(self.ordered.max(self.done));
+    /// Steps that were never sent to the engine are removed: they can't run any more
+    /// once the rank follows the new fence, so the lead may grant them again.
+    fn joined_report(&mut self, round: u64) -> Output {
+        self.schedule.cut(self.sent_top.max(self.done));
         let spans = self.schedule.after(self.done);
         let last = spans.last().map(|span| span.epoch);
-        let news = News::Joined {
+        let body = ReportBody::Joined {
             round,
             done: self.done,
             running: last.or(self.running),
             spans,
-            held: self.held.iter().copied().collect(),
+            loaded: self.loaded.iter().copied().collect(),
         };
         Output::Report {
             lead: self.lead.unwrap_or_default(),
-            report: self.report(news),
+            report: self.report(body),
         }
     }
 
-    /// A message to the lead, where there is one.
-    fn tell(&self, news: News) -> Vec<Output> {
-        let report = self.report(news);
+    /// Sends a report to the lead, if one is known.
+    fn report_to_lead(&self, body: ReportBody) -> Vec<Output> {
+        let report = self.report(body);
         let output = |lead| Output::Report { lead, report };
         self.lead.map(output).into_iter().collect()
     }
 
-    /// Which start of the rank this is.
-    fn start(&self) -> Start {
-        Start {
+    /// Returns the current start of the rank.
+    fn start_id(&self) -> StartId {
+        StartId {
             incarnation: self.settings.incarnation,
-            life: self.life,
+            engine_restarts: self.engine_restarts,
         }
     }
 
-    /// A message that names its sender.
-    fn report(&self, news: News) -> Report {
+    /// Creates a report with the rank's seat, fence and start.
+    fn report(&self, body: ReportBody) -> Report {
         Report {
             seat: self.settings.seat,
             fence: self.fence,
-            start: self.start(),
-            news,
+            start: self.start_id(),
+            body,
         }
     }
 
-    /// An order to the engine.
-    fn engine(&self, action: Action) -> Output {
+    /// Creates an order to the engine with the current fence.
+    fn engine_order(&self, action: Action) -> Output {
         Output::Engine {
             fence: self.fence,
             action,
