--- a/verbenaspool_policy/tests/dispatch/told.rs
+++ b/verbenaspool_policy/tests/dispatch/agent_reports.rs
@@ -8,7 +8,7 @@
 use crate::world::{engine, ms, replica, stream};
 
 /// An entry before one upstream with six slots.
-fn entry() -> Dispatcher {
+fn dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     dispatcher.set_engine(Some(&engine()));
     dispatcher.set_upstreams([replica("u0", 6)].iter());
@@ -16,15 +16,15 @@
 }
 
 /// The requests that the entry reckons with at its upstream.
-fn busy(dispatcher: &Dispatcher, now: u64) -> u32 {
+fn in_flight(dispatcher: &Dispatcher, now: u64) -> u32 {
     dispatcher.snapshot(ms(now)).in_flight
 }
 
 /// An agent's words come out of order, twice, from an earlier process, or are nonsense:
 /// only what is newer and possible counts.
 #[test]
-fn words_that_were_overtaken_or_make_no_sense_say_nothing() {
-    let mut dispatcher = entry();
+fn outdated_and_implausible_load_reports_are_ignored() {
+    let mut dispatcher = dispatcher();
     // When, the word's number, what it says; what is reckoned with.
     let cases = [
         (10, 5, 3, 3),
@@ -36,9 +36,9 @@
         // Behind a silence a lower number is that of a new process.
         (400, 1, 2, 2),
     ];
-    for (now, number, requests, reckoned) in cases {
-        dispatcher.record_load(ms(now), "u0", number, requests);
-        assert_eq!(busy(&dispatcher, now), reckoned, "at {now}");
+    for (now, sequence, requests, expected) in cases {
+        dispatcher.record_load(ms(now), "u0", sequence, requests);
+        assert_eq!(in_flight(&dispatcher, now), expected, "at {now}");
     }
     assert!(!dispatcher.record_load(ms(500), "another", 9, 1));
 }
@@ -47,8 +47,8 @@
 /// that comes after the answer does. Taken for the other, the upstream would look
 /// emptier or fuller than it is.
 #[test]
-fn a_request_for_which_an_agent_is_asked_counts_once() {
-    let mut dispatcher = entry();
+fn a_request_with_a_pending_reservation_counts_once() {
+    let mut dispatcher = dispatcher();
     dispatcher.record_load(ms(0), "u0", 1, 2);
     dispatcher.submit(ms(1), 1, stream(1));
     assert_eq!(
@@ -57,32 +57,32 @@
         "there is room"
     );
     dispatcher.record_load(ms(2), "u0", 2, 2);
-    assert_eq!(busy(&dispatcher, 2), 3);
+    assert_eq!(in_flight(&dispatcher, 2), 3);
     dispatcher.finish_reservation("u0");
     dispatcher.record_load(ms(3), "u0", 3, 3);
-    assert_eq!(busy(&dispatcher, 3), 3);
+    assert_eq!(in_flight(&dispatcher, 3), 3);
     dispatcher.finish_attempt(ms(4), "u0", AttemptOutcome::Good);
-    assert_eq!(busy(&dispatcher, 4), 2);
+    assert_eq!(in_flight(&dispatcher, 4), 2);
 }
 
 /// An agent whose word is new goes before what other entries say; one that fell silent
 /// for long doesn't.
 #[test]
-fn other_entries_count_where_no_agent_speaks() {
-    let mut dispatcher = entry();
+fn peer_load_counts_only_without_agent_reports() {
+    let mut dispatcher = dispatcher();
     dispatcher.record_load(ms(0), "u0", 1, 2);
     dispatcher.set_peer_load(ms(100), "u0", 6);
-    assert_eq!(busy(&dispatcher, 100), 2);
+    assert_eq!(in_flight(&dispatcher, 100), 2);
     assert!(dispatcher.needs_reservation(ms(100), "u0"));
     dispatcher.set_peer_load(ms(10_000), "u0", 6);
-    assert_eq!(busy(&dispatcher, 10_000), 6);
+    assert_eq!(in_flight(&dispatcher, 10_000), 6);
     assert!(!dispatcher.needs_reservation(ms(10_000), "u0"));
 }
 
 /// An agent that was silent isn't asked again at once.
 #[test]
-fn a_silent_agent_is_left_alone_for_a_while() {
-    let mut dispatcher = entry();
+fn an_unresponsive_agent_is_not_asked_for_a_while() {
+    let mut dispatcher = dispatcher();
     dispatcher.record_load(ms(0), "u0", 1, 2);
     dispatcher.record_agent_timeout(ms(10), "u0");
     assert!(!dispatcher.needs_reservation(ms(400), "u0"));
@@ -92,7 +92,7 @@
 /// A slot that was granted counts until a report can show the request, and no longer:
 /// callers leave between the agent's word and the sending.
 #[test]
-fn a_granted_slot_comes_free_again_if_nothing_comes() {
+fn an_unused_grant_expires() {
     let mut slots = Slots::default();
     slots.report(ms(0), 5);
     assert!(slots.grant(ms(1), 6));
@@ -106,7 +106,7 @@
 
 /// What an upstream says of itself may be nonsense as well.
 #[test]
-fn an_upstream_with_more_requests_than_can_be_counted_is_full() {
+fn an_upstream_that_reports_u32_max_requests_is_full() {
     let mut slots = Slots::default();
     slots.report(ms(0), u32::MAX);
     assert!(!slots.grant(ms(1), 6));
--- a/verbenaspool_policy/tests/dispatch/back.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -10,94 +10,97 @@
 use crate::world::{engine, ms, replica, stream};
 
 /// Callers of one service give 6.8 to 8 s each, evenly spread.
-fn give(times: &mut RetryDetector, from: u64, count: u64) {
+fn observe_first_attempts(detector: &mut RetryDetector, from: u64, count: u64) {
     for number in 0..count {
         let wait = ms(6_800 + (number * 379) % 1_200);
-        assert_eq!(times.observe(ms(from + number * 20), wait), Duration::ZERO);
+        assert_eq!(
+            detector.observe(ms(from + number * 20), wait),
+            Duration::ZERO
+        );
     }
 }
 
 /// Callers who were refused came back with 4.5 to 5.5 s left, were taken for new ones,
 /// and were refused again at once while the group was about to return.
 #[test]
-fn who_came_back_is_known_by_the_time_that_is_left() {
-    let mut times = RetryDetector::default();
-    give(&mut times, 0, 200);
-    times.record_rejection(ms(4_000), ms(2_500));
+fn retries_are_detected_by_their_remaining_wait() {
+    let mut detector = RetryDetector::default();
+    observe_first_attempts(&mut detector, 0, 200);
+    detector.record_rejection(ms(4_000), ms(2_500));
     for left in [4_500, 5_000, 5_500] {
-        let spent = times.observe(ms(6_500), ms(left));
+        let spent = detector.observe(ms(6_500), ms(left));
         assert!(spent > ms(800), "{left} ms left, {spent:?} spent");
     }
-    assert_eq!(times.observe(ms(6_500), ms(7_000)), Duration::ZERO);
+    assert_eq!(detector.observe(ms(6_500), ms(7_000)), Duration::ZERO);
 }
 
 /// Some callers give 3 s and others 15 s. Neither are taken for ones who came back.
 #[test]
-fn callers_with_other_times_are_new() {
-    let mut times = RetryDetector::default();
+fn first_attempts_may_have_different_waits() {
+    let mut detector = RetryDetector::default();
     for number in 0..100 {
         let wait = if number % 4 == 0 { 3_000 } else { 15_000 };
-        assert_eq!(times.observe(ms(number * 20), ms(wait)), Duration::ZERO);
+        assert_eq!(detector.observe(ms(number * 20), ms(wait)), Duration::ZERO);
     }
-    times.record_rejection(ms(2_000), ms(1_000));
-    assert!(times.observe(ms(2_500), ms(10_000)) > ms(4_000));
-    assert!(times.observe(ms(2_500), ms(2_000)) > ms(800));
-    assert_eq!(times.observe(ms(2_500), ms(3_000)), Duration::ZERO);
+    detector.record_rejection(ms(2_000), ms(1_000));
+    assert!(detector.observe(ms(2_500), ms(10_000)) > ms(4_000));
+    assert!(detector.observe(ms(2_500), ms(2_000)) > ms(800));
+    assert_eq!(detector.observe(ms(2_500), ms(3_000)), Duration::ZERO);
 }
 
 /// An outage goes on, and nearly all who come were refused before. They don't become
 /// what callers give at first.
 #[test]
-fn callers_who_come_back_teach_nothing() {
-    let mut times = RetryDetector::default();
-    give(&mut times, 0, 100);
+fn retries_dont_become_common_waits() {
+    let mut detector = RetryDetector::default();
+    observe_first_attempts(&mut detector, 0, 100);
     for number in 0..400 {
         let now = ms(2_000 + number * 20);
-        times.record_rejection(now, ms(2_500));
-        times.observe(now, ms(5_000));
+        detector.record_rejection(now, ms(2_500));
+        detector.observe(now, ms(5_000));
     }
-    assert!(times.observe(ms(11_000), ms(5_000)) > ms(800));
+    assert!(detector.observe(ms(11_000), ms(5_000)) > ms(800));
 }
 
 /// Guards against an entry that starts during an outage and takes retries for first
 /// attempts.
 #[test]
-fn an_entry_that_starts_knows_retries_by_what_its_peers_saw() {
-    let mut seasoned = RetryDetector::default();
-    give(&mut seasoned, 0, 200);
-    let mut fresh = RetryDetector::default();
+fn a_starting_entry_detects_retries_by_hints_of_its_peers() {
+    let mut peer = RetryDetector::default();
+    observe_first_attempts(&mut peer, 0, 200);
+    let mut starting = RetryDetector::default();
     assert_eq!(
-        fresh.observe(ms(0), ms(5_000)),
+        starting.observe(ms(0), ms(5_000)),
         Duration::ZERO,
         "nothing is known"
     );
-    fresh.set_hints(seasoned.common_waits());
-    assert!(fresh.observe(ms(10), ms(5_000)) > ms(1_500));
-    assert_eq!(fresh.observe(ms(20), ms(7_500)), Duration::ZERO);
+    starting.set_hints(peer.common_waits());
+    assert!(starting.observe(ms(10), ms(5_000)) > ms(1_500));
+    assert_eq!(starting.observe(ms(20), ms(7_500)), Duration::ZERO);
 }
 
 /// Guards against times of peers that no caller gives, and against more than a digest
 /// may bring.
 #[test]
-fn times_of_peers_that_make_no_sense_are_dropped() {
-    let mut times = RetryDetector::default();
-    times.set_hints([Duration::ZERO, Duration::MAX].into_iter());
-    assert_eq!(times.observe(ms(0), ms(5_000)), Duration::ZERO);
-    times.set_hints((1..1_000).map(|number| ms(number * 1_000)));
-    assert_eq!(times.observe(ms(10), ms(100_000)), Duration::ZERO);
+fn implausible_hints_are_ignored() {
+    let mut detector = RetryDetector::default();
+    detector.set_hints([Duration::ZERO, Duration::MAX].into_iter());
+    assert_eq!(detector.observe(ms(0), ms(5_000)), Duration::ZERO);
+    detector.set_hints((1..1_000).map(|number| ms(number * 1_000)));
+    assert_eq!(detector.observe(ms(10), ms(100_000)), Duration::ZERO);
 }
 
 /// Times to wait and to come back were fixed for callers with 8 s and answers of 2 s.
 /// They follow from both: nobody waits who can't be answered any more behind it, and all
 /// come back within the third of their time that they wait at most.
 #[test]
-fn waits_and_returns_follow_the_time_left() {
-    for (left, lasts) in [(1_500, 15), (3_000, 500), (8_000, 2_000), (15_000, 2_000)] {
+fn waits_and_retry_times_follow_the_remaining_time() {
+    for (left, service_ms) in [(1_500, 15), (3_000, 500), (8_000, 2_000), (15_000, 2_000)] {
         let mut service_time = ServiceTime::default();
-        service_time.record(ms(lasts));
-        let (left, lasts) = (ms(left), ms(lasts));
+        service_time.record(ms(service_ms));
+        let (left, answer_time) = (ms(left), ms(service_ms));
         let wait = service_time.max_wait(left);
-        assert!(wait + lasts < left, "{wait:?} of {left:?}");
+        assert!(wait + answer_time < left, "{wait:?} of {left:?}");
         for [soonest, latest] in [
             service_time.retry_after_full(left),
             service_time.retry_after_outage(left),
@@ -109,9 +112,9 @@
         }
         assert!(service_time.retry_after_outage(left)[0] > left / 4);
     }
-    let mut long = ServiceTime::default();
-    long.record(ms(2_000));
-    assert_eq!(long.max_wait(ms(2_000)), Duration::ZERO);
+    let mut service_time = ServiceTime::default();
+    service_time.record(ms(2_000));
+    assert_eq!(service_time.max_wait(ms(2_000)), Duration::ZERO);
 }
 
 /// An entry before so many ranks of one group, with answers of 2 s.
@@ -125,14 +128,14 @@
 }
 
 /// Tells that the group runs, or doesn't.
-fn runs(dispatcher: &mut Dispatcher, now: u64, count: u32, open: bool) {
+fn report_status(dispatcher: &mut Dispatcher, now: u64, count: u32, open: bool) {
     for number in 0..count {
         dispatcher.record_status(ms(now), &format!("u{number}"), 7, open, 1.0);
     }
 }
 
 /// What one who came back asks for, with so much time left.
-fn back(now: u64, left: u64) -> PlacementRequest {
+fn retry(now: u64, left: u64) -> PlacementRequest {
     PlacementRequest {
         target: ms(now.saturating_sub(1)),
         deadline: ms(now + left),
@@ -145,15 +148,15 @@
 /// meanwhile wait until it returns, as long as they bear; those who couldn't be answered
 /// after that are told so at once.
 #[test]
-fn who_came_back_waits_for_the_group() {
+fn retries_wait_for_the_group() {
     for (left, placed) in [(1_000, false), (5_300, true), (10_000, true)] {
         let mut dispatcher = group(4);
-        runs(&mut dispatcher, 2_000, 4, false);
-        dispatcher.submit(ms(2_100), 1, back(2_100, left));
+        report_status(&mut dispatcher, 2_000, 4, false);
+        dispatcher.submit(ms(2_100), 1, retry(2_100, left));
         let verdicts = dispatcher.process_queue(ms(2_110));
         assert_eq!(verdicts.is_empty(), placed, "{left} ms left: {verdicts:?}");
         if placed {
-            runs(&mut dispatcher, 3_000, 4, true);
+            report_status(&mut dispatcher, 3_000, 4, true);
             let verdicts = dispatcher.process_queue(ms(3_001));
             assert!(
                 matches!(verdicts[..], [(1, Verdict::Send(_))]),
@@ -165,12 +168,12 @@
 
 /// A group is away for 8 s. Nobody is held until the caller leaves by itself.
 #[test]
-fn nobody_waits_until_the_caller_leaves() {
+fn retries_are_rejected_before_their_callers_leave() {
     let mut dispatcher = group(4);
-    runs(&mut dispatcher, 2_000, 4, false);
-    dispatcher.submit(ms(2_100), 1, back(2_100, 5_300));
+    report_status(&mut dispatcher, 2_000, 4, false);
+    dispatcher.submit(ms(2_100), 1, retry(2_100, 5_300));
     assert_eq!(dispatcher.process_queue(ms(3_200)), []);
-    runs(&mut dispatcher, 3_250, 4, false);
+    report_status(&mut dispatcher, 3_250, 4, false);
     let verdicts = dispatcher.process_queue(ms(3_301));
     let [(1, Verdict::Reject(Rejection { reason, .. }))] = verdicts[..] else {
         panic!("{verdicts:?}");
@@ -180,14 +183,14 @@
 
 /// Guards against retries that take all slots as a group returns, on its longest passes.
 #[test]
-fn those_who_waited_leave_room_as_a_group_returns() {
+fn queued_retries_leave_capacity_when_a_group_returns() {
     let mut dispatcher = group(4);
-    runs(&mut dispatcher, 2_000, 4, false);
+    report_status(&mut dispatcher, 2_000, 4, false);
     for ticket in 0..100 {
-        dispatcher.submit(ms(2_100), ticket, back(2_100, 5_300));
+        dispatcher.submit(ms(2_100), ticket, retry(2_100, 5_300));
     }
     assert_eq!(dispatcher.process_queue(ms(2_200)), []);
-    runs(&mut dispatcher, 2_300, 4, true);
+    report_status(&mut dispatcher, 2_300, 4, true);
     let sent = |verdicts: &[(u64, Verdict)]| {
         let sent = verdicts
             .iter()
@@ -214,15 +217,15 @@
 /// taken. Counted with those who are late it found no place, and held back the streams
 /// of all others.
 #[test]
-fn a_stream_that_has_begun_is_placed_beyond_half_of_the_slots() {
+fn a_moved_stream_may_use_more_than_half_of_the_slots() {
     let mut dispatcher = group(2);
-    runs(&mut dispatcher, 0, 2, true);
+    report_status(&mut dispatcher, 0, 2, true);
     dispatcher.record_pause(ms(1), "u0", engine().pass(0.0));
     for ticket in 0..14 {
         dispatcher.submit(ms(1), ticket, stream(1));
     }
     assert_eq!(dispatcher.process_queue(ms(2)).len(), 14);
-    let late = back(10, 5_000);
+    let late = retry(10, 5_000);
     let moved = PlacementRequest {
         resumption: Resumption::Moved,
         ..late.clone()
--- a/verbenaspool_policy/tests/dispatch/crash.rs
+++ b/verbenaspool_policy/tests/dispatch/crash.rs
@@ -24,7 +24,7 @@
 }
 
 /// Where a request is sent now.
-fn sent(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Rc<str>> {
+fn place(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Rc<str>> {
     dispatcher.submit(ms(now), ticket, stream(now));
     let verdicts = dispatcher.process_queue(ms(now));
     dispatcher.cancel(ticket);
@@ -41,7 +41,7 @@
     let mut dispatcher = groups(2);
     dispatcher.record_crash(ms(10), "u1");
     for ticket in 0..4 {
-        let id = sent(&mut dispatcher, 20, ticket).expect("the other group runs");
+        let id = place(&mut dispatcher, 20, ticket).expect("the other group runs");
         let number: u32 = id[1..].parse().expect("a number");
         assert!(number >= RANKS, "{id} is of the group that lost a rank");
     }
@@ -49,7 +49,7 @@
         dispatcher.record_status(ms(900), &format!("u{number}"), 1, true, 1.0);
     }
     let ids: Vec<_> = (30..34)
-        .filter_map(|ticket| sent(&mut dispatcher, 1_000, ticket))
+        .filter_map(|ticket| place(&mut dispatcher, 1_000, ticket))
         .collect();
     assert!(ids.iter().any(|id| ["u0", "u2", "u3"].contains(&&**id)));
 }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn upstreams_without_groups_count_one_by_one() {
+fn upstreams_without_groups_count_individually() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..3).map(|n| replica(&format!("u{n}"), 12)).collect();
     dispatcher.set_upstreams(replicas.iter());
--- a/verbenaspool_policy/tests/dispatch/customer.rs
+++ b/verbenaspool_policy/tests/dispatch/customer.rs
@@ -1,24 +1,27 @@
 //! One customer that sends far more than it usually does.
 
-use crate::world::{Customer, Served, World};
+use crate::world::{Customer, Outcomes, World};
 
 /// Twenty customers, the first of them three times as large as the others.
-fn customers(first: f64) -> Vec<Customer<'static>> {
+fn customers(hot_rate: f64) -> Vec<Customer<'static>> {
     const NAMES: [&str; 20] = [
         "hot", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "d0", "d1", "d2", "d3", "d4",
         "d5", "d6", "d7", "d8", "d9",
     ];
-    let rate = |name: &&'static str| (*name, if *name == "hot" { first } else { 0.4 });
+    let rate = |name: &&'static str| (*name, if *name == "hot" { hot_rate } else { 0.4 });
     NAMES.iter().map(rate).collect()
 }
 
 /// What the other customers' callers got.
-fn others(world: &World) -> Served {
-    let others = world.got.iter().filter(|(name, _)| *name != "hot");
-    others.fold(Served::default(), |sum, (_, served)| Served {
-        in_time: sum.in_time + served.in_time,
-        late: sum.late + served.late,
-        refused: sum.refused + served.refused,
+fn other_outcomes(world: &World) -> Outcomes {
+    let others = world
+        .customer_outcomes
+        .iter()
+        .filter(|(name, _)| *name != "hot");
+    others.fold(Outcomes::default(), |sum, (_, outcomes)| Outcomes {
+        on_time: sum.on_time + outcomes.on_time,
+        late: sum.late + outcomes.late,
+        rejected: sum.rejected + outcomes.rejected,
     })
 }
 
@@ -27,35 +30,43 @@
 /// answers in time. What that customer sends beyond its usual is refused first now, and
 /// 158 of 169 of the others have theirs; its own usual part is served as well.
 #[test]
-fn the_others_are_served_while_one_sends_many_times_its_usual() {
+fn other_customers_are_served_while_one_exceeds_its_usual_rate() {
     let mut world = World::new(4, 12);
-    world.load_of(&customers(1.2), 12_000);
-    world.got.clear();
-    world.load_of(&customers(30.0), 6_000);
-    let (hot, others) = (world.got["hot"], others(&world));
-    let asked = others.in_time + others.late + others.refused;
-    assert!(others.in_time * 100 >= asked * 90, "{others:?}");
+    world.run_customers(&customers(1.2), 12_000);
+    world.customer_outcomes.clear();
+    world.run_customers(&customers(30.0), 6_000);
+    let (hot, others) = (world.customer_outcomes["hot"], other_outcomes(&world));
+    let total = others.on_time + others.late + others.rejected;
+    assert!(others.on_time * 100 >= total * 90, "{others:?}");
     // Its usual part is 28 in this time.
-    assert!(hot.in_time > 40, "{hot:?}");
-    assert!(hot.refused > 100, "{hot:?}");
+    assert!(hot.on_time > 40, "{hot:?}");
+    assert!(hot.rejected > 100, "{hot:?}");
 }
 
 /// All customers send 2.5 times as much at once. None is taken for the one to blame.
 #[test]
-fn where_all_send_more_none_is_held_back() {
+fn no_customer_is_held_back_if_all_send_more() {
     let usual = customers(1.2);
     let more: Vec<Customer<'_>> = usual
         .iter()
         .map(|(name, rate)| (*name, rate * 1.4))
         .collect();
     let mut world = World::new(4, 12);
-    world.load_of(&usual, 12_000);
-    world.got.clear();
-    world.load_of(&more, 4_000);
-    let refused: u32 = world.got.values().map(|served| served.refused).sum();
-    let served: u32 = world.got.values().map(|served| served.in_time).sum();
+    world.run_customers(&usual, 12_000);
+    world.customer_outcomes.clear();
+    world.run_customers(&more, 4_000);
+    let rejected: u32 = world
+        .customer_outcomes
+        .values()
+        .map(|outcomes| outcomes.rejected)
+        .sum();
+    let on_time: u32 = world
+        .customer_outcomes
+        .values()
+        .map(|outcomes| outcomes.on_time)
+        .sum();
     assert!(
-        refused * 20 <= served,
-        "{refused} refused, {served} in time"
+        rejected * 20 <= on_time,
+        "{rejected} rejected, {on_time} on time"
     );
 }
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -16,27 +16,27 @@
 const ENTRIES: usize = 60;
 const UPSTREAMS: u32 = 200;
 const ZONES: usize = 5;
-const SLOTS: u32 = 6;
+const SLOTS_PER_UPSTREAM: u32 = 6;
 
 /// How long a stream runs.
-const RUNS: u32 = 1_900;
+const STREAM_DURATION_MS: u32 = 1_900;
 
 /// How long a request takes to its upstream, and an ask and its answer each.
-const WAY: u64 = 2;
+const NETWORK_DELAY_MS: u64 = 2;
 
 /// How often entries tell each other what they have, where they do: 30 ms, and 4 ms more
 /// for each of the others.
-const DIGESTS: u64 = 266;
+const DIGEST_INTERVAL_MS: u64 = 266;
 
 /// How often an entry looks after those who wait.
-const TICK: u64 = 20;
+const QUEUE_INTERVAL_MS: u64 = 20;
 
 /// How often an agent reads its upstream's report.
-const READ: u64 = 50;
+const REPORT_INTERVAL_MS: u64 = 50;
 
 /// How entries know of the requests of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Views {
+enum LoadSource {
     /// By each other's digests.
     Digests,
     /// By agents, who are asked before each request.
@@ -48,19 +48,19 @@
 enum Fault {
     None,
     /// The agents of every third upstream are silent.
-    SilentAgents,
+    UnresponsiveAgents,
     /// The first entry asks no agent.
-    RudeEntry,
+    EntryWithoutReservations,
     /// A fifth of the upstreams is gone, all in one zone.
-    LostZone,
+    ZoneOutage,
     /// Each second other entries are replaced by new ones.
-    Restarts,
+    EntryRestarts,
 }
 
 /// A request on its way, or a word about one.
 enum Event {
     /// An entry asks an agent.
-    Ask(usize, u64, usize),
+    Reserve(usize, u64, usize),
     /// A request reaches its upstream.
     Arrive(usize, usize),
     /// A stream ends.
@@ -68,25 +68,25 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Outcome {
+struct Totals {
     sent: u32,
     /// Sendings that met an upstream whose slots were all taken.
-    full: u32,
-    refused: u32,
+    sent_to_full: u32,
+    rejected: u32,
     /// Sendings to another zone.
-    far: u32,
+    cross_zone: u32,
 }
 
-impl Outcome {
+impl Totals {
     /// Sendings that met a full upstream, in a thousand.
-    fn full_in_thousand(self) -> u32 {
-        self.full * 1_000 / self.sent.max(1)
+    fn full_per_thousand(self) -> u32 {
+        self.sent_to_full * 1_000 / self.sent.max(1)
     }
 }
 
 fn engine() -> Engine {
     Engine {
-        slots: SLOTS,
+        slots: SLOTS_PER_UPSTREAM,
         stride: 9,
         step: std::time::Duration::from_micros(4_840),
         step_per_request: std::time::Duration::from_micros(797),
@@ -95,18 +95,18 @@
 }
 
 struct Fleet {
-    views: Views,
+    load_source: LoadSource,
     fault: Fault,
     now: u64,
     replicas: Vec<Replica>,
     entries: Vec<Dispatcher>,
     agents: Vec<Slots>,
     running: Vec<u32>,
-    numbers: u64,
+    last_sequence: u64,
     events: BTreeMap<u64, VecDeque<Event>>,
-    asks: BTreeMap<u64, PlacementRequest>,
-    tickets: u64,
-    outcome: Outcome,
+    undecided: BTreeMap<u64, PlacementRequest>,
+    last_ticket: u64,
+    totals: Totals,
 }
 
 fn zone(number: usize) -> String {
@@ -121,58 +121,58 @@
 }
 
 impl Fleet {
-    fn new(views: Views, fault: Fault) -> Self {
-        let there = |number: &usize| fault != Fault::LostZone || !number.is_multiple_of(ZONES);
+    fn new(load_source: LoadSource, fault: Fault) -> Self {
+        let exists = |number: &usize| fault != Fault::ZoneOutage || !number.is_multiple_of(ZONES);
         let upstream = |number: usize| Replica {
             zone: zone(number).as_str().into(),
-            ..replica(&format!("u{number}"), SLOTS)
+            ..replica(&format!("u{number}"), SLOTS_PER_UPSTREAM)
         };
         let replicas: Vec<Replica> = (0..UPSTREAMS as usize)
-            .filter(there)
+            .filter(exists)
             .map(upstream)
             .collect();
         Self {
-            views,
+            load_source,
             fault,
             now: 0,
             entries: (0..ENTRIES).map(|n| entry(n, &replicas)).collect(),
             agents: replicas.iter().map(|_| Slots::default()).collect(),
             running: vec![0; replicas.len()],
             replicas,
-            numbers: 0,
+            last_sequence: 0,
             events: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            tickets: 0,
-            outcome: Outcome::default(),
+            undecided: BTreeMap::new(),
+            last_ticket: 0,
+            totals: Totals::default(),
         }
     }
 
-    fn speaks(&self, upstream: usize) -> bool {
-        let silent = self.fault == Fault::SilentAgents && upstream.is_multiple_of(3);
-        self.views == Views::Agents && !silent
+    fn agent_responds(&self, upstream: usize) -> bool {
+        let silent = self.fault == Fault::UnresponsiveAgents && upstream.is_multiple_of(3);
+        self.load_source == LoadSource::Agents && !silent
     }
 
-    fn later(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         let at = self.now + after;
         self.events.entry(at).or_default().push_back(event);
     }
 
     /// Agents answer an entry that has just started.
-    fn introduce(&mut self, entry: usize) {
+    fn report_all_loads(&mut self, entry: usize) {
         for upstream in 0..self.replicas.len() {
-            if self.speaks(upstream) {
-                self.status(entry, upstream);
+            if self.agent_responds(upstream) {
+                self.report_load(entry, upstream);
             }
         }
     }
 
     /// Streams come at a rate that takes such a part of all slots, unevenly to entries.
-    fn play(&mut self, part: f64, for_ms: u64) -> Outcome {
-        let slots = f64::from(SLOTS * UPSTREAMS);
-        let rate = slots * part / f64::from(RUNS);
+    fn run(&mut self, load_ratio: f64, duration_ms: u64) -> Totals {
+        let slots = f64::from(SLOTS_PER_UPSTREAM * UPSTREAMS);
+        let rate = slots * load_ratio / f64::from(STREAM_DURATION_MS);
         let (mut due, mut next) = (0.0, 0_usize);
-        let end = self.now + for_ms;
-        (0..ENTRIES).for_each(|entry| self.introduce(entry));
+        let end = self.now + duration_ms;
+        (0..ENTRIES).for_each(|entry| self.report_all_loads(entry));
         while self.now < end {
             due += rate;
             while due >= 1.0 {
@@ -180,81 +180,82 @@
                 next += 1;
                 // One entry in four gets twice as much.
                 let number = if next % 5 < 2 { next % 15 * 4 } else { next };
-                let ask = PlacementRequest {
+                let request = PlacementRequest {
                     max_gap: Some(ms(150)),
                     ..stream(self.now)
                 };
-                self.submit(number % ENTRIES, ask);
+                self.submit(number % ENTRIES, request);
             }
             self.tick();
         }
-        self.outcome
+        self.totals
     }
 
-    fn submit(&mut self, entry: usize, ask: PlacementRequest) {
-        self.tickets += 1;
-        self.asks.insert(self.tickets, ask.clone());
-        self.entries[entry].submit(ms(self.now), self.tickets, ask);
-        self.pump(entry);
+    fn submit(&mut self, entry: usize, request: PlacementRequest) {
+        self.last_ticket += 1;
+        self.undecided.insert(self.last_ticket, request.clone());
+        self.entries[entry].submit(ms(self.now), self.last_ticket, request);
+        self.process_queue_of(entry);
     }
 
-    fn pump(&mut self, entry: usize) {
+    fn process_queue_of(&mut self, entry: usize) {
         let now = ms(self.now);
         for (ticket, verdict) in self.entries[entry].process_queue(now) {
             let Verdict::Send(id) = verdict else {
-                self.asks.remove(&ticket);
-                self.outcome.refused += 1;
+                self.undecided.remove(&ticket);
+                self.totals.rejected += 1;
                 continue;
             };
-            let upstream = self.number(&id);
-            let rude = self.fault == Fault::RudeEntry && entry == 0;
-            if self.entries[entry].needs_reservation(now, &id) && !rude {
-                self.later(WAY, Event::Ask(entry, ticket, upstream));
+            let upstream = self.upstream_index(&id);
+            let skips_reservation = self.fault == Fault::EntryWithoutReservations && entry == 0;
+            if self.entries[entry].needs_reservation(now, &id) && !skips_reservation {
+                self.schedule(NETWORK_DELAY_MS, Event::Reserve(entry, ticket, upstream));
             } else {
                 self.send(entry, ticket, upstream);
             }
         }
     }
 
-    fn number(&self, id: &str) -> usize {
-        let known = self.replicas.iter().position(|replica| &*replica.id == id);
-        known.expect("an upstream that is there")
+    fn upstream_index(&self, id: &str) -> usize {
+        let index = self.replicas.iter().position(|replica| &*replica.id == id);
+        index.expect("an upstream that is there")
     }
 
     fn send(&mut self, entry: usize, ticket: u64, upstream: usize) {
-        self.asks.remove(&ticket);
+        self.undecided.remove(&ticket);
         let id = self.replicas[upstream].id.clone();
         self.entries[entry].finish_reservation(&id);
-        self.later(WAY, Event::Arrive(entry, upstream));
+        self.schedule(NETWORK_DELAY_MS, Event::Arrive(entry, upstream));
     }
 
-    fn status(&mut self, entry: usize, upstream: usize) {
-        self.numbers += 1;
+    fn report_load(&mut self, entry: usize, upstream: usize) {
+        self.last_sequence += 1;
         let id: Rc<str> = self.replicas[upstream].id.clone();
         let requests = self.agents[upstream].requests();
-        let believed = self.entries[entry].record_load(ms(self.now), &id, self.numbers, requests);
-        assert!(believed);
+        let accepted =
+            self.entries[entry].record_load(ms(self.now), &id, self.last_sequence, requests);
+        assert!(accepted);
     }
 
-    fn asked(&mut self, entry: usize, ticket: u64, upstream: usize) {
+    fn reserve(&mut self, entry: usize, ticket: u64, upstream: usize) {
         let now = ms(self.now);
         let id = self.replicas[upstream].id.clone();
-        if !self.speaks(upstream) {
+        if !self.agent_responds(upstream) {
             // What a timeout shows; the next agent is asked in its place.
             self.entries[entry].record_agent_timeout(now, &id);
-        } else if self.agents[upstream].grant(now, SLOTS) {
+        } else if self.agents[upstream].grant(now, SLOTS_PER_UPSTREAM) {
             self.entries[entry].finish_reservation(&id);
-            self.status(entry, upstream);
-            self.asks.remove(&ticket);
-            self.later(WAY * 2, Event::Arrive(entry, upstream));
+            self.report_load(entry, upstream);
+            self.undecided.remove(&ticket);
+            self.schedule(NETWORK_DELAY_MS * 2, Event::Arrive(entry, upstream));
             return;
         } else {
-            self.status(entry, upstream);
+            self.report_load(entry, upstream);
         }
         self.entries[entry].finish_reservation(&id);
         self.entries[entry].finish_attempt(now, &id, AttemptOutcome::Unknown);
-        if let Some(ask) = self.asks.remove(&ticket) {
-            self.submit(entry, ask);
+        if let Some(request) = self.undecided.remove(&ticket) {
+            self.submit(entry, request);
         }
     }
 
@@ -262,13 +263,14 @@
         self.now += 1;
         for event in self.events.remove(&self.now).unwrap_or_default() {
             match event {
-                Event::Ask(entry, ticket, upstream) => self.asked(entry, ticket, upstream),
+                Event::Reserve(entry, ticket, upstream) => self.reserve(entry, ticket, upstream),
                 Event::Arrive(entry, upstream) => {
-                    self.outcome.sent += 1;
-                    self.outcome.full += u32::from(self.running[upstream] >= SLOTS);
-                    self.outcome.far += u32::from(entry % ZONES != upstream % ZONES);
+                    self.totals.sent += 1;
+                    self.totals.sent_to_full +=
+                        u32::from(self.running[upstream] >= SLOTS_PER_UPSTREAM);
+                    self.totals.cross_zone += u32::from(entry % ZONES != upstream % ZONES);
                     self.running[upstream] += 1;
-                    self.later(RUNS.into(), Event::End(entry, upstream));
+                    self.schedule(STREAM_DURATION_MS.into(), Event::End(entry, upstream));
                 }
                 Event::End(entry, upstream) => {
                     self.running[upstream] -= 1;
@@ -277,63 +279,63 @@
                 }
             }
         }
-        if self.now.is_multiple_of(TICK) {
-            self.look_after();
+        if self.now.is_multiple_of(QUEUE_INTERVAL_MS) {
+            self.process_queues();
         }
-        self.tell();
-        if self.fault == Fault::Restarts && self.now.is_multiple_of(1_000) {
+        self.send_load_reports();
+        if self.fault == Fault::EntryRestarts && self.now.is_multiple_of(1_000) {
             let number = usize::try_from(self.now / 1_000 * 7).unwrap_or(0) % ENTRIES;
             self.entries[number] = entry(number, &self.replicas);
-            self.introduce(number);
+            self.report_all_loads(number);
         }
     }
 
     /// Entries place those who wait, and see how long passes take.
-    fn look_after(&mut self) {
+    fn process_queues(&mut self) {
         let now = ms(self.now);
         let running: u32 = self.running.iter().sum();
         let pass = engine().pass(f64::from(running) / f64::from(UPSTREAMS));
         for entry in 0..ENTRIES {
             self.entries[entry].record_pause(now, &self.replicas[0].id, pass);
             if self.entries[entry].waiting_count() > 0 {
-                self.pump(entry);
+                self.process_queue_of(entry);
             }
         }
     }
 
     /// Agents and entries say what there is to say in this millisecond.
-    fn tell(&mut self) {
+    fn send_load_reports(&mut self) {
         for upstream in 0..self.replicas.len() {
             let at = self.now + upstream as u64;
-            if at.is_multiple_of(READ) {
+            if at.is_multiple_of(REPORT_INTERVAL_MS) {
                 let now = ms(self.now);
                 self.agents[upstream].report(now, self.running[upstream]);
             }
-            if !self.speaks(upstream) || !at.is_multiple_of(READ * 2) {
+            if !self.agent_responds(upstream) || !at.is_multiple_of(REPORT_INTERVAL_MS * 2) {
                 continue;
             }
             for entry in 0..ENTRIES {
-                let near = entry % ZONES == upstream % ZONES;
-                if near || (at / 100 + entry as u64).is_multiple_of(20) {
-                    self.status(entry, upstream);
+                let same_zone = entry % ZONES == upstream % ZONES;
+                if same_zone || (at / 100 + entry as u64).is_multiple_of(20) {
+                    self.report_load(entry, upstream);
                 }
             }
         }
-        if self.now.is_multiple_of(DIGESTS) {
-            self.digests();
+        if self.now.is_multiple_of(DIGEST_INTERVAL_MS) {
+            self.exchange_digests();
         }
     }
 
-    fn digests(&mut self) {
+    fn exchange_digests(&mut self) {
         let now = ms(self.now);
         let mut sums: BTreeMap<Rc<str>, u32> = BTreeMap::new();
-        let flights = |entry: &Dispatcher| -> BTreeMap<Rc<str>, u32> {
+        let in_flight = |entry: &Dispatcher| -> BTreeMap<Rc<str>, u32> {
             entry
                 .in_flight(now)
                 .map(|(id, n)| (id.clone(), n))
                 .collect()
         };
-        let each: Vec<_> = self.entries.iter().map(flights).collect();
+        let each: Vec<_> = self.entries.iter().map(in_flight).collect();
         for (id, requests) in each.iter().flatten() {
             *sums.entry(id.clone()).or_default() += requests;
         }
@@ -351,43 +353,43 @@
 /// other by digests alone send 175 in 1,000 streams to an upstream that is full, where
 /// their callers wait behind others and leave; those that ask agents send 0.
 #[test]
-fn streams_find_a_free_slot_where_agents_are_asked() {
-    let before = Fleet::new(Views::Digests, Fault::None).play(0.75, 5_000);
-    let after = Fleet::new(Views::Agents, Fault::None).play(0.75, 5_000);
-    assert!(before.full_in_thousand() > 100, "{before:?}");
-    assert!(after.full_in_thousand() <= 5, "{after:?}");
-    assert!(after.refused <= before.refused, "{after:?}");
+fn reservations_find_free_slots() {
+    let before = Fleet::new(LoadSource::Digests, Fault::None).run(0.75, 5_000);
+    let after = Fleet::new(LoadSource::Agents, Fault::None).run(0.75, 5_000);
+    assert!(before.full_per_thousand() > 100, "{before:?}");
+    assert!(after.full_per_thousand() <= 5, "{after:?}");
+    assert!(after.rejected <= before.rejected, "{after:?}");
 }
 
 /// The processes of a third of the agents were killed. Nobody says what their upstreams
 /// have but the entries themselves; the others are placed on as before.
 #[test]
-fn a_third_of_the_agents_may_be_silent() {
-    let after = Fleet::new(Views::Agents, Fault::SilentAgents).play(0.6, 5_000);
-    assert!(after.full_in_thousand() <= 30, "{after:?}");
-    assert!(after.refused * 50 <= after.sent, "{after:?}");
+fn a_third_of_the_agents_may_be_unresponsive() {
+    let after = Fleet::new(LoadSource::Agents, Fault::UnresponsiveAgents).run(0.6, 5_000);
+    assert!(after.full_per_thousand() <= 30, "{after:?}");
+    assert!(after.rejected * 50 <= after.sent, "{after:?}");
 }
 
 /// One entry sends without a word to any agent, as one that is cut off from them would.
 /// Agents see its streams in their upstreams' reports, so that the others keep clear.
 #[test]
-fn an_entry_that_asks_nobody_harms_itself_only() {
-    let after = Fleet::new(Views::Agents, Fault::RudeEntry).play(0.75, 5_000);
-    assert!(after.full_in_thousand() <= 30, "{after:?}");
+fn an_entry_without_reservations_harms_only_itself() {
+    let after = Fleet::new(LoadSource::Agents, Fault::EntryWithoutReservations).run(0.75, 5_000);
+    assert!(after.full_per_thousand() <= 30, "{after:?}");
 }
 
 /// A zone is lost with a fifth of the upstreams: its entries send to the others, which
 /// are nearly full then.
 #[test]
-fn a_lost_zone_sends_its_streams_elsewhere() {
-    let after = Fleet::new(Views::Agents, Fault::LostZone).play(0.6, 5_000);
-    assert!(after.full_in_thousand() <= 5, "{after:?}");
-    assert!(after.refused * 20 <= after.sent, "{after:?}");
+fn streams_are_placed_on_the_remaining_zones() {
+    let after = Fleet::new(LoadSource::Agents, Fault::ZoneOutage).run(0.6, 5_000);
+    assert!(after.full_per_thousand() <= 5, "{after:?}");
+    assert!(after.rejected * 20 <= after.sent, "{after:?}");
 }
 
 /// Entries are replaced all day long. A new one knows nothing, and asks.
 #[test]
-fn entries_that_come_and_go_find_free_slots() {
-    let after = Fleet::new(Views::Agents, Fault::Restarts).play(0.75, 5_000);
-    assert!(after.full_in_thousand() <= 10, "{after:?}");
+fn restarted_entries_find_free_slots() {
+    let after = Fleet::new(LoadSource::Agents, Fault::EntryRestarts).run(0.75, 5_000);
+    assert!(after.full_per_thousand() <= 10, "{after:?}");
 }
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -22,7 +22,7 @@
 }
 
 /// Where requests go that come now.
-fn sent(dispatcher: &mut Dispatcher, now: u64) -> Vec<Verdict> {
+fn submit_requests(dispatcher: &mut Dispatcher, now: u64) -> Vec<Verdict> {
     for ticket in 0..12 {
         dispatcher.submit(ms(now), ticket, stream(now));
     }
@@ -33,12 +33,12 @@
 /// Guards against requests that wait at a frozen rank until their callers leave, as it alone
 /// doesn't report that its group has stopped.
 #[test]
-fn a_rank_whose_group_has_stopped_gets_nothing_while_it_is_silent() {
+fn a_silent_rank_of_a_stopped_group_gets_no_requests() {
     let mut dispatcher = entry();
     for rank in 0..3 {
         report(&mut dispatcher, 1_000, rank, false);
     }
-    for verdict in sent(&mut dispatcher, 1_010) {
+    for verdict in submit_requests(&mut dispatcher, 1_010) {
         let Verdict::Send(id) = verdict else {
             panic!("the other group takes requests");
         };
@@ -47,25 +47,28 @@
     for rank in 4..8 {
         report(&mut dispatcher, 1_100, rank, false);
     }
-    for verdict in sent(&mut dispatcher, 1_110) {
+    for verdict in submit_requests(&mut dispatcher, 1_110) {
         assert!(
-            matches!(verdict, Verdict::Reject(refusal) if refusal.reason == RejectReason::Unavailable),
+            matches!(verdict, Verdict::Reject(rejection) if rejection.reason == RejectReason::Unavailable),
             "{verdict:?}"
         );
     }
     for rank in 0..3 {
         report(&mut dispatcher, 1_200, rank, true);
     }
-    assert!(matches!(sent(&mut dispatcher, 1_210)[0], Verdict::Send(_)));
+    assert!(matches!(
+        submit_requests(&mut dispatcher, 1_210)[0],
+        Verdict::Send(_)
+    ));
 }
 
 /// Guards against an agent that alone keeps the requests of a whole group away.
 #[test]
-fn one_report_against_others_closes_no_group() {
+fn a_single_contradicting_report_doesnt_stop_a_group() {
     let mut dispatcher = entry();
     report(&mut dispatcher, 100, 0, false);
     let group = ["u1", "u2", "u3"];
-    let verdicts = sent(&mut dispatcher, 110).into_iter();
+    let verdicts = submit_requests(&mut dispatcher, 110).into_iter();
     let used = verdicts.filter(|verdict| match verdict {
         Verdict::Send(id) => group.contains(&&**id),
         Verdict::Reject(_) => false,
--- a/verbenaspool_policy/tests/dispatch/main.rs
+++ b/verbenaspool_policy/tests/dispatch/main.rs
@@ -1,6 +1,7 @@
 //! Decisions of an entry on the direct path: what is placed, waits and is refused.
 
-mod back;
+mod agent_reports;
+mod caller_retries;
 mod circuit;
 mod crash;
 mod customer;
@@ -9,8 +10,7 @@
 mod load;
 mod outage;
 mod relief;
-mod retry;
+mod retry_budget;
 mod shift;
 mod slow;
-mod told;
 mod world;
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -8,14 +8,14 @@
 use crate::world::{engine, ms, replica, stream};
 
 /// The longest pause in time between two events.
-const GAP: Duration = Duration::from_millis(150);
+const MAX_GAP: Duration = Duration::from_millis(150);
 
 /// How many times longer than on even ranks the passes of a group are that has just
 /// formed, as entries assume.
-const FORMED_PACE: f64 = 2.5;
+const INITIAL_PACE: f64 = 2.5;
 
 /// Ranks whose passes depend much on their streams.
-fn heavy() -> Engine {
+fn load_sensitive_engine() -> Engine {
     Engine {
         slots: 10,
         stride: 5,
@@ -30,7 +30,7 @@
     let replicas: Vec<_> = (0..ranks).map(|n| replica(&format!("u{n}"), 10)).collect();
     let entry = |number: u32| {
         let mut entry = Dispatcher::new("a".into(), u64::from(number) + 1);
-        entry.set_engine(Some(&heavy()));
+        entry.set_engine(Some(&load_sensitive_engine()));
         entry.set_upstreams(replicas.iter());
         entry.update_entry_count(ms(0), count);
         report(&mut entry, 10_000, ranks, false);
@@ -54,13 +54,13 @@
         target: ms(now - 2_000),
         deadline: ms(now + 5_500),
         place_by: ms(now + 1_500),
-        max_gap: Some(GAP),
+        max_gap: Some(MAX_GAP),
         ..stream(now)
     }
 }
 
 /// How many requests are sent.
-fn sent(verdicts: &[(u64, Verdict)]) -> u32 {
+fn sent_count(verdicts: &[(u64, Verdict)]) -> u32 {
     let sent = verdicts.iter();
     let sent = sent.filter(|(_, verdict)| matches!(verdict, Verdict::Send(_)));
     u32::try_from(sent.count()).expect("few")
@@ -69,7 +69,7 @@
 /// Guards against entries that each place a whole line in the moment in which a group
 /// returns: all of its streams are late then, and so is whoever comes next.
 #[test]
-fn lines_of_all_entries_together_fit_in_passes_in_time() {
+fn backlogs_of_all_entries_together_fit_in_passes_on_time() {
     for (count, ranks) in [(4, 32), (15, 64), (60, 192)] {
         let mut placed = 0;
         for entry in &mut entries(count, ranks) {
@@ -79,13 +79,13 @@
             }
             assert_eq!(entry.process_queue(ms(10_110)), []);
             report(entry, 10_500, ranks, true);
-            placed += sent(&entry.process_queue(ms(10_501)));
+            placed += sent_count(&entry.process_queue(ms(10_501)));
         }
         let mean = f64::from(placed) / f64::from(ranks);
-        let pass = heavy().pass(mean).mul_f64(FORMED_PACE);
+        let pass = load_sensitive_engine().pass(mean).mul_f64(INITIAL_PACE);
         assert!(placed > 0, "{count} entries, {ranks} ranks");
         assert!(
-            pass <= GAP,
+            pass <= MAX_GAP,
             "{count} entries, {ranks} ranks: {pass:?}, {placed}"
         );
     }
@@ -124,7 +124,7 @@
 /// Guards against an entry that has just started, knows no service time, and takes the
 /// return for over while passes are still at their longest.
 #[test]
-fn an_entry_without_history_holds_retries_back_as_well() {
+fn an_entry_without_history_holds_back_retries() {
     let entry = &mut entries(1, 4)[0];
     entry.submit(ms(10_050), 1, stream(10_050));
     assert!(matches!(
@@ -144,7 +144,7 @@
 /// Guards against an outage that ends while nobody waits and seems to end with the next
 /// request, which then finds hardly any room.
 #[test]
-fn an_outage_is_over_when_upstreams_run_though_nobody_waits() {
+fn an_outage_ends_when_upstreams_run_with_an_empty_queue() {
     let entry = &mut entries(60, 4)[0];
     entry.submit(ms(10_050), 100, stream(10_050));
     assert_eq!(entry.process_queue(ms(10_051)).len(), 1, "it is rejected");
@@ -153,5 +153,5 @@
     for ticket in 0..8 {
         entry.submit(ms(20_000), ticket, stream(20_000));
     }
-    assert_eq!(sent(&entry.process_queue(ms(20_001))), 8);
+    assert_eq!(sent_count(&entry.process_queue(ms(20_001))), 8);
 }
--- a/verbenaspool_policy/tests/dispatch/relief.rs
+++ b/verbenaspool_policy/tests/dispatch/relief.rs
@@ -40,7 +40,7 @@
 /// back at three times the mean. Changes of one copy a rank, 0.15 s each, must
 /// bring most of the relief within a second.
 #[test]
-fn few_copies_bring_most_of_the_relief() {
+fn few_copies_remove_most_of_the_imbalance() {
     let mut layers = layers(SHAPE);
     let loads = loads(SHAPE, 0);
     let before = unevenness(&layers, &loads);
@@ -65,7 +65,7 @@
 /// No place is free, and no expert is held twice: a busy rank gets relief only by
 /// giving an expert away for a colder one. Copies alone left it as it was.
 #[test]
-fn ranks_exchange_experts_where_no_place_is_free() {
+fn ranks_exchange_experts_if_no_slot_is_free() {
     let held = [Layer {
         ranks: vec![vec![0, 1], vec![2, 3]],
     }];
@@ -85,7 +85,7 @@
 /// gets a twelfth of a set's choices. Three changes of two copies a rank, 0.3 s each,
 /// must bring it from three times the mean near to even.
 #[test]
-fn a_large_group_is_even_within_a_second() {
+fn a_large_group_is_balanced_within_a_second() {
     let shape = Shape {
         ranks: 32,
         experts: 128,
@@ -191,7 +191,7 @@
 /// The rank is well again and holds nothing. It takes its part within some changes,
 /// and the group is as even as before.
 #[test]
-fn a_rank_that_is_well_again_takes_experts() {
+fn a_recovered_rank_takes_experts() {
     let loads = loads(NARROW, 0);
     let mut paces = vec![1.0; 12];
     paces[5] = 12.0;
@@ -212,7 +212,7 @@
 
 /// An even load calls for no copies: they would follow chance, and are paid for.
 #[test]
-fn an_even_load_is_left_alone() {
+fn an_even_load_needs_no_change() {
     let even = vec![vec![10.0; 64]; 6];
     assert_eq!(relieve(&layers(SHAPE), &even, &[], &BOUND), None);
 }
@@ -222,7 +222,7 @@
     /// or new experts than allowed, nothing twice on a rank, and it does what it
     /// says.
     #[test]
-    fn changes_fit_the_engines(
+    fn changes_are_valid(
         counts in prop::collection::vec(prop::collection::vec(0_u32..5_000, 24), 2),
         copies in 1_usize..4,
         spare in 1_usize..3,
--- /dev/null
+++ b/verbenaspool_policy/tests/dispatch/retry_budget.rs
@@ -0,0 +1,49 @@
+//! Requests that are sent to a second upstream.
+
+use std::time::Duration;
+
+use verbenaspool_policy::dispatch::retry_budget::{RetryBudget, RetryLimits};
+
+const LIMITS: RetryLimits = RetryLimits {
+    ratio: 0.2,
+    window: Duration::from_secs(10),
+    slack: 92.0,
+};
+
+/// All upstreams fail. Four entries that each send what they may once more stay
+/// together within what the operator allows, though none hears of the others.
+#[test]
+fn entries_together_stay_within_the_limits() {
+    let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::default()).collect();
+    let mut retries = 0;
+    for request in 0..800_u64 {
+        let now = Duration::from_millis(10 * request);
+        let entry = usize::from(request % 3 == 0);
+        let budget = &mut budgets[entry];
+        budget.record_request(now, &LIMITS);
+        retries += u32::from(budget.try_retry(now, &LIMITS, 4));
+    }
+    assert!(
+        f64::from(retries) <= 0.2 * 800.0 + 92.0,
+        "{retries} retries"
+    );
+    assert!(retries > 100, "{retries} retries");
+}
+
+/// What was sent once more is forgotten with its window.
+#[test]
+fn retries_expire_with_their_window() {
+    let mut budget = RetryBudget::default();
+    let slack_only = RetryLimits {
+        ratio: 0.0,
+        ..LIMITS
+    };
+    let count_retries = |budget: &mut RetryBudget, now| {
+        (0..200)
+            .filter(|_| budget.try_retry(now, &slack_only, 1))
+            .count()
+    };
+    let first = count_retries(&mut budget, Duration::ZERO);
+    assert_eq!(count_retries(&mut budget, Duration::from_secs(5)), 0);
+    assert_eq!(count_retries(&mut budget, Duration::from_secs(11)), first);
+}
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -5,40 +5,40 @@
 use verbenaspool_policy::dispatch::{Dispatcher, PlacementRequest, Resumption, Verdict};
 use verbenaspool_state::engine::Engine;
 
-use crate::world::{Served, World, engine, ms, replica, stream};
+use crate::world::{Outcomes, World, engine, ms, replica, stream};
 
 /// Popularity shifts each 4 s, and passes are nearly twice as long for 0.9 s until the
 /// map follows. More streams come than can be served. A group that took as many as usual
 /// passes bear had 352 of 823 answers in time, as each stream that ran in those 0.9 s had a
 /// pause out of time; one that leaves room for the next shift has 571 of 719.
 #[test]
-fn room_is_left_for_the_next_shift() {
+fn capacity_is_left_for_the_next_shift() {
     let heavy = Engine {
         slots: 6,
         stride: 6,
         step_per_request: Duration::from_micros(1_200),
         ..engine()
     };
-    let mut world = World::of(&heavy, 4, 12);
-    world.shared = 0.85;
-    world.load(&[12.0; 4], 4_000);
-    let start = world.served;
+    let mut world = World::with_engine(&heavy, 4, 12);
+    world.shared_load_ratio = 0.85;
+    world.run(&[12.0; 4], 4_000);
+    let start = world.outcomes;
     for _ in 0..6 {
         world.pace = 1.7;
-        world.load(&[12.0; 4], 900);
+        world.run(&[12.0; 4], 900);
         world.pace = 1.0;
-        world.load(&[12.0; 4], 3_100);
+        world.run(&[12.0; 4], 3_100);
     }
-    let Served { in_time, late, .. } = world.served - start;
-    assert!(in_time > 3 * late, "{in_time} in time, {late} late");
-    assert!(in_time > 528, "{in_time} in time");
+    let Outcomes { on_time, late, .. } = world.outcomes - start;
+    assert!(on_time > 3 * late, "{on_time} in time, {late} late");
+    assert!(on_time > 528, "{on_time} in time");
 }
 
 /// A zone is cut off and takes a group along, whose streams look for a place at the other
 /// one. They are late already: those that can be in time go first, and the other group is
 /// not filled beyond what it bears.
 #[test]
-fn streams_of_a_group_that_broke_take_no_room_from_others() {
+fn interrupted_streams_take_no_capacity_from_others() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     dispatcher.set_engine(Some(&engine()));
     dispatcher.set_upstreams([replica("u0", 12)].iter());
@@ -47,19 +47,19 @@
         dispatcher.record_pause(ms(number * 60), "u0", ms(55));
     }
     dispatcher.record_load(ms(1_200), "u0", 1, 11);
-    let broken = PlacementRequest {
+    let interrupted = PlacementRequest {
         target: ms(1_000),
         resumption: Resumption::Interrupted,
         ..stream(1_210)
     };
     let moved = PlacementRequest {
         resumption: Resumption::Moved,
-        ..broken.clone()
+        ..interrupted.clone()
     };
     for number in 20..25 {
         dispatcher.record_pause(ms(number * 60), "u0", ms(115));
     }
-    dispatcher.submit(ms(1_500), 1, broken);
+    dispatcher.submit(ms(1_500), 1, interrupted);
     assert_eq!(dispatcher.process_queue(ms(1_500)), []);
     dispatcher.submit(ms(1_500), 2, moved);
     let placed = dispatcher.process_queue(ms(1_500));
--- a/verbenaspool_policy/tests/dispatch/slow.rs
+++ b/verbenaspool_policy/tests/dispatch/slow.rs
@@ -2,7 +2,7 @@
 
 use verbenaspool_policy::dispatch::{Dispatcher, Verdict, slow::StallScope};
 
-use crate::world::{Served, World, engine, ms, replica, stream};
+use crate::world::{Outcomes, World, engine, ms, replica, stream};
 
 /// An entry before so many ranks of one group.
 fn group(count: u32) -> Dispatcher {
@@ -20,45 +20,45 @@
 /// it has a stream, so all callers were late while it lasted. With nothing new placed
 /// there and its streams moved, callers are late for about a second.
 #[test]
-fn callers_are_late_for_about_a_second_when_a_rank_turns_slow() {
+fn callers_are_late_for_about_a_second_when_a_rank_slows_down() {
     let mut world = World::new(4, 12);
-    world.load(&[10.0; 4], 4_000);
-    world.slow(3, 12.0);
-    world.load(&[10.0; 4], 2_500);
-    let onset = world.served;
-    world.load(&[10.0; 4], 5_500);
-    let Served {
-        in_time,
+    world.run(&[10.0; 4], 4_000);
+    world.set_pace(3, 12.0);
+    world.run(&[10.0; 4], 2_500);
+    let onset = world.outcomes;
+    world.run(&[10.0; 4], 5_500);
+    let Outcomes {
+        on_time,
         late,
-        refused,
-    } = world.served - onset;
+        rejected,
+    } = world.outcomes - onset;
     assert!(
-        in_time > 180,
-        "{in_time} in time, {late} late, {refused} refused"
+        on_time > 180,
+        "{on_time} in time, {late} late, {rejected} rejected"
     );
-    assert!(late * 10 < in_time, "{late} late beside {in_time} in time");
+    assert!(late * 10 < on_time, "{late} late beside {on_time} in time");
     assert!(
-        refused * 10 < in_time,
-        "{refused} refused beside {in_time} in time"
+        rejected * 10 < on_time,
+        "{rejected} rejected beside {on_time} in time"
     );
 }
 
 /// The rank is well again: it gets its part of what comes.
 #[test]
-fn a_rank_that_is_well_again_gets_streams() {
+fn a_recovered_rank_gets_streams() {
     let mut world = World::new(4, 12);
-    world.slow(3, 5.0);
-    world.load(&[10.0; 4], 3_000);
-    assert_eq!(world.streams(3), 0);
-    world.slow(3, 1.0);
-    world.load(&[10.0; 4], 3_000);
-    assert!(world.streams(3) > 0);
+    world.set_pace(3, 5.0);
+    world.run(&[10.0; 4], 3_000);
+    assert_eq!(world.stream_count(3), 0);
+    world.set_pace(3, 1.0);
+    world.run(&[10.0; 4], 3_000);
+    assert!(world.stream_count(3) > 0);
 }
 
 /// All ranks are as slow as each other: there is nothing better, and callers are
 /// still served.
 #[test]
-fn ranks_that_are_all_slow_serve() {
+fn equally_slow_ranks_serve() {
     let mut dispatcher = group(3);
     for number in 0..3 {
         dispatcher.record_status(ms(1), &format!("u{number}"), 7, true, 6.0);
@@ -73,7 +73,7 @@
 /// to another rank of the same group, where it waited again behind a prompt that was
 /// read twice. Now only a stream that is silent while others flow counts as stuck.
 #[test]
-fn streams_that_are_silent_together_stay() {
+fn streams_that_stall_together_stay() {
     let mut dispatcher = group(3);
     dispatcher.record_event(ms(1_000), "u0");
     dispatcher.record_event(ms(1_004), "u1");
@@ -90,7 +90,7 @@
 
 /// The same with a second group that runs: there is somewhere to go.
 #[test]
-fn streams_of_a_silent_group_go_to_another_one() {
+fn streams_of_a_stalled_group_move_to_another_one() {
     let mut dispatcher = group(4);
     for number in 2..4 {
         dispatcher.record_status(ms(0), &format!("u{number}"), 8, true, 1.0);
@@ -106,7 +106,7 @@
 /// Upstreams that are no ranks of a group each stand by themselves. Taken for one group,
 /// a stream that fell silent while no other ran stayed where it was for too long.
 #[test]
-fn an_upstream_without_a_group_is_judged_by_itself() {
+fn stalls_without_a_group_concern_a_single_stream() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     dispatcher.set_upstreams([replica("u0", 12), replica("u1", 12)].iter());
     dispatcher.record_event(ms(1_000), "u0");
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -12,10 +12,10 @@
 };
 
 /// Passes that a stream takes.
-const PASSES: u32 = 26;
+const PASSES_PER_STREAM: u32 = 26;
 
 /// How often entries tell each other what they have in flight.
-const TELL: u64 = 40;
+const DIGEST_INTERVAL_MS: u64 = 40;
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -60,32 +60,32 @@
 }
 
 /// A stream that runs.
-struct Running {
+struct RunningStream {
     ticket: u64,
     entry: usize,
     upstream: Rc<str>,
     passes: u32,
     late: bool,
     /// When it came.
-    came: u64,
+    arrived_at: u64,
 }
 
 /// What callers got.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Served {
-    pub in_time: u32,
+pub struct Outcomes {
+    pub on_time: u32,
     pub late: u32,
-    pub refused: u32,
+    pub rejected: u32,
 }
 
-impl std::ops::Sub for Served {
+impl std::ops::Sub for Outcomes {
     type Output = Self;
 
     fn sub(self, before: Self) -> Self {
         Self {
-            in_time: self.in_time - before.in_time,
+            on_time: self.on_time - before.on_time,
             late: self.late - before.late,
-            refused: self.refused - before.refused,
+            rejected: self.rejected - before.rejected,
         }
     }
 }
@@ -94,7 +94,7 @@
 pub type Customer<'a> = (&'a str, f64);
 
 /// How long it takes until entries hear of a rank's pace.
-const HEARD: u64 = 100;
+const STATUS_DELAY_MS: u64 = 100;
 
 /// Entries before one group of upstreams.
 pub struct World {
@@ -105,34 +105,34 @@
     /// How much longer passes take than on even ranks.
     pub pace: f64,
     /// The part of the work for streams that all ranks share.
-    pub shared: f64,
-    running: Vec<Running>,
-    came: BTreeMap<u64, (usize, u64)>,
+    pub shared_load_ratio: f64,
+    running: Vec<RunningStream>,
+    queued: BTreeMap<u64, (usize, u64)>,
     /// Who sent each stream, where that is told, and what each customer's callers got.
-    owners: BTreeMap<u64, String>,
-    pub got: BTreeMap<String, Served>,
-    customers: Vec<CustomerRates>,
-    next: u64,
-    pass: u64,
-    tickets: u64,
+    customer_names: BTreeMap<u64, String>,
+    pub customer_outcomes: BTreeMap<String, Outcomes>,
+    customer_rates: Vec<CustomerRates>,
+    next_pass_at: u64,
+    pass_ms: u64,
+    last_ticket: u64,
     /// Whether entries hear each other.
-    pub heard: bool,
-    pub served: Served,
+    pub exchanges_digests: bool,
+    pub outcomes: Outcomes,
     /// The most streams that one upstream ever had.
-    pub most: usize,
+    pub max_streams: usize,
     /// How many times longer than usual each upstream takes, and since when.
-    paces: BTreeMap<Rc<str>, (f64, u64)>,
+    upstream_paces: BTreeMap<Rc<str>, (f64, u64)>,
     /// Streams that look for a place elsewhere, by the ticket of their search.
-    moving: BTreeMap<u64, u64>,
+    moves: BTreeMap<u64, u64>,
 }
 
 impl World {
     pub fn new(entries: usize, upstreams: usize) -> Self {
-        Self::of(&engine(), entries, upstreams)
+        Self::with_engine(&engine(), entries, upstreams)
     }
 
     /// Entries before upstreams with engines of a kind.
-    pub fn of(engine: &Engine, entries: usize, upstreams: usize) -> Self {
+    pub fn with_engine(engine: &Engine, entries: usize, upstreams: usize) -> Self {
         let replicas: Vec<Replica> = (0..upstreams)
             .map(|n| replica(&format!("u{n}"), engine.slots))
             .collect();
@@ -148,40 +148,40 @@
             entries: (0..entries).map(entry).collect(),
             ids: replicas.iter().map(|replica| replica.id.clone()).collect(),
             pace: 1.0,
-            shared: 0.0,
+            shared_load_ratio: 0.0,
             running: Vec::new(),
-            came: BTreeMap::new(),
-            owners: BTreeMap::new(),
-            got: BTreeMap::new(),
-            customers: (0..entries).map(|_| CustomerRates::default()).collect(),
-            next: 60,
-            pass: 60,
-            tickets: 0,
-            heard: true,
-            served: Served::default(),
-            most: 0,
-            paces: BTreeMap::new(),
-            moving: BTreeMap::new(),
+            queued: BTreeMap::new(),
+            customer_names: BTreeMap::new(),
+            customer_outcomes: BTreeMap::new(),
+            customer_rates: (0..entries).map(|_| CustomerRates::default()).collect(),
+            next_pass_at: 60,
+            pass_ms: 60,
+            last_ticket: 0,
+            exchanges_digests: true,
+            outcomes: Outcomes::default(),
+            max_streams: 0,
+            upstream_paces: BTreeMap::new(),
+            moves: BTreeMap::new(),
         }
     }
 
     /// An upstream turns slow, or is well again.
-    pub fn slow(&mut self, number: usize, pace: f64) {
-        self.paces
+    pub fn set_pace(&mut self, number: usize, pace: f64) {
+        self.upstream_paces
             .insert(self.ids[number].clone(), (pace, self.now));
     }
 
     /// The streams of an upstream.
-    pub fn streams(&self, number: usize) -> usize {
+    pub fn stream_count(&self, number: usize) -> usize {
         let streams = self.running.iter();
         streams.filter(|s| s.upstream == self.ids[number]).count()
     }
 
     /// Entries hear how slow upstreams are, and move streams off those that are.
-    fn hear_paces(&mut self) {
+    fn update_paces(&mut self) {
         let now = ms(self.now);
-        for (id, (pace, since)) in &self.paces {
-            if self.now == since + HEARD {
+        for (id, (pace, since)) in &self.upstream_paces {
+            if self.now == since + STATUS_DELAY_MS {
                 for entry in &mut self.entries {
                     entry.record_status(now, id, 0, true, *pace);
                 }
@@ -194,40 +194,40 @@
             .map(|s| (s.ticket, s.entry, s.upstream.clone()))
             .collect();
         for (running, entry, upstream) in leaving {
-            if self.moving.values().any(|moving| *moving == running) {
+            if self.moves.values().any(|moving| *moving == running) {
                 continue;
             }
-            self.tickets += 1;
-            let ask = PlacementRequest {
+            self.last_ticket += 1;
+            let request = PlacementRequest {
                 target: now,
                 place_by: now + ms(1_600),
                 resumption: Resumption::Moved,
                 excluded: vec![upstream],
                 ..stream(self.now)
             };
-            self.entries[entry].submit(now, self.tickets, ask);
-            self.moving.insert(self.tickets, running);
+            self.entries[entry].submit(now, self.last_ticket, request);
+            self.moves.insert(self.last_ticket, running);
         }
     }
 
     /// A stream that leaves a slow upstream got a place elsewhere, or none.
-    fn moved(&mut self, entry: usize, stream: u64, verdict: Verdict) {
+    fn finish_move(&mut self, entry: usize, stream: u64, verdict: Verdict) {
         let Verdict::Send(to) = verdict else {
             return;
         };
         let now = ms(self.now);
         let running = self.running.iter_mut().find(|s| s.ticket == stream);
-        let left = match running {
+        let left_upstream = match running {
             Some(running) => std::mem::replace(&mut running.upstream, to),
             None => to,
         };
-        self.entries[entry].finish_attempt(now, &left, AttemptOutcome::Unknown);
+        self.entries[entry].finish_attempt(now, &left_upstream, AttemptOutcome::Unknown);
     }
 
     /// Lets so many streams a second come to an entry, for some milliseconds.
-    pub fn load(&mut self, rates: &[f64], for_ms: u64) {
+    pub fn run(&mut self, rates: &[f64], duration_ms: u64) {
         let mut due = vec![0.0; rates.len()];
-        let end = self.now + for_ms;
+        let end = self.now + duration_ms;
         while self.now < end {
             for (entry, rate) in rates.iter().enumerate() {
                 due[entry] += rate / 1e3;
@@ -241,11 +241,11 @@
     }
 
     /// Lets customers send streams to all entries, for some milliseconds.
-    pub fn load_of(&mut self, customers: &[Customer<'_>], for_ms: u64) {
+    pub fn run_customers(&mut self, customers: &[Customer<'_>], duration_ms: u64) {
         // Their streams come at different moments.
         let count = u32::try_from(customers.len() * self.entries.len()).expect("few");
         let mut due: Vec<f64> = (0..count).map(|n| f64::from(n * 7 % 10) / 10.0).collect();
-        let end = self.now + for_ms;
+        let end = self.now + duration_ms;
         while self.now < end {
             for (number, due) in due.iter_mut().enumerate() {
                 let (customer, rate) = customers[number / self.entries.len()];
@@ -253,11 +253,13 @@
                 if *due >= 1.0 {
                     *due -= 1.0;
                     let entry = number % self.entries.len();
-                    let beyond = self.customers[entry].observe(ms(self.now), &customer.into());
-                    self.owners.insert(self.tickets + 1, customer.to_owned());
-                    self.submit_ask(
+                    let over_usual_rate =
+                        self.customer_rates[entry].observe(ms(self.now), &customer.into());
+                    self.customer_names
+                        .insert(self.last_ticket + 1, customer.to_owned());
+                    self.submit_request(
                         PlacementRequest {
-                            over_usual_rate: beyond,
+                            over_usual_rate,
                             ..stream(self.now)
                         },
                         entry,
@@ -269,60 +271,62 @@
     }
 
     /// What callers of a customer got.
-    fn tell_of(&mut self, ticket: u64, tell: impl Fn(&mut Served)) {
-        tell(&mut self.served);
-        if let Some(owner) = self.owners.remove(&ticket) {
-            tell(self.got.entry(owner).or_default());
+    fn record_outcome(&mut self, ticket: u64, record: impl Fn(&mut Outcomes)) {
+        record(&mut self.outcomes);
+        if let Some(customer) = self.customer_names.remove(&ticket) {
+            record(self.customer_outcomes.entry(customer).or_default());
         }
     }
 
     fn submit(&mut self, entry: usize) {
-        self.submit_ask(stream(self.now), entry);
+        self.submit_request(stream(self.now), entry);
     }
 
-    fn submit_ask(&mut self, ask: PlacementRequest, entry: usize) {
-        self.tickets += 1;
-        self.came.insert(self.tickets, (entry, self.now));
-        self.entries[entry].submit(ms(self.now), self.tickets, ask);
+    fn submit_request(&mut self, request: PlacementRequest, entry: usize) {
+        self.last_ticket += 1;
+        self.queued.insert(self.last_ticket, (entry, self.now));
+        self.entries[entry].submit(ms(self.now), self.last_ticket, request);
     }
 
     /// One millisecond.
     fn tick(&mut self) {
         self.now += 1;
         let now = ms(self.now);
-        self.hear_paces();
+        self.update_paces();
         for number in 0..self.entries.len() {
             for (ticket, verdict) in self.entries[number].process_queue(now) {
-                if let Some(stream) = self.moving.remove(&ticket) {
-                    self.moved(number, stream, verdict);
+                if let Some(stream) = self.moves.remove(&ticket) {
+                    self.finish_move(number, stream, verdict);
                     continue;
                 }
-                let (entry, came) = self.came.remove(&ticket).expect("it came");
+                let (entry, arrived_at) = self.queued.remove(&ticket).expect("a queued stream");
                 match verdict {
-                    Verdict::Send(upstream) => self.running.push(Running {
+                    Verdict::Send(upstream) => self.running.push(RunningStream {
                         ticket,
                         entry,
                         upstream,
                         passes: 0,
                         late: false,
-                        came,
+                        arrived_at,
                     }),
-                    Verdict::Reject(_) => self.tell_of(ticket, |served| served.refused += 1),
+                    Verdict::Reject(_) => {
+                        self.record_outcome(ticket, |outcomes| outcomes.rejected += 1)
+                    }
                 }
             }
         }
-        if self.now.is_multiple_of(TELL) && self.heard {
-            self.tell();
+        if self.now.is_multiple_of(DIGEST_INTERVAL_MS) && self.exchanges_digests {
+            self.exchange_digests();
         }
-        if self.now >= self.next {
-            self.step();
+        if self.now >= self.next_pass_at {
+            self.end_pass();
         }
     }
 
     /// Entries tell each other what they have in flight.
-    fn tell(&mut self) {
+    fn exchange_digests(&mut self) {
         let now = ms(self.now);
-        let flights: Vec<BTreeMap<Rc<str>, u32>> = self
+        let in_flight: Vec<BTreeMap<Rc<str>, u32>> = self
             .entries
             .iter()
             .map(|entry| {
@@ -334,58 +338,59 @@
             .collect();
         for (number, entry) in self.entries.iter_mut().enumerate() {
             for id in &self.ids {
-                let others = flights.iter().enumerate().filter(|(n, _)| *n != number);
-                let sum = others.filter_map(|(_, flights)| flights.get(id)).sum();
+                let others = in_flight.iter().enumerate().filter(|(n, _)| *n != number);
+                let sum = others.filter_map(|(_, in_flight)| in_flight.get(id)).sum();
                 entry.set_peer_load(ms(self.now), id, sum);
             }
         }
     }
 
     /// A pass ends: every stream gets an event.
-    fn step(&mut self) {
+    fn end_pass(&mut self) {
         let now = ms(self.now);
-        let took = self.pass;
+        let pass_ms = self.pass_ms;
         let mut running = std::mem::take(&mut self.running);
         for stream in &mut running {
             let first = stream.passes == 0;
             stream.passes += 1;
             if first {
-                stream.late |= self.now > stream.came + 400;
+                stream.late |= self.now > stream.arrived_at + 400;
             } else {
-                stream.late |= took > 120;
-                self.entries[stream.entry].record_pause(now, &stream.upstream, ms(took));
+                stream.late |= pass_ms > 120;
+                self.entries[stream.entry].record_pause(now, &stream.upstream, ms(pass_ms));
             }
         }
         for stream in running {
-            if stream.passes < PASSES {
+            if stream.passes < PASSES_PER_STREAM {
                 self.running.push(stream);
                 continue;
             }
             self.entries[stream.entry].finish_attempt(now, &stream.upstream, AttemptOutcome::Good);
             if stream.late {
-                self.tell_of(stream.ticket, |served| served.late += 1);
+                self.record_outcome(stream.ticket, |outcomes| outcomes.late += 1);
             } else {
-                self.tell_of(stream.ticket, |served| served.in_time += 1);
+                self.record_outcome(stream.ticket, |outcomes| outcomes.on_time += 1);
             }
         }
         let mut pass = self.engine.pass(0.0).mul_f64(self.pace);
         #[allow(clippy::cast_precision_loss)]
         let mean = self.running.len() as f64 / self.ids.len() as f64;
         for (number, id) in self.ids.iter().enumerate() {
-            let streams = self.streams(number);
-            self.most = self.most.max(streams);
-            let slow = self.paces.get(id).map_or(1.0, |(pace, _)| *pace);
+            let streams = self.stream_count(number);
+            self.max_streams = self.max_streams.max(streams);
+            let slow = self.upstream_paces.get(id).map_or(1.0, |(pace, _)| *pace);
             // A rank without streams holds nobody back.
             if streams > 0 {
                 #[allow(clippy::cast_precision_loss)]
-                let own = mean * self.shared + streams as f64 * (1.0 - self.shared);
+                let own =
+                    mean * self.shared_load_ratio + streams as f64 * (1.0 - self.shared_load_ratio);
                 let own = self.engine.pass(own).mul_f64(self.pace * slow);
                 pass = pass.max(own);
             }
         }
-        self.pass = u64::try_from(pass.as_millis())
+        self.pass_ms = u64::try_from(pass.as_millis())
             .expect("a short pass")
             .max(1);
-        self.next = self.now + self.pass;
+        self.next_pass_at = self.now + self.pass_ms;
     }
 }
