--- a/verbenaspool_policy/tests/dispatch/agent_reports.rs
+++ b/verbenaspool_policy/tests/dispatch/agent_reports.rs
@@ -1,4 +1,4 @@
-//! What agents say of their upstreams: words that can be believed, and others.
+//! Agents' load reports, and reservations of slots.
 
 use verbenaspool_policy::{
     dispatch::{AttemptOutcome, Dispatcher, Verdict},
@@ -7,7 +7,7 @@
 
 use crate::world::{engine, ms, replica, stream};
 
-/// An entry before one upstream with six slots.
+/// A dispatcher with one upstream of six slots.
 fn dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     dispatcher.set_engine(Some(&engine()));
@@ -15,17 +15,17 @@
     dispatcher
 }
 
-/// The requests that the entry reckons with at its upstream.
+/// The number of requests that the dispatcher counts at its upstream.
 fn in_flight(dispatcher: &Dispatcher, now: u64) -> u32 {
     dispatcher.snapshot(ms(now)).in_flight
 }
 
-/// An agent's words come out of order, twice, from an earlier process, or are nonsense:
-/// only what is newer and possible counts.
+/// Guards against load reports that arrive out of order or twice, come from an earlier
+/// process of the agent, or are implausible.
 #[test]
 fn outdated_and_implausible_load_reports_are_ignored() {
     let mut dispatcher = dispatcher();
-    // When, the word's number, what it says; what is reckoned with.
+    // Time, sequence number and requests of the report; requests counted after it.
     let cases = [
         (10, 5, 3, 3),
         (20, 4, 1, 3),
@@ -33,7 +33,8 @@
         (40, 6, 4, 4),
         (50, 7, 10_001, 4),
         (60, 8, u32::MAX, 4),
-        // Behind a silence a lower number is that of a new process.
+        // After a pause without reports, a lower sequence number is that of a restarted
+        // agent.
         (400, 1, 2, 2),
     ];
     for (now, sequence, requests, expected) in cases {
@@ -43,9 +44,9 @@
     assert!(!dispatcher.record_load(ms(500), "another", 9, 1));
 }
 
-/// A word that comes while the entry itself is asking doesn't hold its request yet; one
-/// that comes after the answer does. Taken for the other, the upstream would look
-/// emptier or fuller than it is.
+/// Guards against an upstream that looks fuller or emptier than it is. A load report that
+/// arrives during a pending reservation doesn't include its request yet; one that arrives
+/// after the agent's answer does.
 #[test]
 fn a_request_with_a_pending_reservation_counts_once() {
     let mut dispatcher = dispatcher();
@@ -54,7 +55,7 @@
     assert_eq!(
         dispatcher.process_queue(ms(1)),
         [(1, Verdict::Send("u0".into()))],
-        "there is room"
+        "the upstream has capacity"
     );
     dispatcher.record_load(ms(2), "u0", 2, 2);
     assert_eq!(in_flight(&dispatcher, 2), 3);
@@ -65,8 +66,8 @@
     assert_eq!(in_flight(&dispatcher, 4), 2);
 }
 
-/// An agent whose word is new goes before what other entries say; one that fell silent
-/// for long doesn't.
+/// A recent load report takes precedence over the digests of other entries, an outdated
+/// one doesn't.
 #[test]
 fn peer_load_counts_only_without_agent_reports() {
     let mut dispatcher = dispatcher();
@@ -79,7 +80,7 @@
     assert!(!dispatcher.needs_reservation(ms(10_000), "u0"));
 }
 
-/// An agent that was silent isn't asked again at once.
+/// Guards against a timeout on every request while an agent doesn't respond.
 #[test]
 fn an_unresponsive_agent_is_not_asked_for_a_while() {
     let mut dispatcher = dispatcher();
@@ -89,8 +90,8 @@
     assert!(dispatcher.needs_reservation(ms(600), "u0"));
 }
 
-/// A slot that was granted counts until a report can show the request, and no longer:
-/// callers leave between the agent's word and the sending.
+/// Guards against slots that stay reserved for a caller that leaves before its request is
+/// sent. A grant counts until a report can include the request.
 #[test]
 fn an_unused_grant_expires() {
     let mut slots = Slots::default();
@@ -104,7 +105,7 @@
     assert!(slots.grant(ms(51), 6));
 }
 
-/// What an upstream says of itself may be nonsense as well.
+/// Guards against an overflow if an upstream reports an implausible number of requests.
 #[test]
 fn an_upstream_that_reports_u32_max_requests_is_full() {
     let mut slots = Slots::default();
--- a/verbenaspool_policy/tests/dispatch/caller_retries.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -1,4 +1,5 @@
-//! Callers who come back: who they are, how long they wait, and what they leave to others.
+//! Retries by callers: how they are detected, how long they wait, and the capacity that
+//! they leave to other requests.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 use crate::world::{engine, ms, replica, stream};
 
-/// Callers of one service give 6.8 to 8 s each, evenly spread.
+/// Records first attempts whose waits are evenly spread from 6.8 to 8 s.
 fn observe_first_attempts(detector: &mut RetryDetector, from: u64, count: u64) {
     for number in 0..count {
         let wait = ms(6_800 + (number * 379) % 1_200);
@@ -20,8 +21,8 @@
     }
 }
 
-/// Callers who were refused came back with 4.5 to 5.5 s left, were taken for new ones,
-/// and were refused again at once while the group was about to return.
+/// Guards against retries taken for first attempts. Rejected callers that retried with 4.5
+/// to 5.5 s left were rejected again although their group was about to return.
 #[test]
 fn retries_are_detected_by_their_remaining_wait() {
     let mut detector = RetryDetector::default();
@@ -34,7 +35,8 @@
     assert_eq!(detector.observe(ms(6_500), ms(7_000)), Duration::ZERO);
 }
 
-/// Some callers give 3 s and others 15 s. Neither are taken for ones who came back.
+/// Guards against first attempts taken for retries where callers have different waits, 3 s
+/// and 15 s here.
 #[test]
 fn first_attempts_may_have_different_waits() {
     let mut detector = RetryDetector::default();
@@ -48,8 +50,8 @@
     assert_eq!(detector.observe(ms(2_500), ms(3_000)), Duration::ZERO);
 }
 
-/// An outage goes on, and nearly all who come were refused before. They don't become
-/// what callers give at first.
+/// Guards against retries that become common initial waits. During a long outage nearly
+/// all requests are retries.
 #[test]
 fn retries_dont_become_common_waits() {
     let mut detector = RetryDetector::default();
@@ -72,15 +74,15 @@
     assert_eq!(
         starting.observe(ms(0), ms(5_000)),
         Duration::ZERO,
-        "nothing is known"
+        "no waits are known"
     );
     starting.set_hints(peer.common_waits());
     assert!(starting.observe(ms(10), ms(5_000)) > ms(1_500));
     assert_eq!(starting.observe(ms(20), ms(7_500)), Duration::ZERO);
 }
 
-/// Guards against times of peers that no caller gives, and against more than a digest
-/// may bring.
+/// Guards against hints with waits that no caller has, and against more hints than a
+/// digest may contain.
 #[test]
 fn implausible_hints_are_ignored() {
     let mut detector = RetryDetector::default();
@@ -90,9 +92,9 @@
     assert_eq!(detector.observe(ms(10), ms(100_000)), Duration::ZERO);
 }
 
-/// Times to wait and to come back were fixed for callers with 8 s and answers of 2 s.
-/// They follow from both: nobody waits who can't be answered any more behind it, and all
-/// come back within the third of their time that they wait at most.
+/// Guards against fixed waits and retry times, which only fit callers with 8 s and answers
+/// of 2 s. No request waits so long that its answer can't end in time, and Retry-After is
+/// at most a third of the time that the caller has left.
 #[test]
 fn waits_and_retry_times_follow_the_remaining_time() {
     for (left, service_ms) in [(1_500, 15), (3_000, 500), (8_000, 2_000), (15_000, 2_000)] {
@@ -117,7 +119,7 @@
     assert_eq!(service_time.max_wait(ms(2_000)), Duration::ZERO);
 }
 
-/// An entry before so many ranks of one group, with answers of 2 s.
+/// A dispatcher with `count` ranks of one group, and a service time of 2 s.
 fn group(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
@@ -127,14 +129,14 @@
     dispatcher
 }
 
-/// Tells that the group runs, or doesn't.
+/// Reports whether the group runs.
 fn report_status(dispatcher: &mut Dispatcher, now: u64, count: u32, open: bool) {
     for number in 0..count {
         dispatcher.record_status(ms(now), &format!("u{number}"), 7, open, 1.0);
     }
 }
 
-/// What one who came back asks for, with so much time left.
+/// A retry whose caller has `left` milliseconds left.
 fn retry(now: u64, left: u64) -> PlacementRequest {
     PlacementRequest {
         target: ms(now.saturating_sub(1)),
@@ -144,9 +146,8 @@
     }
 }
 
-/// A group is away for 3 s. Callers with short and with long times who come back
-/// meanwhile wait until it returns, as long as they bear; those who couldn't be answered
-/// after that are told so at once.
+/// Guards against retries that are rejected shortly before their group returns. Those
+/// whose callers have enough time left wait for it; the others are rejected immediately.
 #[test]
 fn retries_wait_for_the_group() {
     for (left, placed) in [(1_000, false), (5_300, true), (10_000, true)] {
@@ -166,7 +167,8 @@
     }
 }
 
-/// A group is away for 8 s. Nobody is held until the caller leaves by itself.
+/// Guards against retries that wait in the queue until their callers leave, in an outage
+/// that is longer than their wait.
 #[test]
 fn retries_are_rejected_before_their_callers_leave() {
     let mut dispatcher = group(4);
@@ -181,7 +183,8 @@
     assert_eq!(reason, RejectReason::Unavailable);
 }
 
-/// Guards against retries that take all slots as a group returns, on its longest passes.
+/// Guards against retries that take all slots as a group returns, while its passes are at
+/// their longest.
 #[test]
 fn queued_retries_leave_capacity_when_a_group_returns() {
     let mut dispatcher = group(4);
@@ -199,23 +202,23 @@
     };
     let placed = sent(&dispatcher.process_queue(ms(2_301)));
     assert!((1..=4 * 12 / 2).contains(&placed), "{placed}");
-    // What can be in time still finds a place beside them, as far as passes allow.
+    // Requests that can be on time are still placed, as far as the pass time allows.
     for ticket in 200..204 {
         dispatcher.submit(ms(2_302), ticket, stream(2_302));
     }
     assert_eq!(sent(&dispatcher.process_queue(ms(2_303))), 4);
-    // As passes turn out short the others have their turn, as far as there are slots.
+    // Once passes are known to be short, more retries are placed, as far as there are
+    // slots.
     dispatcher.record_pause(ms(2_400), "u0", engine().pass(3.0));
     let later = sent(&dispatcher.process_queue(ms(2_401)));
     assert!(placed + 4 + later > 4 * 12 / 2, "{placed}, {later}");
-    // Nobody waits until the caller leaves.
+    // The remaining retries are rejected before their callers leave.
     let verdicts = dispatcher.process_queue(ms(3_301));
     assert_eq!(verdicts.len(), 100 - placed - later);
 }
 
-/// A stream that has begun leaves a slow rank while more than half of the slots are
-/// taken. Counted with those who are late it found no place, and held back the streams
-/// of all others.
+/// Guards against a stream that can't leave a slow rank while more than half of the slots
+/// are taken, and so delays the streams of all ranks. It isn't limited like late requests.
 #[test]
 fn a_moved_stream_may_use_more_than_half_of_the_slots() {
     let mut dispatcher = group(2);
--- a/verbenaspool_policy/tests/dispatch/circuit.rs
+++ b/verbenaspool_policy/tests/dispatch/circuit.rs
@@ -1,4 +1,4 @@
-//! Groups that take no requests: broken ones, those that form anew, zones cut off.
+//! Circuit breakers of groups that reject requests or can't be reached.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 
 use crate::world::{engine, ms, replica, stream};
 
-/// An entry before so many ranks of one group.
+/// A dispatcher with `count` ranks of one group.
 fn group(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
@@ -15,7 +15,7 @@
     dispatcher
 }
 
-/// What becomes of a new request now.
+/// Submits a request and returns the verdict on it, if it is decided immediately.
 fn decide(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Verdict> {
     dispatcher.submit(ms(now), ticket, stream(now));
     let verdicts = dispatcher.process_queue(ms(now));
@@ -24,7 +24,7 @@
     found.map(|(_, verdict)| verdict)
 }
 
-/// Where a request is sent now.
+/// Submits a request and returns the upstream that it is sent to.
 fn place(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Rc<str>> {
     match decide(dispatcher, now, ticket) {
         Some(Verdict::Send(id)) => Some(id),
@@ -32,11 +32,12 @@
     }
 }
 
-/// Everything was started again, and the registry still names upstreams that are no
-/// more: whoever listens at their addresses says so. Entries spent both sendings of
-/// each request on two of them within 4 ms, 500 times a second, and told the callers
-/// to come back in half a second, before anything ran. Now a few requests find out,
-/// the others are told at once to come back when groups can have formed.
+/// Guards against requests that use up their attempts on upstreams which no longer exist.
+/// After a full restart the registry still lists them, and other processes answer at their
+/// addresses. Entries spent both attempts of 500 requests per second within 4 ms each and
+/// had callers retry after half a second, before any group ran. A few requests are enough
+/// to open the circuit; the others are rejected with a Retry-After that gives groups time
+/// to form.
 #[test]
 fn unreachable_upstreams_cost_few_requests() {
     let mut dispatcher = group(64);
@@ -53,14 +54,14 @@
                 assert!(rejection.retry_after >= ms(2_000));
                 rejected += 1;
             }
-            None => panic!("a request that can't be served in time waits"),
+            None => panic!("a request that can't be on time is queued"),
         }
     }
     assert!(sent <= 16, "{sent} were sent in 1.2 s, {rejected} rejected");
 }
 
-/// The group is back, which the next request that looks finds out: from its answer on
-/// all are sent again, within two tenths of a second.
+/// A request accepted by a rank closes the circuit, which a probe finds out within 0.2 s
+/// of the group's return.
 #[test]
 fn an_accepted_probe_closes_the_circuit() {
     let mut dispatcher = group(8);
@@ -70,23 +71,23 @@
         assert_eq!(opened, ticket == 2);
     }
     assert_eq!(place(&mut dispatcher, 50, 10), None);
-    let first = place(&mut dispatcher, 110, 11).expect("one looks");
+    let probed = place(&mut dispatcher, 110, 11).expect("a probe is sent");
     assert_eq!(place(&mut dispatcher, 120, 12), None);
-    assert!(dispatcher.record_accepted(&first));
+    assert!(dispatcher.record_accepted(&probed));
     for ticket in 20..30 {
         assert!(place(&mut dispatcher, 130, ticket).is_some());
     }
 }
 
-/// Two ranks have crashed, and others of their group go on taking requests, as the
-/// group's other zone does in a cut that is only half: nothing is held back from
-/// those that can be reached.
+/// Guards against a circuit that opens while most ranks of a group accept requests, as
+/// when two ranks have crashed, or when a network partition leaves one zone of the group
+/// reachable.
 #[test]
 fn single_unreachable_ranks_dont_open_the_circuit() {
     let mut dispatcher = group(8);
     for ticket in 0..12 {
         let now = ticket * 10;
-        let id = place(&mut dispatcher, now, ticket).expect("others are there");
+        let id = place(&mut dispatcher, now, ticket).expect("other ranks accept it");
         if ["u0", "u1"].contains(&&*id) {
             dispatcher.finish_attempt(ms(now + 5), &id, AttemptOutcome::Unreached);
         } else {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Agents say that the group runs again before any request has looked.
+/// A report that the group runs again closes the circuit before any probe is sent.
 #[test]
 fn an_agent_report_closes_the_circuit() {
     let mut dispatcher = group(4);
@@ -110,7 +111,8 @@
     assert!(place(&mut dispatcher, 21, 2).is_some());
 }
 
-/// Plain upstreams make no groups: one that is full says nothing of the others.
+/// Guards against a full upstream without an engine that opens a circuit for all
+/// upstreams. Only engines form groups.
 #[test]
 fn a_full_upstream_without_a_group_doesnt_affect_others() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
@@ -118,6 +120,6 @@
     dispatcher.set_upstreams(replicas.iter());
     let id = place(&mut dispatcher, 0, 0).expect("it is placed");
     dispatcher.finish_attempt(ms(1), &id, AttemptOutcome::Full);
-    let other = place(&mut dispatcher, 2, 1).expect("others take it");
+    let other = place(&mut dispatcher, 2, 1).expect("others have capacity");
     assert_ne!(other, id);
 }
--- a/verbenaspool_policy/tests/dispatch/crash.rs
+++ b/verbenaspool_policy/tests/dispatch/crash.rs
@@ -1,4 +1,4 @@
-//! Upstreams that crash, and what the service can still lose.
+//! Crashes of upstreams, and whether the service can lose another one.
 
 use std::rc::Rc;
 
@@ -6,10 +6,10 @@
 
 use crate::world::{engine, ms, replica, stream};
 
-/// Ranks of each group.
+/// Number of ranks of each group.
 const RANKS: u32 = 4;
 
-/// An entry before so many groups, whose agents said that they run.
+/// A dispatcher with `count` groups, which were reported to run.
 fn groups(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let ids = 0..count * RANKS;
@@ -23,7 +23,7 @@
     dispatcher
 }
 
-/// Where a request is sent now.
+/// Submits a request and returns the upstream that it is sent to.
 fn place(dispatcher: &mut Dispatcher, now: u64, ticket: u64) -> Option<Rc<str>> {
     dispatcher.submit(ms(now), ticket, stream(now));
     let verdicts = dispatcher.process_queue(ms(now));
@@ -34,8 +34,8 @@
     }
 }
 
-/// Guards against requests that are sent to a group that has lost a rank, until its agents
-/// notice.
+/// Guards against requests that are sent to a group that has lost a rank, before its
+/// agents notice.
 #[test]
 fn the_group_of_a_crashed_rank_gets_nothing_until_it_runs() {
     let mut dispatcher = groups(2);
@@ -43,7 +43,10 @@
     for ticket in 0..4 {
         let id = place(&mut dispatcher, 20, ticket).expect("the other group runs");
         let number: u32 = id[1..].parse().expect("a number");
-        assert!(number >= RANKS, "{id} is of the group that lost a rank");
+        assert!(
+            number >= RANKS,
+            "{id} belongs to the group that lost a rank"
+        );
     }
     for number in 0..RANKS {
         dispatcher.record_status(ms(900), &format!("u{number}"), 1, true, 1.0);
@@ -54,7 +57,7 @@
     assert!(ids.iter().any(|id| ["u0", "u2", "u3"].contains(&&**id)));
 }
 
-/// Guards against a suspect request that takes the last group that runs.
+/// Guards against a suspect request that crashes the last running group.
 #[test]
 fn a_service_with_one_of_two_groups_left_can_lose_none() {
     let mut dispatcher = groups(2);
@@ -67,7 +70,7 @@
     assert!(dispatcher.can_lose_one(ms(1_000)));
 }
 
-/// Guards against a service with a single group that never tries a suspect request again.
+/// Guards against a service with a single group that never retries a suspect request.
 #[test]
 fn a_service_with_a_single_group_counts_as_if_it_could_lose_it() {
     let dispatcher = groups(1);
--- a/verbenaspool_policy/tests/dispatch/customer.rs
+++ b/verbenaspool_policy/tests/dispatch/customer.rs
@@ -1,8 +1,8 @@
-//! One customer that sends far more than it usually does.
+//! Customers that send more than their usual rate.
 
 use crate::world::{Customer, Outcomes, World};
 
-/// Twenty customers, the first of them three times as large as the others.
+/// Twenty customers with a rate of 0.4 each, except for `hot`.
 fn customers(hot_rate: f64) -> Vec<Customer<'static>> {
     const NAMES: [&str; 20] = [
         "hot", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "d0", "d1", "d2", "d3", "d4",
@@ -12,7 +12,7 @@
     NAMES.iter().map(rate).collect()
 }
 
-/// What the other customers' callers got.
+/// The outcomes of the streams of all customers except `hot`.
 fn other_outcomes(world: &World) -> Outcomes {
     let others = world
         .customer_outcomes
@@ -25,10 +25,10 @@
     })
 }
 
-/// One busy morning a single customer sends 25 times its usual for 6 s. Everybody's
-/// requests were refused alike: 89 of 180 of the other customers' callers had their
-/// answers in time. What that customer sends beyond its usual is refused first now, and
-/// 158 of 169 of the others have theirs; its own usual part is served as well.
+/// Guards against a customer that sends 25 times its usual rate for 6 s and has the
+/// requests of all customers rejected alike. 89 of 180 streams of the others were on time
+/// then. With requests over the usual rate rejected first, it is 158 of 169, and the
+/// customer's usual part is still served.
 #[test]
 fn other_customers_are_served_while_one_exceeds_its_usual_rate() {
     let mut world = World::new(4, 12);
@@ -38,12 +38,12 @@
     let (hot, others) = (world.customer_outcomes["hot"], other_outcomes(&world));
     let total = others.on_time + others.late + others.rejected;
     assert!(others.on_time * 100 >= total * 90, "{others:?}");
-    // Its usual part is 28 in this time.
+    // Its usual part is 28 streams in this time.
     assert!(hot.on_time > 40, "{hot:?}");
     assert!(hot.rejected > 100, "{hot:?}");
 }
 
-/// All customers send 2.5 times as much at once. None is taken for the one to blame.
+/// Guards against customers that are held back although all of them send more at once.
 #[test]
 fn no_customer_is_held_back_if_all_send_more() {
     let usual = customers(1.2);
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -1,4 +1,5 @@
-//! Tens of entries before hundreds of upstreams: who finds a free slot.
+//! Simulates tens of entries and hundreds of upstreams, and counts the streams that are
+//! sent to an upstream without a free slot. Times are in milliseconds.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,67 +19,66 @@
 const ZONES: usize = 5;
 const SLOTS_PER_UPSTREAM: u32 = 6;
 
-/// How long a stream runs.
 const STREAM_DURATION_MS: u32 = 1_900;
 
-/// How long a request takes to its upstream, and an ask and its answer each.
+/// Delay of a request to its upstream, of a reservation request and of its answer.
 const NETWORK_DELAY_MS: u64 = 2;
 
-/// How often entries tell each other what they have, where they do: 30 ms, and 4 ms more
-/// for each of the others.
+/// Interval at which entries exchange digests, where they do: 30 ms, and 4 ms more for
+/// each other entry.
 const DIGEST_INTERVAL_MS: u64 = 266;
 
-/// How often an entry looks after those who wait.
+/// Interval at which entries process their queues.
 const QUEUE_INTERVAL_MS: u64 = 20;
 
-/// How often an agent reads its upstream's report.
+/// Interval at which agents read their upstreams' reports.
 const REPORT_INTERVAL_MS: u64 = 50;
 
-/// How entries know of the requests of others.
+/// How entries learn of the requests of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LoadSource {
-    /// By each other's digests.
+    /// From each other's digests.
     Digests,
-    /// By agents, who are asked before each request.
+    /// From agents, with a reservation before each request.
     Agents,
 }
 
-/// What may go wrong.
+/// Faults during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The agents of every third upstream are silent.
+    /// The agents of every third upstream don't respond.
     UnresponsiveAgents,
-    /// The first entry asks no agent.
+    /// The first entry sends requests without reservations.
     EntryWithoutReservations,
-    /// A fifth of the upstreams is gone, all in one zone.
+    /// A fifth of the upstreams, all in one zone, is missing.
     ZoneOutage,
-    /// Each second other entries are replaced by new ones.
+    /// Every second an entry is replaced by a new one.
     EntryRestarts,
 }
 
-/// A request on its way, or a word about one.
+/// A scheduled event.
 enum Event {
-    /// An entry asks an agent.
+    /// A reservation request of an entry for a ticket reaches an upstream's agent.
     Reserve(usize, u64, usize),
-    /// A request reaches its upstream.
+    /// A request of an entry reaches its upstream.
     Arrive(usize, usize),
-    /// A stream ends.
+    /// A stream of an entry ends at its upstream.
     End(usize, usize),
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     sent: u32,
-    /// Sendings that met an upstream whose slots were all taken.
+    /// Streams that were sent to an upstream with all slots taken.
     sent_to_full: u32,
     rejected: u32,
-    /// Sendings to another zone.
+    /// Streams that were sent to another zone.
     cross_zone: u32,
 }
 
 impl Totals {
-    /// Sendings that met a full upstream, in a thousand.
+    /// Streams that were sent to a full upstream, per thousand.
     fn full_per_thousand(self) -> u32 {
         self.sent_to_full * 1_000 / self.sent.max(1)
     }
@@ -157,7 +157,8 @@
         self.events.entry(at).or_default().push_back(event);
     }
 
-    /// Agents answer an entry that has just started.
+    /// Reports the load of all upstreams with a responsive agent to an entry, as after its
+    /// start.
     fn report_all_loads(&mut self, entry: usize) {
         for upstream in 0..self.replicas.len() {
             if self.agent_responds(upstream) {
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Streams come at a rate that takes such a part of all slots, unevenly to entries.
+    /// Submits streams at a rate that uses the given share of all slots, unevenly
+    /// distributed over the entries.
     fn run(&mut self, load_ratio: f64, duration_ms: u64) -> Totals {
         let slots = f64::from(SLOTS_PER_UPSTREAM * UPSTREAMS);
         let rate = slots * load_ratio / f64::from(STREAM_DURATION_MS);
@@ -178,7 +180,7 @@
             while due >= 1.0 {
                 due -= 1.0;
                 next += 1;
-                // One entry in four gets twice as much.
+                // Sends 40 % of the streams to six entries, and the others evenly to 36.
                 let number = if next % 5 < 2 { next % 15 * 4 } else { next };
                 let request = PlacementRequest {
                     max_gap: Some(ms(150)),
@@ -218,7 +220,7 @@
 
     fn upstream_index(&self, id: &str) -> usize {
         let index = self.replicas.iter().position(|replica| &*replica.id == id);
-        index.expect("an upstream that is there")
+        index.expect("an upstream of the fleet")
     }
 
     fn send(&mut self, entry: usize, ticket: u64, upstream: usize) {
@@ -241,7 +243,7 @@
         let now = ms(self.now);
         let id = self.replicas[upstream].id.clone();
         if !self.agent_responds(upstream) {
-            // What a timeout shows; the next agent is asked in its place.
+            // As after a timeout; another upstream is tried.
             self.entries[entry].record_agent_timeout(now, &id);
         } else if self.agents[upstream].grant(now, SLOTS_PER_UPSTREAM) {
             self.entries[entry].finish_reservation(&id);
@@ -290,7 +292,7 @@
         }
     }
 
-    /// Entries place those who wait, and see how long passes take.
+    /// Processes the queues of all entries and records the pass time.
     fn process_queues(&mut self) {
         let now = ms(self.now);
         let running: u32 = self.running.iter().sum();
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Agents and entries say what there is to say in this millisecond.
+    /// Sends the load reports and digests that are due in this millisecond.
     fn send_load_reports(&mut self) {
         for upstream in 0..self.replicas.len() {
             let at = self.now + upstream as u64;
@@ -349,9 +351,10 @@
     }
 }
 
-/// A calm morning with three quarters of all slots in use. Entries that know of each
-/// other by digests alone send 175 in 1,000 streams to an upstream that is full, where
-/// their callers wait behind others and leave; those that ask agents send 0.
+/// Guards against streams that are sent to full upstreams, where they queue until their
+/// callers leave, with three quarters of all slots in use. Entries that only know each
+/// other's digests send 175 in 1,000 streams to a full upstream; with reservations it is
+/// none.
 #[test]
 fn reservations_find_free_slots() {
     let before = Fleet::new(LoadSource::Digests, Fault::None).run(0.75, 5_000);
@@ -361,8 +364,8 @@
     assert!(after.rejected <= before.rejected, "{after:?}");
 }
 
-/// The processes of a third of the agents were killed. Nobody says what their upstreams
-/// have but the entries themselves; the others are placed on as before.
+/// Guards against overload of upstreams whose agent has crashed, a third of them here.
+/// Entries only know their load from each other's digests; the others are used as before.
 #[test]
 fn a_third_of_the_agents_may_be_unresponsive() {
     let after = Fleet::new(LoadSource::Agents, Fault::UnresponsiveAgents).run(0.6, 5_000);
@@ -370,16 +373,17 @@
     assert!(after.rejected * 50 <= after.sent, "{after:?}");
 }
 
-/// One entry sends without a word to any agent, as one that is cut off from them would.
-/// Agents see its streams in their upstreams' reports, so that the others keep clear.
+/// Guards against an entry that sends without reservations, such as one that is cut off
+/// from the agents, and fills upstreams that others reserve. Agents see its streams in
+/// their upstreams' reports and deny reservations accordingly.
 #[test]
 fn an_entry_without_reservations_harms_only_itself() {
     let after = Fleet::new(LoadSource::Agents, Fault::EntryWithoutReservations).run(0.75, 5_000);
     assert!(after.full_per_thousand() <= 30, "{after:?}");
 }
 
-/// A zone is lost with a fifth of the upstreams: its entries send to the others, which
-/// are nearly full then.
+/// Guards against streams that are sent to full upstreams after a zone with a fifth of the
+/// upstreams is lost. Its entries send to the other zones, which are then nearly full.
 #[test]
 fn streams_are_placed_on_the_remaining_zones() {
     let after = Fleet::new(LoadSource::Agents, Fault::ZoneOutage).run(0.6, 5_000);
@@ -387,7 +391,8 @@
     assert!(after.rejected * 20 <= after.sent, "{after:?}");
 }
 
-/// Entries are replaced all day long. A new one knows nothing, and asks.
+/// Guards against new entries that don't know the load of upstreams. They learn it from
+/// agents' reports and reservations.
 #[test]
 fn restarted_entries_find_free_slots() {
     let after = Fleet::new(LoadSource::Agents, Fault::EntryRestarts).run(0.75, 5_000);
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -1,10 +1,10 @@
-//! Groups whose agents don't all report alike.
+//! Groups whose agents report different states.
 
 use verbenaspool_policy::dispatch::{Dispatcher, RejectReason, Verdict};
 
 use crate::world::{engine, ms, replica, stream};
 
-/// An entry before two groups of four ranks, whose agents have all reported at the start.
+/// A dispatcher with two groups of four ranks, all of which were reported to run.
 fn entry() -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..8).map(|n| replica(&format!("u{n}"), 12)).collect();
@@ -16,12 +16,12 @@
     dispatcher
 }
 
-/// The agent beside a rank reports whether its group runs.
+/// Reports whether the group of a rank runs.
 fn report(dispatcher: &mut Dispatcher, now: u64, rank: u32, open: bool) {
     dispatcher.record_status(ms(now), &format!("u{rank}"), 1 + rank / 4, open, 1.0);
 }
 
-/// Where requests go that come now.
+/// Submits twelve requests and returns the verdicts on them.
 fn submit_requests(dispatcher: &mut Dispatcher, now: u64) -> Vec<Verdict> {
     for ticket in 0..12 {
         dispatcher.submit(ms(now), ticket, stream(now));
@@ -30,8 +30,8 @@
     verdicts.map(|(_, verdict)| verdict).collect()
 }
 
-/// Guards against requests that wait at a frozen rank until their callers leave, as it alone
-/// doesn't report that its group has stopped.
+/// Guards against requests that wait at a frozen rank until their callers leave, because
+/// its agent is the only one that doesn't report the group as stopped.
 #[test]
 fn a_silent_rank_of_a_stopped_group_gets_no_requests() {
     let mut dispatcher = entry();
@@ -40,7 +40,7 @@
     }
     for verdict in submit_requests(&mut dispatcher, 1_010) {
         let Verdict::Send(id) = verdict else {
-            panic!("the other group takes requests");
+            panic!("the other group accepts requests");
         };
         assert!(!["u0", "u1", "u2", "u3"].contains(&&*id), "{id}");
     }
@@ -62,7 +62,7 @@
     ));
 }
 
-/// Guards against an agent that alone keeps the requests of a whole group away.
+/// Guards against a single wrong report that keeps requests from a whole group.
 #[test]
 fn a_single_contradicting_report_doesnt_stop_a_group() {
     let mut dispatcher = entry();
--- a/verbenaspool_policy/tests/dispatch/load.rs
+++ b/verbenaspool_policy/tests/dispatch/load.rs
@@ -1,4 +1,4 @@
-//! Streams before engines that are asked for more than they can do.
+//! Placement at high load, and the order in which requests are placed.
 
 use std::time::Duration;
 
@@ -8,10 +8,9 @@
 
 use crate::world::{Outcomes, World, engine, ms, replica, stream};
 
-/// Callers of saturated engines see their streams stutter: each engine took all it
-/// had slots for, and every pass came later than the longest pause in time. With
-/// the bound on streams nearly all that are let in are in time, and the others
-/// are told at once to come back.
+/// Guards against saturated engines that use all their slots, which makes every pass take
+/// longer than the longest gap on time. With a limit on streams nearly all admitted ones
+/// are on time, and the others are rejected immediately.
 #[test]
 fn saturated_engines_serve_admitted_streams_on_time() {
     let mut world = World::new(4, 8);
@@ -24,15 +23,15 @@
     } = world.outcomes;
     assert!(
         on_time > 200,
-        "{:?} most {}",
+        "{:?}, at most {} streams per upstream",
         world.outcomes,
         world.max_streams
     );
-    assert!(late * 10 < on_time, "{late} late beside {on_time} in time");
+    assert!(late * 10 < on_time, "{late} late and {on_time} on time");
     assert!(rejected > 100, "{rejected} rejected");
 }
 
-/// Most callers come to one entry. It gets the room that the others leave.
+/// Guards against capacity that stays unused because most requests arrive at one entry.
 #[test]
 fn a_busy_entry_uses_the_capacity_left_by_others() {
     let mut even = World::new(4, 8);
@@ -40,11 +39,15 @@
     let mut uneven = World::new(4, 8);
     uneven.run(&[33.0, 1.0, 1.0, 1.0], 15_000);
     let (even, uneven) = (even.outcomes.on_time, uneven.outcomes.on_time);
-    assert!(uneven * 10 >= even * 9, "{uneven} in time, evenly {even}");
+    assert!(
+        uneven * 10 >= even * 9,
+        "{uneven} on time, {even} if evenly distributed"
+    );
 }
 
-/// Entries that can't hear each other each think that they are alone. Upstreams
-/// take no more than their slots then, and most callers are still served.
+/// Guards against most requests being rejected while entries don't receive each other's
+/// digests. Each assumes that it is alone; upstreams only process as many streams as they
+/// have slots.
 #[test]
 fn entries_without_digests_still_serve() {
     let mut world = World::new(4, 8);
@@ -62,8 +65,8 @@
     );
 }
 
-/// Demand doubles within a moment and goes back: what waits is small, and what
-/// comes after the burst is served in time again within two seconds.
+/// Guards against a backlog that outlasts a burst. Two seconds after demand has doubled
+/// for a moment, hardly any stream is rejected.
 #[test]
 fn a_burst_leaves_no_backlog() {
     let mut world = World::new(4, 8);
@@ -76,8 +79,8 @@
     assert!(rejected <= 3, "{rejected} rejected after the burst");
 }
 
-/// Popularity of experts shifts, and passes take twice as long: new streams are
-/// held back within a second, before all streams are late for good.
+/// Guards against streams that stay late after a shift of expert popularity has doubled
+/// the pass time. New streams are held back within a second.
 #[test]
 fn slower_passes_reduce_admission() {
     let mut world = World::new(2, 8);
@@ -88,7 +91,7 @@
     world.run(&[16.0; 2], 8_000);
     let late = world.outcomes.late - before.late;
     let on_time = world.outcomes.on_time - before.on_time;
-    assert!(late * 3 < on_time, "{late} late, {on_time} in time");
+    assert!(late * 3 < on_time, "{late} late, {on_time} on time");
 }
 
 fn submit_and_decide(
@@ -105,7 +108,7 @@
         .map(|(_, v)| v)
 }
 
-/// A plain request of the service.
+/// A request without a limit on the gap between events.
 fn plain_request(now: u64) -> PlacementRequest {
     PlacementRequest {
         max_gap: None,
@@ -113,8 +116,8 @@
     }
 }
 
-/// An upstream that fails everything at once always looks idle; it must not get
-/// everything.
+/// Guards against an upstream that fails every request immediately and therefore always
+/// looks idle.
 #[test]
 fn a_failing_upstream_gets_few_requests() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
@@ -139,8 +142,8 @@
     assert!(bad < 30, "{bad} of 200 went to the failing upstream");
 }
 
-/// A customer's request comes while no group runs: it is refused at once, to come
-/// back late enough; one that came back waits for the group.
+/// A new request is rejected during an outage, with a Retry-After late enough for one
+/// retry to succeed. The retry waits for the group.
 #[test]
 fn callers_retry_once_during_an_outage() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
@@ -167,7 +170,7 @@
         place_by: ms(4_100),
         ..stream(10)
     };
-    // Its agent goes on saying so.
+    // The agent keeps reporting the outage.
     dispatcher.record_status(ms(2_400), "u0", 1, false, 1.0);
     assert_eq!(
         submit_and_decide(&mut dispatcher, ms(2_500), 2, retry),
@@ -178,7 +181,8 @@
     assert_eq!(verdicts, [(2, Verdict::Send("u0".into()))]);
 }
 
-/// What can still be in time goes before what can't, and the more urgent first.
+/// Requests that can be on time go before late ones, and within each the more urgent go
+/// first.
 #[test]
 fn requests_that_can_be_on_time_go_first() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
@@ -213,8 +217,8 @@
     assert_eq!(order, [5, 4, 3]);
 }
 
-/// An upstream that is taken off the list while it still works for callers takes
-/// nothing new, and is forgotten when it is done.
+/// An upstream removed from the list gets no new requests, and is forgotten once its last
+/// one has ended.
 #[test]
 fn a_removed_upstream_finishes_its_requests() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
@@ -230,9 +234,9 @@
     assert_eq!(dispatcher.upstream_ids().count(), 0);
 }
 
-/// All processes are started again, and requests come before the groups have
-/// formed. One rank turns a request away though it has nothing to do; the others
-/// of its group aren't tried, and the other group serves.
+/// Guards against requests that try every rank of a group that isn't formed yet after a
+/// full restart. One rank without load that rejects a request opens the circuit of the
+/// whole group, and the other group gets the requests.
 #[test]
 fn a_rejection_by_one_rank_opens_the_circuit_of_its_group() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
--- a/verbenaspool_policy/tests/dispatch/main.rs
+++ b/verbenaspool_policy/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of an entry on the direct path: what is placed, waits and is refused.
+//! Tests of the dispatcher: which requests are placed, queued and rejected.
 
 mod agent_reports;
 mod caller_retries;
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -1,4 +1,4 @@
-//! The return of a service from an outage, before entries that each have a line.
+//! Recovery of a service from an outage, with requests queued at every entry.
 
 use std::time::Duration;
 
@@ -7,14 +7,13 @@
 
 use crate::world::{engine, ms, replica, stream};
 
-/// The longest pause in time between two events.
+/// The longest time between two events that is still on time.
 const MAX_GAP: Duration = Duration::from_millis(150);
 
-/// How many times longer than on even ranks the passes of a group are that has just
-/// formed, as entries assume.
+/// The pace that entries assume for a group that has just formed.
 const INITIAL_PACE: f64 = 2.5;
 
-/// Ranks whose passes depend much on their streams.
+/// An engine whose pass time strongly depends on its number of streams.
 fn load_sensitive_engine() -> Engine {
     Engine {
         slots: 10,
@@ -25,7 +24,7 @@
     }
 }
 
-/// Entries before one group of so many ranks, which runs nothing.
+/// `count` entries and one group of `ranks`, which is reported to be down.
 fn entries(count: u32, ranks: u32) -> Vec<Dispatcher> {
     let replicas: Vec<_> = (0..ranks).map(|n| replica(&format!("u{n}"), 10)).collect();
     let entry = |number: u32| {
@@ -39,7 +38,7 @@
     (0..count).map(entry).collect()
 }
 
-/// The agents beside all ranks report whether their group runs, and no requests.
+/// Reports for all ranks that they have no requests, and whether their group runs.
 fn report(entry: &mut Dispatcher, now: u64, ranks: u32, open: bool) {
     for number in 0..ranks {
         let id = format!("u{number}");
@@ -48,7 +47,7 @@
     }
 }
 
-/// What a caller that was rejected asks for when it retries.
+/// The retry of a rejected caller.
 fn retry(now: u64) -> PlacementRequest {
     PlacementRequest {
         target: ms(now - 2_000),
@@ -59,15 +58,15 @@
     }
 }
 
-/// How many requests are sent.
+/// The number of requests that are sent.
 fn sent_count(verdicts: &[(u64, Verdict)]) -> u32 {
     let sent = verdicts.iter();
     let sent = sent.filter(|(_, verdict)| matches!(verdict, Verdict::Send(_)));
     u32::try_from(sent.count()).expect("few")
 }
 
-/// Guards against entries that each place a whole line in the moment in which a group
-/// returns: all of its streams are late then, and so is whoever comes next.
+/// Guards against entries that each place their whole backlog as a group returns, which
+/// makes all of its streams late, and the next ones as well.
 #[test]
 fn backlogs_of_all_entries_together_fit_in_passes_on_time() {
     for (count, ranks) in [(4, 32), (15, 64), (60, 192)] {
@@ -91,7 +90,7 @@
     }
 }
 
-/// Guards against retries that take the room of requests which could still be in time.
+/// Guards against retries that take the capacity of requests that could still be on time.
 #[test]
 fn retries_wait_while_new_requests_are_rejected() {
     let entry = &mut entries(1, 4)[0];
@@ -106,7 +105,7 @@
     assert_eq!(
         entry.process_queue(ms(10_101)),
         [],
-        "one was rejected just now"
+        "a request was rejected just before"
     );
     entry.submit(ms(10_110), 3, stream(10_110));
     let verdicts = entry.process_queue(ms(10_111));
@@ -121,8 +120,8 @@
     );
 }
 
-/// Guards against an entry that has just started, knows no service time, and takes the
-/// return for over while passes are still at their longest.
+/// Guards against an entry that has just started, knows no service time, and considers the
+/// recovery complete while passes are still at their longest.
 #[test]
 fn an_entry_without_history_holds_back_retries() {
     let entry = &mut entries(1, 4)[0];
@@ -137,17 +136,21 @@
     assert_eq!(
         entry.process_queue(ms(10_700)),
         [],
-        "one was rejected just now"
+        "a request was rejected just before"
     );
 }
 
-/// Guards against an outage that ends while nobody waits and seems to end with the next
-/// request, which then finds hardly any room.
+/// Guards against an outage that ends while the queue is empty and appears to end with the
+/// next request, which then finds hardly any capacity.
 #[test]
 fn an_outage_ends_when_upstreams_run_with_an_empty_queue() {
     let entry = &mut entries(60, 4)[0];
     entry.submit(ms(10_050), 100, stream(10_050));
-    assert_eq!(entry.process_queue(ms(10_051)).len(), 1, "it is rejected");
+    assert_eq!(
+        entry.process_queue(ms(10_051)).len(),
+        1,
+        "the request is rejected"
+    );
     report(entry, 10_500, 4, true);
     entry.update_entry_count(ms(10_510), 60);
     for ticket in 0..8 {
--- a/verbenaspool_policy/tests/dispatch/relief.rs
+++ b/verbenaspool_policy/tests/dispatch/relief.rs
@@ -1,4 +1,5 @@
-//! Copies of experts that give the busiest ranks relief.
+//! Incremental changes of expert placement, which reduce the load of the busiest ranks by
+//! few copies.
 
 use proptest::prelude::*;
 use verbenaspool_policy::rebalancer::relief::{Bound, relieve, unevenness};
@@ -18,7 +19,8 @@
     least: 0.025,
 };
 
-/// Loads with a popularity that falls as measured, its order turned by set.
+/// Expert loads of each layer with a measured distribution of popularity, in an order that
+/// differs between layers.
 fn loads(shape: Shape, shift: usize) -> Vec<Vec<f64>> {
     let count = usize::from(shape.experts);
     (0..usize::from(shape.layers))
@@ -36,9 +38,9 @@
     Map::spread(1, Shape { slots, ..shape }).layers
 }
 
-/// Popularity shifts, and the rank with the most popular expert holds the group
-/// back at three times the mean. Changes of one copy a rank, 0.15 s each, must
-/// bring most of the relief within a second.
+/// Guards against shifts of popularity that keep a group at three times its mean load,
+/// that of the rank with the most popular expert. Changes of one copy per rank take 0.15 s
+/// each and must remove most of the imbalance within a second.
 #[test]
 fn few_copies_remove_most_of_the_imbalance() {
     let mut layers = layers(SHAPE);
@@ -62,8 +64,9 @@
     );
 }
 
-/// No place is free, and no expert is held twice: a busy rank gets relief only by
-/// giving an expert away for a colder one. Copies alone left it as it was.
+/// Guards against a busy rank that keeps its load if no slot is free and each expert is
+/// placed only once. Adding copies isn't possible then, but exchanging an expert for one
+/// with less load is.
 #[test]
 fn ranks_exchange_experts_if_no_slot_is_free() {
     let held = [Layer {
@@ -81,9 +84,9 @@
     assert!((relief.after - 1.0).abs() < 1e-6, "{relief:?}");
 }
 
-/// A group of 32 ranks has one free place a rank and set, and its most popular expert
-/// gets a twelfth of a set's choices. Three changes of two copies a rank, 0.3 s each,
-/// must bring it from three times the mean near to even.
+/// A group of 32 ranks has one free slot per rank and layer, and its most popular expert
+/// gets a twelfth of a layer's load. Three changes of two copies per rank, 0.3 s each,
+/// must bring it from three times the mean load near to balance.
 #[test]
 fn a_large_group_is_balanced_within_a_second() {
     let shape = Shape {
@@ -120,7 +123,7 @@
     );
 }
 
-/// Groups of 12 ranks with little room to spare.
+/// Groups of 12 ranks with few spare slots.
 const NARROW: Shape = Shape {
     ranks: 12,
     experts: 72,
@@ -136,7 +139,7 @@
     least: 0.008,
 };
 
-/// The work of the slowest rank in all sets over that of a mean one.
+/// The time of the slowest rank relative to the mean load, averaged over layers.
 #[allow(clippy::cast_precision_loss)] // Groups are small.
 fn slowest(layers: &[Layer], loads: &[Vec<f64>], paces: &[f64]) -> f64 {
     let sets = layers.iter().zip(loads).map(|(layer, loads)| {
@@ -149,9 +152,9 @@
     sets.sum::<f64>() / layers.len() as f64
 }
 
-/// A rank turns 12 times slow, and every pass of its group waits for it: callers of
-/// all ranks see pauses of 0.7 s where they bear 0.12 s. All its experts have to leave
-/// it in a single change, or each further one waits for two more of these passes.
+/// Guards against a rank that becomes 12 times slower and delays every pass of its group:
+/// all callers see gaps of 0.7 s, with 0.12 s on time. All its experts must leave it in a
+/// single change, because each further one waits for two more of these passes.
 #[test]
 fn a_slow_rank_loses_its_experts_in_one_change() {
     for slow in [vec![5], vec![0], vec![1, 7]] {
@@ -188,8 +191,8 @@
     }
 }
 
-/// The rank is well again and holds nothing. It takes its part within some changes,
-/// and the group is as even as before.
+/// Guards against a recovered rank without experts that stays idle. It gets its share
+/// within a few changes, and the group is as balanced as before.
 #[test]
 fn a_recovered_rank_takes_experts() {
     let loads = loads(NARROW, 0);
@@ -210,7 +213,8 @@
     assert!(held_there >= 8, "{held_there} places");
 }
 
-/// An even load calls for no copies: they would follow chance, and are paid for.
+/// Guards against copies that only follow random variation of an even load. Each copy has
+/// a cost.
 #[test]
 fn an_even_load_needs_no_change() {
     let even = vec![vec![10.0; 64]; 6];
@@ -218,9 +222,9 @@
 }
 
 proptest! {
-    /// Every change fits what engines take: each expert somewhere, no more places
-    /// or new experts than allowed, nothing twice on a rank, and it does what it
-    /// says.
+    /// Every change is valid for engines: each expert is placed, no rank has more slots,
+    /// new experts or copies than allowed, or an expert twice, and the reported imbalance
+    /// is right.
     #[test]
     fn changes_are_valid(
         counts in prop::collection::vec(prop::collection::vec(0_u32..5_000, 24), 2),
--- a/verbenaspool_policy/tests/dispatch/retry_budget.rs
+++ b/verbenaspool_policy/tests/dispatch/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent to a second upstream.
+//! The budget for sending requests to a second upstream.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     slack: 92.0,
 };
 
-/// All upstreams fail. Four entries that each send what they may once more stay
-/// together within what the operator allows, though none hears of the others.
+/// Guards against entries that together exceed the operator's limits while all upstreams
+/// fail. They don't know of each other's retries.
 #[test]
 fn entries_together_stay_within_the_limits() {
     let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::default()).collect();
@@ -30,7 +30,7 @@
     assert!(retries > 100, "{retries} retries");
 }
 
-/// What was sent once more is forgotten with its window.
+/// Retries no longer count once they are older than the window.
 #[test]
 fn retries_expire_with_their_window() {
     let mut budget = RetryBudget::default();
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -1,4 +1,4 @@
-//! Popularity that shifts each few seconds, near saturation.
+//! Shifts of expert popularity near saturation.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 
 use crate::world::{Outcomes, World, engine, ms, replica, stream};
 
-/// Popularity shifts each 4 s, and passes are nearly twice as long for 0.9 s until the
-/// map follows. More streams come than can be served. A group that took as many as usual
-/// passes bear had 352 of 823 answers in time, as each stream that ran in those 0.9 s had a
-/// pause out of time; one that leaves room for the next shift has 571 of 719.
+/// Guards against a group filled to the capacity of its usual passes, with more streams
+/// than it can serve. Every 4 s expert popularity shifts, and passes take nearly twice as
+/// long for 0.9 s, until the expert map follows. Each stream that ran in those 0.9 s had a
+/// late event: 352 of 823 answers were on time. With capacity left for the next shift it
+/// is 571 of 719.
 #[test]
 fn capacity_is_left_for_the_next_shift() {
     let heavy = Engine {
@@ -30,13 +31,12 @@
         world.run(&[12.0; 4], 3_100);
     }
     let Outcomes { on_time, late, .. } = world.outcomes - start;
-    assert!(on_time > 3 * late, "{on_time} in time, {late} late");
-    assert!(on_time > 528, "{on_time} in time");
+    assert!(on_time > 3 * late, "{on_time} on time, {late} late");
+    assert!(on_time > 528, "{on_time} on time");
 }
 
-/// A zone is cut off and takes a group along, whose streams look for a place at the other
-/// one. They are late already: those that can be in time go first, and the other group is
-/// not filled beyond what it bears.
+/// Guards against interrupted streams of a group in a lost zone that overfill the other
+/// group. They are late already, so requests that can be on time go first.
 #[test]
 fn interrupted_streams_take_no_capacity_from_others() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
--- a/verbenaspool_policy/tests/dispatch/slow.rs
+++ b/verbenaspool_policy/tests/dispatch/slow.rs
@@ -1,10 +1,10 @@
-//! A slow rank of a lock-stepped group, and streams that fall silent with their group.
+//! Slow ranks of lock-stepped groups, and streams that stall with their group.
 
 use verbenaspool_policy::dispatch::{Dispatcher, Verdict, slow::StallScope};
 
 use crate::world::{Outcomes, World, engine, ms, replica, stream};
 
-/// An entry before so many ranks of one group.
+/// A dispatcher with `count` ranks of one group.
 fn group(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
     let replicas: Vec<_> = (0..count).map(|n| replica(&format!("u{n}"), 12)).collect();
@@ -16,9 +16,9 @@
     dispatcher
 }
 
-/// One rank of a group turns 12 times slow for 8 s. Each pass waits for it as long as
-/// it has a stream, so all callers were late while it lasted. With nothing new placed
-/// there and its streams moved, callers are late for about a second.
+/// Guards against a rank that becomes 12 times slower for 8 s and makes all streams late
+/// during that time, because each pass waits for it while it has a stream. If it gets no
+/// new streams and its streams are moved, streams are late for about a second.
 #[test]
 fn callers_are_late_for_about_a_second_when_a_rank_slows_down() {
     let mut world = World::new(4, 12);
@@ -34,16 +34,16 @@
     } = world.outcomes - onset;
     assert!(
         on_time > 180,
-        "{on_time} in time, {late} late, {rejected} rejected"
+        "{on_time} on time, {late} late, {rejected} rejected"
     );
-    assert!(late * 10 < on_time, "{late} late beside {on_time} in time");
+    assert!(late * 10 < on_time, "{late} late and {on_time} on time");
     assert!(
         rejected * 10 < on_time,
-        "{rejected} rejected beside {on_time} in time"
+        "{rejected} rejected and {on_time} on time"
     );
 }
 
-/// The rank is well again: it gets its part of what comes.
+/// A rank that is no longer slow gets its share of new streams.
 #[test]
 fn a_recovered_rank_gets_streams() {
     let mut world = World::new(4, 12);
@@ -55,8 +55,8 @@
     assert!(world.stream_count(3) > 0);
 }
 
-/// All ranks are as slow as each other: there is nothing better, and callers are
-/// still served.
+/// Guards against requests that are rejected because all ranks are slow. None of them
+/// counts as slow if they are equally so.
 #[test]
 fn equally_slow_ranks_serve() {
     let mut dispatcher = group(3);
@@ -69,9 +69,9 @@
     assert!(!dispatcher.is_slow(ms(2), "u0"));
 }
 
-/// A group stands for a second, and all its streams are silent. Each of them was moved
-/// to another rank of the same group, where it waited again behind a prompt that was
-/// read twice. Now only a stream that is silent while others flow counts as stuck.
+/// Guards against moving the streams of a group that stalls for a second as a whole. On
+/// another rank of the group, each stream waited again, behind prompts that were read
+/// twice. A stream only counts as stuck by itself if others of its group continue.
 #[test]
 fn streams_that_stall_together_stay() {
     let mut dispatcher = group(3);
@@ -88,7 +88,7 @@
     );
 }
 
-/// The same with a second group that runs: there is somewhere to go.
+/// The same with a second group that runs: streams can move there.
 #[test]
 fn streams_of_a_stalled_group_move_to_another_one() {
     let mut dispatcher = group(4);
@@ -103,8 +103,8 @@
     assert_eq!(dispatcher.group_members("u0").len(), 2);
 }
 
-/// Upstreams that are no ranks of a group each stand by themselves. Taken for one group,
-/// a stream that fell silent while no other ran stayed where it was for too long.
+/// Guards against upstreams without a group that are taken for a single one. A stream that
+/// stalled while no other ran was moved too late.
 #[test]
 fn stalls_without_a_group_concern_a_single_stream() {
     let mut dispatcher = Dispatcher::new("a".into(), 1);
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -1,4 +1,4 @@
-//! Engines that work in passes, and entries that send them streams: time in
+//! Simulates lock-stepped engines and the entries that send them streams. Times are in
 //! milliseconds.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
@@ -11,17 +11,17 @@
     replica::{Replica, State},
 };
 
-/// Passes that a stream takes.
+/// Number of passes that a stream takes.
 const PASSES_PER_STREAM: u32 = 26;
 
-/// How often entries tell each other what they have in flight.
+/// Interval at which entries exchange digests of their requests in flight.
 const DIGEST_INTERVAL_MS: u64 = 40;
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The engine that the world's upstreams run.
+/// The engine of the simulated upstreams.
 pub fn engine() -> Engine {
     Engine {
         slots: 12,
@@ -32,7 +32,7 @@
     }
 }
 
-/// An upstream's entry in the registry.
+/// An upstream as listed in the registry.
 pub fn replica(id: &str, slots: u32) -> Replica {
     Replica {
         id: id.into(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// What a stream that comes now asks for.
+/// The placement request of a new stream.
 pub fn stream(now: u64) -> PlacementRequest {
     PlacementRequest {
         priority: 1,
@@ -59,18 +59,18 @@
     }
 }
 
-/// A stream that runs.
+/// A running stream.
 struct RunningStream {
     ticket: u64,
     entry: usize,
     upstream: Rc<str>,
     passes: u32,
     late: bool,
-    /// When it came.
+    /// When it was submitted.
     arrived_at: u64,
 }
 
-/// What callers got.
+/// Streams by their outcome for the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outcomes {
     pub on_time: u32,
@@ -90,39 +90,41 @@
     }
 }
 
-/// A customer and how many streams a second it sends to each entry.
+/// A customer's name, and its rate in streams per second and entry.
 pub type Customer<'a> = (&'a str, f64);
 
-/// How long it takes until entries hear of a rank's pace.
+/// Delay until entries receive a rank's new pace.
 const STATUS_DELAY_MS: u64 = 100;
 
-/// Entries before one group of upstreams.
+/// Entries and one group of upstreams.
 pub struct World {
     pub now: u64,
     engine: Engine,
     pub entries: Vec<Dispatcher>,
     ids: Vec<Rc<str>>,
-    /// How much longer passes take than on even ranks.
+    /// The pass time relative to evenly loaded ranks.
     pub pace: f64,
-    /// The part of the work for streams that all ranks share.
+    /// The share of the stream-dependent work that is spread evenly over all ranks.
     pub shared_load_ratio: f64,
     running: Vec<RunningStream>,
     queued: BTreeMap<u64, (usize, u64)>,
-    /// Who sent each stream, where that is told, and what each customer's callers got.
+    /// The customers of streams without an outcome, by ticket; only set by
+    /// [`Self::run_customers`].
     customer_names: BTreeMap<u64, String>,
     pub customer_outcomes: BTreeMap<String, Outcomes>,
     customer_rates: Vec<CustomerRates>,
     next_pass_at: u64,
     pass_ms: u64,
     last_ticket: u64,
-    /// Whether entries hear each other.
+    /// Whether entries receive each other's digests.
     pub exchanges_digests: bool,
     pub outcomes: Outcomes,
-    /// The most streams that one upstream ever had.
+    /// The most streams that an upstream had at any time.
     pub max_streams: usize,
-    /// How many times longer than usual each upstream takes, and since when.
+    /// The pace of each upstream whose pace was set, and when it was set.
     upstream_paces: BTreeMap<Rc<str>, (f64, u64)>,
-    /// Streams that look for a place elsewhere, by the ticket of their search.
+    /// Running streams that wait for another upstream, by the ticket of their placement
+    /// request.
     moves: BTreeMap<u64, u64>,
 }
 
@@ -131,7 +133,7 @@
         Self::with_engine(&engine(), entries, upstreams)
     }
 
-    /// Entries before upstreams with engines of a kind.
+    /// Creates entries and upstreams with the given engine.
     pub fn with_engine(engine: &Engine, entries: usize, upstreams: usize) -> Self {
         let replicas: Vec<Replica> = (0..upstreams)
             .map(|n| replica(&format!("u{n}"), engine.slots))
@@ -165,19 +167,20 @@
         }
     }
 
-    /// An upstream turns slow, or is well again.
+    /// Sets how many times longer than usual an upstream takes.
     pub fn set_pace(&mut self, number: usize, pace: f64) {
         self.upstream_paces
             .insert(self.ids[number].clone(), (pace, self.now));
     }
 
-    /// The streams of an upstream.
+    /// The number of streams at an upstream.
     pub fn stream_count(&self, number: usize) -> usize {
         let streams = self.running.iter();
         streams.filter(|s| s.upstream == self.ids[number]).count()
     }
 
-    /// Entries hear how slow upstreams are, and move streams off those that are.
+    /// Reports new paces to entries, and requests another upstream for each stream at a
+    /// slow one.
     fn update_paces(&mut self) {
         let now = ms(self.now);
         for (id, (pace, since)) in &self.upstream_paces {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// A stream that leaves a slow upstream got a place elsewhere, or none.
+    /// Moves a stream to another upstream if its request was placed. Otherwise it stays.
     fn finish_move(&mut self, entry: usize, stream: u64, verdict: Verdict) {
         let Verdict::Send(to) = verdict else {
             return;
@@ -224,7 +227,7 @@
         self.entries[entry].finish_attempt(now, &left_upstream, AttemptOutcome::Unknown);
     }
 
-    /// Lets so many streams a second come to an entry, for some milliseconds.
+    /// Submits streams at the given rates per second, one for each entry.
     pub fn run(&mut self, rates: &[f64], duration_ms: u64) {
         let mut due = vec![0.0; rates.len()];
         let end = self.now + duration_ms;
@@ -240,9 +243,9 @@
         }
     }
 
-    /// Lets customers send streams to all entries, for some milliseconds.
+    /// Submits streams of customers at all entries.
     pub fn run_customers(&mut self, customers: &[Customer<'_>], duration_ms: u64) {
-        // Their streams come at different moments.
+        // Staggers the customers' streams.
         let count = u32::try_from(customers.len() * self.entries.len()).expect("few");
         let mut due: Vec<f64> = (0..count).map(|n| f64::from(n * 7 % 10) / 10.0).collect();
         let end = self.now + duration_ms;
@@ -270,7 +273,7 @@
         }
     }
 
-    /// What callers of a customer got.
+    /// Records the outcome of a stream, in total and for its customer.
     fn record_outcome(&mut self, ticket: u64, record: impl Fn(&mut Outcomes)) {
         record(&mut self.outcomes);
         if let Some(customer) = self.customer_names.remove(&ticket) {
@@ -288,7 +291,7 @@
         self.entries[entry].submit(ms(self.now), self.last_ticket, request);
     }
 
-    /// One millisecond.
+    /// Advances the simulation by one millisecond.
     fn tick(&mut self) {
         self.now += 1;
         let now = ms(self.now);
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Entries tell each other what they have in flight.
+    /// Sets at each entry the requests that the others have in flight.
     fn exchange_digests(&mut self) {
         let now = ms(self.now);
         let in_flight: Vec<BTreeMap<Rc<str>, u32>> = self
@@ -345,7 +348,7 @@
         }
     }
 
-    /// A pass ends: every stream gets an event.
+    /// Ends a pass: every stream gets an event.
     fn end_pass(&mut self) {
         let now = ms(self.now);
         let pass_ms = self.pass_ms;
@@ -379,7 +382,7 @@
             let streams = self.stream_count(number);
             self.max_streams = self.max_streams.max(streams);
             let slow = self.upstream_paces.get(id).map_or(1.0, |(pace, _)| *pace);
-            // A rank without streams holds nobody back.
+            // A rank without streams delays no other rank.
             if streams > 0 {
                 #[allow(clippy::cast_precision_loss)]
                 let own =
