--- a/verbenaspool/src/direct/quarantine.rs
+++ b/verbenaspool/src/direct/quarantine.rs
@@ -39,7 +39,7 @@
     pub fn on_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let cleared = quarantine.succeeded(now, request, now, Observer::Own);
+        let cleared = quarantine.record_success(now, request, now, Observer::Own);
         drop(quarantine);
         if cleared {
             info!(self.log, "request cleared of crashes"; "fingerprint" => request.to_string());
@@ -53,7 +53,7 @@
         let now = self.clock.now();
         let bound = self.settings.borrow().quarantine.bound();
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.crashed(now, request, crash, observer, &bound) {
+        if quarantine.record_crash(now, request, crash, observer, &bound) {
             warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
                 "for_s" => bound.duration.as_secs());
             self.unsaved.notify_one();
@@ -67,7 +67,7 @@
             let request = suspicion.request;
             if let Some(age) = suspicion.succeeded_ms {
                 let mut quarantine = self.quarantine.borrow_mut();
-                quarantine.succeeded(now, request, before(now, age), Observer::Peer);
+                quarantine.record_success(now, request, before(now, age), Observer::Peer);
             }
             for crash in &suspicion.crashes {
                 let crash = Crash {
@@ -88,7 +88,7 @@
     /// Rejects a request as another entry does.
     pub fn hold(&self, request: Fingerprint, term: Term) {
         let now = self.clock.now();
-        if self.quarantine.borrow_mut().hold(now, request, term) {
+        if self.quarantine.borrow_mut().record_term(now, request, term) {
             info!(self.log, "request quarantined by another entry";
                 "fingerprint" => request.to_string(),
                 "for_s" => term.until.saturating_sub(now).as_secs());
@@ -120,14 +120,14 @@
         age_ms: ms(now.saturating_sub(crash.at)),
         early: crash.early,
     });
-    let term = record.current(now).map(|term| suspicion::Term {
+    let term = record.current_term(now).map(|term| suspicion::Term {
         age_ms: ms(now.saturating_sub(term.since)),
         left_ms: ms(term.until.saturating_sub(now)),
     });
     Suspicion {
         request,
         crashes: crashes.collect(),
-        succeeded_ms: record.succeeded.map(|at| ms(now.saturating_sub(at))),
+        succeeded_ms: record.succeeded_at.map(|at| ms(now.saturating_sub(at))),
         term,
     }
 }
--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -113,9 +113,9 @@
 
 impl Default for Quarantine {
     fn default() -> Self {
-        let bound = quarantine::Bound::default();
+        let bound = quarantine::Limits::default();
         Self {
-            crashes: bound.crashes,
+            crashes: bound.crash_threshold,
             duration_s: u32::try_from(bound.duration.as_secs()).unwrap_or(u32::MAX),
         }
     }
@@ -126,12 +126,12 @@
     ///
     /// ```
     /// let quarantine = verbenaspool::direct::settings::Quarantine::default();
-    /// assert_eq!(quarantine.bound().crashes, 2);
+    /// assert_eq!(quarantine.bound().crash_threshold, 2);
     /// ```
     #[must_use]
-    pub fn bound(&self) -> quarantine::Bound {
-        quarantine::Bound {
-            crashes: self.crashes,
+    pub fn bound(&self) -> quarantine::Limits {
+        quarantine::Limits {
+            crash_threshold: self.crashes,
             duration: Duration::from_secs(self.duration_s.into()),
         }
     }
--- a/verbenaspool/src/entry/quarantine.rs
+++ b/verbenaspool/src/entry/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use slog::warn;
-use verbenaspool_policy::quarantine::{Bound, Crash, Observer, Status};
+use verbenaspool_policy::quarantine::{Crash, Limits, Observer, Status};
 use verbenaspool_protocol::{digest, report};
 use verbenaspool_state::{fingerprint::Fingerprint, name::Name};
 
@@ -23,20 +23,20 @@
     pub fn succeeded(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut quarantine = self.quarantine.borrow_mut();
-        quarantine.succeeded(now, request, now, Observer::Own);
+        quarantine.record_success(now, request, now, Observer::Own);
     }
 
     /// Takes in which requests an upstream had as it crashed.
     pub(super) fn crashed(&self, upstream: &Name, crashes: &[report::Crash]) {
         let now = self.clock.now();
-        let bound = Bound::default();
+        let bound = Limits::default();
         let mut quarantine = self.quarantine.borrow_mut();
         for crash in crashes {
             let at = now.saturating_sub(Duration::from_millis(crash.age_ms));
             let ran = crash.ran_ms.map(Duration::from_millis);
             let request = crash.request;
             let crash = Crash::new(at, digest::hash(upstream.as_str()), ran);
-            if quarantine.crashed(now, request, crash, Observer::Own, &bound) {
+            if quarantine.record_crash(now, request, crash, Observer::Own, &bound) {
                 warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
                     "for_s" => bound.duration.as_secs());
             }
--- a/verbenaspool_policy/src/quarantine.rs
+++ b/verbenaspool_policy/src/quarantine.rs
@@ -13,24 +13,24 @@
 const MAX_RECORDS: usize = 4_096;
 
 /// Crashes of one upstream that are less apart are the same crash, seen by several entries.
-const SAME_CRASH_TIME: Duration = Duration::from_secs(1);
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
 /// How long an upstream runs a request before it is unlikely to crash because of it.
 const EARLY_CRASH_TIME: Duration = Duration::from_millis(500);
 
 /// What the operator allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
+pub struct Limits {
     /// Crashes after which a request is rejected; none is where this is 0.
-    pub crashes: usize,
+    pub crash_threshold: usize,
     /// How long it is rejected, and how long a crash counts.
     pub duration: Duration,
 }
 
-impl Default for Bound {
+impl Default for Limits {
     fn default() -> Self {
         Self {
-            crashes: 2,
+            crash_threshold: 2,
             duration: Duration::from_mins(10),
         }
     }
@@ -59,11 +59,11 @@
     /// assert!(!Crash::new(Duration::ZERO, 1, Some(Duration::from_secs(3))).early);
     /// ```
     #[must_use]
-    pub fn new(now: Duration, upstream: u32, ran: Option<Duration>) -> Self {
+    pub fn new(now: Duration, upstream: u32, answered_for: Option<Duration>) -> Self {
         Self {
             upstream,
             at: now,
-            early: ran.is_none_or(|ran| ran < EARLY_CRASH_TIME),
+            early: answered_for.is_none_or(|duration| duration < EARLY_CRASH_TIME),
         }
     }
 }
@@ -105,31 +105,32 @@
     /// When it is rejected.
     pub term: Option<Term>,
     /// When it succeeded last, if it did since the first crash.
-    pub succeeded: Option<Duration>,
+    pub succeeded_at: Option<Duration>,
     /// When any of this changed last.
-    changed: Duration,
+    changed_at: Duration,
     /// When this entry saw something of it last.
-    observed: Option<Duration>,
+    observed_at: Option<Duration>,
 }
 
 impl Record {
     /// The time in which it is rejected, if that isn't over.
     #[must_use]
-    pub fn current(&self, now: Duration) -> Option<Term> {
+    pub fn current_term(&self, now: Duration) -> Option<Term> {
         self.term.filter(|term| now < term.until)
     }
 
     /// Records a change.
     fn change(&mut self, now: Duration, observer: Observer) {
-        self.changed = now;
+        self.changed_at = now;
         if observer == Observer::Own {
-            self.observed = Some(now);
+            self.observed_at = Some(now);
         }
     }
 
     /// Whether crashes until a time are of no account any more.
     fn is_cleared(&self, at: Duration) -> bool {
-        self.succeeded.is_some_and(|succeeded| at <= succeeded)
+        self.succeeded_at
+            .is_some_and(|succeeded_at| at <= succeeded_at)
     }
 }
 
@@ -145,15 +146,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::quarantine::{Bound, Crash, Observer, Quarantine, Status};
+    /// use verbenaspool_policy::quarantine::{Crash, Limits, Observer, Quarantine, Status};
     /// use verbenaspool_state::fingerprint::Fingerprint;
     ///
     /// let request = Fingerprint::of(None, "/", b"");
-    /// let bound = Bound { crashes: 2, duration: Duration::from_secs(60) };
+    /// let limits = Limits { crash_threshold: 2, duration: Duration::from_secs(60) };
     /// let mut quarantine = Quarantine::default();
     /// for upstream in [1, 2] {
     ///     let crash = Crash::new(Duration::ZERO, upstream, None);
-    ///     quarantine.crashed(Duration::ZERO, request, crash, Observer::Own, &bound);
+    ///     quarantine.record_crash(Duration::ZERO, request, crash, Observer::Own, &limits);
     /// }
     /// let status = quarantine.status(Duration::from_secs(20), request);
     /// assert_eq!(status, Status::Quarantined(Duration::from_secs(40)));
@@ -163,7 +164,7 @@
         let Some(record) = self.records.get(&request) else {
             return Status::Clear;
         };
-        match record.current(now) {
+        match record.current_term(now) {
             Some(term) => Status::Quarantined(term.until.saturating_sub(now)),
             None if record.crashes.iter().any(|crash| crash.early) => Status::Suspect,
             None => Status::Clear,
@@ -171,55 +172,55 @@
     }
 
     /// Records a crash. Tells whether the request is rejected from now on, and wasn't before.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Duration,
         request: Fingerprint,
         crash: Crash,
         observer: Observer,
-        bound: &Bound,
+        limits: &Limits,
     ) -> bool {
-        self.expire(now, bound.duration);
+        self.expire(now, limits.duration);
         let record = self.records.entry(request).or_default();
-        let known = |other: &Crash| {
-            other.upstream == crash.upstream && other.at.abs_diff(crash.at) < SAME_CRASH_TIME
+        let is_same = |other: &Crash| {
+            other.upstream == crash.upstream && other.at.abs_diff(crash.at) < SAME_CRASH_WINDOW
         };
-        if record.is_cleared(crash.at) || record.crashes.iter().any(known) {
+        if record.is_cleared(crash.at) || record.crashes.iter().any(is_same) {
             return false;
         }
         record.crashes.push(crash);
         record.change(now, observer);
-        let reached = bound.crashes > 0 && record.crashes.len() >= bound.crashes;
-        let begins = reached && record.current(now).is_none();
+        let reached = limits.crash_threshold > 0 && record.crashes.len() >= limits.crash_threshold;
+        let begins = reached && record.current_term(now).is_none();
         if begins {
             record.term = Some(Term {
                 since: now,
-                until: now + bound.duration,
+                until: now + limits.duration,
             });
         }
-        self.shrink(now);
+        self.evict_oldest(now);
         begins
     }
 
     /// Rejects a request as another entry does, or did before this process started. Tells
     /// whether that is new.
-    pub fn hold(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
+    pub fn record_term(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
         let known = self.records.get(&request);
         let is_known =
-            |record: &Record| record.is_cleared(term.since) || record.current(now).is_some();
+            |record: &Record| record.is_cleared(term.since) || record.current_term(now).is_some();
         if now >= term.until || known.is_some_and(is_known) {
             return false;
         }
         let record = self.records.entry(request).or_default();
         record.term = Some(term);
         record.change(now, Observer::Peer);
-        self.shrink(now);
+        self.evict_oldest(now);
         true
     }
 
     /// Records that a request succeeded at some time: it isn't what crashed upstreams before.
     /// Tells whether that changes anything.
-    pub fn succeeded(
+    pub fn record_success(
         &mut self,
         now: Duration,
         request: Fingerprint,
@@ -233,7 +234,7 @@
         if !counts || record.is_cleared(at) {
             return false;
         }
-        record.succeeded = Some(at);
+        record.succeeded_at = Some(at);
         record.change(now, observer);
         record.crashes.retain(|crash| crash.at > at);
         record.term = record.term.filter(|term| term.since > at);
@@ -243,13 +244,13 @@
     /// The requests that are rejected now.
     pub fn quarantined(&self, now: Duration) -> impl Iterator<Item = (Fingerprint, Term)> {
         let records = self.records.iter();
-        records.filter_map(move |(request, record)| Some((*request, record.current(now)?)))
+        records.filter_map(move |(request, record)| Some((*request, record.current_term(now)?)))
     }
 
     /// What this entry has seen since some time.
     pub fn observed_since(&self, since: Duration) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let records = self.records.iter();
-        let observed = records.filter(move |(_, r)| r.observed.is_some_and(|at| at >= since));
+        let observed = records.filter(move |(_, r)| r.observed_at.is_some_and(|at| at >= since));
         observed.map(|(request, record)| (*request, record))
     }
 
@@ -258,16 +259,18 @@
         self.records.retain(|_, record| {
             let counts = |at: Duration| now.saturating_sub(at) < duration;
             record.crashes.retain(|crash| counts(crash.at));
-            record.current(now).is_some() || !record.crashes.is_empty() || counts(record.changed)
+            record.current_term(now).is_some()
+                || !record.crashes.is_empty()
+                || counts(record.changed_at)
         });
     }
 
     /// Drops the oldest of too many records, those of rejected requests last.
-    fn shrink(&mut self, now: Duration) {
+    fn evict_oldest(&mut self, now: Duration) {
         while self.records.len() > MAX_RECORDS {
-            let oldest = self.records.iter();
-            let oldest =
-                oldest.min_by_key(|(_, record)| (record.current(now).is_some(), record.changed));
+            let records = self.records.iter();
+            let oldest = records
+                .min_by_key(|(_, record)| (record.current_term(now).is_some(), record.changed_at));
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 return;
             };
--- a/verbenaspool_policy/src/quarantine/tests.rs
+++ b/verbenaspool_policy/src/quarantine/tests.rs
@@ -5,13 +5,13 @@
 use verbenaspool_state::fingerprint::Fingerprint;
 
 use super::{
-    Bound, Crash, MAX_RECORDS,
+    Crash, Limits, MAX_RECORDS,
     Observer::{Own, Peer},
     Quarantine, Status, Term,
 };
 
-const BOUND: Bound = Bound {
-    crashes: 2,
+const LIMITS: Limits = Limits {
+    crash_threshold: 2,
     duration: Duration::from_mins(10),
 };
 
@@ -39,9 +39,9 @@
 fn a_crash_counts_once_however_often_it_is_reported() {
     let mut quarantine = Quarantine::default();
     let crash = early(s(5), 1);
-    assert!(!quarantine.crashed(s(5), request(1), crash, Own, &BOUND));
-    let echo = early(s(5) + Duration::from_millis(40), 1);
-    assert!(!quarantine.crashed(s(6), request(1), echo, Own, &BOUND));
+    assert!(!quarantine.record_crash(s(5), request(1), crash, Own, &LIMITS));
+    let second_report = early(s(5) + Duration::from_millis(40), 1);
+    assert!(!quarantine.record_crash(s(6), request(1), second_report, Own, &LIMITS));
     assert_eq!(quarantine.status(s(6), request(1)), Status::Suspect);
 }
 
@@ -49,11 +49,11 @@
 #[test]
 fn an_upstream_that_crashes_again_counts_again() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(5), request(1), early(s(5), 1), Own, &BOUND);
-    assert!(quarantine.crashed(s(9), request(1), early(s(9), 1), Own, &BOUND));
+    quarantine.record_crash(s(5), request(1), early(s(5), 1), Own, &LIMITS);
+    assert!(quarantine.record_crash(s(9), request(1), early(s(9), 1), Own, &LIMITS));
     assert_eq!(
         quarantine.status(s(9), request(1)),
-        Status::Quarantined(BOUND.duration)
+        Status::Quarantined(LIMITS.duration)
     );
     assert_eq!(quarantine.status(s(9), request(2)), Status::Clear);
 }
@@ -64,11 +64,11 @@
     let mut quarantine = Quarantine::default();
     for crash in 1..20 {
         let at = s(10 * u64::from(crash));
-        assert!(!quarantine.crashed(at, request(1), early(at, crash), Own, &BOUND));
-        assert!(quarantine.succeeded(at + s(1), request(1), at + s(1), Own));
+        assert!(!quarantine.record_crash(at, request(1), early(at, crash), Own, &LIMITS));
+        assert!(quarantine.record_success(at + s(1), request(1), at + s(1), Own));
     }
     let late_report = early(s(105), 99);
-    assert!(!quarantine.crashed(s(200), request(1), late_report, Own, &BOUND));
+    assert!(!quarantine.record_crash(s(200), request(1), late_report, Own, &LIMITS));
     assert_eq!(quarantine.status(s(200), request(1)), Status::Clear);
 }
 
@@ -77,10 +77,10 @@
 #[test]
 fn only_the_first_success_after_a_crash_changes_anything() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(5), request(1), early(s(5), 1), Own, &BOUND);
-    assert!(quarantine.succeeded(s(6), request(1), s(6), Own));
+    quarantine.record_crash(s(5), request(1), early(s(5), 1), Own, &LIMITS);
+    assert!(quarantine.record_success(s(6), request(1), s(6), Own));
     for at in 7..20 {
-        assert!(!quarantine.succeeded(s(at), request(1), s(at), Own));
+        assert!(!quarantine.record_success(s(at), request(1), s(at), Own));
     }
     assert_eq!(quarantine.observed_since(s(7)).count(), 0);
 }
@@ -90,11 +90,11 @@
 #[test]
 fn an_older_success_clears_no_newer_crash() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(5), request(1), early(s(5), 1), Own, &BOUND);
-    quarantine.succeeded(s(6), request(1), s(6), Own);
-    quarantine.crashed(s(7), request(1), early(s(7), 2), Own, &BOUND);
-    quarantine.crashed(s(8), request(1), early(s(8), 3), Own, &BOUND);
-    assert!(!quarantine.succeeded(s(9), request(1), s(6), Own));
+    quarantine.record_crash(s(5), request(1), early(s(5), 1), Own, &LIMITS);
+    quarantine.record_success(s(6), request(1), s(6), Own);
+    quarantine.record_crash(s(7), request(1), early(s(7), 2), Own, &LIMITS);
+    quarantine.record_crash(s(8), request(1), early(s(8), 3), Own, &LIMITS);
+    assert!(!quarantine.record_success(s(9), request(1), s(6), Own));
     assert!(matches!(
         quarantine.status(s(9), request(1)),
         Status::Quarantined(_)
@@ -103,10 +103,10 @@
 
 /// Guards against a success that is heard of late and ends a quarantine begun after it.
 #[test]
-fn a_success_heard_of_late_ends_no_newer_quarantine() {
+fn a_success_reported_late_ends_no_newer_quarantine() {
     let mut quarantine = Quarantine::default();
-    quarantine.hold(s(8), request(1), term(8, 300));
-    quarantine.succeeded(s(9), request(1), s(6), Peer);
+    quarantine.record_term(s(8), request(1), term(8, 300));
+    quarantine.record_success(s(9), request(1), s(6), Peer);
     assert!(matches!(
         quarantine.status(s(9), request(1)),
         Status::Quarantined(_)
@@ -117,31 +117,31 @@
 fn a_request_that_ran_for_long_is_counted_but_not_suspected() {
     let mut quarantine = Quarantine::default();
     let crash = |at, upstream| Crash::new(at, upstream, Some(s(2)));
-    quarantine.crashed(s(5), request(1), crash(s(5), 1), Own, &BOUND);
+    quarantine.record_crash(s(5), request(1), crash(s(5), 1), Own, &LIMITS);
     assert_eq!(quarantine.status(s(5), request(1)), Status::Clear);
-    assert!(quarantine.crashed(s(9), request(1), crash(s(9), 2), Own, &BOUND));
+    assert!(quarantine.record_crash(s(9), request(1), crash(s(9), 2), Own, &LIMITS));
 }
 
 #[test]
 fn a_quarantine_ends_and_crashes_are_forgotten() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(5), request(1), early(s(5), 1), Own, &BOUND);
-    quarantine.crashed(s(6), request(1), early(s(6), 2), Own, &BOUND);
+    quarantine.record_crash(s(5), request(1), early(s(5), 1), Own, &LIMITS);
+    quarantine.record_crash(s(6), request(1), early(s(6), 2), Own, &LIMITS);
     assert_eq!(quarantine.quarantined(s(605)).count(), 1);
     assert_eq!(quarantine.quarantined(s(606)).count(), 0);
-    assert!(!quarantine.crashed(s(700), request(1), early(s(700), 3), Own, &BOUND));
+    assert!(!quarantine.record_crash(s(700), request(1), early(s(700), 3), Own, &LIMITS));
 }
 
 #[test]
-fn a_quarantine_of_another_entry_holds_here() {
+fn a_quarantine_of_another_entry_applies() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.hold(s(5), request(1), term(4, 300)));
-    assert!(!quarantine.hold(s(6), request(1), term(4, 300)));
+    assert!(quarantine.record_term(s(5), request(1), term(4, 300)));
+    assert!(!quarantine.record_term(s(6), request(1), term(4, 300)));
     assert_eq!(
         quarantine.status(s(100), request(1)),
         Status::Quarantined(s(200))
     );
-    assert!(!quarantine.hold(s(400), request(2), term(4, 300)));
+    assert!(!quarantine.record_term(s(400), request(2), term(4, 300)));
 }
 
 /// Guards against a quarantine that another entry still tells of after a success ended it, and
@@ -149,22 +149,22 @@
 #[test]
 fn a_success_ends_the_quarantines_begun_before_it() {
     let mut quarantine = Quarantine::default();
-    quarantine.hold(s(5), request(1), term(4, 300));
-    assert!(quarantine.succeeded(s(10), request(1), s(10), Own));
-    assert!(!quarantine.hold(s(11), request(1), term(4, 300)));
-    assert!(quarantine.hold(s(21), request(1), term(20, 320)));
+    quarantine.record_term(s(5), request(1), term(4, 300));
+    assert!(quarantine.record_success(s(10), request(1), s(10), Own));
+    assert!(!quarantine.record_term(s(11), request(1), term(4, 300)));
+    assert!(quarantine.record_term(s(21), request(1), term(20, 320)));
 }
 
 #[test]
-fn nothing_is_rejected_where_the_operator_says_so() {
-    let bound = Bound {
-        crashes: 0,
-        ..BOUND
+fn nothing_is_rejected_with_a_threshold_of_zero() {
+    let limits = Limits {
+        crash_threshold: 0,
+        ..LIMITS
     };
     let mut quarantine = Quarantine::default();
     for upstream in 1..10 {
         let at = s(u64::from(upstream));
-        assert!(!quarantine.crashed(at, request(1), early(at, upstream), Own, &bound));
+        assert!(!quarantine.record_crash(at, request(1), early(at, upstream), Own, &limits));
     }
 }
 
@@ -172,10 +172,10 @@
 #[test]
 fn records_are_bounded_and_rejected_requests_are_kept() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(1), request(0), early(s(1), 1), Own, &BOUND);
-    quarantine.crashed(s(2), request(0), early(s(2), 2), Own, &BOUND);
+    quarantine.record_crash(s(1), request(0), early(s(1), 1), Own, &LIMITS);
+    quarantine.record_crash(s(2), request(0), early(s(2), 2), Own, &LIMITS);
     for number in 1..MAX_RECORDS + 100 {
-        quarantine.crashed(s(3), request(number), early(s(3), 3), Own, &BOUND);
+        quarantine.record_crash(s(3), request(number), early(s(3), 3), Own, &LIMITS);
     }
     assert_eq!(quarantine.records.len(), MAX_RECORDS);
     assert_eq!(quarantine.quarantined(s(3)).count(), 1);
@@ -183,11 +183,11 @@
 
 /// Guards against reports that all entries pass on, whose number grows with their square.
 #[test]
-fn only_what_was_seen_here_is_reported() {
+fn only_own_observations_are_reported() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(s(5), request(1), early(s(5), 1), Peer, &BOUND);
-    quarantine.crashed(s(5), request(2), early(s(5), 1), Own, &BOUND);
-    quarantine.hold(s(5), request(3), term(4, 300));
+    quarantine.record_crash(s(5), request(1), early(s(5), 1), Peer, &LIMITS);
+    quarantine.record_crash(s(5), request(2), early(s(5), 1), Own, &LIMITS);
+    quarantine.record_term(s(5), request(3), term(4, 300));
     let reported: Vec<_> = quarantine.observed_since(s(0)).collect();
     assert_eq!(reported.len(), 1);
     assert_eq!(reported[0].0, request(2));
