--- a/verbenaspool_policy/src/quarantine.rs
+++ b/verbenaspool_policy/src/quarantine.rs
@@ -1,29 +1,31 @@
-//! Which requests are rejected because upstreams crash under them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Load: a request that crashes each upstream that runs it. Its caller sends it again, an
-//! entry resumes it elsewhere, and each attempt takes an upstream away and stalls the group
-//! of its rank. No attempt lives long enough to notice, so crashes are counted by a
-//! request's fingerprint, at all entries together.
+//! A request may crash every upstream that runs it. Its caller retries it, entries resume
+//! it elsewhere, and each attempt takes down an upstream and stalls the group of its rank.
+//! No single attempt observes more than one crash, so crashes are counted by the request's
+//! fingerprint, over all entries.
 
 use std::{collections::HashMap, time::Duration};
 
 use verbenaspool_state::fingerprint::Fingerprint;
 
-/// The most requests that are remembered. A crash adds those that one upstream had.
+/// The most requests that are tracked. A crash adds all requests of one upstream.
 const MAX_RECORDS: usize = 4_096;
 
-/// Crashes of one upstream that are less apart are the same crash, seen by several entries.
+/// Crashes of one upstream within this time are the same crash, observed by several
+/// entries.
 const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long an upstream runs a request before it is unlikely to crash because of it.
+/// An upstream that has answered a request for this long is unlikely to crash because of
+/// it.
 const EARLY_CRASH_TIME: Duration = Duration::from_millis(500);
 
-/// What the operator allows.
+/// The limits set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Crashes after which a request is rejected; none is where this is 0.
+    /// Number of crashes after which a request is rejected; 0 for never.
     pub crash_threshold: usize,
-    /// How long it is rejected, and how long a crash counts.
+    /// How long a request is rejected, and how long a crash counts.
     pub duration: Duration,
 }
 
@@ -36,19 +38,20 @@
     }
 }
 
-/// A crash of an upstream that had a request.
+/// A crash of an upstream during a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
-    /// The upstream's incarnation, by a hash.
+    /// Hash of the upstream's incarnation.
     pub upstream: u32,
     /// When it crashed.
     pub at: Duration,
-    /// Whether the upstream hadn't begun to answer, or had just begun.
+    /// Whether the upstream hadn't started to answer, or only just had.
     pub early: bool,
 }
 
 impl Crash {
-    /// A crash now of an upstream that had been answering for so long, or not at all.
+    /// A crash at `now` of an upstream that had been answering for `answered_for`, or not at
+    /// all.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,27 +71,27 @@
     }
 }
 
-/// Who saw something of a request.
+/// Who observed a crash or a success.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observer {
     /// This entry.
     Own,
-    /// Another entry, which reports it to all by itself.
+    /// Another entry, which reports it to all entries itself.
     Peer,
 }
 
-/// What is to be done with a request.
+/// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// It is sent like any other.
     Clear,
     /// An upstream crashed soon after it got the request, which may be the cause.
     Suspect,
-    /// It is rejected for so much longer.
+    /// It is rejected for the remaining time given.
     Quarantined(Duration),
 }
 
-/// A time in which a request is rejected.
+/// A period in which a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
     /// When it began.
@@ -97,29 +100,29 @@
     pub until: Duration,
 }
 
-/// What is known of one request.
+/// The crashes and successes of one request.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// Crashes since it last succeeded, as long as they count.
+    /// Crashes since its last success that still count.
     pub crashes: Vec<Crash>,
-    /// When it is rejected.
+    /// The period in which it is rejected.
     pub term: Option<Term>,
-    /// When it succeeded last, if it did since the first crash.
+    /// Its last success since the first crash.
     pub succeeded_at: Option<Duration>,
-    /// When any of this changed last.
+    /// When the record last changed.
     changed_at: Duration,
-    /// When this entry saw something of it last.
+    /// When this entry last observed a crash or success itself.
     observed_at: Option<Duration>,
 }
 
 impl Record {
-    /// The time in which it is rejected, if that isn't over.
+    /// The period in which it is rejected, unless that has ended.
     #[must_use]
     pub fn current_term(&self, now: Duration) -> Option<Term> {
         self.term.filter(|term| now < term.until)
     }
 
-    /// Records a change.
+    /// Marks the record as changed.
     fn change(&mut self, now: Duration, observer: Observer) {
         self.changed_at = now;
         if observer == Observer::Own {
@@ -127,21 +130,21 @@
         }
     }
 
-    /// Whether crashes until a time are of no account any more.
+    /// Whether a success at or after `at` makes crashes until then irrelevant.
     fn is_cleared(&self, at: Duration) -> bool {
         self.succeeded_at
             .is_some_and(|succeeded_at| at <= succeeded_at)
     }
 }
 
-/// The requests that upstreams crashed under.
+/// Requests during which upstreams crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
 }
 
 impl Quarantine {
-    /// What is to be done with a request.
+    /// Whether a request may be sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Records a crash. Tells whether the request is rejected from now on, and wasn't before.
+    /// Records a crash. Returns whether a quarantine of the request begins.
     pub fn record_crash(
         &mut self,
         now: Duration,
@@ -202,8 +205,8 @@
         begins
     }
 
-    /// Rejects a request as another entry does, or did before this process started. Tells
-    /// whether that is new.
+    /// Records a quarantine set by another entry, or by an earlier process of this one.
+    /// Returns whether it is new.
     pub fn record_term(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
         let known = self.records.get(&request);
         let is_known =
@@ -218,8 +221,8 @@
         true
     }
 
-    /// Records that a request succeeded at some time: it isn't what crashed upstreams before.
-    /// Tells whether that changes anything.
+    /// Records that a request succeeded at `at`, so that it isn't the cause of earlier
+    /// crashes. Returns whether that changes the record.
     pub fn record_success(
         &mut self,
         now: Duration,
@@ -241,20 +244,20 @@
         true
     }
 
-    /// The requests that are rejected now.
+    /// The requests in quarantine.
     pub fn quarantined(&self, now: Duration) -> impl Iterator<Item = (Fingerprint, Term)> {
         let records = self.records.iter();
         records.filter_map(move |(request, record)| Some((*request, record.current_term(now)?)))
     }
 
-    /// What this entry has seen since some time.
+    /// The records of what this entry itself has observed since `since`.
     pub fn observed_since(&self, since: Duration) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let records = self.records.iter();
         let observed = records.filter(move |(_, r)| r.observed_at.is_some_and(|at| at >= since));
         observed.map(|(request, record)| (*request, record))
     }
 
-    /// Drops what no longer counts.
+    /// Drops crashes and records that no longer count.
     fn expire(&mut self, now: Duration, duration: Duration) {
         self.records.retain(|_, record| {
             let counts = |at: Duration| now.saturating_sub(at) < duration;
@@ -265,7 +268,7 @@
         });
     }
 
-    /// Drops the oldest of too many records, those of rejected requests last.
+    /// Drops the oldest records beyond [`MAX_RECORDS`], those of rejected requests last.
     fn evict_oldest(&mut self, now: Duration) {
         while self.records.len() > MAX_RECORDS {
             let records = self.records.iter();
--- a/verbenaspool_policy/src/quarantine/tests.rs
+++ b/verbenaspool_policy/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-//! Crashes as several entries see and report them.
+//! Crashes and successes observed and reported by several entries.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     Crash::new(at, upstream, None)
 }
 
-/// Guards against one crash that counts as often as entries report it.
+/// Guards against one crash that is counted for each report of it.
 #[test]
 fn a_crash_counts_once_however_often_it_is_reported() {
     let mut quarantine = Quarantine::default();
@@ -45,7 +45,8 @@
     assert_eq!(quarantine.status(s(6), request(1)), Status::Suspect);
 }
 
-/// Guards against an upstream that starts again under its identity and crashes unnoticed.
+/// Guards against a second crash that isn't counted because the upstream has restarted
+/// under the same identity.
 #[test]
 fn an_upstream_that_crashes_again_counts_again() {
     let mut quarantine = Quarantine::default();
@@ -58,7 +59,8 @@
     assert_eq!(quarantine.status(s(9), request(2)), Status::Clear);
 }
 
-/// Guards against common requests that are rejected because upstreams crash of other causes.
+/// Guards against common requests that are rejected because upstreams crash for other
+/// reasons.
 #[test]
 fn a_success_between_crashes_clears_a_request() {
     let mut quarantine = Quarantine::default();
@@ -72,8 +74,8 @@
     assert_eq!(quarantine.status(s(200), request(1)), Status::Clear);
 }
 
-/// Guards against a log line and a report for each success of a common request that upstreams
-/// crashed under once.
+/// Guards against a log line and a report for each success of a common request after a
+/// single crash.
 #[test]
 fn only_the_first_success_after_a_crash_changes_anything() {
     let mut quarantine = Quarantine::default();
@@ -85,8 +87,8 @@
     assert_eq!(quarantine.observed_since(s(7)).count(), 0);
 }
 
-/// Guards against a success of an attempt begun before, reported late, that ends a quarantine
-/// begun since.
+/// Guards against a late report of a success, of an attempt started before, that ends a
+/// quarantine set since.
 #[test]
 fn an_older_success_clears_no_newer_crash() {
     let mut quarantine = Quarantine::default();
@@ -101,7 +103,7 @@
     ));
 }
 
-/// Guards against a success that is heard of late and ends a quarantine begun after it.
+/// Guards against the same for a quarantine that another entry has set.
 #[test]
 fn a_success_reported_late_ends_no_newer_quarantine() {
     let mut quarantine = Quarantine::default();
@@ -144,8 +146,8 @@
     assert!(!quarantine.record_term(s(400), request(2), term(4, 300)));
 }
 
-/// Guards against a quarantine that another entry still tells of after a success ended it, and
-/// against one that is ignored because of an older success.
+/// Guards against a quarantine that is set again by another entry's report after a success
+/// has ended it, and against one that is ignored because of an earlier success.
 #[test]
 fn a_success_ends_the_quarantines_begun_before_it() {
     let mut quarantine = Quarantine::default();
@@ -168,7 +170,7 @@
     }
 }
 
-/// Guards against memory that grows with crashes.
+/// Guards against memory use that grows with the number of crashes.
 #[test]
 fn records_are_bounded_and_rejected_requests_are_kept() {
     let mut quarantine = Quarantine::default();
@@ -181,7 +183,8 @@
     assert_eq!(quarantine.quarantined(s(3)).count(), 1);
 }
 
-/// Guards against reports that all entries pass on, whose number grows with their square.
+/// Guards against entries that forward each other's reports, whose number would grow with
+/// the square of the number of entries.
 #[test]
 fn only_own_observations_are_reported() {
     let mut quarantine = Quarantine::default();
