--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -14,13 +14,13 @@
 /// is 571 of 719.
 #[test]
 fn capacity_is_left_for_the_next_shift() {
-    let heavy = Engine {
+    let load_sensitive = Engine {
         slots: 6,
         stride: 6,
         step_per_request: Duration::from_micros(1_200),
         ..engine()
     };
-    let mut world = World::with_engine(&heavy, 4, 12);
+    let mut world = World::with_engine(&load_sensitive, 4, 12);
     world.shared_load_ratio = 0.85;
     world.run(&[12.0; 4], 4_000);
     let start = world.outcomes;
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -312,9 +312,7 @@
                         late: false,
                         arrived_at,
                     }),
-                    Verdict::Reject(_) => {
-                        self.record_outcome(ticket, |outcomes| outcomes.rejected += 1)
-                    }
+                    Verdict::Reject(_) => self.record_outcome(ticket, |sum| sum.rejected += 1),
                 }
             }
         }
@@ -370,9 +368,9 @@
             }
             self.entries[stream.entry].finish_attempt(now, &stream.upstream, AttemptOutcome::Good);
             if stream.late {
-                self.record_outcome(stream.ticket, |outcomes| outcomes.late += 1);
+                self.record_outcome(stream.ticket, |sum| sum.late += 1);
             } else {
-                self.record_outcome(stream.ticket, |outcomes| outcomes.on_time += 1);
+                self.record_outcome(stream.ticket, |sum| sum.on_time += 1);
             }
         }
         let mut pass = self.engine.pass(0.0).mul_f64(self.pace);
@@ -381,13 +379,13 @@
         for (number, id) in self.ids.iter().enumerate() {
             let streams = self.stream_count(number);
             self.max_streams = self.max_streams.max(streams);
-            let slow = self.upstream_paces.get(id).map_or(1.0, |(pace, _)| *pace);
+            let upstream_pace = self.upstream_paces.get(id).map_or(1.0, |(pace, _)| *pace);
             // A rank without streams delays no other rank.
             if streams > 0 {
                 #[allow(clippy::cast_precision_loss)]
                 let own =
                     mean * self.shared_load_ratio + streams as f64 * (1.0 - self.shared_load_ratio);
-                let own = self.engine.pass(own).mul_f64(self.pace * slow);
+                let own = self.engine.pass(own).mul_f64(self.pace * upstream_pace);
                 pass = pass.max(own);
             }
         }
