--- a/verbenaspool_policy/tests/dispatch/caller_retries.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -130,9 +130,9 @@
 }
 
 /// Reports whether the group runs.
-fn report_status(dispatcher: &mut Dispatcher, now: u64, count: u32, open: bool) {
+fn report_status(dispatcher: &mut Dispatcher, now: u64, count: u32, running: bool) {
     for number in 0..count {
-        dispatcher.record_status(ms(now), &format!("u{number}"), 7, open, 1.0);
+        dispatcher.record_status(ms(now), &format!("u{number}"), 7, running, 1.0);
     }
 }
 
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -17,8 +17,8 @@
 }
 
 /// Reports whether the group of a rank runs.
-fn report(dispatcher: &mut Dispatcher, now: u64, rank: u32, open: bool) {
-    dispatcher.record_status(ms(now), &format!("u{rank}"), 1 + rank / 4, open, 1.0);
+fn report(dispatcher: &mut Dispatcher, now: u64, rank: u32, running: bool) {
+    dispatcher.record_status(ms(now), &format!("u{rank}"), 1 + rank / 4, running, 1.0);
 }
 
 /// Submits twelve requests and returns the verdicts on them.
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -39,11 +39,11 @@
 }
 
 /// Reports for all ranks that they have no requests, and whether their group runs.
-fn report(entry: &mut Dispatcher, now: u64, ranks: u32, open: bool) {
+fn report(entry: &mut Dispatcher, now: u64, ranks: u32, running: bool) {
     for number in 0..ranks {
         let id = format!("u{number}");
         entry.record_load(ms(now), &id, now, 0);
-        entry.record_status(ms(now), &id, 7, open, 1.0);
+        entry.record_status(ms(now), &id, 7, running, 1.0);
     }
 }
 
