--- a/verbenaspool_policy/src/quarantine.rs
+++ b/verbenaspool_policy/src/quarantine.rs
@@ -1,54 +1,57 @@
-//! Which requests are rejected because upstreams crash under them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Load: a request that crashes each upstream that runs it. Its caller sends it again, an
-//! entry resumes it elsewhere, and each attempt takes an upstream away and stalls the group
-//! of its rank. No attempt lives long enough to notice, so crashes are counted by a
-//! request's fingerprint, at all entries together.
+//! A request may crash every upstream that runs it. Its caller retries it, entries resume
+//! it elsewhere, and each attempt takes down an upstream and stalls the group of its rank.
+//! No single attempt observes more than one crash, so crashes are counted by the request's
+//! fingerprint, over all entries.
 
 use std::{collections::HashMap, time::Duration};
 
 use verbenaspool_state::fingerprint::Fingerprint;
 
-/// The most requests that are remembered. A crash adds those that one upstream had.
+/// The most requests that are tracked. A crash adds all requests of one upstream.
 const MAX_RECORDS: usize = 4_096;
 
-/// Crashes of one upstream that are less apart are the same crash, seen by several entries.
-const SAME_CRASH_TIME: Duration = Duration::from_secs(1);
+/// Crashes of one upstream within this time are the same crash, observed by several
+/// entries.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long an upstream runs a request before it is unlikely to crash because of it.
+/// An upstream that has answered a request for this long is unlikely to crash because of
+/// it.
 const EARLY_CRASH_TIME: Duration = Duration::from_millis(500);
 
-/// What the operator allows.
+/// The limits set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
-    /// Crashes after which a request is rejected; none is where this is 0.
-    pub crashes: usize,
-    /// How long it is rejected, and how long a crash counts.
+pub struct Limits {
+    /// Number of crashes after which a request is rejected; 0 for never.
+    pub crash_threshold: usize,
+    /// How long a request is rejected, and how long a crash counts.
     pub duration: Duration,
 }
 
-impl Default for Bound {
+impl Default for Limits {
     fn default() -> Self {
         Self {
-            crashes: 2,
+            crash_threshold: 2,
             duration: Duration::from_mins(10),
         }
     }
 }
 
-/// A crash of an upstream that had a request.
+/// A crash of an upstream during a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
-    /// The upstream's incarnation, by a hash.
+    /// Hash of the upstream's incarnation.
     pub upstream: u32,
     /// When it crashed.
     pub at: Duration,
-    /// Whether the upstream hadn't begun to answer, or had just begun.
+    /// Whether the upstream hadn't started to answer, or only just had.
     pub early: bool,
 }
 
 impl Crash {
-    /// A crash now of an upstream that had been answering for so long, or not at all.
+    /// A crash at `now` of an upstream that had been answering for `answered_for`, or not at
+    /// all.
     ///
     /// ```
     /// use std::time::Duration;
@@ -59,36 +62,36 @@
     /// assert!(!Crash::new(Duration::ZERO, 1, Some(Duration::from_secs(3))).early);
     /// ```
     #[must_use]
-    pub fn new(now: Duration, upstream: u32, ran: Option<Duration>) -> Self {
+    pub fn new(now: Duration, upstream: u32, answered_for: Option<Duration>) -> Self {
         Self {
             upstream,
             at: now,
-            early: ran.is_none_or(|ran| ran < EARLY_CRASH_TIME),
+            early: answered_for.is_none_or(|duration| duration < EARLY_CRASH_TIME),
         }
     }
 }
 
-/// Who saw something of a request.
+/// Who observed a crash or a success.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observer {
     /// This entry.
     Own,
-    /// Another entry, which reports it to all by itself.
+    /// Another entry, which reports it to all entries itself.
     Peer,
 }
 
-/// What is to be done with a request.
+/// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// It is sent like any other.
     Clear,
     /// An upstream crashed soon after it got the request, which may be the cause.
     Suspect,
-    /// It is rejected for so much longer.
+    /// It is rejected for the remaining time given.
     Quarantined(Duration),
 }
 
-/// A time in which a request is rejected.
+/// A period in which a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
     /// When it began.
@@ -97,63 +100,64 @@
     pub until: Duration,
 }
 
-/// What is known of one request.
+/// The crashes and successes of one request.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// Crashes since it last succeeded, as long as they count.
+    /// Crashes since its last success that still count.
     pub crashes: Vec<Crash>,
-    /// When it is rejected.
+    /// The period in which it is rejected.
     pub term: Option<Term>,
-    /// When it succeeded last, if it did since the first crash.
-    pub succeeded: Option<Duration>,
-    /// When any of this changed last.
-    changed: Duration,
-    /// When this entry saw something of it last.
-    observed: Option<Duration>,
+    /// Its last success since the first crash.
+    pub succeeded_at: Option<Duration>,
+    /// When the record last changed.
+    changed_at: Duration,
+    /// When this entry last observed a crash or success itself.
+    observed_at: Option<Duration>,
 }
 
 impl Record {
-    /// The time in which it is rejected, if that isn't over.
+    /// The period in which it is rejected, unless that has ended.
     #[must_use]
-    pub fn current(&self, now: Duration) -> Option<Term> {
+    pub fn current_term(&self, now: Duration) -> Option<Term> {
         self.term.filter(|term| now < term.until)
     }
 
-    /// Records a change.
+    /// Marks the record as changed.
     fn change(&mut self, now: Duration, observer: Observer) {
-        self.changed = now;
+        self.changed_at = now;
         if observer == Observer::Own {
-            self.observed = Some(now);
+            self.observed_at = Some(now);
         }
     }
 
-    /// Whether crashes until a time are of no account any more.
+    /// Whether a success at or after `at` makes crashes until then irrelevant.
     fn is_cleared(&self, at: Duration) -> bool {
-        self.succeeded.is_some_and(|succeeded| at <= succeeded)
+        self.succeeded_at
+            .is_some_and(|succeeded_at| at <= succeeded_at)
     }
 }
 
-/// The requests that upstreams crashed under.
+/// Requests during which upstreams crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
 }
 
 impl Quarantine {
-    /// What is to be done with a request.
+    /// Whether a request may be sent.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::quarantine::{Bound, Crash, Observer, Quarantine, Status};
+    /// use verbenaspool_policy::quarantine::{Crash, Limits, Observer, Quarantine, Status};
     /// use verbenaspool_state::fingerprint::Fingerprint;
     ///
     /// let request = Fingerprint::of(None, "/", b"");
-    /// let bound = Bound { crashes: 2, duration: Duration::from_secs(60) };
+    /// let limits = Limits { crash_threshold: 2, duration: Duration::from_secs(60) };
     /// let mut quarantine = Quarantine::default();
     /// for upstream in [1, 2] {
     ///     let crash = Crash::new(Duration::ZERO, upstream, None);
-    ///     quarantine.crashed(Duration::ZERO, request, crash, Observer::Own, &bound);
+    ///     quarantine.record_crash(Duration::ZERO, request, crash, Observer::Own, &limits);
     /// }
     /// let status = quarantine.status(Duration::from_secs(20), request);
     /// assert_eq!(status, Status::Quarantined(Duration::from_secs(40)));
@@ -163,63 +167,63 @@
         let Some(record) = self.records.get(&request) else {
             return Status::Clear;
         };
-        match record.current(now) {
+        match record.current_term(now) {
             Some(term) => Status::Quarantined(term.until.saturating_sub(now)),
             None if record.crashes.iter().any(|crash| crash.early) => Status::Suspect,
             None => Status::Clear,
         }
     }
 
-    /// Records a crash. Tells whether the request is rejected from now on, and wasn't before.
-    pub fn crashed(
+    /// Records a crash. Returns whether a quarantine of the request begins.
+    pub fn record_crash(
         &mut self,
         now: Duration,
         request: Fingerprint,
         crash: Crash,
         observer: Observer,
-        bound: &Bound,
+        limits: &Limits,
     ) -> bool {
-        self.expire(now, bound.duration);
+        self.expire(now, limits.duration);
         let record = self.records.entry(request).or_default();
-        let known = |other: &Crash| {
-            other.upstream == crash.upstream && other.at.abs_diff(crash.at) < SAME_CRASH_TIME
+        let is_same = |other: &Crash| {
+            other.upstream == crash.upstream && other.at.abs_diff(crash.at) < SAME_CRASH_WINDOW
         };
-        if record.is_cleared(crash.at) || record.crashes.iter().any(known) {
+        if record.is_cleared(crash.at) || record.crashes.iter().any(is_same) {
             return false;
         }
         record.crashes.push(crash);
         record.change(now, observer);
-        let reached = bound.crashes > 0 && record.crashes.len() >= bound.crashes;
-        let begins = reached && record.current(now).is_none();
+        let reached = limits.crash_threshold > 0 && record.crashes.len() >= limits.crash_threshold;
+        let begins = reached && record.current_term(now).is_none();
         if begins {
             record.term = Some(Term {
                 since: now,
-                until: now + bound.duration,
+                until: now + limits.duration,
             });
         }
-        self.shrink(now);
+        self.evict_oldest(now);
         begins
     }
 
-    /// Rejects a request as another entry does, or did before this process started. Tells
-    /// whether that is new.
-    pub fn hold(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
+    /// Records a quarantine set by another entry, or by an earlier process of this one.
+    /// Returns whether it is new.
+    pub fn record_term(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
         let known = self.records.get(&request);
         let is_known =
-            |record: &Record| record.is_cleared(term.since) || record.current(now).is_some();
+            |record: &Record| record.is_cleared(term.since) || record.current_term(now).is_some();
         if now >= term.until || known.is_some_and(is_known) {
             return false;
         }
         let record = self.records.entry(request).or_default();
         record.term = Some(term);
         record.change(now, Observer::Peer);
-        self.shrink(now);
+        self.evict_oldest(now);
         true
     }
 
-    /// Records that a request succeeded at some time: it isn't what crashed upstreams before.
-    /// Tells whether that changes anything.
-    pub fn succeeded(
+    /// Records that a request succeeded at `at`, so that it isn't the cause of earlier
+    /// crashes. Returns whether that changes the record.
+    pub fn record_success(
         &mut self,
         now: Duration,
         request: Fingerprint,
@@ -233,41 +237,43 @@
         if !counts || record.is_cleared(at) {
             return false;
         }
-        record.succeeded = Some(at);
+        record.succeeded_at = Some(at);
         record.change(now, observer);
         record.crashes.retain(|crash| crash.at > at);
         record.term = record.term.filter(|term| term.since > at);
         true
     }
 
-    /// The requests that are rejected now.
+    /// The requests in quarantine.
     pub fn quarantined(&self, now: Duration) -> impl Iterator<Item = (Fingerprint, Term)> {
         let records = self.records.iter();
-        records.filter_map(move |(request, record)| Some((*request, record.current(now)?)))
+        records.filter_map(move |(request, record)| Some((*request, record.current_term(now)?)))
     }
 
-    /// What this entry has seen since some time.
+    /// The records of what this entry itself has observed since `since`.
     pub fn observed_since(&self, since: Duration) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let records = self.records.iter();
-        let observed = records.filter(move |(_, r)| r.observed.is_some_and(|at| at >= since));
+        let observed = records.filter(move |(_, r)| r.observed_at.is_some_and(|at| at >= since));
         observed.map(|(request, record)| (*request, record))
     }
 
-    /// Drops what no longer counts.
+    /// Drops crashes and records that no longer count.
     fn expire(&mut self, now: Duration, duration: Duration) {
         self.records.retain(|_, record| {
             let counts = |at: Duration| now.saturating_sub(at) < duration;
             record.crashes.retain(|crash| counts(crash.at));
-            record.current(now).is_some() || !record.crashes.is_empty() || counts(record.changed)
+            record.current_term(now).is_some()
+                || !record.crashes.is_empty()
+                || counts(record.changed_at)
         });
     }
 
-    /// Drops the oldest of too many records, those of rejected requests last.
-    fn shrink(&mut self, now: Duration) {
+    /// Drops the oldest records beyond [`MAX_RECORDS`], those of rejected requests last.
+    fn evict_oldest(&mut self, now: Duration) {
         while self.records.len() > MAX_RECORDS {
-            let oldest = self.records.iter();
-            let oldest =
-                oldest.min_by_key(|(_, record)| (record.current(now).is_some(), record.changed));
+            let records = self.records.iter();
+            let oldest = records
+                .min_by_key(|(_, record)| (record.current_term(now).is_some(), record.changed_at));
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 return;
             };
