--- a/verbenaspool_policy/src/estimate/tests.rs
+++ b/verbenaspool_policy/src/estimate/tests.rs
@@ -1,7 +1,7 @@
 use super::{Profile, Size};
 
 /// A customer asks for 1,000 tokens and uses 10, with half of its prompts cached.
-/// Without the learned ratios the estimate stays at 50 times the real work.
+/// Without the learned ratios the estimate stays at 34 times the real work.
 #[test]
 fn usage_ratios_are_learned() {
     let requested = Size {
