--- a/verbenaspool_policy/benches/decisions.rs
+++ b/verbenaspool_policy/benches/decisions.rs
@@ -3,18 +3,18 @@
 //! left out; `--case NAME` plays only one; `--subset` compares ways to choose subsets;
 //! `--memory` shows what a balancer of a large fleet takes.
 
-mod play;
+mod simulation;
 
 use std::time::Duration;
 
-use play::{
+use simulation::{
     baseline::{Baseline, Kind},
     case::Case,
     fleet, oracle,
     policy::Policy,
     score::Score,
-    spread::{self, Way},
-    world,
+    simulator,
+    spread::{self, Method},
 };
 use verbenaspool_policy::{
     balancer::Balancer,
@@ -24,72 +24,73 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
-    let has = |flag: &str| arguments.iter().any(|argument| argument == flag);
-    if has("--memory") {
-        return memory();
+    let has_flag = |flag: &str| arguments.iter().any(|argument| argument == flag);
+    if has_flag("--memory") {
+        return print_memory();
     }
-    if has("--subset") {
-        for way in Way::ALL {
-            println!("{way:?} {:?}", spread::measure(way));
+    if has_flag("--subset") {
+        for method in Method::ALL {
+            println!("{method:?} {:?}", spread::measure(method));
         }
         return;
     }
-    let only = arguments
+    let selected_case = arguments
         .iter()
         .position(|a| a == "--case")
         .and_then(|i| arguments.get(i + 1));
     for case in Case::all() {
-        if only.is_some_and(|only| only != case.name) {
+        if selected_case.is_some_and(|selected| selected != case.name) {
             continue;
         }
-        let row = |policy: &str, score: Score| show(has("--json"), case.name, policy, &score);
-        row("verbenaspool", ours(&case, Set::all()));
+        let print_score =
+            |policy: &str, score: Score| print_row(has_flag("--json"), case.name, policy, &score);
+        print_score("verbenaspool", run_balancer(&case, Set::all()));
         for kind in Kind::ALL {
             let baseline = |entry, _: &Name| -> Box<dyn Policy> {
                 Box::new(Baseline::new(kind, entry as u64))
             };
-            row(kind.name(), world::run(&case, &baseline));
+            print_score(kind.name(), simulator::run(&case, &baseline));
         }
-        row("oracle", oracle::run(&case));
-        if has("--ablation") {
+        print_score("oracle", oracle::run(&case));
+        if has_flag("--ablation") {
             for mechanism in Mechanism::ALL {
                 let policy = format!("without-{mechanism:?}").to_lowercase();
-                row(&policy, ours(&case, Set::all().without(mechanism)));
+                print_score(&policy, run_balancer(&case, Set::all().without(mechanism)));
             }
         }
     }
-    if only.is_none_or(|only| only == "fleet") {
-        fleet(&|case, policy, score| show(has("--json"), case, policy, &score));
+    if selected_case.is_none_or(|selected| selected == "fleet") {
+        run_fleet_cases(&|case, policy, score| print_row(has_flag("--json"), case, policy, &score));
     }
 }
 
 /// Shows the memory that balancers take at the size of two years from now.
-fn memory() {
+fn print_memory() {
     let (members, peers) = (fleet::members(), fleet::peers());
-    let mut kept = Vec::new();
-    let mut before = resident();
+    let mut balancers = Vec::new();
+    let mut before = resident_kib();
     // The first balancers fill what the allocator has left over.
     for number in 0..6 {
         let settings = Decisions::default();
-        let zone = world::name("zone", 0);
-        let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, number);
+        let zone = simulator::name("zone", 0);
+        let mut balancer = Balancer::new(&settings, simulator::name("entry", 0), zone, number);
         balancer.set_peers(Duration::ZERO, &peers);
         balancer.set_members(Duration::ZERO, &members);
-        let listed = resident();
+        let after_lists = resident_kib();
         fleet::run(&mut balancer, 1);
-        let after = resident();
+        let after = resident_kib();
         println!(
             "list {} KiB, customers and load {} KiB",
-            listed - before,
-            after - listed
+            after_lists - before,
+            after - after_lists
         );
-        kept.push(balancer);
+        balancers.push(balancer);
         before = after;
     }
 }
 
 /// The process's resident memory in KiB.
-fn resident() -> i64 {
+fn resident_kib() -> i64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let number = line.and_then(|line| line.trim().strip_suffix(" kB"));
@@ -99,9 +100,9 @@
 }
 
 /// Measures a decision at the size of two years from now.
-fn fleet(show: &dyn Fn(&str, &str, Score)) {
+fn run_fleet_cases(print_score: &dyn Fn(&str, &str, Score)) {
     let (members, peers) = (fleet::members(), fleet::peers());
-    let narrow = Decisions {
+    let single_attempt = Decisions {
         initial_limit: 1,
         max_limit: 1,
         ..Decisions::default()
@@ -109,27 +110,27 @@
     // 64 attempts of 4 s at once are 16 a second, where 34 or 272 are offered.
     let cases = [
         ("fleet", 1, Decisions::default()),
-        ("fleet-overload", 8, narrow),
+        ("fleet-overload", 8, single_attempt),
     ];
-    for (case, load, settings) in cases {
-        let zone = world::name("zone", 0);
-        let mut balancer = Balancer::new(&settings, world::name("entry", 0), zone, 1);
+    for (case, load_factor, settings) in cases {
+        let zone = simulator::name("zone", 0);
+        let mut balancer = Balancer::new(&settings, simulator::name("entry", 0), zone, 1);
         balancer.set_peers(Duration::ZERO, &peers);
         balancer.set_members(Duration::ZERO, &members);
-        show(case, "verbenaspool", fleet::run(&mut balancer, load));
+        print_score(case, "verbenaspool", fleet::run(&mut balancer, load_factor));
         for kind in Kind::ALL {
             let mut baseline = Baseline::new(kind, 1);
-            baseline.members(Duration::ZERO, &members);
-            show(case, kind.name(), fleet::run(&mut baseline, load));
+            baseline.set_members(Duration::ZERO, &members);
+            print_score(case, kind.name(), fleet::run(&mut baseline, load_factor));
         }
     }
 }
 
 /// Plays a case with the balancer.
-fn ours(case: &Case, mechanisms: Set) -> Score {
+fn run_balancer(case: &Case, mechanisms: Set) -> Score {
     let settings = Decisions::default();
     let make = |entry: usize, zone: &Name| -> Box<dyn Policy> {
-        let name = world::name("entry", entry);
+        let name = simulator::name("entry", entry);
         Box::new(Balancer::with_mechanisms(
             &settings,
             name,
@@ -138,11 +139,11 @@
             mechanisms,
         ))
     };
-    world::run(case, &make)
+    simulator::run(case, &make)
 }
 
 /// Prints one row.
-fn show(json: bool, case: &str, policy: &str, score: &Score) {
+fn print_row(json: bool, case: &str, policy: &str, score: &Score) {
     if json {
         let row = serde_json::json!({
             "case": case,
@@ -165,8 +166,8 @@
         score.fairness,
         score.deadlines_met,
         score.ns_per_decision,
-        score.crossed,
-        score.attempts,
-        score.asked,
+        score.cross_zone_fraction,
+        score.attempts_per_request,
+        score.offers_per_request,
     );
 }
--- a/verbenaspool_policy/benches/play/baseline.rs
+++ b/verbenaspool_policy/benches/simulation/baseline.rs
@@ -37,15 +37,15 @@
 }
 
 /// The fixed limit for one entry at one upstream: four entries fill a batch of 16.
-const LIMIT: u32 = 4;
+const MAX_IN_FLIGHT: u32 = 4;
 
 #[derive(Debug)]
 pub struct Baseline {
     kind: Kind,
     members: Vec<Name>,
     in_flight: HashMap<Name, u32>,
-    attempts: HashMap<Id, Name>,
-    next: u64,
+    upstreams_by_attempt: HashMap<Id, Name>,
+    last_id: u64,
     random: SmallRng,
 }
 
@@ -55,8 +55,8 @@
             kind,
             members: Vec::new(),
             in_flight: HashMap::new(),
-            attempts: HashMap::new(),
-            next: 0,
+            upstreams_by_attempt: HashMap::new(),
+            last_id: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -68,9 +68,9 @@
         }
         let load = |name: &Name| self.in_flight.get(name).copied().unwrap_or(0);
         match self.kind {
-            Kind::RoundRobin => Some(self.members[self.next as usize % count].clone()),
+            Kind::RoundRobin => Some(self.members[self.last_id as usize % count].clone()),
             Kind::LeastInFlight => {
-                let from = self.next as usize % count;
+                let from = self.last_id as usize % count;
                 (from..count)
                     .chain(0..from)
                     .map(|i| &self.members[i])
@@ -79,14 +79,14 @@
             }
             Kind::RandomLimit => {
                 let name = &self.members[self.random.random_range(0..count)];
-                (load(name) < LIMIT).then(|| name.clone())
+                (load(name) < MAX_IN_FLIGHT).then(|| name.clone())
             }
         }
     }
 }
 
 impl Policy for Baseline {
-    fn members(&mut self, _now: Duration, members: &[Member]) {
+    fn set_members(&mut self, _now: Duration, members: &[Member]) {
         self.members = members
             .iter()
             .filter(|m| !m.leaving)
@@ -95,16 +95,16 @@
     }
 
     fn offer(&mut self, _now: Duration, _request: &Request<'_>) -> Decision {
-        self.next += 1;
+        self.last_id += 1;
         let Some(upstream) = self.choose() else {
             return Decision::Reject(Rejection {
                 reason: Reason::NoUpstream,
                 retry_after: Duration::from_secs(1),
             });
         };
-        let attempt = Id(self.next);
+        let attempt = Id(self.last_id);
         *self.in_flight.entry(upstream.clone()).or_default() += 1;
-        self.attempts.insert(attempt, upstream.clone());
+        self.upstreams_by_attempt.insert(attempt, upstream.clone());
         Decision::Admit(Start { attempt, upstream })
     }
 
@@ -116,7 +116,7 @@
 
     fn finish(&mut self, _now: Duration, attempt: Id, _outcome: &Outcome) {
         if let Some(count) = self
-            .attempts
+            .upstreams_by_attempt
             .remove(&attempt)
             .and_then(|name| self.in_flight.get_mut(&name))
         {
--- a/verbenaspool_policy/benches/play/case.rs
+++ b/verbenaspool_policy/benches/simulation/case.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use super::{
-    engine::{Engine, KNEE, SPEED},
+    engine::{Engine, FULL_SPEED_REQUESTS, WORK_PER_SECOND},
     job::{Job, Mix, exponential},
 };
 
@@ -25,7 +25,7 @@
     /// An engine is replaced by a new incarnation, cold.
     Replace(usize),
     /// A zone can't be reached from the others any more.
-    Cut(usize),
+    Partition(usize),
     /// It can again.
     Heal(usize),
 }
@@ -37,36 +37,36 @@
     pub seed: u64,
     pub mix: Mix,
     /// Offered load as a part of capacity, from each second on.
-    pub load: Vec<(u64, f64)>,
+    pub offered_load: Vec<(u64, f64)>,
     /// The part of requests that the first three customers send.
-    pub hot: f64,
-    pub lag: Duration,
+    pub hot_fraction: f64,
+    pub signal_lag: Duration,
     /// The part of reports and cache events that get lost.
-    pub gaps: f64,
+    pub signal_loss: f64,
     pub changes: Vec<(Duration, Change)>,
     /// The part of requests that arrive at the first entry.
-    pub first_entry: f64,
+    pub first_entry_fraction: f64,
     /// Whether half of the engines are three times as large as the others.
-    pub mixed: bool,
+    pub mixed_sizes: bool,
     /// Whether every third customer always asks for the longest answer.
-    pub untold: bool,
+    pub fixed_max_tokens: bool,
 }
 
 impl Case {
-    fn new(name: &'static str, seconds: u64, load: f64) -> Self {
+    fn new(name: &'static str, seconds: u64, offered_load: f64) -> Self {
         Self {
             name,
             seconds,
             seed: 1,
-            mix: Mix::Even,
-            load: vec![(0, load)],
-            hot: 0.3,
-            lag: Duration::from_millis(200),
-            gaps: 0.0,
+            mix: Mix::Exponential,
+            offered_load: vec![(0, offered_load)],
+            hot_fraction: 0.3,
+            signal_lag: Duration::from_millis(200),
+            signal_loss: 0.0,
             changes: Vec::new(),
-            first_entry: 1.0 / ENTRIES as f64,
-            mixed: false,
-            untold: true,
+            first_entry_fraction: 1.0 / ENTRIES as f64,
+            mixed_sizes: false,
+            fixed_max_tokens: true,
         }
     }
 
@@ -74,15 +74,15 @@
         let at = Duration::from_secs;
         let mut cases = vec![
             Self {
-                load: vec![(0, 0.7), (20, 7.0), (25, 0.7)],
+                offered_load: vec![(0, 0.7), (20, 7.0), (25, 0.7)],
                 ..Self::new("burst", 60, 0.7)
             },
             Self {
-                hot: 0.8,
+                hot_fraction: 0.8,
                 ..Self::new("hot-callers", 60, 1.5)
             },
             Self {
-                mix: Mix::Prefix,
+                mix: Mix::SharedPrefix,
                 ..Self::new("hot-prefix", 60, 0.9)
             },
             Self {
@@ -93,41 +93,41 @@
                 ..Self::new("slow-upstream", 75, 0.8)
             },
             Self {
-                mix: Mix::Long,
+                mix: Mix::LongTail,
                 ..Self::new("long-among-short", 120, 1.2)
             },
             Self::new("load-1.0", 120, 1.0),
             Self::new("load-1.5", 120, 1.5),
             Self::new("load-3.0", 120, 3.0),
             Self {
-                lag: at(2),
-                gaps: 0.3,
+                signal_lag: at(2),
+                signal_loss: 0.3,
                 ..Self::new("late-reports", 60, 0.95)
             },
         ];
-        let replaced = (0..ENGINES)
+        let replacements = (0..ENGINES)
             .step_by(2)
             .map(|engine| (at(20), Change::Replace(engine)));
         cases.push(Self {
-            changes: replaced.collect(),
+            changes: replacements.collect(),
             ..Self::new("half-replaced", 60, 0.7)
         });
         cases.push(Self {
-            changes: vec![(at(20), Change::Cut(0)), (at(45), Change::Heal(0))],
+            changes: vec![(at(20), Change::Partition(0)), (at(45), Change::Heal(0))],
             ..Self::new("zone-lost", 75, 0.55)
         });
-        cases.extend(Self::failures());
+        cases.extend(Self::failure_cases());
         cases.extend([
             Self {
-                first_entry: 0.7,
+                first_entry_fraction: 0.7,
                 ..Self::new("uneven-entries", 60, 0.8)
             },
             Self {
-                mixed: true,
+                mixed_sizes: true,
                 ..Self::new("mixed-engines", 60, 0.95)
             },
             Self {
-                untold: false,
+                fixed_max_tokens: false,
                 ..Self::new("load-3.0-told", 120, 3.0)
             },
         ]);
@@ -135,9 +135,10 @@
     }
 
     /// Cases of upstreams that fail what they get.
-    fn failures() -> [Self; 2] {
+    fn failure_cases() -> [Self; 2] {
         let at = Duration::from_secs;
-        let all = |second, part| (0..ENGINES).map(move |e| (at(second), Change::Fail(e, part)));
+        let all =
+            |second, fraction| (0..ENGINES).map(move |e| (at(second), Change::Fail(e, fraction)));
         [
             Self {
                 changes: vec![
@@ -155,21 +156,21 @@
 
     /// The work a second of all engines at full speed.
     pub fn capacity() -> f64 {
-        (ENGINES * KNEE) as f64 * SPEED
+        (ENGINES * FULL_SPEED_REQUESTS) as f64 * WORK_PER_SECOND
     }
 
     pub fn engines(&self) -> Vec<Engine> {
         (0..ENGINES)
-            .map(|engine| Engine::new(engine % ZONES, 24, self.knee(engine)))
+            .map(|engine| Engine::new(engine % ZONES, 24, self.full_speed_requests(engine)))
             .collect()
     }
 
     /// The requests that an engine runs at full speed.
-    pub fn knee(&self, engine: usize) -> usize {
-        match (self.mixed, engine % 2) {
-            (false, _) => KNEE,
-            (true, 0) => KNEE / 2,
-            (true, _) => KNEE * 3 / 2,
+    pub fn full_speed_requests(&self, engine: usize) -> usize {
+        match (self.mixed_sizes, engine % 2) {
+            (false, _) => FULL_SPEED_REQUESTS,
+            (true, 0) => FULL_SPEED_REQUESTS / 2,
+            (true, _) => FULL_SPEED_REQUESTS * 3 / 2,
         }
     }
 
@@ -180,48 +181,52 @@
         for (at, change) in past {
             match *change {
                 Change::Speed(engine, speed) => speeds[engine] = speed,
-                Change::Replace(engine) if now < *at + super::engine::COLD_FOR => {
+                Change::Replace(engine) if now < *at + super::engine::COLD_DURATION => {
                     speeds[engine] = 0.3;
                 }
                 Change::Replace(engine) => speeds[engine] = 1.0,
                 Change::Fail(engine, failing) => speeds[engine] = 1.0 - failing,
-                Change::Cut(zone) => (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 0.0),
+                Change::Partition(zone) => {
+                    (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 0.0)
+                }
                 Change::Heal(zone) => (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 1.0),
             }
         }
-        let speed = |engine: usize| speeds[engine] * self.knee(engine) as f64 * SPEED;
+        let speed = |engine: usize| {
+            speeds[engine] * self.full_speed_requests(engine) as f64 * WORK_PER_SECOND
+        };
         (0..ENGINES).map(speed).sum()
     }
 
     fn load_at(&self, second: f64) -> f64 {
         let past = self
-            .load
+            .offered_load
             .iter()
             .rev()
             .find(|(from, _)| *from as f64 <= second);
-        past.map_or(0.0, |(_, load)| *load)
+        past.map_or(0.0, |(_, offered_load)| *offered_load)
     }
 
     /// Whether a zone is cut off.
-    pub fn is_cut(&self, now: Duration, zone: usize) -> bool {
+    pub fn is_partitioned(&self, now: Duration, zone: usize) -> bool {
         let past = self.changes.iter().filter(|(at, _)| *at <= now);
-        past.fold(false, |cut, (_, change)| match change {
-            Change::Cut(z) if *z == zone => true,
+        past.fold(false, |partitioned, (_, change)| match change {
+            Change::Partition(z) if *z == zone => true,
             Change::Heal(z) if *z == zone => false,
-            _ => cut,
+            _ => partitioned,
         })
     }
 
-    fn entry(&self, random: &mut SmallRng) -> usize {
-        if random.random_bool(self.first_entry) {
+    fn pick_entry(&self, random: &mut SmallRng) -> usize {
+        if random.random_bool(self.first_entry_fraction) {
             0
         } else {
             random.random_range(1..ENTRIES)
         }
     }
 
-    fn customer(&self, random: &mut SmallRng) -> usize {
-        if random.random_bool(self.hot) {
+    fn pick_customer(&self, random: &mut SmallRng) -> usize {
+        if random.random_bool(self.hot_fraction) {
             random.random_range(0..3)
         } else {
             random.random_range(3..CUSTOMERS)
@@ -231,11 +236,11 @@
     /// The requests, by time.
     pub fn jobs(&self) -> Vec<Job> {
         let mut random = SmallRng::seed_from_u64(self.seed);
-        let mut sample = SmallRng::seed_from_u64(self.seed + 1);
+        let mut sample_random = SmallRng::seed_from_u64(self.seed + 1);
         let total: f64 = (0..20_000)
             .map(|i| {
                 self.mix
-                    .job(&mut sample, i % CUSTOMERS, self.untold)
+                    .job(&mut sample_random, i % CUSTOMERS, self.fixed_max_tokens)
                     .work(true)
             })
             .sum();
@@ -245,14 +250,14 @@
         while now < self.seconds as f64 {
             let rate = self.load_at(now) * Self::capacity() / mean;
             now += exponential(&mut random, 1.0 / rate);
-            let customer = self.customer(&mut random);
-            let mut job = self.mix.job(&mut random, customer, self.untold);
-            job.at = Duration::from_secs_f64(now);
-            job.deadline += job.at;
+            let customer = self.pick_customer(&mut random);
+            let mut job = self.mix.job(&mut random, customer, self.fixed_max_tokens);
+            job.arrival = Duration::from_secs_f64(now);
+            job.deadline += job.arrival;
             // The platform's balancer sends nothing to entries of a lost zone.
-            job.entry = self.entry(&mut random);
-            while self.is_cut(job.at, job.entry % ZONES) {
-                job.entry = self.entry(&mut random);
+            job.entry = self.pick_entry(&mut random);
+            while self.is_partitioned(job.arrival, job.entry % ZONES) {
+                job.entry = self.pick_entry(&mut random);
             }
             jobs.push(job);
         }
--- a/verbenaspool_policy/benches/play/engine.rs
+++ b/verbenaspool_policy/benches/simulation/engine.rs
@@ -5,19 +5,19 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Requests that run together without slowing each other down, as a rule.
-pub const KNEE: usize = 8;
+pub const FULL_SPEED_REQUESTS: usize = 8;
 /// Requests that run together at most, as a multiple of those at full speed.
-const BATCH: usize = 2;
+const MAX_BATCH_FACTOR: usize = 2;
 /// Work that one request gets done a second.
-pub const SPEED: f64 = 100.0;
+pub const WORK_PER_SECOND: f64 = 100.0;
 /// The speed of an engine that has just started, and how long that lasts.
-const COLD: f64 = 0.3;
-pub const COLD_FOR: Duration = Duration::from_secs(5);
+const COLD_SPEED: f64 = 0.3;
+pub const COLD_DURATION: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-pub struct Running {
+pub struct Task {
     pub attempt: u64,
-    left: f64,
+    remaining_work: f64,
 }
 
 #[derive(Debug)]
@@ -25,37 +25,37 @@
     pub zone: usize,
     pub up: bool,
     pub incarnation: u64,
-    pub version: u64,
+    pub schedule_version: u64,
     pub speed: f64,
     pub sequence: u64,
     /// The part of attempts that fail at once.
-    pub failing: f64,
+    pub failing_fraction: f64,
     cold_until: Duration,
-    at: Duration,
-    running: Vec<Running>,
-    waiting: VecDeque<Running>,
+    advanced_to: Duration,
+    running: Vec<Task>,
+    waiting: VecDeque<Task>,
     cache: VecDeque<u64>,
-    cached: usize,
-    knee: usize,
+    cache_capacity: usize,
+    full_speed_requests: usize,
 }
 
 impl Engine {
-    pub fn new(zone: usize, cached: usize, knee: usize) -> Self {
+    pub fn new(zone: usize, cache_capacity: usize, full_speed_requests: usize) -> Self {
         Self {
             zone,
             up: true,
             incarnation: 1,
-            version: 0,
+            schedule_version: 0,
             speed: 1.0,
             sequence: 0,
             cold_until: Duration::ZERO,
-            at: Duration::ZERO,
+            advanced_to: Duration::ZERO,
             running: Vec::new(),
             waiting: VecDeque::new(),
             cache: VecDeque::new(),
-            cached,
-            knee,
-            failing: 0.0,
+            cache_capacity,
+            full_speed_requests,
+            failing_fraction: 0.0,
         }
     }
 
@@ -65,78 +65,88 @@
             .running
             .drain(..)
             .chain(self.waiting.drain(..))
-            .map(|r| r.attempt)
+            .map(|task| task.attempt)
             .collect();
         self.cache.clear();
         self.incarnation += 1;
         self.sequence = 0;
-        self.version += 1;
-        self.at = now;
-        self.cold_until = now + COLD_FOR;
+        self.schedule_version += 1;
+        self.advanced_to = now;
+        self.cold_until = now + COLD_DURATION;
         lost
     }
 
     /// The work a second that each running request gets.
     fn rate(&self, now: Duration) -> f64 {
-        let cold = if now < self.cold_until { COLD } else { 1.0 };
-        let shared = (self.knee as f64 / self.running.len().max(1) as f64).min(1.0);
-        SPEED * self.speed * cold * shared
+        let cold = if now < self.cold_until {
+            COLD_SPEED
+        } else {
+            1.0
+        };
+        let shared = (self.full_speed_requests as f64 / self.running.len().max(1) as f64).min(1.0);
+        WORK_PER_SECOND * self.speed * cold * shared
     }
 
     /// Works up to `now`; called at every change, so that the rate was even.
     pub fn advance(&mut self, now: Duration) {
-        let done = self.rate(self.at) * now.saturating_sub(self.at).as_secs_f64();
-        self.running.iter_mut().for_each(|r| r.left -= done);
-        self.at = now;
+        let done = self.rate(self.advanced_to) * now.saturating_sub(self.advanced_to).as_secs_f64();
+        self.running
+            .iter_mut()
+            .for_each(|task| task.remaining_work -= done);
+        self.advanced_to = now;
     }
 
     pub fn add(&mut self, now: Duration, attempt: u64, work: f64) {
         self.advance(now);
-        self.waiting.push_back(Running {
+        self.waiting.push_back(Task {
             attempt,
-            left: work,
+            remaining_work: work,
         });
-        self.fill();
+        self.fill_batch();
     }
 
     pub fn remove(&mut self, now: Duration, attempt: u64) {
         self.advance(now);
-        self.running.retain(|r| r.attempt != attempt);
-        self.waiting.retain(|r| r.attempt != attempt);
-        self.fill();
+        self.running.retain(|task| task.attempt != attempt);
+        self.waiting.retain(|task| task.attempt != attempt);
+        self.fill_batch();
     }
 
     /// The attempts that are done at `now`.
-    pub fn done(&mut self, now: Duration) -> Vec<u64> {
+    pub fn take_completed(&mut self, now: Duration) -> Vec<u64> {
         self.advance(now);
-        let is_done = |r: &Running| r.left <= 1e-6;
+        let is_completed = |task: &Task| task.remaining_work <= 1e-6;
         let done = self
             .running
             .iter()
-            .filter(|r| is_done(r))
-            .map(|r| r.attempt)
+            .filter(|task| is_completed(task))
+            .map(|task| task.attempt)
             .collect();
-        self.running.retain(|r| !is_done(r));
-        self.fill();
+        self.running.retain(|task| !is_completed(task));
+        self.fill_batch();
         done
     }
 
-    fn fill(&mut self) {
-        while self.running.len() < BATCH * self.knee
+    fn fill_batch(&mut self) {
+        while self.running.len() < MAX_BATCH_FACTOR * self.full_speed_requests
             && let Some(next) = self.waiting.pop_front()
         {
             self.running.push(next);
         }
-        self.version += 1;
+        self.schedule_version += 1;
     }
 
     /// When something is done next, or the speed changes.
-    pub fn next(&self) -> Option<Duration> {
-        let least = self.running.iter().map(|r| r.left).min_by(f64::total_cmp)?;
-        let done = self.at
-            + Duration::from_secs_f64(least.max(0.0) / self.rate(self.at))
+    pub fn next_event(&self) -> Option<Duration> {
+        let least_remaining = self
+            .running
+            .iter()
+            .map(|task| task.remaining_work)
+            .min_by(f64::total_cmp)?;
+        let done = self.advanced_to
+            + Duration::from_secs_f64(least_remaining.max(0.0) / self.rate(self.advanced_to))
             + Duration::from_nanos(1);
-        Some(if self.at < self.cold_until {
+        Some(if self.advanced_to < self.cold_until {
             done.min(self.cold_until)
         } else {
             done
@@ -148,14 +158,14 @@
     }
 
     /// Whether a prefix is cached; it is from now on. Also what was dropped for it.
-    pub fn touch(&mut self, prefix: u64) -> (bool, Option<u64>) {
-        if let Some(place) = self.cache.iter().position(|&p| p == prefix) {
-            self.cache.remove(place);
+    pub fn touch_prefix(&mut self, prefix: u64) -> (bool, Option<u64>) {
+        if let Some(index) = self.cache.iter().position(|&p| p == prefix) {
+            self.cache.remove(index);
             self.cache.push_back(prefix);
             return (true, None);
         }
         self.cache.push_back(prefix);
-        let dropped = (self.cache.len() > self.cached)
+        let dropped = (self.cache.len() > self.cache_capacity)
             .then(|| self.cache.pop_front())
             .flatten();
         (false, dropped)
--- a/verbenaspool_policy/benches/play/fleet.rs
+++ b/verbenaspool_policy/benches/simulation/fleet.rs
@@ -16,7 +16,7 @@
 };
 use verbenaspool_state::name::Name;
 
-use super::{policy::Policy, score::Score, world::name};
+use super::{policy::Policy, score::Score, simulator::name};
 
 pub const UPSTREAMS: usize = 12_000;
 pub const CUSTOMERS: usize = 16_000;
@@ -24,9 +24,9 @@
 pub const ZONES: usize = 11;
 const REQUESTS: u32 = 20_000;
 /// Time between two requests: 34,000 a second over all entries.
-const BETWEEN: Duration = Duration::from_nanos(29_411_765);
+const ARRIVAL_INTERVAL: Duration = Duration::from_nanos(29_411_765);
 /// How long a request runs.
-const SERVICE: Duration = Duration::from_secs(4);
+const SERVICE_TIME: Duration = Duration::from_secs(4);
 const DEADLINE: Duration = Duration::from_secs(8);
 
 /// Every upstream of the fleet.
@@ -54,25 +54,25 @@
 }
 
 /// Offers the requests of one entry at `load` times its part of the fleet's.
-pub fn run(policy: &mut dyn Policy, load: u32) -> Score {
+pub fn run(policy: &mut dyn Policy, load_factor: u32) -> Score {
     let customers: Vec<Name> = (0..CUSTOMERS)
         .map(|customer| name("customer", customer))
         .collect();
     let mut random = SmallRng::seed_from_u64(1);
     let mut running: BinaryHeap<Reverse<(Duration, Id)>> = BinaryHeap::new();
-    let mut deciding = Duration::ZERO;
+    let mut decision_time = Duration::ZERO;
     let (mut decisions, mut answered) = (0_u64, 0_u64);
     let mut start = |now: Duration, start: &Start, running: &mut BinaryHeap<_>| {
-        running.push(Reverse((now + SERVICE, start.attempt)));
+        running.push(Reverse((now + SERVICE_TIME, start.attempt)));
         answered += 1;
     };
     for i in 0..REQUESTS {
-        let now = BETWEEN * i / load;
+        let now = ARRIVAL_INTERVAL * i / load_factor;
         while let Some(&Reverse((end, attempt))) = running.peek().filter(|r| r.0.0 <= now) {
             running.pop();
             let outcome = Outcome {
                 ending: Ending::Ran,
-                took: SERVICE,
+                took: SERVICE_TIME,
                 prompt_tokens: 100,
                 tokens: 400,
             };
@@ -88,10 +88,10 @@
             max_tokens: 800,
             prefixes: &[],
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let decision = policy.offer(now, &request);
         let resolved = policy.poll(now);
-        deciding += began.elapsed();
+        decision_time += started_at.elapsed();
         decisions += 1 + resolved.len() as u64;
         if let Decision::Admit(admitted) = decision {
             start(now, &admitted, &mut running);
@@ -109,7 +109,7 @@
         goodput: f64::NAN,
         fairness: f64::NAN,
         deadlines_met: answered as f64 / f64::from(REQUESTS),
-        ns_per_decision: deciding.as_nanos() as f64 / decisions as f64,
+        ns_per_decision: decision_time.as_nanos() as f64 / decisions as f64,
         ..Score::default()
     }
 }
--- a/verbenaspool_policy/benches/play/job.rs
+++ b/verbenaspool_policy/benches/simulation/job.rs
@@ -4,31 +4,33 @@
 
 use rand::{Rng, rngs::SmallRng};
 
-use super::engine::SPEED;
+use super::engine::WORK_PER_SECOND;
 
-pub const PREFILL: f64 = 0.1;
+pub const PREFILL_WEIGHT: f64 = 0.1;
 
 #[derive(Debug, Clone)]
 pub struct Job {
-    pub at: Duration,
+    pub arrival: Duration,
     pub deadline: Duration,
     pub entry: usize,
     pub customer: usize,
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of the prompt that a cached prefix spares, and its hash.
     pub prefix: Option<(u64, u32)>,
-    pub tokens: u32,
+    pub answer_tokens: u32,
     pub max_tokens: u32,
 }
 
 impl Job {
     /// The work without and with a cached prefix.
     pub fn work(&self, cached: bool) -> f64 {
-        let spared = self
+        let cached_tokens = self
             .prefix
             .filter(|_| cached)
             .map_or(0, |(_, tokens)| tokens);
-        (PREFILL * f64::from(self.prompt - spared) + f64::from(self.tokens)).max(1.0)
+        (PREFILL_WEIGHT * f64::from(self.prompt_tokens - cached_tokens)
+            + f64::from(self.answer_tokens))
+        .max(1.0)
     }
 }
 
@@ -36,11 +38,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// Answers of about 100 tokens, exponentially spread.
-    Even,
+    Exponential,
     /// Answers of about 25 tokens, and one in a hundred 100 times as long.
-    Long,
+    LongTail,
     /// Long prompts that mostly begin alike.
-    Prefix,
+    SharedPrefix,
 }
 
 /// An exponentially distributed number.
@@ -50,24 +52,28 @@
 
 impl Mix {
     /// A request; times are set by the caller, the deadline from 0.
-    pub fn job(self, random: &mut SmallRng, customer: usize, untold: bool) -> Job {
+    pub fn job(self, random: &mut SmallRng, customer: usize, fixed_max_tokens: bool) -> Job {
         let (prompt, prefix, tokens) = match self {
-            Self::Even => (
+            Self::Exponential => (
                 exponential(random, 300.0),
                 None,
                 exponential(random, 100.0).clamp(5.0, 800.0),
             ),
-            Self::Long => {
-                let long = if random.random_bool(0.01) { 100.0 } else { 1.0 };
+            Self::LongTail => {
+                let length_factor = if random.random_bool(0.01) { 100.0 } else { 1.0 };
                 (
                     100.0,
                     None,
-                    exponential(random, 25.0).clamp(5.0, 50.0) * long,
+                    exponential(random, 25.0).clamp(5.0, 50.0) * length_factor,
                 )
             }
-            Self::Prefix => {
-                let hot = random.random_bool(0.8);
-                let hash = if hot { 1 } else { random.random_range(2..202) };
+            Self::SharedPrefix => {
+                let shared = random.random_bool(0.8);
+                let hash = if shared {
+                    1
+                } else {
+                    random.random_range(2..202)
+                };
                 (
                     2_000.0,
                     Some((hash, 1_800)),
@@ -76,23 +82,23 @@
             }
         };
         let tokens = tokens as u32;
-        let ask = random.random_range(1.0..3.0);
+        let overstatement = random.random_range(1.0..3.0);
         // Every third customer always asks for the most there is.
         let max_tokens = match self {
-            Self::Even if untold && customer % 3 == 1 => 800,
-            _ => (f64::from(tokens) * ask) as u32 + 1,
+            Self::Exponential if fixed_max_tokens && customer % 3 == 1 => 800,
+            _ => (f64::from(tokens) * overstatement) as u32 + 1,
         };
         let mut job = Job {
-            at: Duration::ZERO,
+            arrival: Duration::ZERO,
             deadline: Duration::ZERO,
             entry: 0,
             customer,
-            prompt: prompt as u32,
+            prompt_tokens: prompt as u32,
             prefix,
-            tokens,
+            answer_tokens: tokens,
             max_tokens,
         };
-        let slack = random.random_range(2.0..6.0) + 3.0 * job.work(false) / SPEED;
+        let slack = random.random_range(2.0..6.0) + 3.0 * job.work(false) / WORK_PER_SECOND;
         job.deadline = Duration::from_secs_f64(slack);
         job
     }
--- a/verbenaspool_policy/benches/play/mod.rs
+++ b/verbenaspool_policy/benches/simulation/mod.rs
@@ -17,5 +17,5 @@
 pub mod oracle;
 pub mod policy;
 pub mod score;
+pub mod simulator;
 pub mod spread;
-pub mod world;
--- a/verbenaspool_policy/benches/play/policy.rs
+++ b/verbenaspool_policy/benches/simulation/policy.rs
@@ -13,7 +13,7 @@
 use verbenaspool_state::name::Name;
 
 pub trait Policy {
-    fn members(&mut self, now: Duration, members: &[Member]);
+    fn set_members(&mut self, now: Duration, members: &[Member]);
     fn offer(&mut self, now: Duration, request: &Request<'_>) -> Decision;
     fn poll(&mut self, now: Duration) -> Vec<Resolution>;
     fn cancel(&mut self, now: Duration, ticket: Ticket);
@@ -25,15 +25,15 @@
         ending: Ending,
         tried: &[Name],
     ) -> Decision;
-    fn report(&mut self, _now: Duration, _upstream: &Name, _load: &Report) {}
-    fn cache(&mut self, _now: Duration, _upstream: &Name, _event: CacheEvent) {}
+    fn load_report(&mut self, _now: Duration, _upstream: &Name, _load: &Report) {}
+    fn cache_event(&mut self, _now: Duration, _upstream: &Name, _event: CacheEvent) {}
     fn next_wake(&self) -> Option<Duration> {
         None
     }
 }
 
 impl Policy for Balancer {
-    fn members(&mut self, now: Duration, members: &[Member]) {
+    fn set_members(&mut self, now: Duration, members: &[Member]) {
         self.set_members(now, members);
     }
     fn offer(&mut self, now: Duration, request: &Request<'_>) -> Decision {
@@ -57,10 +57,10 @@
     ) -> Decision {
         self.retry(now, request, ending, tried)
     }
-    fn report(&mut self, now: Duration, upstream: &Name, load: &Report) {
+    fn load_report(&mut self, now: Duration, upstream: &Name, load: &Report) {
         self.load_report(now, upstream, load);
     }
-    fn cache(&mut self, now: Duration, upstream: &Name, event: CacheEvent) {
+    fn cache_event(&mut self, now: Duration, upstream: &Name, event: CacheEvent) {
         self.cache_event(now, upstream, event);
     }
     fn next_wake(&self) -> Option<Duration> {
--- a/verbenaspool_policy/benches/play/score.rs
+++ b/verbenaspool_policy/benches/simulation/score.rs
@@ -19,40 +19,40 @@
     pub deadlines_met: f64,
     pub ns_per_decision: f64,
     /// Starts outside the entry's zone as a part of all.
-    pub crossed: f64,
+    pub cross_zone_fraction: f64,
     /// Attempts started as a part of requests.
-    pub attempts: f64,
+    pub attempts_per_request: f64,
     /// Times asked as a part of requests.
-    pub asked: f64,
+    pub offers_per_request: f64,
 }
 
 /// Scores the jobs by when each was answered, if it was.
 pub fn score(case: &Case, jobs: &[Job], answered: &[Option<Duration>]) -> Score {
     let in_time = |i: usize| answered[i].is_some_and(|at| at <= jobs[i].deadline);
     let met = (0..jobs.len()).filter(|&i| in_time(i)).count();
-    let mut waits: Vec<f64> = (0..jobs.len())
+    let mut latencies: Vec<f64> = (0..jobs.len())
         .filter(|&i| in_time(i))
-        .filter_map(|i| Some(answered[i]?.saturating_sub(jobs[i].at).as_secs_f64() * 1e3))
+        .filter_map(|i| Some(answered[i]?.saturating_sub(jobs[i].arrival).as_secs_f64() * 1e3))
         .collect();
-    waits.sort_unstable_by(f64::total_cmp);
+    latencies.sort_unstable_by(f64::total_cmp);
     let quantile = |q: f64| {
-        waits
-            .get((waits.len() as f64 * q) as usize)
+        latencies
+            .get((latencies.len() as f64 * q) as usize)
             .copied()
             .unwrap_or(f64::NAN)
     };
-    let possible: f64 = (0..case.seconds * 10)
+    let capacity: f64 = (0..case.seconds * 10)
         .map(|tenth| case.capacity_at(Duration::from_millis(tenth * 100)) / 10.0)
         .sum();
-    let good: f64 = (0..jobs.len())
+    let in_time_work: f64 = (0..jobs.len())
         .filter(|&i| in_time(i))
         .map(|i| jobs[i].work(true))
         .sum();
     Score {
         p50_ms: quantile(0.5),
         p99_ms: quantile(0.99),
-        goodput: good / possible,
-        fairness: fairness(jobs, &in_time, possible),
+        goodput: in_time_work / capacity,
+        fairness: fairness(jobs, &in_time, capacity),
         deadlines_met: met as f64 / jobs.len() as f64,
         ..Score::default()
     }
@@ -60,19 +60,19 @@
 
 /// Jain's index over each customer's work in time, as a part of its fair part
 /// of the capacity: what it asked for, or an even share of what others leave.
-fn fairness(jobs: &[Job], in_time: &dyn Fn(usize) -> bool, possible: f64) -> f64 {
-    let mut asked = [0.0; CUSTOMERS];
-    let mut got = [0.0; CUSTOMERS];
+fn fairness(jobs: &[Job], in_time: &dyn Fn(usize) -> bool, capacity: f64) -> f64 {
+    let mut requested = [0.0; CUSTOMERS];
+    let mut served = [0.0; CUSTOMERS];
     for (i, job) in jobs.iter().enumerate() {
-        asked[job.customer] += job.work(true);
-        got[job.customer] += if in_time(i) { job.work(true) } else { 0.0 };
+        requested[job.customer] += job.work(true);
+        served[job.customer] += if in_time(i) { job.work(true) } else { 0.0 };
     }
-    let fair = fair_parts(&asked, possible);
-    let parts: Vec<f64> = (0..CUSTOMERS)
-        .map(|c| (got[c] / fair[c]).min(1.0))
+    let shares = max_min_shares(&requested, capacity);
+    let fractions: Vec<f64> = (0..CUSTOMERS)
+        .map(|c| (served[c] / shares[c]).min(1.0))
         .collect();
-    let sum: f64 = parts.iter().sum();
-    let squares: f64 = parts.iter().map(|p| p * p).sum();
+    let sum: f64 = fractions.iter().sum();
+    let squares: f64 = fractions.iter().map(|f| f * f).sum();
     if squares == 0.0 {
         0.0
     } else {
@@ -81,14 +81,14 @@
 }
 
 /// The max-min fair parts of a capacity.
-fn fair_parts(asked: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
+fn max_min_shares(requested: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
     let mut order: Vec<usize> = (0..CUSTOMERS).collect();
-    order.sort_unstable_by(|&a, &b| asked[a].total_cmp(&asked[b]));
-    let mut left = capacity;
-    let mut fair = [0.0; CUSTOMERS];
+    order.sort_unstable_by(|&a, &b| requested[a].total_cmp(&requested[b]));
+    let mut remaining = capacity;
+    let mut shares = [0.0; CUSTOMERS];
     for (done, &customer) in order.iter().enumerate() {
-        fair[customer] = asked[customer].min(left / (CUSTOMERS - done) as f64);
-        left -= fair[customer];
+        shares[customer] = requested[customer].min(remaining / (CUSTOMERS - done) as f64);
+        remaining -= shares[customer];
     }
-    fair
+    shares
 }
--- a/verbenaspool_policy/benches/play/world.rs
+++ b/verbenaspool_policy/benches/simulation/simulator.rs
@@ -25,39 +25,39 @@
 };
 
 /// How often an engine reports its load.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the list of members lags.
-const LIST_LAG: Duration = Duration::from_secs(3);
+const MEMBER_LIST_LAG: Duration = Duration::from_secs(3);
 /// How long a broken connection takes to be noticed.
-const BROKEN: Duration = Duration::from_secs(1);
+const DISCONNECT_DETECTION_TIME: Duration = Duration::from_secs(1);
 /// How long a refused connection takes.
-const REFUSED: Duration = Duration::from_millis(100);
+const CONNECTION_REFUSAL_TIME: Duration = Duration::from_millis(100);
 /// How long an attempt takes to fail.
-const FAILED: Duration = Duration::from_millis(50);
+const FAILURE_TIME: Duration = Duration::from_millis(50);
 /// How often a refused caller asks at most.
-const ASKS: u32 = 4;
+const MAX_OFFERS: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
-    Arrive(usize),
+    Offer(usize),
     Deadline(usize),
-    Engine(usize, u64),
-    Fail(u64, Ending),
-    Report(usize),
-    Load(usize, usize, Report),
-    Cache(usize, usize, CacheEvent),
+    EngineStep(usize, u64),
+    AttemptFailed(u64, Ending),
+    SendReport(usize),
+    LoadReport(usize, usize, Report),
+    CacheEvent(usize, usize, CacheEvent),
     Change(Change),
-    Members,
-    Wake(usize),
+    SendMembers,
+    Poll(usize),
 }
 
 /// Where a job stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
-    Out,
+    Idle,
     Waiting(Ticket),
     Running(u64),
-    Closed,
+    Done,
 }
 
 #[derive(Debug)]
@@ -65,17 +65,17 @@
     id: Id,
     job: usize,
     engine: usize,
-    computed: u32,
-    at: Duration,
+    prompt_tokens: u32,
+    started_at: Duration,
 }
 
-pub struct World<'a> {
+pub struct Simulator<'a> {
     case: &'a Case,
     jobs: Vec<Job>,
     states: Vec<State>,
-    asks: Vec<u32>,
+    offers: Vec<u32>,
     tried: HashMap<usize, Vec<Name>>,
-    answered: Vec<Option<Duration>>,
+    answered_at: Vec<Option<Duration>>,
     engines: Vec<Engine>,
     engine_names: Vec<Name>,
     customer_names: Vec<Name>,
@@ -83,15 +83,15 @@
     policies: Vec<Box<dyn Policy>>,
     attempts: HashMap<u64, Attempt>,
     tickets: Vec<HashMap<Ticket, usize>>,
-    next_attempt: u64,
-    events: BinaryHeap<Reverse<(Duration, u64)>>,
-    bodies: HashMap<u64, Event>,
-    next_event: u64,
+    last_attempt: u64,
+    event_queue: BinaryHeap<Reverse<(Duration, u64)>>,
+    events_by_number: HashMap<u64, Event>,
+    last_event: u64,
     random: SmallRng,
-    deciding: Duration,
+    decision_time: Duration,
     decisions: u64,
-    crossed: u64,
-    wakes: Vec<Duration>,
+    cross_zone_starts: u64,
+    next_polls: Vec<Duration>,
 }
 
 pub fn name(kind: &str, number: usize) -> Name {
@@ -102,27 +102,33 @@
 
 /// Plays a case with the policies that `make` gives for each entry and its zone.
 pub fn run(case: &Case, make: &dyn Fn(usize, &Name) -> Box<dyn Policy>) -> Score {
-    let mut world = World::new(case, make);
-    world.play();
-    let mut score = score(case, &world.jobs, &world.answered);
-    score.ns_per_decision = world.deciding.as_nanos() as f64 / world.decisions.max(1) as f64;
-    score.crossed = world.crossed as f64 / world.next_attempt.max(1) as f64;
-    score.attempts = world.next_attempt as f64 / world.jobs.len() as f64;
-    score.asked =
-        world.asks.iter().map(|&asks| f64::from(asks)).sum::<f64>() / world.jobs.len() as f64;
+    let mut simulator = Simulator::new(case, make);
+    simulator.run();
+    let mut score = score(case, &simulator.jobs, &simulator.answered_at);
+    score.ns_per_decision =
+        simulator.decision_time.as_nanos() as f64 / simulator.decisions.max(1) as f64;
+    score.cross_zone_fraction =
+        simulator.cross_zone_starts as f64 / simulator.last_attempt.max(1) as f64;
+    score.attempts_per_request = simulator.last_attempt as f64 / simulator.jobs.len() as f64;
+    score.offers_per_request = simulator
+        .offers
+        .iter()
+        .map(|&offers| f64::from(offers))
+        .sum::<f64>()
+        / simulator.jobs.len() as f64;
     score
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulator<'a> {
     fn new(case: &'a Case, make: &dyn Fn(usize, &Name) -> Box<dyn Policy>) -> Self {
         let jobs = case.jobs();
         let zones: Vec<Name> = (0..ZONES).map(|zone| name("zone", zone)).collect();
         Self {
             case,
-            states: vec![State::Out; jobs.len()],
-            asks: vec![0; jobs.len()],
+            states: vec![State::Idle; jobs.len()],
+            offers: vec![0; jobs.len()],
             tried: HashMap::new(),
-            answered: vec![None; jobs.len()],
+            answered_at: vec![None; jobs.len()],
             jobs,
             engines: case.engines(),
             engine_names: (0..ENGINES).map(|engine| name("engine", engine)).collect(),
@@ -135,41 +141,41 @@
             zones,
             attempts: HashMap::new(),
             tickets: vec![HashMap::new(); ENTRIES],
-            next_attempt: 0,
-            events: BinaryHeap::new(),
-            bodies: HashMap::new(),
-            next_event: 0,
+            last_attempt: 0,
+            event_queue: BinaryHeap::new(),
+            events_by_number: HashMap::new(),
+            last_event: 0,
             random: SmallRng::seed_from_u64(case.seed + 2),
-            deciding: Duration::ZERO,
+            decision_time: Duration::ZERO,
             decisions: 0,
-            crossed: 0,
-            wakes: vec![Duration::MAX; ENTRIES],
+            cross_zone_starts: 0,
+            next_polls: vec![Duration::MAX; ENTRIES],
         }
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
-        self.next_event += 1;
-        self.events.push(Reverse((time, self.next_event)));
-        self.bodies.insert(self.next_event, event);
+    fn schedule(&mut self, time: Duration, event: Event) {
+        self.last_event += 1;
+        self.event_queue.push(Reverse((time, self.last_event)));
+        self.events_by_number.insert(self.last_event, event);
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         self.send_members(Duration::ZERO);
         for engine in 0..ENGINES {
             // Engines report at their own times.
-            self.at(
-                REPORT * engine as u32 / ENGINES as u32,
-                Event::Report(engine),
+            self.schedule(
+                REPORT_INTERVAL * engine as u32 / ENGINES as u32,
+                Event::SendReport(engine),
             );
         }
         for &(at, change) in &self.case.changes {
-            self.at(at, Event::Change(change));
+            self.schedule(at, Event::Change(change));
         }
         if !self.jobs.is_empty() {
-            self.at(self.jobs[0].at, Event::Arrive(0));
+            self.schedule(self.jobs[0].arrival, Event::Offer(0));
         }
-        while let Some(Reverse((now, number))) = self.events.pop() {
-            if let Some(event) = self.bodies.remove(&number) {
+        while let Some(Reverse((now, number))) = self.event_queue.pop() {
+            if let Some(event) = self.events_by_number.remove(&number) {
                 self.handle(now, event);
             }
         }
@@ -177,37 +183,37 @@
 
     fn handle(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Arrive(job) if self.states[job] == State::Out => self.arrive(now, job),
-            Event::Arrive(_) => {}
-            Event::Deadline(job) => self.leave(now, job),
-            Event::Engine(engine, version) => self.work(now, engine, version),
-            Event::Fail(attempt, ending) => self.fail(now, attempt, ending),
-            Event::Report(engine) => self.report(now, engine),
-            Event::Load(entry, engine, load) => {
+            Event::Offer(job) if self.states[job] == State::Idle => self.offer(now, job),
+            Event::Offer(_) => {}
+            Event::Deadline(job) => self.handle_deadline(now, job),
+            Event::EngineStep(engine, version) => self.step_engine(now, engine, version),
+            Event::AttemptFailed(attempt, ending) => self.handle_failure(now, attempt, ending),
+            Event::SendReport(engine) => self.send_report(now, engine),
+            Event::LoadReport(entry, engine, load) => {
                 let name = self.engine_names[engine].clone();
-                self.policies[entry].report(now, &name, &load);
+                self.policies[entry].load_report(now, &name, &load);
             }
-            Event::Cache(entry, engine, event) => {
+            Event::CacheEvent(entry, engine, event) => {
                 let name = self.engine_names[engine].clone();
-                self.policies[entry].cache(now, &name, event);
+                self.policies[entry].cache_event(now, &name, event);
             }
-            Event::Change(change) => self.change(now, change),
-            Event::Members => self.send_members(now),
-            Event::Wake(entry) => {
-                self.wakes[entry] = Duration::MAX;
+            Event::Change(change) => self.apply_change(now, change),
+            Event::SendMembers => self.send_members(now),
+            Event::Poll(entry) => {
+                self.next_polls[entry] = Duration::MAX;
                 self.poll(now, entry);
             }
         }
     }
 
-    fn arrive(&mut self, now: Duration, job: usize) {
-        if self.asks[job] == 0 {
+    fn offer(&mut self, now: Duration, job: usize) {
+        if self.offers[job] == 0 {
             if job + 1 < self.jobs.len() {
-                self.at(self.jobs[job + 1].at, Event::Arrive(job + 1));
+                self.schedule(self.jobs[job + 1].arrival, Event::Offer(job + 1));
             }
-            self.at(self.jobs[job].deadline, Event::Deadline(job));
+            self.schedule(self.jobs[job].deadline, Event::Deadline(job));
         }
-        self.asks[job] += 1;
+        self.offers[job] += 1;
         self.decide(now, job, None);
     }
 
@@ -225,7 +231,7 @@
             priority: 0,
             deadline: self.jobs[job].deadline,
             idempotent: true,
-            prompt_tokens: self.jobs[job].prompt,
+            prompt_tokens: self.jobs[job].prompt_tokens,
             max_tokens: self.jobs[job].max_tokens,
             prefixes: &prefixes,
         };
@@ -235,7 +241,7 @@
             Some(ending) => policy.retry(now, &request, ending, &tried),
             None => policy.offer(now, &request),
         };
-        self.deciding += started.elapsed();
+        self.decision_time += started.elapsed();
         self.decisions += 1;
         match decision {
             Decision::Admit(start) => self.start(now, job, &start),
@@ -243,7 +249,7 @@
                 self.states[job] = State::Waiting(ticket);
                 self.tickets[entry].insert(ticket, job);
             }
-            Decision::Reject(refusal) => self.refuse(now, job, refusal),
+            Decision::Reject(rejection) => self.handle_rejection(now, job, rejection),
         }
         self.poll(now, entry);
     }
@@ -251,7 +257,7 @@
     fn poll(&mut self, now: Duration, entry: usize) {
         let started = Instant::now();
         let resolved = self.policies[entry].poll(now);
-        self.deciding += started.elapsed();
+        self.decision_time += started.elapsed();
         self.decisions += resolved.len() as u64;
         for resolution in resolved {
             let Some(job) = self.tickets[entry].remove(&resolution.ticket) else {
@@ -259,25 +265,25 @@
             };
             match resolution.result {
                 Ok(start) => self.start(now, job, &start),
-                Err(refusal) => self.refuse(now, job, refusal),
+                Err(rejection) => self.handle_rejection(now, job, rejection),
             }
         }
         if let Some(wake) = self.policies[entry].next_wake().map(|wake| wake.max(now))
-            && wake < self.wakes[entry]
+            && wake < self.next_polls[entry]
         {
-            self.wakes[entry] = wake;
-            self.at(wake, Event::Wake(entry));
+            self.next_polls[entry] = wake;
+            self.schedule(wake, Event::Poll(entry));
         }
     }
 
     /// A refused caller comes back when told to, if that is before its deadline.
-    fn refuse(&mut self, now: Duration, job: usize, refusal: Rejection) {
-        let again = now + refusal.retry_after;
-        if again < self.jobs[job].deadline && self.asks[job] < ASKS {
-            self.states[job] = State::Out;
-            self.at(again, Event::Arrive(job));
+    fn handle_rejection(&mut self, now: Duration, job: usize, rejection: Rejection) {
+        let retry_at = now + rejection.retry_after;
+        if retry_at < self.jobs[job].deadline && self.offers[job] < MAX_OFFERS {
+            self.states[job] = State::Idle;
+            self.schedule(retry_at, Event::Offer(job));
         } else {
-            self.states[job] = State::Closed;
+            self.states[job] = State::Done;
         }
     }
 
@@ -287,86 +293,98 @@
             .iter()
             .position(|n| *n == start.upstream)
             .expect("a known engine");
-        self.next_attempt += 1;
-        let number = self.next_attempt;
+        self.last_attempt += 1;
+        let number = self.last_attempt;
         let entry = self.jobs[job].entry;
-        self.crossed += u64::from(self.engines[engine].zone != entry % ZONES);
+        self.cross_zone_starts += u64::from(self.engines[engine].zone != entry % ZONES);
         self.states[job] = State::Running(number);
         let mut attempt = Attempt {
             id: start.attempt,
             job,
             engine,
-            computed: self.jobs[job].prompt,
-            at: now,
+            prompt_tokens: self.jobs[job].prompt_tokens,
+            started_at: now,
         };
-        if !self.reaches(now, entry, engine) {
+        if !self.is_reachable(now, entry, engine) {
             self.attempts.insert(number, attempt);
-            self.at(now + REFUSED, Event::Fail(number, Ending::NotRun));
+            self.schedule(
+                now + CONNECTION_REFUSAL_TIME,
+                Event::AttemptFailed(number, Ending::NotRun),
+            );
             return;
         }
-        if self.random.random_bool(self.engines[engine].failing) {
+        if self
+            .random
+            .random_bool(self.engines[engine].failing_fraction)
+        {
             self.attempts.insert(number, attempt);
-            self.at(now + FAILED, Event::Fail(number, Ending::Unknown));
+            self.schedule(
+                now + FAILURE_TIME,
+                Event::AttemptFailed(number, Ending::Unknown),
+            );
             return;
         }
-        let cached = self.touch(now, job, engine);
+        let cached = self.touch_prefix(now, job, engine);
         if cached {
-            attempt.computed -= self.jobs[job].prefix.map_or(0, |(_, tokens)| tokens);
+            attempt.prompt_tokens -= self.jobs[job].prefix.map_or(0, |(_, tokens)| tokens);
         }
         self.attempts.insert(number, attempt);
         let work = self.jobs[job].work(cached);
         self.engines[engine].add(now, number, work);
-        self.schedule(engine);
+        self.schedule_engine(engine);
     }
 
     /// Whether the engine has the job's prefix; its events reach the entries later.
-    fn touch(&mut self, now: Duration, job: usize, engine: usize) -> bool {
+    fn touch_prefix(&mut self, now: Duration, job: usize, engine: usize) -> bool {
         let Some((prefix, _)) = self.jobs[job].prefix else {
             return false;
         };
-        let (cached, dropped) = self.engines[engine].touch(prefix);
+        let (cached, dropped) = self.engines[engine].touch_prefix(prefix);
         if !cached {
-            self.tell(now, engine, CacheEvent::Added(prefix));
+            self.send_cache_event(now, engine, CacheEvent::Added(prefix));
         }
         if let Some(dropped) = dropped {
-            self.tell(now, engine, CacheEvent::Dropped(dropped));
+            self.send_cache_event(now, engine, CacheEvent::Dropped(dropped));
         }
         cached
     }
 
-    fn tell(&mut self, now: Duration, engine: usize, event: CacheEvent) {
+    fn send_cache_event(&mut self, now: Duration, engine: usize, event: CacheEvent) {
         for entry in 0..ENTRIES {
-            if !self.random.random_bool(self.case.gaps) {
-                self.at(now + self.case.lag, Event::Cache(entry, engine, event));
+            if !self.random.random_bool(self.case.signal_loss) {
+                self.schedule(
+                    now + self.case.signal_lag,
+                    Event::CacheEvent(entry, engine, event),
+                );
             }
         }
     }
 
-    fn schedule(&mut self, engine: usize) {
-        if let Some(next) = self.engines[engine].next() {
-            let version = self.engines[engine].version;
-            self.at(next, Event::Engine(engine, version));
+    fn schedule_engine(&mut self, engine: usize) {
+        if let Some(next) = self.engines[engine].next_event() {
+            let version = self.engines[engine].schedule_version;
+            self.schedule(next, Event::EngineStep(engine, version));
         }
     }
 
-    fn work(&mut self, now: Duration, engine: usize, version: u64) {
-        if self.engines[engine].version != version {
+    fn step_engine(&mut self, now: Duration, engine: usize, version: u64) {
+        if self.engines[engine].schedule_version != version {
             return;
         }
-        for number in self.engines[engine].done(now) {
-            self.answer(now, number);
+        for number in self.engines[engine].take_completed(now) {
+            self.complete(now, number);
         }
-        self.schedule(engine);
+        self.schedule_engine(engine);
     }
 
-    fn answer(&mut self, now: Duration, number: u64) {
+    fn complete(&mut self, now: Duration, number: u64) {
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
         };
         let job = attempt.job;
-        self.states[job] = State::Closed;
-        self.answered[job] = Some(now);
-        let tokens = self.jobs[job].tokens;
+        self.states[job] = State::Done;
+        self.answered_at[job] = Some(now);
+        let tokens = self.jobs[job].answer_tokens;
         self.finish(now, &attempt, Ending::Ran, tokens);
     }
 
@@ -374,20 +392,20 @@
         let entry = self.jobs[attempt.job].entry;
         let outcome = Outcome {
             ending,
-            took: now.saturating_sub(attempt.at),
-            prompt_tokens: attempt.computed,
+            took: now.saturating_sub(attempt.started_at),
+            prompt_tokens: attempt.prompt_tokens,
             tokens,
         };
         self.policies[entry].finish(now, attempt.id, &outcome);
         self.poll(now, entry);
     }
 
-    fn fail(&mut self, now: Duration, number: u64, ending: Ending) {
+    fn handle_failure(&mut self, now: Duration, number: u64, ending: Ending) {
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
         };
         let job = attempt.job;
-        self.states[job] = State::Out;
+        self.states[job] = State::Idle;
         self.tried
             .entry(job)
             .or_default()
@@ -397,7 +415,7 @@
     }
 
     /// The caller leaves at its deadline.
-    fn leave(&mut self, now: Duration, job: usize) {
+    fn handle_deadline(&mut self, now: Duration, job: usize) {
         let entry = self.jobs[job].entry;
         match self.states[job] {
             State::Waiting(ticket) => {
@@ -407,16 +425,16 @@
             State::Running(number) => {
                 if let Some(attempt) = self.attempts.remove(&number) {
                     self.engines[attempt.engine].remove(now, number);
-                    self.schedule(attempt.engine);
+                    self.schedule_engine(attempt.engine);
                     self.finish(now, &attempt, Ending::Cancelled, 0);
                 }
             }
-            State::Out | State::Closed => {}
+            State::Idle | State::Done => {}
         }
-        self.states[job] = State::Closed;
+        self.states[job] = State::Done;
     }
 
-    fn report(&mut self, now: Duration, engine: usize) {
+    fn send_report(&mut self, now: Duration, engine: usize) {
         self.engines[engine].sequence += 1;
         let (running, waiting) = self.engines[engine].load();
         let load = Report {
@@ -427,53 +445,64 @@
             leaving: false,
         };
         for entry in 0..ENTRIES {
-            if self.reaches(now, entry, engine) && !self.random.random_bool(self.case.gaps) {
-                self.at(now + self.case.lag, Event::Load(entry, engine, load));
+            if self.is_reachable(now, entry, engine)
+                && !self.random.random_bool(self.case.signal_loss)
+            {
+                self.schedule(
+                    now + self.case.signal_lag,
+                    Event::LoadReport(entry, engine, load),
+                );
             }
         }
         if now.as_secs() < self.case.seconds {
-            self.at(now + REPORT, Event::Report(engine));
+            self.schedule(now + REPORT_INTERVAL, Event::SendReport(engine));
         }
     }
 
-    fn reaches(&self, now: Duration, entry: usize, engine: usize) -> bool {
+    fn is_reachable(&self, now: Duration, entry: usize, engine: usize) -> bool {
         let (from, to) = (entry % ZONES, self.engines[engine].zone);
-        from == to || !(self.case.is_cut(now, from) || self.case.is_cut(now, to))
+        from == to || !(self.case.is_partitioned(now, from) || self.case.is_partitioned(now, to))
     }
 
-    fn change(&mut self, now: Duration, change: Change) {
+    fn apply_change(&mut self, now: Duration, change: Change) {
         match change {
             Change::Speed(engine, speed) => {
                 self.engines[engine].advance(now);
                 self.engines[engine].speed = speed;
-                self.engines[engine].version += 1;
-                self.schedule(engine);
+                self.engines[engine].schedule_version += 1;
+                self.schedule_engine(engine);
             }
-            Change::Fail(engine, part) => self.engines[engine].failing = part,
+            Change::Fail(engine, fraction) => self.engines[engine].failing_fraction = fraction,
             Change::Replace(engine) => {
                 for lost in self.engines[engine].restart(now) {
-                    self.at(now + BROKEN, Event::Fail(lost, Ending::Unknown));
+                    self.schedule(
+                        now + DISCONNECT_DETECTION_TIME,
+                        Event::AttemptFailed(lost, Ending::Unknown),
+                    );
                 }
-                self.at(now + LIST_LAG, Event::Members);
+                self.schedule(now + MEMBER_LIST_LAG, Event::SendMembers);
             }
-            Change::Cut(_) => {
-                self.cut(now);
-                self.at(now + LIST_LAG, Event::Members);
+            Change::Partition(_) => {
+                self.fail_unreachable_attempts(now);
+                self.schedule(now + MEMBER_LIST_LAG, Event::SendMembers);
             }
-            Change::Heal(_) => self.at(now + LIST_LAG, Event::Members),
+            Change::Heal(_) => self.schedule(now + MEMBER_LIST_LAG, Event::SendMembers),
         }
     }
 
     /// Breaks every attempt whose engine can't be reached any more.
-    fn cut(&mut self, now: Duration) {
+    fn fail_unreachable_attempts(&mut self, now: Duration) {
         let mut lost: Vec<u64> = self.attempts.keys().copied().collect();
         lost.sort_unstable();
         for number in lost {
             let (job, engine) = (self.attempts[&number].job, self.attempts[&number].engine);
-            if !self.reaches(now, self.jobs[job].entry, engine) {
+            if !self.is_reachable(now, self.jobs[job].entry, engine) {
                 self.engines[engine].remove(now, number);
-                self.schedule(engine);
-                self.at(now + BROKEN, Event::Fail(number, Ending::Unknown));
+                self.schedule_engine(engine);
+                self.schedule(
+                    now + DISCONNECT_DETECTION_TIME,
+                    Event::AttemptFailed(number, Ending::Unknown),
+                );
             }
         }
     }
@@ -482,7 +511,7 @@
     fn send_members(&mut self, now: Duration) {
         for entry in 0..ENTRIES {
             let members: Vec<Member> = (0..ENGINES)
-                .filter(|&engine| self.reaches(now, entry, engine))
+                .filter(|&engine| self.is_reachable(now, entry, engine))
                 .map(|engine| Member {
                     name: self.engine_names[engine].clone(),
                     zone: self.zones[self.engines[engine].zone].clone(),
@@ -492,7 +521,7 @@
                     leaving: false,
                 })
                 .collect();
-            self.policies[entry].members(now, &members);
+            self.policies[entry].set_members(now, &members);
             self.poll(now, entry);
         }
     }
--- a/verbenaspool_policy/benches/play/spread.rs
+++ b/verbenaspool_policy/benches/simulation/spread.rs
@@ -13,13 +13,13 @@
 
 /// The upstreams of one of nine services.
 const UPSTREAMS: usize = 1_333;
-const SIZE: usize = 64;
+const SUBSET_SIZE: usize = 64;
 /// Upstreams replaced at once: one in a hundred.
-const REPLACED: usize = 13;
+const REPLACED_UPSTREAMS: usize = 13;
 
 /// How subsets are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Method {
     /// Upstreams pick entries, as the decisions do.
     Upstreams,
     /// Entries pick upstreams by rendezvous hash.
@@ -28,7 +28,7 @@
     Arcs,
 }
 
-impl Way {
+impl Method {
     pub const ALL: [Self; 3] = [Self::Upstreams, Self::Entries, Self::Arcs];
 }
 
@@ -44,14 +44,14 @@
     pub moved: f64,
 }
 
-pub fn measure(way: Way) -> Spread {
+pub fn measure(method: Method) -> Spread {
     let peers = peers();
     let mut list = members();
-    let later = list.split_off(UPSTREAMS);
-    let before = choose(way, &peers, &list);
-    let mut replaced = list[REPLACED..].to_vec();
-    replaced.extend_from_slice(&later[..REPLACED]);
-    let after = choose(way, &peers, &replaced);
+    let replacements = list.split_off(UPSTREAMS);
+    let before = choose(method, &peers, &list);
+    let mut replaced = list[REPLACED_UPSTREAMS..].to_vec();
+    replaced.extend_from_slice(&replacements[..REPLACED_UPSTREAMS]);
+    let after = choose(method, &peers, &replaced);
     let moved: usize = before
         .iter()
         .zip(&after)
@@ -82,36 +82,43 @@
     (most / mean, variance.sqrt() / mean)
 }
 
-fn choose(way: Way, peers: &[Peer], members: &[Member]) -> Vec<HashSet<String>> {
-    let named = |places: Vec<usize>| {
-        places
+fn choose(method: Method, peers: &[Peer], members: &[Member]) -> Vec<HashSet<String>> {
+    let names = |indices: Vec<usize>| {
+        indices
             .iter()
             .map(|&i| members[i].name.to_string())
             .collect()
     };
-    let one = |(i, peer): (usize, &Peer)| match way {
-        Way::Upstreams => subset::choose(&peer.name, &peer.zone, peers, members, SIZE),
-        Way::Entries => rendezvous(peer, members),
-        Way::Arcs => arc(i, peers.len(), members),
+    let indices_of = |(i, peer): (usize, &Peer)| match method {
+        Method::Upstreams => subset::choose(&peer.name, &peer.zone, peers, members, SUBSET_SIZE),
+        Method::Entries => rendezvous(peer, members),
+        Method::Arcs => arc(i, peers.len(), members),
     };
-    peers.iter().enumerate().map(one).map(named).collect()
+    peers
+        .iter()
+        .enumerate()
+        .map(indices_of)
+        .map(names)
+        .collect()
 }
 
 /// Three quarters from the own zone, the rest from the others, by lowest hash.
 fn rendezvous(peer: &Peer, members: &[Member]) -> Vec<usize> {
     let key = |i: usize| xxh3_64(format!("{} {}", peer.name, members[i].name).as_bytes());
-    let (mut own, mut other): (Vec<usize>, Vec<usize>) =
+    let (mut local, mut remote): (Vec<usize>, Vec<usize>) =
         (0..members.len()).partition(|&i| members[i].zone == peer.zone);
-    own.sort_unstable_by_key(|&i| key(i));
-    other.sort_unstable_by_key(|&i| key(i));
-    own.truncate(SIZE * 3 / 4);
-    other.truncate(SIZE / 4);
-    own.extend(other);
-    own
+    local.sort_unstable_by_key(|&i| key(i));
+    remote.sort_unstable_by_key(|&i| key(i));
+    local.truncate(SUBSET_SIZE * 3 / 4);
+    remote.truncate(SUBSET_SIZE / 4);
+    local.extend(remote);
+    local
 }
 
 /// An even arc, whatever the zones.
 fn arc(entry: usize, entries: usize, members: &[Member]) -> Vec<usize> {
     let start = entry * members.len() / entries;
-    (start..start + SIZE).map(|i| i % members.len()).collect()
+    (start..start + SUBSET_SIZE)
+        .map(|i| i % members.len())
+        .collect()
 }
--- a/verbenaspool_policy/tests/decisions/main.rs
+++ b/verbenaspool_policy/tests/decisions/main.rs
@@ -7,5 +7,5 @@
 mod subset;
 mod world;
 
-#[path = "../../benches/play/mod.rs"]
-mod play;
+#[path = "../../benches/simulation/mod.rs"]
+mod simulation;
