--- a/verbenaspool_policy/tests/decisions/balancer.rs
+++ b/verbenaspool_policy/tests/decisions/balancer.rs
@@ -7,70 +7,71 @@
     request::Request,
 };
 
-use super::world::{
-    RAN, SECOND, admitted, balancer, ended, member, name, narrow, refused, request, teach, waiting,
+use super::common::{
+    RAN_OUTCOME, SECOND, admitted, balancer, member, name, outcome_with, rejected, request,
+    single_attempt_settings, waiting, warm_up,
 };
 
 /// A skipper's request can't be answered in time, as work is ahead of it. It is
 /// held back all the same and refused ten seconds later, when the tide is gone.
 /// The refusal has to come with the request, and say when the work is done.
 #[test]
-fn late_requests_are_refused_at_once() {
+fn late_requests_are_rejected_at_once() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("loft-1")]);
-    let now = teach(&mut balancer, &customer, 20);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("loft-1")]);
+    let now = warm_up(&mut balancer, &customer, 20);
     admitted(balancer.offer(now, &request(&customer, now)));
-    let mut refusals = Vec::new();
+    let mut rejections = Vec::new();
     for _ in 0..20 {
         match balancer.offer(now, &request(&customer, now)) {
             Decision::Wait(_) => {}
-            other => refusals.push(refused(other)),
+            other => rejections.push(rejected(other)),
         }
     }
-    assert!(refusals.len() >= 8, "{} of 20 refused", refusals.len());
-    for refusal in refusals {
-        assert_eq!(refusal.reason, Reason::Late);
-        assert!(refusal.retry_after > 4 * SECOND && refusal.retry_after < 20 * SECOND);
+    assert!(rejections.len() >= 8, "{} of 20 refused", rejections.len());
+    for rejection in rejections {
+        assert_eq!(rejection.reason, Reason::Late);
+        assert!(rejection.retry_after > 4 * SECOND && rejection.retry_after < 20 * SECOND);
     }
 }
 
 /// A long report waits, and short ones arrive that could all be in time without
 /// it. Kept, it makes several of them late; it yields, and is told in the next poll.
 #[test]
-fn the_largest_work_yields_and_is_told_at_once() {
+fn the_largest_request_is_displaced_and_resolved_at_once() {
     let customer = name("quetzal");
-    let mut balancer = balancer(&narrow(), &[member("report-1")]);
-    let now = teach(&mut balancer, &customer, 20);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("report-1")]);
+    let now = warm_up(&mut balancer, &customer, 20);
     admitted(balancer.offer(now, &request(&customer, now)));
     let long = Request {
         max_tokens: 800,
         ..request(&customer, now)
     };
     let long = waiting(balancer.offer(now, &long));
-    let mut given_up = None;
+    let mut displaced = None;
     for _ in 0..8 {
         waiting(balancer.offer(now, &request(&customer, now)));
         let wake = balancer.next_wake();
         let resolved = balancer.poll(now);
         if let Some(resolution) = resolved.first() {
             assert!(wake.is_some_and(|wake| wake <= now), "{wake:?}");
-            given_up = Some(resolution.clone());
+            displaced = Some(resolution.clone());
         }
     }
-    let given_up = given_up.expect("the long one yields");
-    assert_eq!(given_up.ticket, long);
+    let displaced = displaced.expect("the long one yields");
+    assert_eq!(displaced.ticket, long);
     assert_eq!(
-        given_up.result.map_err(|refusal| refusal.reason),
+        displaced.result.map_err(|rejection| rejection.reason),
         Err(Reason::Displaced)
     );
 }
 
 /// Urgent work goes first among the same customer's, not before another's turn.
 #[test]
-fn priority_counts_within_a_customer() {
+fn priority_orders_requests_within_a_customer() {
     let (one, two) = (name("one"), name("two"));
-    let mut balancer = balancer(&narrow(), &[member("loft-1")]);
-    let now = teach(&mut balancer, &one, 3);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("loft-1")]);
+    let now = warm_up(&mut balancer, &one, 3);
     let running = admitted(balancer.offer(now, &request(&one, now)));
     let plain = waiting(balancer.offer(now, &request(&one, now)));
     let other = waiting(balancer.offer(now, &request(&two, now)));
@@ -80,13 +81,13 @@
     };
     let urgent = waiting(balancer.offer(now, &urgent));
     assert_eq!(
-        order(&mut balancer, running.attempt, now),
+        start_order(&mut balancer, running.attempt, now),
         [urgent, other, plain]
     );
 }
 
 /// The tickets in the order they start, one a second.
-fn order(
+fn start_order(
     balancer: &mut verbenaspool_policy::balancer::Balancer,
     mut running: verbenaspool_policy::attempt::Id,
     mut now: Duration,
@@ -94,7 +95,7 @@
     let mut order = Vec::new();
     for _ in 0..10 {
         now += SECOND;
-        balancer.finish(now, running, &RAN);
+        balancer.finish(now, running, &RAN_OUTCOME);
         for resolution in balancer.poll(now) {
             if let Ok(start) = resolution.result {
                 running = start.attempt;
@@ -107,25 +108,25 @@
 
 /// A customer with share 0 is served only when nobody else waits.
 #[test]
-fn share_zero_takes_what_is_left() {
+fn share_zero_is_served_only_when_others_are_idle() {
     let (guest, paying) = (name("guest"), name("paying"));
-    let mut balancer = balancer(&narrow(), &[member("loft-1")]);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("loft-1")]);
     balancer.configure(
         Duration::ZERO,
-        &narrow(),
+        &single_attempt_settings(),
         &Rc::new(
             [(guest.clone(), 0), (paying.clone(), 2)]
                 .into_iter()
                 .collect(),
         ),
     );
-    let now = teach(&mut balancer, &paying, 3);
+    let now = warm_up(&mut balancer, &paying, 3);
     let running = admitted(balancer.offer(now, &request(&paying, now)));
     let last = waiting(balancer.offer(now, &request(&guest, now)));
     let first = waiting(balancer.offer(now, &request(&paying, now)));
     let second = waiting(balancer.offer(now, &request(&paying, now)));
     assert_eq!(
-        order(&mut balancer, running.attempt, now),
+        start_order(&mut balancer, running.attempt, now),
         [first, second, last]
     );
 }
@@ -133,7 +134,7 @@
 /// A booking's answer is lost on the way. Sent again, the skipper is charged
 /// twice: only an attempt that was confirmed as not run may be repeated.
 #[test]
-fn retries_keep_non_idempotent_work_from_running_twice() {
+fn non_idempotent_requests_never_run_twice() {
     let customer = name("bowen");
     let table = [
         (true, Ending::NotRun, true),
@@ -143,23 +144,23 @@
         (true, Ending::Cancelled, false),
         (true, Ending::Ran, false),
     ];
-    for (idempotent, ending, again) in table {
-        let mut balancer = balancer(&narrow(), &[member("a"), member("b")]);
+    for (idempotent, ending, may_retry) in table {
+        let mut balancer = balancer(&single_attempt_settings(), &[member("a"), member("b")]);
         let request = Request {
             idempotent,
             ..request(&customer, SECOND)
         };
         let start = admitted(balancer.offer(SECOND, &request));
-        balancer.finish(SECOND, start.attempt, &ended(ending));
+        balancer.finish(SECOND, start.attempt, &outcome_with(ending));
         let tried = [start.upstream.clone()];
         match balancer.retry(SECOND, &request, ending, &tried) {
             Decision::Admit(second) => {
-                assert!(again, "{idempotent} {ending:?}");
+                assert!(may_retry, "{idempotent} {ending:?}");
                 assert_ne!(second.upstream, start.upstream);
             }
             other => {
-                assert!(!again, "{idempotent} {ending:?}");
-                assert_eq!(refused(other).reason, Reason::NoRetry);
+                assert!(!may_retry, "{idempotent} {ending:?}");
+                assert_eq!(rejected(other).reason, Reason::NoRetry);
             }
         }
     }
@@ -170,7 +171,10 @@
 #[test]
 fn retries_stay_within_their_budget() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a"), member("b"), member("c")]);
+    let mut balancer = balancer(
+        &single_attempt_settings(),
+        &[member("a"), member("b"), member("c")],
+    );
     for _ in 0..100 {
         let request = request(&customer, SECOND);
         let Decision::Admit(mut start) = balancer.offer(SECOND, &request) else {
@@ -178,10 +182,10 @@
         };
         let mut tried = Vec::new();
         loop {
-            balancer.finish(SECOND, start.attempt, &ended(Ending::Unknown));
+            balancer.finish(SECOND, start.attempt, &outcome_with(Ending::Unknown));
             tried.push(start.upstream.clone());
             match balancer.retry(SECOND, &request, Ending::Unknown, &tried) {
-                Decision::Admit(again) => start = again,
+                Decision::Admit(retry) => start = retry,
                 _ => break,
             }
         }
@@ -197,31 +201,31 @@
     let customer = name("bowen");
     let members = ["a", "b", "c", "d"].map(member);
     for (failing, ejected) in [(1, 1), (4, 1)] {
-        let mut balancer = balancer(&narrow(), &members);
+        let mut balancer = balancer(&single_attempt_settings(), &members);
         let mut now = SECOND;
         for _ in 0..100 {
             now += SECOND / 20;
             if let Decision::Admit(start) = balancer.offer(now, &request(&customer, now)) {
                 let fails = members[..failing].iter().any(|m| m.name == start.upstream);
                 let ending = if fails { Ending::Unknown } else { Ending::Ran };
-                balancer.finish(now, start.attempt, &ended(ending));
+                balancer.finish(now, start.attempt, &outcome_with(ending));
             }
         }
-        let out = balancer
+        let ejected_count = balancer
             .snapshot(now)
             .upstreams
             .iter()
             .filter(|u| u.ejected)
             .count();
-        assert_eq!(out, ejected, "{failing} failing");
+        assert_eq!(ejected_count, ejected, "{failing} failing");
     }
 }
 
 /// An agent says that its instance leaves, before the list does.
 #[test]
-fn a_leaving_upstream_gets_nothing_new() {
+fn a_leaving_upstream_gets_no_new_requests() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a"), member("b")]);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("a"), member("b")]);
     let load = Report {
         incarnation: 1,
         sequence: 1,
@@ -233,16 +237,16 @@
     for _ in 0..20 {
         let start = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
         assert_eq!(start.upstream, name("b"));
-        balancer.finish(SECOND, start.attempt, &ended(Ending::Cancelled));
+        balancer.finish(SECOND, start.attempt, &outcome_with(Ending::Cancelled));
     }
 }
 
 /// A prompt's beginning is cached at one upstream, until that says otherwise.
 #[test]
-fn requests_follow_their_prefix() {
+fn requests_go_to_the_upstream_that_caches_their_prefix() {
     let customer = name("bowen");
     let members = ["a", "b", "c", "d", "e", "f", "g", "h"].map(member);
-    let mut balancer = balancer(&narrow(), &members);
+    let mut balancer = balancer(&single_attempt_settings(), &members);
     let request = Request {
         prefixes: &[1, 2],
         ..request(&customer, SECOND)
@@ -251,7 +255,7 @@
     for _ in 0..5 {
         let start = admitted(balancer.offer(SECOND, &request));
         assert_eq!(start.upstream, name("f"));
-        balancer.finish(SECOND, start.attempt, &ended(Ending::Cancelled));
+        balancer.finish(SECOND, start.attempt, &outcome_with(Ending::Cancelled));
     }
     balancer.cache_event(SECOND, &name("f"), CacheEvent::Reset);
     let affine = balancer.snapshot(SECOND).affine;
@@ -261,15 +265,15 @@
 
 /// A caller hangs up while it waits; its place goes to the next.
 #[test]
-fn cancelled_requests_wait_no_longer() {
+fn cancelled_requests_leave_the_queue() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a")]);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
     let running = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
     let gone = waiting(balancer.offer(SECOND, &request(&customer, SECOND)));
     let next = waiting(balancer.offer(SECOND, &request(&customer, SECOND)));
     balancer.cancel(SECOND, gone);
     balancer.cancel(SECOND, gone);
-    assert_eq!(order(&mut balancer, running.attempt, SECOND), [next]);
+    assert_eq!(start_order(&mut balancer, running.attempt, SECOND), [next]);
 }
 
 /// A customer sends only reports fifty times as long as the others' requests.
@@ -277,32 +281,32 @@
 #[test]
 fn shares_count_work_and_not_requests() {
     let (long, short) = (name("long"), name("short"));
-    let mut balancer = balancer(&narrow(), &[member("report-1")]);
-    let ask = |customer, max_tokens| Request {
+    let mut balancer = balancer(&single_attempt_settings(), &[member("report-1")]);
+    let request_of = |customer, max_tokens| Request {
         max_tokens,
         deadline: 1_000_000 * SECOND,
         ..request(customer, SECOND)
     };
-    let running = admitted(balancer.offer(SECOND, &ask(&short, 100)));
+    let running = admitted(balancer.offer(SECOND, &request_of(&short, 100)));
     let mut running = running.attempt;
-    let mut sizes = std::collections::HashMap::new();
-    let mut work = [0, 0];
+    let mut tokens_by_ticket = std::collections::HashMap::new();
+    let mut started_tokens = [0, 0];
     for second in 1..2_000 {
         let now = SECOND * second;
         for (customer, tokens) in [(&long, 5_000), (&short, 100)] {
-            if let Decision::Wait(ticket) = balancer.offer(now, &ask(customer, tokens)) {
-                sizes.insert(ticket, tokens);
+            if let Decision::Wait(ticket) = balancer.offer(now, &request_of(customer, tokens)) {
+                tokens_by_ticket.insert(ticket, tokens);
             }
         }
-        balancer.finish(now, running, &ended(Ending::Cancelled));
+        balancer.finish(now, running, &outcome_with(Ending::Cancelled));
         for resolution in balancer.poll(now) {
             if let Ok(start) = resolution.result {
                 running = start.attempt;
-                let tokens = sizes[&resolution.ticket];
-                work[usize::from(tokens == 100)] += tokens;
+                let tokens = tokens_by_ticket[&resolution.ticket];
+                started_tokens[usize::from(tokens == 100)] += tokens;
             }
         }
     }
-    let ratio = f64::from(work[0]) / f64::from(work[1]);
-    assert!((0.5..2.0).contains(&ratio), "{work:?}");
+    let ratio = f64::from(started_tokens[0]) / f64::from(started_tokens[1]);
+    assert!((0.5..2.0).contains(&ratio), "{started_tokens:?}");
 }
--- a/verbenaspool_policy/tests/decisions/world.rs
+++ b/verbenaspool_policy/tests/decisions/common.rs
@@ -29,7 +29,7 @@
 }
 
 /// Settings under which each upstream takes one attempt.
-pub fn narrow() -> Decisions {
+pub fn single_attempt_settings() -> Decisions {
     Decisions {
         initial_limit: 1,
         max_limit: 1,
@@ -70,33 +70,36 @@
     }
 }
 
-pub fn refused(decision: Decision) -> Rejection {
+pub fn rejected(decision: Decision) -> Rejection {
     match decision {
-        Decision::Reject(refusal) => refusal,
-        other => panic!("not refused: {other:?}"),
+        Decision::Reject(rejection) => rejection,
+        other => panic!("not rejected: {other:?}"),
     }
 }
 
 /// An answer of 100 tokens after a second.
-pub const RAN: Outcome = Outcome {
+pub const RAN_OUTCOME: Outcome = Outcome {
     ending: Ending::Ran,
     took: SECOND,
     prompt_tokens: 0,
     tokens: 100,
 };
 
-pub fn ended(ending: Ending) -> Outcome {
-    Outcome { ending, ..RAN }
+pub fn outcome_with(ending: Ending) -> Outcome {
+    Outcome {
+        ending,
+        ..RAN_OUTCOME
+    }
 }
 
 /// Lets the balancer learn that 100 tokens take a second.
-pub fn teach(balancer: &mut Balancer, customer: &Name, times: u32) -> Duration {
+pub fn warm_up(balancer: &mut Balancer, customer: &Name, times: u32) -> Duration {
     for second in 0..times {
         let now = SECOND * second;
         let start = admitted(balancer.offer(now, &request(customer, now)));
-        balancer.finish(now + SECOND, start.attempt, &RAN);
+        balancer.finish(now + SECOND, start.attempt, &RAN_OUTCOME);
     }
     SECOND * times
 }
 
-pub const UNKNOWN: Id = Id(u64::MAX);
+pub const UNKNOWN_ATTEMPT: Id = Id(u64::MAX);
--- a/verbenaspool_policy/tests/decisions/input.rs
+++ b/verbenaspool_policy/tests/decisions/input.rs
@@ -9,11 +9,11 @@
     member::Member,
     request::Request,
 };
-use verbenaspool_state::decisions::{Decisions, Number, Reason as Wrong};
+use verbenaspool_state::decisions::{Decisions, Number, Reason as SettingReason};
 
-use super::world::{
-    RAN, SECOND, UNKNOWN, admitted, balancer, ended, member, name, narrow, refused, request, teach,
-    waiting,
+use super::common::{
+    RAN_OUTCOME, SECOND, UNKNOWN_ATTEMPT, admitted, balancer, member, name, outcome_with, rejected,
+    request, single_attempt_settings, waiting, warm_up,
 };
 
 const LOAD: Report = Report {
@@ -25,7 +25,7 @@
 };
 
 #[test]
-fn reports_that_say_nothing_new_are_ignored() {
+fn outdated_and_unknown_reports_are_ignored() {
     let table = [
         (
             "the next",
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn without_upstreams_callers_are_told_when_to_come_back() {
+fn without_upstreams_a_rejection_says_when_to_retry() {
     let customer = name("bowen");
     let leaving = Member {
         leaving: true,
@@ -99,14 +99,14 @@
     };
     for members in [vec![], vec![leaving]] {
         let mut balancer = balancer(&Decisions::default(), &members);
-        let refusal = refused(balancer.offer(SECOND, &request(&customer, SECOND)));
-        assert_eq!(refusal.reason, Reason::NoUpstream);
-        assert!(refusal.retry_after >= 2 * SECOND);
+        let rejection = rejected(balancer.offer(SECOND, &request(&customer, SECOND)));
+        assert_eq!(rejection.reason, Reason::NoUpstream);
+        assert!(rejection.retry_after >= 2 * SECOND);
     }
 }
 
 #[test]
-fn absurd_requests_get_an_answer() {
+fn extreme_requests_get_a_decision() {
     let customer = name("bowen");
     let plain = request(&customer, SECOND);
     let table = [
@@ -135,8 +135,8 @@
         },
     ];
     for request in table {
-        let mut balancer = balancer(&narrow(), &[member("a")]);
-        teach(&mut balancer, &customer, 3);
+        let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
+        warm_up(&mut balancer, &customer, 3);
         let now = 4 * SECOND;
         for _ in 0..3 {
             balancer.offer(now, &request);
@@ -149,56 +149,59 @@
 }
 
 #[test]
-fn outcomes_nobody_waits_for_change_nothing() {
+fn outcomes_of_unknown_attempts_are_ignored() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a")]);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
     let start = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
-    balancer.finish(SECOND, start.attempt, &ended(Ending::Cancelled));
+    balancer.finish(SECOND, start.attempt, &outcome_with(Ending::Cancelled));
     let before = balancer.snapshot(SECOND);
-    balancer.finish(SECOND, start.attempt, &RAN);
-    balancer.finish(SECOND, UNKNOWN, &RAN);
+    balancer.finish(SECOND, start.attempt, &RAN_OUTCOME);
+    balancer.finish(SECOND, UNKNOWN_ATTEMPT, &RAN_OUTCOME);
     assert_eq!(balancer.snapshot(SECOND), before);
 }
 
 /// An answer claims more than was asked for, or no time at all; one that took an
 /// hour comes from an upstream replaced meanwhile.
 #[test]
-fn absurd_outcomes_leave_the_balancer_working() {
+fn implausible_outcomes_do_not_stop_admission() {
     let customer = name("bowen");
     let table = [
         Outcome {
             tokens: u32::MAX,
             prompt_tokens: u32::MAX,
-            ..RAN
+            ..RAN_OUTCOME
         },
         Outcome {
             took: Duration::ZERO,
             tokens: 0,
-            ..RAN
+            ..RAN_OUTCOME
         },
         Outcome {
             took: Duration::MAX,
-            ..RAN
+            ..RAN_OUTCOME
         },
         Outcome {
             took: 3_600 * SECOND,
-            ..RAN
+            ..RAN_OUTCOME
         },
     ];
     for outcome in table {
-        let mut balancer = balancer(&narrow(), &[member("a"), member("b"), member("c")]);
+        let mut balancer = balancer(
+            &single_attempt_settings(),
+            &[member("a"), member("b"), member("c")],
+        );
         let start = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
         balancer.finish(SECOND, start.attempt, &outcome);
-        let now = teach(&mut balancer, &customer, 40);
+        let now = warm_up(&mut balancer, &customer, 40);
         admitted(balancer.offer(now, &request(&customer, now)));
     }
 }
 
 /// A replaced instance's old attempts end after the new one has its own.
 #[test]
-fn an_earlier_incarnation_frees_no_room() {
+fn attempts_of_an_earlier_incarnation_free_no_slot() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a")]);
+    let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
     let old = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
     balancer.set_members(
         SECOND,
@@ -208,16 +211,19 @@
         }],
     );
     admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
-    balancer.finish(SECOND, old.attempt, &RAN);
+    balancer.finish(SECOND, old.attempt, &RAN_OUTCOME);
     let decision = balancer.offer(SECOND, &request(&customer, SECOND));
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
 }
 
 /// The clock jumps a day ahead and back, as after a suspended machine.
 #[test]
-fn clocks_that_jump_stop_nothing() {
+fn clock_jumps_do_not_stop_admission() {
     let customer = name("bowen");
-    let mut balancer = balancer(&narrow(), &[member("a"), member("b"), member("c")]);
+    let mut balancer = balancer(
+        &single_attempt_settings(),
+        &[member("a"), member("b"), member("c")],
+    );
     for now in [
         SECOND,
         86_400 * SECOND,
@@ -230,12 +236,12 @@
             ..request(&customer, SECOND)
         };
         if let Decision::Admit(start) = balancer.offer(now, &request) {
-            balancer.finish(now, start.attempt, &ended(Ending::Unknown));
+            balancer.finish(now, start.attempt, &outcome_with(Ending::Unknown));
         }
         balancer.load_report(now, &name("a"), &LOAD);
         balancer.poll(now);
     }
-    let now = teach(&mut balancer, &customer, 20);
+    let now = warm_up(&mut balancer, &customer, 20);
     admitted(balancer.offer(now, &request(&customer, now)));
     assert_eq!(
         balancer
@@ -249,14 +255,14 @@
 }
 
 #[test]
-fn absurd_speeds_count_as_even() {
+fn invalid_speeds_count_as_equal() {
     let customer = name("bowen");
     for speed in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300, 1e-300] {
-        let odd = Member {
+        let invalid = Member {
             speed,
             ..member("a")
         };
-        let mut balancer = balancer(&narrow(), &[odd, member("b")]);
+        let mut balancer = balancer(&single_attempt_settings(), &[invalid, member("b")]);
         let first = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
         let second = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
         assert_ne!(first.upstream, second.upstream, "{speed}");
@@ -264,7 +270,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn settings_out_of_range_are_reported() {
     let settings = Decisions {
         deadline_ms: 0,
         prefill_weight: f64::NAN,
@@ -283,8 +289,8 @@
             "ejection_share"
         ]
     );
-    assert_eq!(problems[1].reason, Wrong::NotFinite);
-    let range = Wrong::Range {
+    assert_eq!(problems[1].reason, SettingReason::NotFinite);
+    let range = SettingReason::Range {
         value: Number::Part(1.0),
         least: 0.0,
         most: 0.9,
@@ -299,21 +305,21 @@
 /// A caller asks for four billion tokens before anything is known about the
 /// upstream. Its customer must not be out for as many turns afterwards.
 #[test]
-fn an_absurd_request_costs_its_customer_a_thousand_turns_at_most() {
-    let (absurd, other) = (name("absurd"), name("other"));
-    let mut balancer = balancer(&narrow(), &[member("a")]);
-    let ask = |customer, max_tokens| Request {
+fn an_oversized_request_costs_its_customer_at_most_a_thousand_turns() {
+    let (oversized, other) = (name("absurd"), name("other"));
+    let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
+    let request_of = |customer, max_tokens| Request {
         max_tokens,
         deadline: 1_000_000 * SECOND,
         ..request(customer, SECOND)
     };
-    let mut running = admitted(balancer.offer(SECOND, &ask(&other, 100))).attempt;
-    let first = waiting(balancer.offer(SECOND, &ask(&absurd, u32::MAX)));
-    let second = waiting(balancer.offer(SECOND, &ask(&absurd, 100)));
+    let mut running = admitted(balancer.offer(SECOND, &request_of(&other, 100))).attempt;
+    let first = waiting(balancer.offer(SECOND, &request_of(&oversized, u32::MAX)));
+    let second = waiting(balancer.offer(SECOND, &request_of(&oversized, 100)));
     let mut started = Vec::new();
     for turn in 1..3_000 {
-        balancer.offer(SECOND * turn, &ask(&other, 100));
-        balancer.finish(SECOND * turn, running, &ended(Ending::Cancelled));
+        balancer.offer(SECOND * turn, &request_of(&other, 100));
+        balancer.finish(SECOND * turn, running, &outcome_with(Ending::Cancelled));
         for resolution in balancer.poll(SECOND * turn) {
             if let Ok(start) = resolution.result {
                 running = start.attempt;
@@ -321,15 +327,15 @@
             }
         }
     }
-    let place = |ticket| {
+    let position_of = |ticket| {
         started
             .iter()
             .position(|&t| t == ticket)
             .expect("it starts")
     };
     assert!(
-        place(second) - place(first) <= 1_100,
+        position_of(second) - position_of(first) <= 1_100,
         "{}",
-        place(second) - place(first)
+        position_of(second) - position_of(first)
     );
 }
--- a/verbenaspool_policy/tests/decisions/main.rs
+++ b/verbenaspool_policy/tests/decisions/main.rs
@@ -2,10 +2,10 @@
 
 mod balancer;
 mod cases;
+mod common;
 mod input;
 mod noise;
 mod subset;
-mod world;
 
 #[path = "../../benches/simulation/mod.rs"]
 mod simulation;
--- a/verbenaspool_policy/tests/decisions/noise.rs
+++ b/verbenaspool_policy/tests/decisions/noise.rs
@@ -9,10 +9,10 @@
 };
 use verbenaspool_state::decisions::Decisions;
 
-use super::world::{SECOND, balancer, member, name};
+use super::common::{SECOND, balancer, member, name};
 
 /// What attempts at a service that takes 1 ms are seen to take, in microseconds.
-const TIMES: [u64; 6] = [900, 2_400, 1_100, 3_900, 1_000, 2_000];
+const OBSERVED_TIMES_US: [u64; 6] = [900, 2_400, 1_100, 3_900, 1_000, 2_000];
 
 #[test]
 fn a_fast_service_keeps_its_limit() {
@@ -42,7 +42,8 @@
             }
         }
         for (i, start) in started.iter().enumerate() {
-            let took = Duration::from_micros(TIMES[(round + i) % TIMES.len()]);
+            let took =
+                Duration::from_micros(OBSERVED_TIMES_US[(round + i) % OBSERVED_TIMES_US.len()]);
             let outcome = Outcome {
                 ending: Ending::Ran,
                 took,
--- a/verbenaspool_policy/tests/decisions/subset.rs
+++ b/verbenaspool_policy/tests/decisions/subset.rs
@@ -5,10 +5,10 @@
     subset,
 };
 
-use super::world::{member, name};
+use super::common::{member, name};
 
 const ZONES: usize = 3;
-const SIZE: usize = 16;
+const SUBSET_SIZE: usize = 16;
 
 fn members(count: usize) -> Vec<Member> {
     (0..count)
@@ -30,23 +30,23 @@
 
 /// The names each entry works with.
 fn choose(peers: &[Peer], members: &[Member]) -> Vec<HashSet<String>> {
-    let names = |places: Vec<usize>| {
-        places
+    let names = |indices: Vec<usize>| {
+        indices
             .iter()
             .map(|&i| members[i].name.to_string())
             .collect()
     };
-    let chosen = |peer: &Peer| subset::choose(&peer.name, &peer.zone, peers, members, SIZE);
+    let chosen = |peer: &Peer| subset::choose(&peer.name, &peer.zone, peers, members, SUBSET_SIZE);
     peers.iter().map(|peer| names(chosen(peer))).collect()
 }
 
 #[test]
-fn small_services_are_used_whole() {
-    let members = members(SIZE);
+fn subsets_of_small_services_have_all_upstreams() {
+    let members = members(SUBSET_SIZE);
     assert!(
         choose(&peers(4), &members)
             .iter()
-            .all(|chosen| chosen.len() == SIZE)
+            .all(|chosen| chosen.len() == SUBSET_SIZE)
     );
     assert!(choose(&peers(4), &[]).iter().all(HashSet::is_empty));
 }
@@ -60,7 +60,7 @@
     assert!(
         sizes
             .clone()
-            .all(|size| (SIZE / 2..=SIZE * 3 / 2).contains(&size))
+            .all(|size| (SUBSET_SIZE / 2..=SUBSET_SIZE * 3 / 2).contains(&size))
     );
     let entries = |member: &Member| {
         chosen
@@ -68,19 +68,19 @@
             .filter(|c| c.contains(member.name.as_str()))
             .count()
     };
-    let (least, most) = members
+    let (min_entries, max_entries) = members
         .iter()
         .map(entries)
         .fold((90, 0), |(l, m), n| (l.min(n), m.max(n)));
     assert!(
-        least >= 3 && most <= 8,
-        "{least} to {most} entries an upstream"
+        min_entries >= 3 && max_entries <= 8,
+        "{min_entries} to {max_entries} entries an upstream"
     );
 }
 
 /// Each change of the list moves everyone's subset, and every cache goes cold.
 #[test]
-fn a_change_moves_few() {
+fn a_removed_upstream_moves_few_selections() {
     let (peers, members) = (peers(90), members(240));
     let before = choose(&peers, &members);
     let after = choose(&peers, &members[1..]);
