--- a/verbenaspool_policy/tests/decisions/balancer.rs
+++ b/verbenaspool_policy/tests/decisions/balancer.rs
@@ -12,9 +12,9 @@
     single_attempt_settings, waiting, warm_up,
 };
 
-/// A skipper's request can't be answered in time, as work is ahead of it. It is
-/// held back all the same and refused ten seconds later, when the tide is gone.
-/// The refusal has to come with the request, and say when the work is done.
+/// Guards against queueing a request that can't meet its deadline behind other work and
+/// rejecting it only when the deadline has passed, ten seconds later. It is rejected
+/// when offered, with the time until the queued work is done.
 #[test]
 fn late_requests_are_rejected_at_once() {
     let customer = name("bowen");
@@ -28,15 +28,16 @@
             other => rejections.push(rejected(other)),
         }
     }
-    assert!(rejections.len() >= 8, "{} of 20 refused", rejections.len());
+    assert!(rejections.len() >= 8, "{} of 20 rejected", rejections.len());
     for rejection in rejections {
         assert_eq!(rejection.reason, Reason::Late);
         assert!(rejection.retry_after > 4 * SECOND && rejection.retry_after < 20 * SECOND);
     }
 }
 
-/// A long report waits, and short ones arrive that could all be in time without
-/// it. Kept, it makes several of them late; it yields, and is told in the next poll.
+/// A long request is queued, and short ones arrive that could all meet their deadlines
+/// without it but not with it. The long one is displaced, and the next poll resolves its
+/// ticket.
 #[test]
 fn the_largest_request_is_displaced_and_resolved_at_once() {
     let customer = name("quetzal");
@@ -58,7 +59,7 @@
             displaced = Some(resolution.clone());
         }
     }
-    let displaced = displaced.expect("the long one yields");
+    let displaced = displaced.expect("the long request is displaced");
     assert_eq!(displaced.ticket, long);
     assert_eq!(
         displaced.result.map_err(|rejection| rejection.reason),
@@ -66,7 +67,8 @@
     );
 }
 
-/// Urgent work goes first among the same customer's, not before another's turn.
+/// A request with a higher priority starts before others of the same customer, but not
+/// before those of another customer whose turn it is.
 #[test]
 fn priority_orders_requests_within_a_customer() {
     let (one, two) = (name("one"), name("two"));
@@ -86,7 +88,7 @@
     );
 }
 
-/// The tickets in the order they start, one a second.
+/// Returns the tickets in the order in which they start, with one attempt per second.
 fn start_order(
     balancer: &mut verbenaspool_policy::balancer::Balancer,
     mut running: verbenaspool_policy::attempt::Id,
@@ -106,7 +108,7 @@
     order
 }
 
-/// A customer with share 0 is served only when nobody else waits.
+/// A customer with share 0 is served only when no other customer has queued requests.
 #[test]
 fn share_zero_is_served_only_when_others_are_idle() {
     let (guest, paying) = (name("guest"), name("paying"));
@@ -131,8 +133,9 @@
     );
 }
 
-/// A booking's answer is lost on the way. Sent again, the skipper is charged
-/// twice: only an attempt that was confirmed as not run may be repeated.
+/// Guards against a request with side effects, such as a booking that charges the
+/// customer, running twice after its answer was lost. If it isn't idempotent, it is
+/// retried only after an attempt that is confirmed not to have run.
 #[test]
 fn non_idempotent_requests_never_run_twice() {
     let customer = name("bowen");
@@ -166,8 +169,8 @@
     }
 }
 
-/// Every upstream fails. Each caller's request is sent again and again, so the
-/// upstreams get many times the load while they come back, and go down again.
+/// Guards against unlimited retries when every upstream fails: they would multiply the
+/// load on the recovering upstreams, which then fail again.
 #[test]
 fn retries_stay_within_their_budget() {
     let customer = name("bowen");
@@ -191,11 +194,12 @@
         }
     }
     let snapshot = balancer.snapshot(SECOND);
-    // Ten saved up, and one for every ten first attempts.
+    // The budget holds ten at the start and gains one for every ten first attempts.
     assert!(snapshot.retried <= 20, "{} retries", snapshot.retried);
 }
 
-/// One of four upstreams fails everything at once, and so always looks idle.
+/// An upstream that fails everything at once always looks idle and would attract most
+/// requests. One of four is ejected, also when all four fail.
 #[test]
 fn a_failing_upstream_is_ejected_but_never_all() {
     let customer = name("bowen");
@@ -221,7 +225,8 @@
     }
 }
 
-/// An agent says that its instance leaves, before the list does.
+/// An agent's load report says that its instance is leaving before the list of upstreams
+/// does.
 #[test]
 fn a_leaving_upstream_gets_no_new_requests() {
     let customer = name("bowen");
@@ -241,7 +246,8 @@
     }
 }
 
-/// A prompt's beginning is cached at one upstream, until that says otherwise.
+/// A request goes to the upstream that caches its prefix until a cache event of that
+/// upstream resets its cache.
 #[test]
 fn requests_go_to_the_upstream_that_caches_their_prefix() {
     let customer = name("bowen");
@@ -263,7 +269,8 @@
     assert_eq!(balancer.snapshot(SECOND).affine, affine);
 }
 
-/// A caller hangs up while it waits; its place goes to the next.
+/// When a caller disconnects while its request is queued, the next queued request
+/// starts instead. Cancelling twice has no further effect.
 #[test]
 fn cancelled_requests_leave_the_queue() {
     let customer = name("bowen");
@@ -276,8 +283,8 @@
     assert_eq!(start_order(&mut balancer, running.attempt, SECOND), [next]);
 }
 
-/// A customer sends only reports fifty times as long as the others' requests.
-/// Counted by request it would take nearly all of the upstream's time.
+/// One customer's requests are fifty times as long as the other's. If shares counted
+/// requests rather than work, it would take nearly all of the upstream's time.
 #[test]
 fn shares_count_work_and_not_requests() {
     let (long, short) = (name("long"), name("short"));
--- a/verbenaspool_policy/tests/decisions/cases.rs
+++ b/verbenaspool_policy/tests/decisions/cases.rs
@@ -1,12 +1,13 @@
-//! What callers get in the load cases, at the size of one firm today. The bounds
-//! lie a little below what the bench measures; runs repeat, as seeds are fixed.
+//! Minimum scores of the balancer in the simulated load cases, at the size of one firm
+//! today. The minimums are slightly below what the bench measures; seeds are fixed, so
+//! runs are reproducible.
 
 use verbenaspool_policy::balancer::Balancer;
 use verbenaspool_state::{decisions::Decisions, name::Name};
 
 use super::simulation::{case::Case, policy::Policy, score::Score, simulator};
 
-/// The least that a case has to give.
+/// The minimum scores of a load case.
 struct Minimum {
     case: &'static str,
     deadlines_met: f64,
@@ -49,7 +50,7 @@
     let cases = Case::all();
     for minimum in table {
         let case = cases.iter().find(|case| case.name == minimum.case);
-        let score = simulate(case.expect("a case of that name"));
+        let score = simulate(case.expect("the load case exists"));
         let name = minimum.case;
         assert!(
             score.deadlines_met >= minimum.deadlines_met,
@@ -60,12 +61,12 @@
     }
 }
 
-/// Everything fails for ten seconds, and every caller's request is sent on and
-/// on: the upstreams come back to fifteen times their load.
+/// Guards against a retry storm: when all upstreams fail for ten seconds, unlimited
+/// retries would bring fifteen times the load on them as they recover.
 #[test]
 fn an_outage_causes_no_retry_storm() {
     let cases = Case::all();
     let case = cases.iter().find(|case| case.name == "outage");
-    let score = simulate(case.expect("a case of that name"));
+    let score = simulate(case.expect("the load case exists"));
     assert!(score.attempts_per_request < 1.5, "{score:?}");
 }
--- a/verbenaspool_policy/tests/decisions/common.rs
+++ b/verbenaspool_policy/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a balancer with a few upstreams, and requests for it.
+//! Shared helpers: a balancer with a few upstreams, and requests for it.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 
 pub fn name(text: &str) -> Name {
-    text.parse().expect("a name")
+    text.parse().expect("a valid name")
 }
 
 pub fn member(text: &str) -> Member {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Settings under which each upstream takes one attempt.
+/// Settings that limit each upstream to one attempt in flight.
 pub fn single_attempt_settings() -> Decisions {
     Decisions {
         initial_limit: 1,
@@ -43,7 +43,7 @@
     balancer
 }
 
-/// A request of 100 tokens that must be answered 10 s from now.
+/// A request for 100 tokens whose deadline is 10 s from now.
 pub fn request(customer: &Name, now: Duration) -> Request<'_> {
     Request {
         customer,
@@ -66,7 +66,7 @@
 pub fn waiting(decision: Decision) -> Ticket {
     match decision {
         Decision::Wait(ticket) => ticket,
-        other => panic!("doesn't wait: {other:?}"),
+        other => panic!("not queued: {other:?}"),
     }
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// An answer of 100 tokens after a second.
+/// The outcome of an attempt that generated 100 tokens in one second.
 pub const RAN_OUTCOME: Outcome = Outcome {
     ending: Ending::Ran,
     took: SECOND,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Lets the balancer learn that 100 tokens take a second.
+/// Runs `times` requests one after the other, from which the balancer learns that 100
+/// tokens take one second. Returns the time at which the last one ended.
 pub fn warm_up(balancer: &mut Balancer, customer: &Name, times: u32) -> Duration {
     for second in 0..times {
         let now = SECOND * second;
--- a/verbenaspool_policy/tests/decisions/input.rs
+++ b/verbenaspool_policy/tests/decisions/input.rs
@@ -1,4 +1,4 @@
-//! Input that is wrong, late, repeated or absurd has a defined result.
+//! Invalid, late, repeated and implausible input has a defined result.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 fn outdated_and_unknown_reports_are_ignored() {
     let table = [
         (
-            "the next",
+            "next sequence number",
             "a",
             Report {
                 sequence: 6,
@@ -68,7 +68,7 @@
         ),
         ("unknown upstream", "z", LOAD, 1),
         (
-            "absurd",
+            "implausible counts",
             "a",
             Report {
                 sequence: 6,
@@ -85,7 +85,7 @@
         balancer.load_report(SECOND, &name("a"), &LOAD);
         balancer.load_report(SECOND, &name(upstream), &load);
         assert_eq!(balancer.snapshot(SECOND).ignored_reports, ignored, "{case}");
-        // Whatever it says, the only upstream is still used.
+        // Whatever the report says, the only upstream stays in use.
         admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
     }
 }
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn outcomes_of_unknown_attempts_are_ignored() {
+fn outcomes_of_finished_or_unknown_attempts_are_ignored() {
     let customer = name("bowen");
     let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
     let start = admitted(balancer.offer(SECOND, &request(&customer, SECOND)));
@@ -160,8 +160,8 @@
     assert_eq!(balancer.snapshot(SECOND), before);
 }
 
-/// An answer claims more than was asked for, or no time at all; one that took an
-/// hour comes from an upstream replaced meanwhile.
+/// An outcome may report more tokens than requested or no time at all, or take an hour
+/// because its upstream was replaced meanwhile. Requests are still admitted afterwards.
 #[test]
 fn implausible_outcomes_do_not_stop_admission() {
     let customer = name("bowen");
@@ -197,7 +197,7 @@
     }
 }
 
-/// A replaced instance's old attempts end after the new one has its own.
+/// Attempts of a replaced instance end after the new instance has attempts of its own.
 #[test]
 fn attempts_of_an_earlier_incarnation_free_no_slot() {
     let customer = name("bowen");
@@ -216,7 +216,7 @@
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
 }
 
-/// The clock jumps a day ahead and back, as after a suspended machine.
+/// The clock jumps a day ahead and back, as it may after the machine was suspended.
 #[test]
 fn clock_jumps_do_not_stop_admission() {
     let customer = name("bowen");
@@ -302,11 +302,11 @@
     );
 }
 
-/// A caller asks for four billion tokens before anything is known about the
-/// upstream. Its customer must not be out for as many turns afterwards.
+/// A caller requests four billion tokens before the pace of the upstream is known. The
+/// customer's later requests must not wait for a corresponding number of turns.
 #[test]
 fn an_oversized_request_costs_its_customer_at_most_a_thousand_turns() {
-    let (oversized, other) = (name("absurd"), name("other"));
+    let (oversized, other) = (name("oversized"), name("other"));
     let mut balancer = balancer(&single_attempt_settings(), &[member("a")]);
     let request_of = |customer, max_tokens| Request {
         max_tokens,
@@ -331,7 +331,7 @@
         started
             .iter()
             .position(|&t| t == ticket)
-            .expect("it starts")
+            .expect("the request starts")
     };
     assert!(
         position_of(second) - position_of(first) <= 1_100,
--- a/verbenaspool_policy/tests/decisions/main.rs
+++ b/verbenaspool_policy/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions through the balancer's interface.
+//! Tests of the balancer's decisions through its public interface.
 
 mod balancer;
 mod cases;
--- a/verbenaspool_policy/tests/decisions/noise.rs
+++ b/verbenaspool_policy/tests/decisions/noise.rs
@@ -1,4 +1,4 @@
-//! Short answers whose time varies for reasons that are not the upstream's.
+//! Short attempts whose measured time varies for reasons other than the upstream's load.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 
 use super::common::{SECOND, balancer, member, name};
 
-/// What attempts at a service that takes 1 ms are seen to take, in microseconds.
+/// Measured times of attempts at a service that takes 1 ms, in microseconds.
 const OBSERVED_TIMES_US: [u64; 6] = [900, 2_400, 1_100, 3_900, 1_000, 2_000];
 
 #[test]
 fn a_fast_service_keeps_its_limit() {
-    // Callers of a plain service wait for a place while its instance is idle:
-    // answers of 1 ms took two to four, because the entry itself was busy, and
-    // the balancer read that as a full upstream until one attempt was let in at
-    // a time.
+    // Guards against a limit that shrinks for delays in the entry. Answers of a plain
+    // service took 2 to 4 ms instead of 1 ms because the entry itself was busy. The
+    // balancer took that for a full upstream and lowered the limit to one attempt, so
+    // callers were queued while the instance was idle.
     let settings = Decisions::default();
     let mut balancer = balancer(&settings, &[member("jobs-1")]);
     let customer = name("bowen-loft");
--- a/verbenaspool_policy/tests/decisions/subset.rs
+++ b/verbenaspool_policy/tests/decisions/subset.rs
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// The names each entry works with.
+/// The names of the upstreams in each entry's subset.
 fn choose(peers: &[Peer], members: &[Member]) -> Vec<HashSet<String>> {
     let names = |indices: Vec<usize>| {
         indices
@@ -51,7 +51,7 @@
     assert!(choose(&peers(4), &[]).iter().all(HashSet::is_empty));
 }
 
-/// Random subsets leave some upstreams idle while others are overrun.
+/// Random subsets would leave some upstreams idle and overload others.
 #[test]
 fn every_upstream_is_used_by_about_as_many_entries() {
     let (peers, members) = (peers(90), members(240));
@@ -74,11 +74,12 @@
         .fold((90, 0), |(l, m), n| (l.min(n), m.max(n)));
     assert!(
         min_entries >= 3 && max_entries <= 8,
-        "{min_entries} to {max_entries} entries an upstream"
+        "{min_entries} to {max_entries} entries per upstream"
     );
 }
 
-/// Each change of the list moves everyone's subset, and every cache goes cold.
+/// Guards against a change of the list that changes every entry's subset, so that no
+/// upstream has the prefixes of its new requests cached.
 #[test]
 fn a_removed_upstream_moves_few_selections() {
     let (peers, members) = (peers(90), members(240));
