--- a/verbenaspool_policy/benches/decisions.rs
+++ b/verbenaspool_policy/benches/decisions.rs
@@ -1,7 +1,8 @@
-//! Measures the decisions in each load case beside the baselines and the oracle.
-//! `--json` prints one object a line; `--ablation` adds a row for each mechanism
-//! left out; `--case NAME` plays only one; `--subset` compares ways to choose subsets;
-//! `--memory` shows what a balancer of a large fleet takes.
+//! Benchmarks the balancer against the baselines and the oracle in each load case.
+//!
+//! `--json` prints one object per line, `--ablation` adds a row with each mechanism
+//! disabled, `--case NAME` runs a single case, `--subset` compares methods of subset
+//! selection, and `--memory` prints the memory use of balancers in a large fleet.
 
 mod simulation;
 
@@ -64,12 +65,13 @@
     }
 }
 
-/// Shows the memory that balancers take at the size of two years from now.
+/// Prints the memory use of balancers at the fleet size expected in two years.
 fn print_memory() {
     let (members, peers) = (fleet::members(), fleet::peers());
     let mut balancers = Vec::new();
     let mut before = resident_kib();
-    // The first balancers fill what the allocator has left over.
+    // The first balancers seem smaller, as they use memory that the allocator already
+    // holds.
     for number in 0..6 {
         let settings = Decisions::default();
         let zone = simulator::name("zone", 0);
@@ -89,7 +91,7 @@
     }
 }
 
-/// The process's resident memory in KiB.
+/// Returns the resident memory of this process in KiB.
 fn resident_kib() -> i64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -99,7 +101,7 @@
         .unwrap_or(0)
 }
 
-/// Measures a decision at the size of two years from now.
+/// Measures the cost of a decision at the fleet size expected in two years.
 fn run_fleet_cases(print_score: &dyn Fn(&str, &str, Score)) {
     let (members, peers) = (fleet::members(), fleet::peers());
     let single_attempt = Decisions {
@@ -107,7 +109,7 @@
         max_limit: 1,
         ..Decisions::default()
     };
-    // 64 attempts of 4 s at once are 16 a second, where 34 or 272 are offered.
+    // 64 attempts in flight of 4 s each are 16 per second; 34 or 272 are offered.
     let cases = [
         ("fleet", 1, Decisions::default()),
         ("fleet-overload", 8, single_attempt),
@@ -126,7 +128,7 @@
     }
 }
 
-/// Plays a case with the balancer.
+/// Runs a case with the balancer.
 fn run_balancer(case: &Case, mechanisms: Set) -> Score {
     let settings = Decisions::default();
     let make = |entry: usize, zone: &Name| -> Box<dyn Policy> {
@@ -142,7 +144,7 @@
     simulator::run(case, &make)
 }
 
-/// Prints one row.
+/// Prints the score of one policy in one case.
 fn print_row(json: bool, case: &str, policy: &str, score: &Score) {
     if json {
         let row = serde_json::json!({
--- a/verbenaspool_policy/benches/simulation/baseline.rs
+++ b/verbenaspool_policy/benches/simulation/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines that the decisions are measured against.
+//! Simple policies that the balancer is compared with.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,14 +13,14 @@
 
 use super::policy::Policy;
 
-/// How a baseline chooses.
+/// How a baseline chooses an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Each upstream in turn, however long its queue.
+    /// Each upstream in turn, regardless of its load.
     RoundRobin,
-    /// The upstream with the fewest own attempts in flight, without a limit.
+    /// The upstream with the fewest attempts in flight from this entry, without a limit.
     LeastInFlight,
-    /// A random upstream; refused where that has its fixed limit in flight.
+    /// A random upstream; the request is rejected if that has reached a fixed limit.
     RandomLimit,
 }
 
@@ -36,7 +36,8 @@
     }
 }
 
-/// The fixed limit for one entry at one upstream: four entries fill a batch of 16.
+/// The most attempts that one entry has in flight at one upstream with
+/// [`Kind::RandomLimit`]: four entries fill a batch of 16.
 const MAX_IN_FLIGHT: u32 = 4;
 
 #[derive(Debug)]
--- a/verbenaspool_policy/benches/simulation/case.rs
+++ b/verbenaspool_policy/benches/simulation/case.rs
@@ -1,4 +1,4 @@
-//! The load cases.
+//! The simulated load cases.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
     job::{Job, Mix, exponential},
 };
 
-/// The size of one firm today.
+// The deployment of one firm today.
 pub const ENTRIES: usize = 4;
 pub const ENGINES: usize = 16;
 pub const CUSTOMERS: usize = 10;
 pub const ZONES: usize = 3;
 
-/// Something that happens to the upstreams.
+/// A change of the upstreams during a case.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// An engine's speed becomes this.
+    /// Sets the speed of an engine, as a fraction of full speed.
     Speed(usize, f64),
-    /// A part of an engine's attempts fail at once.
+    /// Sets the fraction of an engine's attempts that fail immediately.
     Fail(usize, f64),
-    /// An engine is replaced by a new incarnation, cold.
+    /// Replaces an engine with a new incarnation, which starts cold.
     Replace(usize),
-    /// A zone can't be reached from the others any more.
+    /// Partitions a zone from the others.
     Partition(usize),
-    /// It can again.
+    /// Ends the partition of a zone.
     Heal(usize),
 }
 
@@ -36,19 +36,21 @@
     pub seconds: u64,
     pub seed: u64,
     pub mix: Mix,
-    /// Offered load as a part of capacity, from each second on.
+    /// Offered load as a fraction of capacity, from each second on.
     pub offered_load: Vec<(u64, f64)>,
-    /// The part of requests that the first three customers send.
+    /// The fraction of requests that the first three customers send.
     pub hot_fraction: f64,
+    /// The delay of load reports and cache events.
     pub signal_lag: Duration,
-    /// The part of reports and cache events that get lost.
+    /// The fraction of load reports and cache events that are lost.
     pub signal_loss: f64,
     pub changes: Vec<(Duration, Change)>,
-    /// The part of requests that arrive at the first entry.
+    /// The fraction of requests that arrive at the first entry.
     pub first_entry_fraction: f64,
-    /// Whether half of the engines are three times as large as the others.
+    /// Whether half of the engines run three times as many requests as the others.
     pub mixed_sizes: bool,
-    /// Whether every third customer always asks for the longest answer.
+    /// Whether every third customer always sets `max_tokens` to the maximum, which says
+    /// nothing about its answers.
     pub fixed_max_tokens: bool,
 }
 
@@ -134,7 +136,7 @@
         cases
     }
 
-    /// Cases of upstreams that fail what they get.
+    /// Cases in which upstreams fail their attempts.
     fn failure_cases() -> [Self; 2] {
         let at = Duration::from_secs;
         let all =
@@ -154,7 +156,7 @@
         ]
     }
 
-    /// The work a second of all engines at full speed.
+    /// The work per second of all engines at full speed.
     pub fn capacity() -> f64 {
         (ENGINES * FULL_SPEED_REQUESTS) as f64 * WORK_PER_SECOND
     }
@@ -165,7 +167,7 @@
             .collect()
     }
 
-    /// The requests that an engine runs at full speed.
+    /// How many requests an engine runs at full speed.
     pub fn full_speed_requests(&self, engine: usize) -> usize {
         match (self.mixed_sizes, engine % 2) {
             (false, _) => FULL_SPEED_REQUESTS,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The work a second of all engines at a time.
+    /// The work per second of all engines at `now`, after the changes so far.
     pub fn capacity_at(&self, now: Duration) -> f64 {
         let mut speeds = [1.0; ENGINES];
         let past = self.changes.iter().filter(|(at, _)| *at <= now);
@@ -207,7 +209,7 @@
         past.map_or(0.0, |(_, offered_load)| *offered_load)
     }
 
-    /// Whether a zone is cut off.
+    /// Whether a zone is partitioned from the others.
     pub fn is_partitioned(&self, now: Duration, zone: usize) -> bool {
         let past = self.changes.iter().filter(|(at, _)| *at <= now);
         past.fold(false, |partitioned, (_, change)| match change {
@@ -233,7 +235,7 @@
         }
     }
 
-    /// The requests, by time.
+    /// The requests in order of arrival.
     pub fn jobs(&self) -> Vec<Job> {
         let mut random = SmallRng::seed_from_u64(self.seed);
         let mut sample_random = SmallRng::seed_from_u64(self.seed + 1);
@@ -254,7 +256,8 @@
             let mut job = self.mix.job(&mut random, customer, self.fixed_max_tokens);
             job.arrival = Duration::from_secs_f64(now);
             job.deadline += job.arrival;
-            // The platform's balancer sends nothing to entries of a lost zone.
+            // The load balancer in front of the entries sends nothing to those in a
+            // partitioned zone.
             job.entry = self.pick_entry(&mut random);
             while self.is_partitioned(job.arrival, job.entry % ZONES) {
                 job.entry = self.pick_entry(&mut random);
--- a/verbenaspool_policy/benches/simulation/engine.rs
+++ b/verbenaspool_policy/benches/simulation/engine.rs
@@ -1,17 +1,19 @@
-//! A batching engine: full speed for each request while the batch isn't full,
-//! sharing above that up to a greatest batch, and a queue in order of arrival
-//! in front of it.
+//! A batching engine with a FIFO queue in front.
+//!
+//! Up to some batch size each request runs at full speed; larger batches, up to a
+//! maximum, share that throughput.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Requests that run together without slowing each other down, as a rule.
+/// How many requests an engine usually runs at full speed.
 pub const FULL_SPEED_REQUESTS: usize = 8;
-/// Requests that run together at most, as a multiple of those at full speed.
+/// The maximum batch size, as a multiple of the requests that run at full speed.
 const MAX_BATCH_FACTOR: usize = 2;
-/// Work that one request gets done a second.
+/// The work per second that one request gets at full speed.
 pub const WORK_PER_SECOND: f64 = 100.0;
-/// The speed of an engine that has just started, and how long that lasts.
+/// The speed of an engine that has just started, as a fraction of full speed.
 const COLD_SPEED: f64 = 0.3;
+/// How long an engine stays cold after its start.
 pub const COLD_DURATION: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
@@ -25,16 +27,21 @@
     pub zone: usize,
     pub up: bool,
     pub incarnation: u64,
+    /// Incremented when the time of the next event may change; events scheduled under an
+    /// earlier version are ignored.
     pub schedule_version: u64,
     pub speed: f64,
     pub sequence: u64,
-    /// The part of attempts that fail at once.
+    /// The fraction of attempts that fail immediately.
     pub failing_fraction: f64,
     cold_until: Duration,
+    /// The time up to which work is accounted for.
     advanced_to: Duration,
     running: Vec<Task>,
     waiting: VecDeque<Task>,
+    /// The cached prefixes, the least recently used first.
     cache: VecDeque<u64>,
+    /// How many prefixes are cached.
     cache_capacity: usize,
     full_speed_requests: usize,
 }
@@ -59,7 +66,7 @@
         }
     }
 
-    /// Starts over, cold and empty; the attempts that it had.
+    /// Restarts the engine cold and empty. Returns the attempts that were lost.
     pub fn restart(&mut self, now: Duration) -> Vec<u64> {
         let lost = self
             .running
@@ -76,7 +83,7 @@
         lost
     }
 
-    /// The work a second that each running request gets.
+    /// The work per second that each running request gets.
     fn rate(&self, now: Duration) -> f64 {
         let cold = if now < self.cold_until {
             COLD_SPEED
@@ -87,7 +94,8 @@
         WORK_PER_SECOND * self.speed * cold * shared
     }
 
-    /// Works up to `now`; called at every change, so that the rate was even.
+    /// Accounts for the work up to `now`. Called before every change, so that the rate
+    /// was constant since the last call.
     pub fn advance(&mut self, now: Duration) {
         let done = self.rate(self.advanced_to) * now.saturating_sub(self.advanced_to).as_secs_f64();
         self.running
@@ -112,7 +120,7 @@
         self.fill_batch();
     }
 
-    /// The attempts that are done at `now`.
+    /// Removes and returns the attempts that are complete at `now`.
     pub fn take_completed(&mut self, now: Duration) -> Vec<u64> {
         self.advance(now);
         let is_completed = |task: &Task| task.remaining_work <= 1e-6;
@@ -136,7 +144,7 @@
         self.schedule_version += 1;
     }
 
-    /// When something is done next, or the speed changes.
+    /// When the next attempt completes or the engine stops being cold.
     pub fn next_event(&self) -> Option<Duration> {
         let least_remaining = self
             .running
@@ -153,11 +161,13 @@
         })
     }
 
+    /// The numbers of running and of waiting requests.
     pub fn load(&self) -> (u32, u32) {
         (self.running.len() as u32, self.waiting.len() as u32)
     }
 
-    /// Whether a prefix is cached; it is from now on. Also what was dropped for it.
+    /// Caches a prefix. Returns whether it was cached already, and the prefix that was
+    /// dropped for it.
     pub fn touch_prefix(&mut self, prefix: u64) -> (bool, Option<u64>) {
         if let Some(index) = self.cache.iter().position(|&p| p == prefix) {
             self.cache.remove(index);
--- a/verbenaspool_policy/benches/simulation/fleet.rs
+++ b/verbenaspool_policy/benches/simulation/fleet.rs
@@ -1,5 +1,5 @@
-//! The cost of a decision at the size of two years from now: one entry of 1,000
-//! before 12,000 upstreams, with 16,000 customers.
+//! Measures the cost of a decision at the fleet size expected in two years: at one of
+//! 1,000 entries, with 12,000 upstreams and 16,000 customers.
 
 use std::{
     cmp::Reverse,
@@ -23,13 +23,13 @@
 pub const ENTRIES: usize = 1_000;
 pub const ZONES: usize = 11;
 const REQUESTS: u32 = 20_000;
-/// Time between two requests: 34,000 a second over all entries.
+/// The time between two requests: 34,000 per second over all entries.
 const ARRIVAL_INTERVAL: Duration = Duration::from_nanos(29_411_765);
-/// How long a request runs.
+/// How long each request runs.
 const SERVICE_TIME: Duration = Duration::from_secs(4);
 const DEADLINE: Duration = Duration::from_secs(8);
 
-/// Every upstream of the fleet.
+/// Returns all upstreams of the fleet.
 pub fn members() -> Vec<Member> {
     (0..UPSTREAMS)
         .map(|upstream| Member {
@@ -43,7 +43,7 @@
         .collect()
 }
 
-/// Every entry of the fleet.
+/// Returns all entries of the fleet.
 pub fn peers() -> Vec<Peer> {
     (0..ENTRIES)
         .map(|entry| Peer {
@@ -53,7 +53,7 @@
         .collect()
 }
 
-/// Offers the requests of one entry at `load` times its part of the fleet's.
+/// Offers requests to one entry at `load_factor` times its share of the fleet's rate.
 pub fn run(policy: &mut dyn Policy, load_factor: u32) -> Score {
     let customers: Vec<Name> = (0..CUSTOMERS)
         .map(|customer| name("customer", customer))
--- a/verbenaspool_policy/benches/simulation/job.rs
+++ b/verbenaspool_policy/benches/simulation/job.rs
@@ -1,4 +1,4 @@
-//! The requests of a play.
+//! The requests of a simulation.
 
 use std::time::Duration;
 
@@ -6,6 +6,7 @@
 
 use super::engine::WORK_PER_SECOND;
 
+/// The work of a prompt token, relative to that of a generated token.
 pub const PREFILL_WEIGHT: f64 = 0.1;
 
 #[derive(Debug, Clone)]
@@ -15,14 +16,15 @@
     pub entry: usize,
     pub customer: usize,
     pub prompt_tokens: u32,
-    /// Tokens of the prompt that a cached prefix spares, and its hash.
+    /// The hash of the prompt's prefix, and its tokens, which need no work if the prefix
+    /// is cached.
     pub prefix: Option<(u64, u32)>,
     pub answer_tokens: u32,
     pub max_tokens: u32,
 }
 
 impl Job {
-    /// The work without and with a cached prefix.
+    /// The work of the request, with its prefix cached or not.
     pub fn work(&self, cached: bool) -> f64 {
         let cached_tokens = self
             .prefix
@@ -34,24 +36,25 @@
     }
 }
 
-/// What the requests of a case are like.
+/// The distribution of prompts and answers in a case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Answers of about 100 tokens, exponentially spread.
+    /// Answers of 100 tokens on average, exponentially distributed.
     Exponential,
-    /// Answers of about 25 tokens, and one in a hundred 100 times as long.
+    /// Answers of about 25 tokens; one in a hundred is 100 times as long.
     LongTail,
-    /// Long prompts that mostly begin alike.
+    /// Long prompts, most of which have the same prefix.
     SharedPrefix,
 }
 
-/// An exponentially distributed number.
+/// Returns an exponentially distributed number.
 pub fn exponential(random: &mut SmallRng, mean: f64) -> f64 {
     -mean * (1.0 - random.random::<f64>()).ln()
 }
 
 impl Mix {
-    /// A request; times are set by the caller, the deadline from 0.
+    /// Returns a request that arrives at time 0, with its deadline relative to that. The
+    /// caller sets the times and the entry.
     pub fn job(self, random: &mut SmallRng, customer: usize, fixed_max_tokens: bool) -> Job {
         let (prompt, prefix, tokens) = match self {
             Self::Exponential => (
@@ -83,7 +86,7 @@
         };
         let tokens = tokens as u32;
         let overstatement = random.random_range(1.0..3.0);
-        // Every third customer always asks for the most there is.
+        // Every third customer always requests the maximum.
         let max_tokens = match self {
             Self::Exponential if fixed_max_tokens && customer % 3 == 1 => 800,
             _ => (f64::from(tokens) * overstatement) as u32 + 1,
--- a/verbenaspool_policy/benches/simulation/mod.rs
+++ b/verbenaspool_policy/benches/simulation/mod.rs
@@ -1,8 +1,10 @@
-//! A small seeded play of arrivals and service times at the policy's interface.
-//! It has no network: a start takes effect at once, and only reports, cache
-//! events and broken attempts arrive later.
+//! A seeded discrete-event simulation of arrivals and service times, run against a load
+//! balancing policy.
+//!
+//! No network is simulated: a started attempt reaches its engine at once. Only load
+//! reports, cache events, lists of upstreams and failures of attempts arrive late.
 
-#![allow(dead_code, missing_docs)] // The tests and the bench each use a part.
+#![allow(dead_code, missing_docs)] // The tests and the bench each use only some items.
 #![allow(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
--- a/verbenaspool_policy/benches/simulation/oracle.rs
+++ b/verbenaspool_policy/benches/simulation/oracle.rs
@@ -1,6 +1,8 @@
-//! An all-knowing scheduler as the limit: true work, true speeds now and later,
-//! one preemptive pool without slots, and the best size from which on it does
-//! better to refuse, found by trying with the same arrivals.
+//! An omniscient scheduler as the upper bound for policies.
+//!
+//! It knows the actual work of each job and the engines' speeds now and later, and treats
+//! all engines as one preemptive pool without slots. It rejects jobs above a work limit;
+//! the limit that meets the most deadlines is found by trials on the same arrivals.
 
 use std::time::Duration;
 
@@ -10,7 +12,7 @@
     score::{Score, score},
 };
 
-/// Work not yet done of a job.
+/// An admitted job and its work not yet done.
 #[derive(Debug, Clone, Copy)]
 struct Pending {
     job: usize,
@@ -18,12 +20,12 @@
     remaining_work: f64,
 }
 
-/// The time between two entries of a [`Supply`].
+/// The time between two totals of a [`Capacity`].
 const CAPACITY_STEP: Duration = Duration::from_millis(100);
-/// How long after the last arrival work goes on.
+/// How long work continues after the last arrival.
 const DRAIN_TIME: Duration = Duration::from_mins(2);
 
-/// What the engines can have done up to each time.
+/// The total work that the engines can do from the start up to each step.
 struct Capacity(Vec<f64>);
 
 impl Capacity {
@@ -39,14 +41,14 @@
         Self(totals)
     }
 
-    /// The work that can be done from the start to a time.
+    /// The work that can be done from the start up to `time`.
     fn work_until(&self, time: Duration) -> f64 {
         let steps = time.as_secs_f64() / CAPACITY_STEP.as_secs_f64();
         let step = (steps as usize).min(self.0.len() - 2);
         self.0[step] + (self.0[step + 1] - self.0[step]) * (steps - step as f64).min(1.0)
     }
 
-    /// When work that starts at a time is done.
+    /// When work that starts at `start` is complete.
     fn completion(&self, start: Duration, work: f64) -> Duration {
         let target = self.work_until(start) + work;
         let step = self
@@ -59,7 +61,7 @@
     }
 }
 
-/// The best of several cut-offs of size.
+/// Returns the best score over ten work limits, the deciles of the jobs' work.
 pub fn run(case: &Case) -> Score {
     let jobs = case.jobs();
     let capacity = Capacity::new(case);
@@ -72,7 +74,8 @@
         .unwrap_or_default()
 }
 
-/// Earliest deadline first; the largest yields where not all can be met.
+/// Runs jobs of at most `max_work` by earliest deadline first, dropping the largest where
+/// not all deadlines can be met. Returns when each job completes, if it does.
 fn schedule(capacity: &Capacity, jobs: &[Job], max_work: f64) -> Vec<Option<Duration>> {
     let mut answered = vec![None; jobs.len()];
     let mut queue: Vec<Pending> = Vec::new();
@@ -98,7 +101,8 @@
     answered
 }
 
-/// The largest job up to the first that would be late.
+/// Returns the index of the largest job up to and including the first that would miss its
+/// deadline.
 fn index_to_drop(capacity: &Capacity, queue: &[Pending], now: Duration) -> Option<usize> {
     let start = capacity.work_until(now);
     let mut ahead = 0.0;
@@ -115,7 +119,7 @@
     None
 }
 
-/// Does the work between two times.
+/// Runs the queue from one time to another.
 fn run_queue(
     capacity: &Capacity,
     queue: &mut Vec<Pending>,
--- a/verbenaspool_policy/benches/simulation/policy.rs
+++ b/verbenaspool_policy/benches/simulation/policy.rs
@@ -1,4 +1,4 @@
-//! What the play asks of a policy: the balancer's interface.
+//! The policy interface of the simulation, which is that of the balancer.
 
 use std::time::Duration;
 
--- a/verbenaspool_policy/benches/simulation/score.rs
+++ b/verbenaspool_policy/benches/simulation/score.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Scores a policy by the answers that callers got.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 pub struct Score {
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// Work done in time as a part of what the upstreams could do.
+    /// Work completed by its deadline, as a fraction of the upstreams' capacity.
     pub goodput: f64,
-    /// Jain's index over what each customer got of its fair part.
+    /// Jain's index over the fractions of their fair shares that customers got.
     pub fairness: f64,
-    /// Requests answered in time as a part of all.
+    /// The fraction of requests answered by their deadline.
     pub deadlines_met: f64,
     pub ns_per_decision: f64,
-    /// Starts outside the entry's zone as a part of all.
+    /// The fraction of attempts started in another zone than the entry's.
     pub cross_zone_fraction: f64,
-    /// Attempts started as a part of requests.
+    /// Attempts started per request.
     pub attempts_per_request: f64,
-    /// Times asked as a part of requests.
+    /// Offers per request, including those after a rejection.
     pub offers_per_request: f64,
 }
 
-/// Scores the jobs by when each was answered, if it was.
+/// Computes the score from the time at which each job was answered, if it was.
 pub fn score(case: &Case, jobs: &[Job], answered: &[Option<Duration>]) -> Score {
     let in_time = |i: usize| answered[i].is_some_and(|at| at <= jobs[i].deadline);
     let met = (0..jobs.len()).filter(|&i| in_time(i)).count();
@@ -58,8 +58,8 @@
     }
 }
 
-/// Jain's index over each customer's work in time, as a part of its fair part
-/// of the capacity: what it asked for, or an even share of what others leave.
+/// Returns Jain's index over each customer's work completed by its deadline, as a
+/// fraction of the customer's max-min fair share of the capacity.
 fn fairness(jobs: &[Job], in_time: &dyn Fn(usize) -> bool, capacity: f64) -> f64 {
     let mut requested = [0.0; CUSTOMERS];
     let mut served = [0.0; CUSTOMERS];
@@ -80,7 +80,8 @@
     }
 }
 
-/// The max-min fair parts of a capacity.
+/// Returns the max-min fair shares of a capacity: what a customer requested, or an even
+/// share of what the customers that requested less leave.
 fn max_min_shares(requested: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
     let mut order: Vec<usize> = (0..CUSTOMERS).collect();
     order.sort_unstable_by(|&a, &b| requested[a].total_cmp(&requested[b]));
--- a/verbenaspool_policy/benches/simulation/simulator.rs
+++ b/verbenaspool_policy/benches/simulation/simulator.rs
@@ -1,4 +1,4 @@
-//! Plays a case against one policy at each entry.
+//! Simulates a case with one policy at each entry.
 
 use std::{
     cmp::Reverse,
@@ -24,39 +24,53 @@
     score::{Score, score},
 };
 
-/// How often an engine reports its load.
+/// The interval of an engine's load reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the list of members lags.
+/// The delay of changes in the list of upstreams.
 const MEMBER_LIST_LAG: Duration = Duration::from_secs(3);
-/// How long a broken connection takes to be noticed.
+/// How long an entry takes to detect a broken connection.
 const DISCONNECT_DETECTION_TIME: Duration = Duration::from_secs(1);
-/// How long a refused connection takes.
+/// How long a connection attempt takes to be refused.
 const CONNECTION_REFUSAL_TIME: Duration = Duration::from_millis(100);
-/// How long an attempt takes to fail.
+/// How long an attempt takes to fail at a failing engine.
 const FAILURE_TIME: Duration = Duration::from_millis(50);
-/// How often a refused caller asks at most.
+/// The most times that a caller offers a request, including after rejections.
 const MAX_OFFERS: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
+    /// A caller offers a job.
     Offer(usize),
+    /// The deadline of a job.
     Deadline(usize),
+    /// An engine's next event, as scheduled under a version.
     EngineStep(usize, u64),
+    /// The entry learns that an attempt failed.
     AttemptFailed(u64, Ending),
+    /// An engine sends its load report.
     SendReport(usize),
+    /// A load report arrives at an entry from an engine.
     LoadReport(usize, usize, Report),
+    /// A cache event arrives at an entry from an engine.
     CacheEvent(usize, usize, CacheEvent),
+    /// The upstreams change.
     Change(Change),
+    /// The entries get the current list of upstreams.
     SendMembers,
+    /// An entry polls its policy.
     Poll(usize),
 }
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
+    /// Not offered yet, rejected and to be offered again, or between attempts.
     Idle,
+    /// Queued by the policy.
     Waiting(Ticket),
+    /// Running as this attempt.
     Running(u64),
+    /// Answered or given up.
     Done,
 }
 
@@ -97,10 +111,10 @@
 pub fn name(kind: &str, number: usize) -> Name {
     format!("{kind}-{number}")
         .parse()
-        .expect("a name of letters and digits")
+        .expect("letters and digits form a valid name")
 }
 
-/// Plays a case with the policies that `make` gives for each entry and its zone.
+/// Runs a case with the policies that `make` returns for each entry and its zone.
 pub fn run(case: &Case, make: &dyn Fn(usize, &Name) -> Box<dyn Policy>) -> Score {
     let mut simulator = Simulator::new(case, make);
     simulator.run();
@@ -162,7 +176,7 @@
     fn run(&mut self) {
         self.send_members(Duration::ZERO);
         for engine in 0..ENGINES {
-            // Engines report at their own times.
+            // Engines don't report simultaneously.
             self.schedule(
                 REPORT_INTERVAL * engine as u32 / ENGINES as u32,
                 Event::SendReport(engine),
@@ -217,7 +231,7 @@
         self.decide(now, job, None);
     }
 
-    /// Asks the policy about a job: for the first time, or again after a failure.
+    /// Has the policy decide on a job when it is offered, or on a retry after a failure.
     fn decide(&mut self, now: Duration, job: usize, failed: Option<Ending>) {
         let entry = self.jobs[job].entry;
         let prefixes: Vec<u64> = self.jobs[job]
@@ -276,7 +290,8 @@
         }
     }
 
-    /// A refused caller comes back when told to, if that is before its deadline.
+    /// Schedules another offer at the time that the rejection names, if that is before
+    /// the deadline and the caller has offers left.
     fn handle_rejection(&mut self, now: Duration, job: usize, rejection: Rejection) {
         let retry_at = now + rejection.retry_after;
         if retry_at < self.jobs[job].deadline && self.offers[job] < MAX_OFFERS {
@@ -292,7 +307,7 @@
             .engine_names
             .iter()
             .position(|n| *n == start.upstream)
-            .expect("a known engine");
+            .expect("the upstream is an engine");
         self.last_attempt += 1;
         let number = self.last_attempt;
         let entry = self.jobs[job].entry;
@@ -334,7 +349,8 @@
         self.schedule_engine(engine);
     }
 
-    /// Whether the engine has the job's prefix; its events reach the entries later.
+    /// Caches the job's prefix at the engine and sends the cache events. Returns whether
+    /// it was cached already.
     fn touch_prefix(&mut self, now: Duration, job: usize, engine: usize) -> bool {
         let Some((prefix, _)) = self.jobs[job].prefix else {
             return false;
@@ -414,7 +430,7 @@
         self.decide(now, job, Some(ending));
     }
 
-    /// The caller leaves at its deadline.
+    /// The caller disconnects at its deadline.
     fn handle_deadline(&mut self, now: Duration, job: usize) {
         let entry = self.jobs[job].entry;
         match self.states[job] {
@@ -490,7 +506,7 @@
         }
     }
 
-    /// Breaks every attempt whose engine can't be reached any more.
+    /// Fails every attempt whose engine has become unreachable.
     fn fail_unreachable_attempts(&mut self, now: Duration) {
         let mut lost: Vec<u64> = self.attempts.keys().copied().collect();
         lost.sort_unstable();
@@ -507,7 +523,7 @@
         }
     }
 
-    /// Gives each entry the list of what it can reach.
+    /// Sends each entry the list of the upstreams that it can reach.
     fn send_members(&mut self, now: Duration) {
         for entry in 0..ENTRIES {
             let members: Vec<Member> = (0..ENGINES)
--- a/verbenaspool_policy/benches/simulation/spread.rs
+++ b/verbenaspool_policy/benches/simulation/spread.rs
@@ -1,5 +1,5 @@
-//! How evenly the subsets of all entries load the upstreams of one service, and
-//! how many picks a change of the list moves.
+//! Measures how evenly the subsets of all entries load the upstreams of one service, and
+//! how many selections a change of the list moves.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,20 +11,20 @@
 
 use super::fleet::{members, peers};
 
-/// The upstreams of one of nine services.
+/// The upstreams of one service, a ninth of the fleet.
 const UPSTREAMS: usize = 1_333;
 const SUBSET_SIZE: usize = 64;
-/// Upstreams replaced at once: one in a hundred.
+/// Upstreams replaced at once, one in a hundred.
 const REPLACED_UPSTREAMS: usize = 13;
 
-/// How subsets are chosen.
+/// A method of subset selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// Upstreams pick entries, as the decisions do.
+    /// Upstreams select entries, as in [`subset::choose`].
     Upstreams,
-    /// Entries pick upstreams by rendezvous hash.
+    /// Entries select upstreams by rendezvous hashing.
     Entries,
-    /// Entries take even arcs of the sorted upstreams.
+    /// Entries select evenly spaced ranges of the list of upstreams.
     Arcs,
 }
 
@@ -36,11 +36,11 @@
 pub struct Spread {
     /// The load of the most loaded upstream, as a multiple of the mean.
     pub most: f64,
-    /// The standard deviation of the load, as a part of the mean.
+    /// The standard deviation of the load, as a fraction of the mean.
     pub deviation: f64,
-    /// Upstreams in the smallest and the largest subset.
+    /// The sizes of the smallest and of the largest subset.
     pub sizes: (usize, usize),
-    /// The part of picks that replacing one upstream in a hundred moves.
+    /// The fraction of selections that change when one upstream in a hundred is replaced.
     pub moved: f64,
 }
 
@@ -68,7 +68,8 @@
     }
 }
 
-/// The greatest load and the deviation, where each entry spreads its part evenly.
+/// Returns the greatest load and the standard deviation, both relative to the mean, if
+/// each entry spreads an equal load evenly over its subset.
 fn loads(members: &[Member], chosen: &[HashSet<String>]) -> (f64, f64) {
     let mut loads: HashMap<&str, f64> = members.iter().map(|m| (m.name.as_str(), 0.0)).collect();
     for subset in chosen {
@@ -102,7 +103,8 @@
         .collect()
 }
 
-/// Three quarters from the own zone, the rest from the others, by lowest hash.
+/// Selects three quarters from the entry's own zone and the rest from other zones, those
+/// with the lowest hashes.
 fn rendezvous(peer: &Peer, members: &[Member]) -> Vec<usize> {
     let key = |i: usize| xxh3_64(format!("{} {}", peer.name, members[i].name).as_bytes());
     let (mut local, mut remote): (Vec<usize>, Vec<usize>) =
@@ -115,7 +117,7 @@
     local
 }
 
-/// An even arc, whatever the zones.
+/// Selects the entry's range of the list, regardless of zones.
 fn arc(entry: usize, entries: usize, members: &[Member]) -> Vec<usize> {
     let start = entry * members.len() / entries;
     (start..start + SUBSET_SIZE)
