--- a/verbenaspool_policy/benches/simulation/case.rs
+++ b/verbenaspool_policy/benches/simulation/case.rs
@@ -189,7 +189,7 @@
                 Change::Replace(engine) => speeds[engine] = 1.0,
                 Change::Fail(engine, failing) => speeds[engine] = 1.0 - failing,
                 Change::Partition(zone) => {
-                    (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 0.0)
+                    (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 0.0);
                 }
                 Change::Heal(zone) => (zone..ENGINES).step_by(ZONES).for_each(|e| speeds[e] = 1.0),
             }
--- a/verbenaspool_policy/benches/simulation/simulator.rs
+++ b/verbenaspool_policy/benches/simulation/simulator.rs
@@ -50,9 +50,9 @@
     /// An engine sends its load report.
     SendReport(usize),
     /// A load report arrives at an entry from an engine.
-    LoadReport(usize, usize, Report),
+    Load(usize, usize, Report),
     /// A cache event arrives at an entry from an engine.
-    CacheEvent(usize, usize, CacheEvent),
+    Cache(usize, usize, CacheEvent),
     /// The upstreams change.
     Change(Change),
     /// The entries get the current list of upstreams.
@@ -203,11 +203,11 @@
             Event::EngineStep(engine, version) => self.step_engine(now, engine, version),
             Event::AttemptFailed(attempt, ending) => self.handle_failure(now, attempt, ending),
             Event::SendReport(engine) => self.send_report(now, engine),
-            Event::LoadReport(entry, engine, load) => {
+            Event::Load(entry, engine, load) => {
                 let name = self.engine_names[engine].clone();
                 self.policies[entry].load_report(now, &name, &load);
             }
-            Event::CacheEvent(entry, engine, event) => {
+            Event::Cache(entry, engine, event) => {
                 let name = self.engine_names[engine].clone();
                 self.policies[entry].cache_event(now, &name, event);
             }
@@ -370,7 +370,7 @@
             if !self.random.random_bool(self.case.signal_loss) {
                 self.schedule(
                     now + self.case.signal_lag,
-                    Event::CacheEvent(entry, engine, event),
+                    Event::Cache(entry, engine, event),
                 );
             }
         }
@@ -464,10 +464,7 @@
             if self.is_reachable(now, entry, engine)
                 && !self.random.random_bool(self.case.signal_loss)
             {
-                self.schedule(
-                    now + self.case.signal_lag,
-                    Event::LoadReport(entry, engine, load),
-                );
+                self.schedule(now + self.case.signal_lag, Event::Load(entry, engine, load));
             }
         }
         if now.as_secs() < self.case.seconds {
