--- a/verbenaspool_policy/tests/decisions/main.rs
+++ b/verbenaspool_policy/tests/decisions/main.rs
@@ -1,11 +1,11 @@
-//! Tests of the decisions through the balancer's interface.
+//! Tests of the balancer's decisions through its public interface.
 
 mod balancer;
 mod cases;
+mod common;
 mod input;
 mod noise;
 mod subset;
-mod world;
 
-#[path = "../../benches/play/mod.rs"]
-mod play;
+#[path = "../../benches/simulation/mod.rs"]
+mod simulation;
