--- a/examples/demo/world.rs
+++ b/examples/demo/world.rs
@@ -9,7 +9,7 @@
 use verbenaspool::{run, settings::Settings};
 use verbenaspool_agent::{agent::Agent, settings as agent_settings};
 use verbenaspool_coordination::{
-    apply::{Order, Outcome},
+    apply::{self, Outcome},
     keys, piece,
 };
 use verbenaspool_standin::{
@@ -136,13 +136,13 @@
             Ok(split) => split,
             Err(error) => return Outcome::Failed(error.to_string()),
         };
-        let order = Order {
+        let request = apply::Request {
             firm: file.firm.clone(),
             id: format!("demo-{number}"),
-            expect: None,
+            expected_version: None,
             split,
         };
-        config::apply(&*firm.store, order, APPLY, number).await
+        config::apply(&*firm.store, request, APPLY, number).await
     }
 }
 
--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -135,7 +135,7 @@
     for adoption in [&mut sender, &mut receiver] {
         adoption.offer(head.clone());
         for (hash, bytes) in &split.pieces {
-            adoption.insert(*hash, bytes).expect("a sound piece");
+            adoption.insert_piece(*hash, bytes).expect("a sound piece");
         }
         adoption.poll(Duration::ZERO, 1).expect("a sound file");
     }
@@ -155,7 +155,7 @@
         sender.offer(head.clone());
         let mut read = BTreeSet::new();
         loop {
-            let missing = sender.missing();
+            let missing = sender.missing_pieces();
             if missing.is_empty() {
                 break;
             }
@@ -163,11 +163,11 @@
                 let bytes = &split.pieces[&hash];
                 read.insert(hash);
                 cost.pieces += bytes.len() + HEADS + 2 * PACKET;
-                sender.insert(hash, bytes).expect("a sound piece");
+                sender.insert_piece(hash, bytes).expect("a sound piece");
             }
         }
         // Each change ends a watch, and its head is read as well.
-        cost.pieces += head.write().len() + 2 * (HEADS + 2 * PACKET) + 120;
+        cost.pieces += head.to_bytes().len() + 2 * (HEADS + 2 * PACKET) + 120;
         cost.calls += read.len() + 2;
         // Versions of a large file are seconds apart.
         let now = PAUSE * (change + 1);
@@ -185,7 +185,7 @@
         let start = Instant::now();
         receiver.offer(head.clone());
         receiver
-            .follow(&delta.expect("one change is told"))
+            .apply_delta(&delta.expect("one change is told"))
             .expect("a sound change");
         let adopted = receiver.poll(now, 1).expect("a sound file");
         cost.follow += start.elapsed();
--- a/verbenaspool/benches/capacity/processes.rs
+++ b/verbenaspool/benches/capacity/processes.rs
@@ -12,7 +12,7 @@
 };
 
 use verbenaspool_coordination::{
-    apply::{Order, Outcome},
+    apply::{Outcome, Request},
     piece,
 };
 use verbenaspool_standin::{
@@ -101,13 +101,13 @@
                     token: file.firm.to_string().into(),
                     timeout: Duration::from_secs(5),
                 });
-                let order = Order {
+                let request = Request {
                     firm: file.firm.clone(),
                     id: format!("{number:016x}"),
-                    expect: None,
+                    expected_version: None,
                     split: piece::split(&file).expect("the file fits"),
                 };
-                let outcome = config::apply(&store, order, Duration::from_mins(2), 7).await;
+                let outcome = config::apply(&store, request, Duration::from_mins(2), 7).await;
                 assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
                 told.send(Instant::now()).expect("the bench waits");
             }
--- a/verbenaspool/benches/path/site.rs
+++ b/verbenaspool/benches/path/site.rs
@@ -12,7 +12,7 @@
 
 use std::io::{Read, Write};
 
-use verbenaspool_coordination::{apply::Order, piece};
+use verbenaspool_coordination::{apply::Request, piece};
 use verbenaspool_standin::{
     address,
     engine::{Config, Engine},
@@ -171,13 +171,13 @@
                 token: "token".to_owned().into(),
                 timeout: Duration::from_secs(1),
             });
-            let order = Order {
+            let request = Request {
                 firm: "tidewater".parse().expect("a name"),
                 id: "apply-1".to_owned(),
-                expect: None,
+                expected_version: None,
                 split: piece::split(&file()).expect("a file that can be split"),
             };
-            config::apply(&store, order, Duration::from_secs(5), 7).await;
+            config::apply(&store, request, Duration::from_secs(5), 7).await;
             tell.send(platform.address()).expect("the bench waits");
             std::future::pending::<()>().await;
         });
--- a/verbenaspool/src/entry/claim.rs
+++ b/verbenaspool/src/entry/claim.rs
@@ -64,14 +64,14 @@
     /// reached; the attempt must not be sent then.
     pub async fn renew(&mut self, forward: &Forward, ticket: Ticket) -> Result<(), Problem> {
         let record = record(forward, &ticket);
-        let claim = Claim::over(self.key.clone(), self.version, record);
+        let claim = Claim::replace(self.key.clone(), self.version, record);
         match drive(forward, self.store.as_ref(), claim).await {
-            Outcome::Mine { version } => {
+            Outcome::Acquired { version } => {
                 self.version = version;
                 self.ticket = ticket;
                 Ok(())
             }
-            Outcome::Other { .. } => Err(came_before()),
+            Outcome::Taken { .. } => Err(came_before()),
             Outcome::Failed { .. } => Err(unreachable()),
         }
     }
@@ -92,7 +92,7 @@
     let mut claim = Claim::new(key.clone(), record.clone());
     for _ in 0..ROUNDS {
         match drive(forward, store.as_ref(), claim).await {
-            Outcome::Mine { version } => {
+            Outcome::Acquired { version } => {
                 return Ok(Claimed {
                     store,
                     key,
@@ -100,16 +100,16 @@
                     ticket,
                 });
             }
-            Outcome::Other { record: other, .. } if other.request != record.request => {
+            Outcome::Taken { record: other, .. } if other.request != record.request => {
                 let message = "The key was used for another request.";
                 return Err(Problem::not_run(Code::KeyConflict, message));
             }
-            Outcome::Other {
+            Outcome::Taken {
                 record: other,
                 version,
             } => {
                 settled(forward, &other).await?;
-                claim = Claim::over(key.clone(), version, record.clone());
+                claim = Claim::replace(key.clone(), version, record.clone());
             }
             Outcome::Failed { .. } => return Err(unreachable()),
         }
--- a/verbenaspool/src/operate/apply.rs
+++ b/verbenaspool/src/operate/apply.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use serde::Serialize;
 use verbenaspool_coordination::{
-    apply::{Order, Outcome},
+    apply::{Outcome, Request},
     piece,
 };
 use verbenaspool_state::{check::Problem, version::Version};
@@ -124,15 +124,15 @@
     })?;
     let seed = rand::rng().random();
     let id = options.id.unwrap_or_else(|| format!("{seed:016x}"));
-    let order = Order {
+    let request = Request {
         firm: settings.firm.clone(),
         id: id.clone(),
-        expect: options.expect,
+        expected_version: options.expect,
         split,
     };
     let outcome = runtime::run(async {
         let store = Client::new(settings.platform.client());
-        config::apply(&store, order, options.within, seed).await
+        config::apply(&store, request, options.within, seed).await
     });
     Ok(result(id, outcome.map_err(Error::Loop)?))
 }
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -9,7 +9,7 @@
     settings::Settings,
 };
 use verbenaspool_agent::{agent::Agent, settings as agent_settings};
-use verbenaspool_coordination::{apply::Order, claim, keys, piece};
+use verbenaspool_coordination::{apply, claim, keys, piece};
 use verbenaspool_protocol::{header, settle};
 use verbenaspool_standin::{
     address,
@@ -102,13 +102,13 @@
             token: "token".to_owned().into(),
             timeout: Duration::from_secs(1),
         });
-        let order = Order {
+        let request = apply::Request {
             firm: "tidewater".parse().unwrap(),
             id: "apply-1".to_owned(),
-            expect: None,
+            expected_version: None,
             split: piece::split(&file()).unwrap(),
         };
-        config::apply(&store, order, Duration::from_secs(5), 7).await;
+        config::apply(&store, request, Duration::from_secs(5), 7).await;
     }
 
     /// Starts an entry and waits until it is ready.
--- a/verbenaspool/tests/history/site.rs
+++ b/verbenaspool/tests/history/site.rs
@@ -5,7 +5,7 @@
 
 use http::Request;
 use http_body_util::BodyExt;
-use verbenaspool_coordination::{apply::Order, keys, piece};
+use verbenaspool_coordination::{apply, keys, piece};
 use verbenaspool_standin::{
     engine::{Config, Engine, Parts},
     platform::Platform,
@@ -210,13 +210,13 @@
             token: "token".to_owned().into(),
             timeout: Duration::from_secs(1),
         });
-        let order = Order {
+        let request = apply::Request {
             firm: name("tidewater"),
             id: "first".to_owned(),
-            expect: None,
+            expected_version: None,
             split: piece::split(&file()).expect("the file fits"),
         };
-        config::apply(&store, order, Duration::from_secs(5), 7).await;
+        config::apply(&store, request, Duration::from_secs(5), 7).await;
     }
 
     /// Whether an entry is ready and has heard of all upstreams.
--- a/verbenaspool_agent/src/group/lease.rs
+++ b/verbenaspool_agent/src/group/lease.rs
@@ -53,15 +53,23 @@
     let key = keys::lease(&firm, &settings.name);
     let holder = format!("{}-{:016x}", settings.seat, rand::random::<u64>());
     let margin = time / MARGIN;
-    let mut lease = Lease::new(key, holder, Terms { time, margin });
+    let mut lease = Lease::new(
+        key,
+        holder,
+        Terms {
+            duration: time,
+            drift_margin: margin,
+        },
+    );
     let mut told = 0;
     let mut held = None;
     loop {
-        while let Some(call) = lease.call(clock.now()) {
+        while let Some(call) = lease.next_call(clock.now()) {
             let began = clock.now();
             let answer = driver::make(&store, &call).await;
             let now = clock.now();
-            if let Answer::Failed(reason) | Answer::Lost(reason) | Answer::Refused(reason) = &answer
+            if let Answer::Failed(reason) | Answer::Lost(reason) | Answer::Rejected(reason) =
+                &answer
             {
                 warn!(log, "lease call failed"; "reason" => reason,
                     "took_ms" => now.saturating_sub(began).as_secs_f64() * 1e3);
@@ -69,7 +77,7 @@
             lease.answer(now, answer);
         }
         let before = held;
-        held = lease.held(clock.now());
+        held = lease.current_fence(clock.now());
         if let (Some(fence), None) = (before, held) {
             warn!(log, "lease lost"; "fence" => fence);
         }
--- a/verbenaspool_agent/src/meter.rs
+++ b/verbenaspool_agent/src/meter.rs
@@ -1,6 +1,6 @@
 //! What the agent counts and times.
 
-use verbenaspool_coordination::attempt::{Ending, Message};
+use verbenaspool_coordination::attempt::{Ending, Status};
 use verbenaspool_protocol::problem::Code;
 use verbenaspool_transport::metrics::{Counter, Histogram, Registry};
 
@@ -68,12 +68,12 @@
     }
 
     /// Counts a question about an attempt.
-    pub(crate) fn settled(&self, word: Message) {
+    pub(crate) fn settled(&self, word: Status) {
         let word = match word {
-            Message::Refused => "refused",
-            Message::Running => "running",
-            Message::Ended => "ended",
-            Message::Unknown => "unknown",
+            Status::Rejected => "refused",
+            Status::Running => "running",
+            Status::Ended => "ended",
+            Status::Unknown => "unknown",
         };
         let help = "Questions about an attempt, by the answer.";
         self.registry
--- a/verbenaspool_agent/src/proxy.rs
+++ b/verbenaspool_agent/src/proxy.rs
@@ -14,7 +14,7 @@
 use slog::{debug, warn};
 use tokio::sync::oneshot;
 
-use verbenaspool_coordination::attempt::{Ending, Refusal};
+use verbenaspool_coordination::attempt::{Ending, Rejection};
 use verbenaspool_protocol::{
     attempt, header,
     outcome::Outcome,
@@ -199,17 +199,17 @@
 
 /// The problem that goes with a refusal. A repeated attempt may have run, so
 /// only for that one the word is not "not run".
-fn refuse(refusal: Refusal) -> Problem {
+fn refuse(refusal: Rejection) -> Problem {
     match refusal {
-        Refusal::Leaving => Problem::not_run(Code::Leaving, "The instance is leaving."),
-        Refusal::Full => {
+        Rejection::Leaving => Problem::not_run(Code::Leaving, "The instance is leaving."),
+        Rejection::Full => {
             let message = "The instance runs as many requests as it may.";
             Problem::not_run(Code::Overloaded, message).after(FULL_RETRY)
         }
-        Refusal::Tombstone => {
+        Rejection::Tombstone => {
             Problem::not_run(Code::StaleAttempt, "The attempt was refused before.")
         }
-        Refusal::Repeated => {
+        Rejection::Repeated => {
             Problem::unknown(Code::StaleAttempt, "The attempt was admitted before.")
         }
     }
--- a/verbenaspool_agent/src/shared.rs
+++ b/verbenaspool_agent/src/shared.rs
@@ -40,8 +40,8 @@
 impl Shared {
     pub(crate) fn new(settings: Settings, log: Logger, clock: Rc<dyn Clock>) -> Self {
         let limits = Limits {
-            running: settings.limits.requests,
-            closed: settings.limits.remembered,
+            max_running: settings.limits.requests,
+            max_closed: settings.limits.remembered,
             ..Limits::default()
         };
         let idle = Duration::from_millis(settings.upstream.idle_ms);
--- a/verbenaspool_coordination/src/adoption.rs
+++ b/verbenaspool_coordination/src/adoption.rs
@@ -9,7 +9,7 @@
 //! is replaced during an outage of the platform, and its successor finds only
 //! peers at the version before. Callers would see the zone go back. With a
 //! second holder the successor finds the version there. The wait is bounded by
-//! [`Settings::wait`], because a zone whose other instances can't be reached
+//! [`Settings::max_wait`], because a zone whose other instances can't be reached
 //! has to go on; what remains possible then is the loss of all holders at once.
 //!
 //! While one version waits to be in force, later ones gather behind it and only
@@ -31,30 +31,30 @@
 
 /// Versions whose pieces are kept. Peers of a zone are a few versions apart at
 /// most; one that is further behind is sent pieces in place of differences.
-const KEPT: usize = 8;
+const RETAINED_VERSIONS: usize = 8;
 
 /// Settings of adoption.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
     /// Instances of the zone that have to hold a version before it is in force,
     /// this one counted; fewer where fewer are alive.
-    pub holders: usize,
+    pub min_holders: usize,
     /// The longest wait for the other holders. A peer that is alive answers in
     /// milliseconds, so a wait over this means it can't be reached.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// The least time between two versions in force, for each customer. Putting
     /// a version in force costs about 3 us a customer, so this bounds what a
     /// stream of changes takes to 2.4% of a core at any size: 1 ms passes
     /// between the versions of 10 customers, 2 s between those of 16,000.
-    pub pause: Duration,
+    pub min_interval_per_customer: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            holders: 2,
-            wait: Duration::from_secs(1),
-            pause: Duration::from_micros(125),
+            min_holders: 2,
+            max_wait: Duration::from_secs(1),
+            min_interval_per_customer: Duration::from_micros(125),
         }
     }
 }
@@ -98,13 +98,13 @@
     /// one is ready before it.
     next: Option<Head>,
     /// Peers of the zone, with the highest version that each holds.
-    holders: BTreeMap<Name, Version>,
+    peer_versions: BTreeMap<Name, Version>,
     /// When the last version came in force.
-    since: Duration,
+    activated_at: Duration,
     /// The file in force.
     current: Option<Rc<Adopted>>,
     /// Roots whose pieces are kept, the latest last.
-    kept: VecDeque<Hash>,
+    retained_roots: VecDeque<Hash>,
 }
 
 /// A head whose pieces are all held.
@@ -113,7 +113,7 @@
     /// The head.
     head: Head,
     /// Since when its pieces are held.
-    since: Duration,
+    complete_since: Duration,
 }
 
 /// What became of an offered head.
@@ -127,7 +127,7 @@
     Old,
     /// Its content doesn't fit its seal, or it names another file under a known
     /// version. It isn't used.
-    Garbled,
+    Corrupt,
 }
 
 /// Why a held file can't be put in force.
@@ -168,10 +168,10 @@
             pieces: Pieces::default(),
             ready: None,
             next: None,
-            holders: BTreeMap::new(),
-            since: Duration::ZERO,
+            peer_versions: BTreeMap::new(),
+            activated_at: Duration::ZERO,
             current: None,
-            kept: VecDeque::new(),
+            retained_roots: VecDeque::new(),
         }
     }
 
@@ -192,11 +192,11 @@
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.held(), None);
+    /// assert_eq!(adoption.complete_head(), None);
     /// ```
     #[must_use]
-    pub fn held(&self) -> Option<&Head> {
-        let next = self.next.as_ref().filter(|next| self.whole(next));
+    pub fn complete_head(&self) -> Option<&Head> {
+        let next = self.next.as_ref().filter(|next| self.is_complete(next));
         let ready = self.ready.as_ref().map(|ready| &ready.head);
         let current = self.current.as_ref().map(|adopted| &adopted.head);
         next.or(ready).or(current)
@@ -207,10 +207,10 @@
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.highest(), None);
+    /// assert_eq!(adoption.highest_head(), None);
     /// ```
     #[must_use]
-    pub fn highest(&self) -> Option<&Head> {
+    pub fn highest_head(&self) -> Option<&Head> {
         let ready = self.ready.as_ref().map(|ready| &ready.head);
         let current = self.current.as_ref().map(|adopted| &adopted.head);
         self.next.as_ref().or(ready).or(current)
@@ -227,10 +227,10 @@
     /// assert_eq!(adoption.offer(head), Verdict::Known);
     /// ```
     pub fn offer(&mut self, head: Head) -> Verdict {
-        if !head.sound() {
-            return Verdict::Garbled;
+        if !head.is_valid() {
+            return Verdict::Corrupt;
         }
-        if let Some(known) = self.highest() {
+        if let Some(known) = self.highest_head() {
             if head.version < known.version {
                 return Verdict::Old;
             }
@@ -238,7 +238,7 @@
                 return if head == *known {
                     Verdict::Known
                 } else {
-                    Verdict::Garbled
+                    Verdict::Corrupt
                 };
             }
         }
@@ -252,10 +252,10 @@
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.missing().is_empty());
+    /// assert!(adoption.missing_pieces().is_empty());
     /// ```
     #[must_use]
-    pub fn missing(&self) -> BTreeSet<Hash> {
+    pub fn missing_pieces(&self) -> BTreeSet<Hash> {
         let Some(next) = &self.next else {
             return BTreeSet::new();
         };
@@ -271,9 +271,9 @@
     /// ```
     /// # use verbenaspool_coordination::{adoption::{Adoption, Settings}, piece::Hash};
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.insert(Hash::of(b"[]"), b"garbage").is_err());
+    /// assert!(adoption.insert_piece(Hash::of(b"[]"), b"garbage").is_err());
     /// ```
-    pub fn insert(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), piece::Error> {
+    pub fn insert_piece(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), piece::Error> {
         self.pieces.insert(hash, bytes)
     }
 
@@ -294,14 +294,14 @@
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.before(), None);
+    /// assert_eq!(adoption.previous_root(), None);
     /// ```
     #[must_use]
-    pub fn before(&self) -> Option<Hash> {
-        let coming = self.ready.is_some() || self.next.is_some();
-        let back = if coming { 1 } else { 2 };
-        let index = self.kept.len().checked_sub(back)?;
-        self.kept.get(index).copied()
+    pub fn previous_root(&self) -> Option<Hash> {
+        let has_pending = self.ready.is_some() || self.next.is_some();
+        let offset = if has_pending { 1 } else { 2 };
+        let index = self.retained_roots.len().checked_sub(offset)?;
+        self.retained_roots.get(index).copied()
     }
 
     /// What a peer that holds `from` has to be told to hold `to` as well, if both
@@ -327,10 +327,10 @@
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
     /// # let (from, to) = (Hash::of(b"one"), Hash::of(b"two"));
     /// let delta = Delta { from, to, base: None, changed: vec![], removed: vec![] };
-    /// assert!(adoption.follow(&delta).is_err());
+    /// assert!(adoption.apply_delta(&delta).is_err());
     /// ```
-    pub fn follow(&mut self, delta: &Delta) -> Result<(), piece::Error> {
-        self.pieces.follow(delta)
+    pub fn apply_delta(&mut self, delta: &Delta) -> Result<(), piece::Error> {
+        self.pieces.apply(delta)
     }
 
     /// Takes in that a peer of the zone holds `version`.
@@ -339,11 +339,11 @@
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # use verbenaspool_state::version::Version;
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// adoption.hold(&"entry-2".parse().unwrap(), Version(1));
+    /// adoption.set_peer_version(&"entry-2".parse().unwrap(), Version(1));
     /// ```
-    pub fn hold(&mut self, peer: &Name, version: Version) {
+    pub fn set_peer_version(&mut self, peer: &Name, version: Version) {
         // A peer that started again may hold less than its predecessor did.
-        self.holders.insert(peer.clone(), version);
+        self.peer_versions.insert(peer.clone(), version);
     }
 
     /// Puts the next file in force if it is time to. `alive` counts the zone's
@@ -364,17 +364,17 @@
         let Some(ready) = &self.ready else {
             return Ok(None);
         };
-        let has = |held: &&Version| **held >= ready.head.version;
-        let holders = 1 + self.holders.values().filter(has).count();
-        let enough = holders >= self.settings.holders.min(alive.max(1));
-        if !enough && now.saturating_sub(ready.since) < self.settings.wait {
+        let holds_ready = |version: &&Version| **version >= ready.head.version;
+        let holders = 1 + self.peer_versions.values().filter(holds_ready).count();
+        let enough = holders >= self.settings.min_holders.min(alive.max(1));
+        if !enough && now.saturating_sub(ready.complete_since) < self.settings.max_wait {
             return Ok(None);
         }
-        if now.saturating_sub(self.since) < self.pause() {
+        if now.saturating_sub(self.activated_at) < self.min_interval() {
             return Ok(None);
         }
-        let adopted = self.enforce()?;
-        self.since = now;
+        let adopted = self.activate()?;
+        self.activated_at = now;
         self.advance(now)?;
         Ok(Some(adopted))
     }
@@ -384,16 +384,16 @@
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.pause().is_zero());
+    /// assert!(adoption.min_interval().is_zero());
     /// ```
     #[must_use]
-    pub fn pause(&self) -> Duration {
+    pub fn min_interval(&self) -> Duration {
         let customers = self.current.as_ref().map_or(0, |a| a.file.customers.len());
-        self.settings.pause * u32::try_from(customers).unwrap_or(u32::MAX)
+        self.settings.min_interval_per_customer * u32::try_from(customers).unwrap_or(u32::MAX)
     }
 
     /// Whether all pieces of a head are held.
-    fn whole(&self, head: &Head) -> bool {
+    fn is_complete(&self, head: &Head) -> bool {
         let missing = self.pieces.missing(head.root);
         missing.is_ok_and(|missing| missing.is_empty())
     }
@@ -409,7 +409,10 @@
         match self.pieces.missing(next.root) {
             Ok(missing) if missing.is_empty() => {
                 let head = self.next.take();
-                self.ready = head.map(|head| Ready { head, since: now });
+                self.ready = head.map(|head| Ready {
+                    head,
+                    complete_since: now,
+                });
                 Ok(())
             }
             Ok(_) => Ok(()),
@@ -422,7 +425,7 @@
     }
 
     /// Puts the ready file in force.
-    fn enforce(&mut self) -> Result<Rc<Adopted>, Error> {
+    fn activate(&mut self) -> Result<Rc<Adopted>, Error> {
         // `poll` has seen that one is ready.
         let Ready { head, .. } = self.ready.take().expect("a head is ready");
         let file = self.pieces.join(head.root).map_err(|cause| Error::Piece {
@@ -433,7 +436,7 @@
             let (version, firm) = (head.version, file.firm);
             return Err(Error::Firm { version, firm });
         }
-        self.keep(head.root);
+        self.retain_recent(head.root);
         let adopted = Rc::new(Adopted { head, file });
         self.current = Some(Rc::clone(&adopted));
         Ok(adopted)
@@ -441,12 +444,12 @@
 
     /// Keeps the pieces of `root` and of some versions before, so that a peer that
     /// holds one of those can be told what differs.
-    fn keep(&mut self, root: Hash) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+    fn retain_recent(&mut self, root: Hash) {
+        if self.retained_roots.len() == RETAINED_VERSIONS {
+            self.retained_roots.pop_front();
         }
-        self.kept.push_back(root);
-        let mut roots: Vec<Hash> = self.kept.iter().copied().collect();
+        self.retained_roots.push_back(root);
+        let mut roots: Vec<Hash> = self.retained_roots.iter().copied().collect();
         // What is held of the next file already stays.
         roots.extend(self.next.as_ref().map(|next| next.root));
         self.pieces.retain(&roots);
--- a/verbenaspool_coordination/src/apply.rs
+++ b/verbenaspool_coordination/src/apply.rs
@@ -23,39 +23,39 @@
 #[derive(Debug)]
 pub struct Apply {
     /// What the operator asked for.
-    order: Order,
+    request: Request,
     /// The new pieces, and the old nodes read to find out what differs.
     pieces: Pieces,
     /// The head that the new one is to replace.
-    base: Option<Base>,
+    base: Option<StoredHead>,
     /// How far the apply has come.
     state: State,
     /// Whether the last call has to be made again after a pause.
-    again: bool,
+    retry: bool,
     /// Whether a swap was sent whose fate isn't known.
-    open: bool,
+    unconfirmed_swap: bool,
     /// The last trouble met, to be reported if the apply is given up.
-    trouble: String,
+    last_error: String,
 }
 
 /// What the operator asked for.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct Request {
     /// The firm.
     pub firm: Name,
     /// The apply's id, unique; a later apply under the same id settles this one.
     pub id: String,
     /// The version that the operator expects to replace, if one was named.
-    pub expect: Option<Version>,
+    pub expected_version: Option<Version>,
     /// The file in pieces.
     pub split: Split,
 }
 
 /// The head that the new one is to replace.
 #[derive(Debug, Clone)]
-struct Base {
+struct StoredHead {
     /// The version of the head's object.
-    object: u64,
+    object_version: u64,
     /// The head.
     head: Head,
 }
@@ -64,13 +64,13 @@
 #[derive(Debug)]
 enum State {
     /// The head is to be read.
-    Start,
+    ReadHead,
     /// A node of the head's file is to be read.
-    Walk(Hash),
+    ReadNode(Hash),
     /// Pieces are to be written; once none is left, the head is to be swapped.
     Upload(VecDeque<(Hash, Rc<[u8]>)>),
     /// The swap met another head, which is to be read.
-    Settle,
+    ResolveConflict,
     /// The outcome stands.
     Done(Outcome),
 }
@@ -83,7 +83,7 @@
         /// The version that it got.
         version: Version,
         /// The version of the head's object, where this apply's head still stands.
-        object: Option<u64>,
+        object_version: Option<u64>,
     },
     /// The file is what is accepted already; nothing was changed.
     Unchanged(Version),
@@ -106,27 +106,27 @@
     /// An apply that has made no call yet.
     ///
     /// ```
-    /// use verbenaspool_coordination::{apply::{Apply, Order}, piece, store::{Call, Machine, Step}};
+    /// use verbenaspool_coordination::{apply::{Apply, Request}, piece, store::{Call, Machine, Step}};
     /// use verbenaspool_state::file::File;
     ///
     /// let firm: verbenaspool_state::name::Name = "quetzal".parse().unwrap();
     /// let file = File { firm: firm.clone(), places: vec![], services: vec![], customers: vec![] };
     /// let split = piece::split(&file).unwrap();
-    /// let apply = Apply::new(Order { firm, id: "apply-1".into(), expect: None, split });
+    /// let apply = Apply::new(Request { firm, id: "apply-1".into(), expected_version: None, split });
     /// assert_eq!(apply.step(), Step::Call(Call::Get { key: "firms/quetzal/head".into() }));
     /// ```
     #[must_use]
-    pub fn new(order: Order) -> Self {
+    pub fn new(request: Request) -> Self {
         let mut pieces = Pieces::default();
-        pieces.extend(&order.split);
+        pieces.extend(&request.split);
         Self {
-            order,
+            request,
             pieces,
             base: None,
-            state: State::Start,
-            again: false,
-            open: false,
-            trouble: String::new(),
+            state: State::ReadHead,
+            retry: false,
+            unconfirmed_swap: false,
+            last_error: String::new(),
         }
     }
 
@@ -142,20 +142,20 @@
     pub fn abandon(&self) -> Outcome {
         match &self.state {
             State::Done(outcome) => outcome.clone(),
-            _ if self.open => Outcome::Unknown(self.trouble.clone()),
-            _ => Outcome::Failed(self.trouble.clone()),
+            _ if self.unconfirmed_swap => Outcome::Unknown(self.last_error.clone()),
+            _ => Outcome::Failed(self.last_error.clone()),
         }
     }
 
     /// The version that this apply replaces.
-    fn replaced(&self) -> Version {
+    fn base_version(&self) -> Version {
         let head = self.base.as_ref().map(|base| base.head.version);
         head.unwrap_or_default()
     }
 
     /// The head to be put in place.
     fn head(&self) -> Head {
-        let Order { id, split, .. } = &self.order;
+        let Request { id, split, .. } = &self.request;
         match &self.base {
             Some(base) => base.head.next(id, split.root),
             None => Head::first(id, split.root),
@@ -164,12 +164,12 @@
 
     /// The call of the present state.
     fn call(&self) -> Result<Call, Outcome> {
-        let firm = &self.order.firm;
+        let firm = &self.request.firm;
         Ok(match &self.state {
-            State::Start | State::Settle => Call::Get {
+            State::ReadHead | State::ResolveConflict => Call::Get {
                 key: keys::head(firm),
             },
-            State::Walk(hash) => Call::Get {
+            State::ReadNode(hash) => Call::Get {
                 key: keys::piece(firm, *hash),
             },
             State::Upload(queue) => match queue.front() {
@@ -189,38 +189,43 @@
         let when = self
             .base
             .as_ref()
-            .map_or(When::Absent, |base| When::Version(base.object));
+            .map_or(When::Absent, |base| When::Version(base.object_version));
         Call::Put {
-            key: keys::head(&self.order.firm),
-            value: self.head().write(),
+            key: keys::head(&self.request.firm),
+            value: self.head().to_bytes(),
             when,
         }
     }
 
     /// Takes the head in, at the start.
-    fn start(&mut self, found: Option<Base>) {
+    fn handle_head(&mut self, found: Option<StoredHead>) {
         if let Some(base) = &found {
             let current = base.head.version;
-            if let Some(version) = base.head.accepted(&self.order.id) {
-                let object = (version == current).then_some(base.object);
-                return self.finish(Outcome::Accepted { version, object });
+            if let Some(version) = base.head.version_of(&self.request.id) {
+                let object_version = (version == current).then_some(base.object_version);
+                return self.finish(Outcome::Accepted {
+                    version,
+                    object_version,
+                });
             }
-            if base.head.root == self.order.split.root && self.expected(current) {
+            if base.head.root == self.request.split.root && self.may_replace(current) {
                 return self.finish(Outcome::Unchanged(current));
             }
         }
         self.base = found;
-        let current = self.replaced();
-        if !self.expected(current) {
-            let expected = self.order.expect.unwrap_or_default();
+        let current = self.base_version();
+        if !self.may_replace(current) {
+            let expected = self.request.expected_version.unwrap_or_default();
             return self.finish(Outcome::Conflict { expected, current });
         }
-        self.walk();
+        self.read_or_upload();
     }
 
     /// Whether the operator is content to replace `current`.
-    fn expected(&self, current: Version) -> bool {
-        self.order.expect.is_none_or(|expect| expect == current)
+    fn may_replace(&self, current: Version) -> bool {
+        self.request
+            .expected_version
+            .is_none_or(|expected| expected == current)
     }
 
     /// Reads on in the head's file, or goes on to write what it doesn't have.
@@ -229,17 +234,17 @@
     /// all that are the same. Every piece outside the head's file is written even
     /// if it already stands in the store, because it may be about to be collected;
     /// writing it gives it a new version, which the collection's condition minds.
-    fn walk(&mut self) {
+    fn read_or_upload(&mut self) {
         let Some(base) = &self.base else {
-            let all = self.order.split.pieces.clone();
+            let all = self.request.split.pieces.clone();
             self.state = State::Upload(all.into_iter().collect());
             return;
         };
         let root = base.head.root;
-        match (self.pieces.unread(root), self.pieces.referenced(root)) {
-            (Ok(Some(hash)), _) => self.state = State::Walk(hash),
+        match (self.pieces.missing_node(root), self.pieces.referenced(root)) {
+            (Ok(Some(hash)), _) => self.state = State::ReadNode(hash),
             (Ok(None), Ok(known)) => {
-                let pieces = self.order.split.pieces.iter();
+                let pieces = self.request.split.pieces.iter();
                 let fresh = pieces.filter(|(hash, _)| !known.contains(hash));
                 self.state = State::Upload(fresh.map(|(h, b)| (*h, Rc::clone(b))).collect());
             }
@@ -248,35 +253,35 @@
     }
 
     /// Takes a node of the head's file in.
-    fn node(&mut self, hash: Hash, answer: Answer) {
+    fn handle_node(&mut self, hash: Hash, answer: Answer) {
         match answer {
             Answer::Found { value, .. } => match self.pieces.insert(hash, &value) {
-                Ok(()) => self.walk(),
+                Ok(()) => self.read_or_upload(),
                 Err(e) => self.finish(Outcome::Failed(e.to_string())),
             },
             // The head was replaced and its pieces were collected meanwhile.
-            _ => self.state = State::Start,
+            _ => self.state = State::ReadHead,
         }
     }
 
     /// Takes in what stands in place of the head that was to be replaced.
-    fn settle(&mut self, found: Option<Base>) {
+    fn resolve_conflict(&mut self, found: Option<StoredHead>) {
         let Some(base) = found else {
             return self.finish(Outcome::Failed("the head is gone".to_owned()));
         };
         let current = base.head.version;
-        let outcome = match base.head.accepted(&self.order.id) {
+        let outcome = match base.head.version_of(&self.request.id) {
             Some(version) => Outcome::Accepted {
                 version,
-                object: (version == current).then_some(base.object),
+                object_version: (version == current).then_some(base.object_version),
             },
             // The head remembers only so many applies. Beyond them a swap whose
             // answer was lost can't be told from one that never took effect.
-            None if self.open && !base.head.reaches(self.replaced().next()) => {
+            None if self.unconfirmed_swap && !base.head.remembers(self.base_version().next()) => {
                 Outcome::Unknown("too many versions were accepted since".to_owned())
             }
             None => Outcome::Conflict {
-                expected: self.replaced(),
+                expected: self.base_version(),
                 current,
             },
         };
@@ -289,16 +294,16 @@
     }
 
     /// Reads the answer to a read of the head.
-    fn read(&mut self, answer: Answer) -> Option<Base> {
+    fn parse_head(&mut self, answer: Answer) -> Option<StoredHead> {
         let Answer::Found { version, value } = answer else {
             return None;
         };
-        let head = Head::read(&value);
+        let head = Head::from_bytes(&value);
         if head.is_none() {
             self.finish(Outcome::Failed("the stored head is garbled".to_owned()));
         }
-        head.map(|head| Base {
-            object: version,
+        head.map(|head| StoredHead {
+            object_version: version,
             head,
         })
     }
@@ -309,7 +314,7 @@
 
     fn step(&self) -> Step<Outcome> {
         match self.call() {
-            Ok(call) if self.again => Step::Retry(call),
+            Ok(call) if self.retry => Step::Retry(call),
             Ok(call) => Step::Call(call),
             Err(outcome) => Step::Done(outcome),
         }
@@ -317,48 +322,51 @@
 
     fn answer(&mut self, answer: Answer) {
         let swap = matches!(&self.state, State::Upload(queue) if queue.is_empty());
-        self.again = false;
+        self.retry = false;
         match answer {
-            Answer::Failed(why) => {
-                self.trouble = why;
-                self.again = true;
+            Answer::Failed(reason) => {
+                self.last_error = reason;
+                self.retry = true;
                 return;
             }
-            Answer::Lost(why) => {
-                self.trouble = why;
-                self.again = true;
-                self.open |= swap;
+            Answer::Lost(reason) => {
+                self.last_error = reason;
+                self.retry = true;
+                self.unconfirmed_swap |= swap;
                 return;
             }
-            Answer::Refused(why) => return self.finish(Outcome::Failed(why)),
+            Answer::Rejected(reason) => return self.finish(Outcome::Failed(reason)),
             _ => {}
         }
         match &mut self.state {
-            State::Start => {
-                let found = self.read(answer);
+            State::ReadHead => {
+                let found = self.parse_head(answer);
                 if !matches!(self.state, State::Done(_)) {
-                    self.start(found);
+                    self.handle_head(found);
                 }
             }
-            State::Walk(hash) => {
+            State::ReadNode(hash) => {
                 let hash = *hash;
-                self.node(hash, answer);
+                self.handle_node(hash, answer);
             }
             State::Upload(queue) if !queue.is_empty() => {
                 queue.pop_front();
             }
             State::Upload(_) => match answer {
-                Answer::Changed(object) => {
+                Answer::Changed(object_version) => {
                     let version = self.head().version;
-                    let object = Some(object);
-                    self.finish(Outcome::Accepted { version, object });
+                    let object_version = Some(object_version);
+                    self.finish(Outcome::Accepted {
+                        version,
+                        object_version,
+                    });
                 }
-                _ => self.state = State::Settle,
+                _ => self.state = State::ResolveConflict,
             },
-            State::Settle => {
-                let found = self.read(answer);
+            State::ResolveConflict => {
+                let found = self.parse_head(answer);
                 if !matches!(self.state, State::Done(_)) {
-                    self.settle(found);
+                    self.resolve_conflict(found);
                 }
             }
             State::Done(_) => {}
--- a/verbenaspool_coordination/src/attempt.rs
+++ b/verbenaspool_coordination/src/attempt.rs
@@ -6,7 +6,7 @@
 //! tombstone for each such attempt.
 //!
 //! Memory is bounded without breaking the promise. The oldest closed records
-//! are forgotten, and each raises its entry's floor: an attempt at or below the
+//! are forgotten, and each raises its entry's rejected_through: an attempt at or below the
 //! floor that has no record is refused. Where the forgotten record had run, a
 //! second mark rises as well, below which the ledger says "unknown" rather than
 //! "refused".
@@ -29,29 +29,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Attempts that run at once.
-    pub running: usize,
+    pub max_running: usize,
     /// Closed attempts that are remembered. At 100 requests a second the
     /// default spans over two minutes, and an entry asks within seconds.
-    pub closed: usize,
+    pub max_closed: usize,
     /// How long an entry process must be silent before its floor is forgotten.
     /// A copy of an attempt that comes later than this would run, so it is far
     /// longer than a connection survives without a byte.
-    pub silence: Duration,
+    pub entry_expiry: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            running: 4_096,
-            closed: 16_384,
-            silence: Duration::from_hours(24),
+            max_running: 4_096,
+            max_closed: 16_384,
+            entry_expiry: Duration::from_hours(24),
         }
     }
 }
 
 /// Why an attempt may not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// The instance is leaving.
     #[error("the instance is leaving")]
     Leaving,
@@ -79,9 +79,9 @@
 
 /// What became of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Message {
+pub enum Status {
     /// It did not run and never will.
-    Refused,
+    Rejected,
     /// It is running.
     Running,
     /// It ran to its end.
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Record {
     Running,
-    Refused,
+    Rejected,
     Ended,
     Broken,
 }
@@ -102,31 +102,31 @@
 #[derive(Debug, Default)]
 struct Entry {
     /// At or below it, an attempt without a record is refused.
-    floor: u64,
+    rejected_through: u64,
     /// At or below it, an attempt without a record may have run.
-    ran: u64,
+    ran_through: u64,
     records: BTreeMap<u64, Record>,
-    heard: Duration,
+    last_contact: Duration,
 }
 
 impl Entry {
-    fn word(&self, counter: u64) -> Option<Message> {
+    fn status(&self, counter: u64) -> Option<Status> {
         match self.records.get(&counter) {
-            Some(Record::Running) => Some(Message::Running),
-            Some(Record::Refused) => Some(Message::Refused),
-            Some(Record::Ended) => Some(Message::Ended),
-            Some(Record::Broken) => Some(Message::Unknown),
-            None if counter <= self.ran => Some(Message::Unknown),
-            None if counter <= self.floor => Some(Message::Refused),
+            Some(Record::Running) => Some(Status::Running),
+            Some(Record::Rejected) => Some(Status::Rejected),
+            Some(Record::Ended) => Some(Status::Ended),
+            Some(Record::Broken) => Some(Status::Unknown),
+            None if counter <= self.ran_through => Some(Status::Unknown),
+            None if counter <= self.rejected_through => Some(Status::Rejected),
             None => None,
         }
     }
 
     fn forget(&mut self, counter: u64) {
         let record = self.records.remove(&counter);
-        self.floor = self.floor.max(counter);
+        self.rejected_through = self.rejected_through.max(counter);
         if matches!(record, Some(Record::Ended | Record::Broken)) {
-            self.ran = self.ran.max(counter);
+            self.ran_through = self.ran_through.max(counter);
         }
     }
 }
@@ -166,27 +166,27 @@
     /// that ran.
     ///
     /// # Errors
-    /// The attempt may not run. Only [`Refusal::Repeated`] leaves open whether
+    /// The attempt may not run. Only [`Rejection::Repeated`] leaves open whether
     /// it ran before.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Key, Ledger, Refusal};
+    /// use verbenaspool_coordination::attempt::{Key, Ledger, Rejection};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
     /// assert_eq!(ledger.admit(key, Duration::ZERO), Ok(()));
-    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Refusal::Repeated));
+    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Rejection::Repeated));
     /// ```
-    pub fn admit(&mut self, key: Key, now: Duration) -> Result<(), Refusal> {
-        let (full, leaving) = (self.running >= self.limits.running, self.leaving);
+    pub fn admit(&mut self, key: Key, now: Duration) -> Result<(), Rejection> {
+        let (full, leaving) = (self.running >= self.limits.max_running, self.leaving);
         let entry = self.entry(key.entry, now);
-        match entry.word(key.counter) {
-            Some(Message::Refused) => return Err(Refusal::Tombstone),
-            Some(_) => return Err(Refusal::Repeated),
-            None if leaving => return Err(Refusal::Leaving),
-            None if full => return Err(Refusal::Full),
+        match entry.status(key.counter) {
+            Some(Status::Rejected) => return Err(Rejection::Tombstone),
+            Some(_) => return Err(Rejection::Repeated),
+            None if leaving => return Err(Rejection::Leaving),
+            None if full => return Err(Rejection::Full),
             None => {}
         }
         entry.records.insert(key.counter, Record::Running);
@@ -199,13 +199,13 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Message};
+    /// use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Status};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
     /// ledger.admit(key, Duration::ZERO).unwrap();
     /// ledger.finish(key, Ending::Ran);
-    /// assert_eq!(ledger.settle(key, Duration::ZERO), Message::Ended);
+    /// assert_eq!(ledger.settle(key, Duration::ZERO), Status::Ended);
     /// ```
     pub fn finish(&mut self, key: Key, ending: Ending) {
         let entry = self.entries.get_mut(&key.entry);
@@ -217,7 +217,7 @@
         }
         *record = match ending {
             Ending::Ran => Record::Ended,
-            Ending::NotRun => Record::Refused,
+            Ending::NotRun => Record::Rejected,
             Ending::Broken => Record::Broken,
         };
         self.running -= 1;
@@ -230,21 +230,21 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Key, Ledger, Refusal, Message};
+    /// use verbenaspool_coordination::attempt::{Key, Ledger, Rejection, Status};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
-    /// assert_eq!(ledger.settle(key, Duration::ZERO), Message::Refused);
-    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Refusal::Tombstone));
+    /// assert_eq!(ledger.settle(key, Duration::ZERO), Status::Rejected);
+    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Rejection::Tombstone));
     /// ```
-    pub fn settle(&mut self, key: Key, now: Duration) -> Message {
+    pub fn settle(&mut self, key: Key, now: Duration) -> Status {
         let entry = self.entry(key.entry, now);
-        if let Some(word) = entry.word(key.counter) {
-            return word;
+        if let Some(status) = entry.status(key.counter) {
+            return status;
         }
-        entry.records.insert(key.counter, Record::Refused);
+        entry.records.insert(key.counter, Record::Rejected);
         self.close(key);
-        Message::Refused
+        Status::Rejected
     }
 
     /// Refuses every attempt that is not admitted yet, for good.
@@ -300,19 +300,19 @@
 
     fn entry(&mut self, incarnation: u64, now: Duration) -> &mut Entry {
         if !self.entries.contains_key(&incarnation) {
-            let silence = self.limits.silence;
+            let expiry = self.limits.entry_expiry;
             self.entries.retain(|_, entry| {
-                !entry.records.is_empty() || now.saturating_sub(entry.heard) < silence
+                !entry.records.is_empty() || now.saturating_sub(entry.last_contact) < expiry
             });
         }
         let entry = self.entries.entry(incarnation).or_default();
-        entry.heard = now;
+        entry.last_contact = now;
         entry
     }
 
     fn close(&mut self, key: Key) {
         self.closed.push_back(key);
-        while self.closed.len() > self.limits.closed {
+        while self.closed.len() > self.limits.max_closed {
             let Some(oldest) = self.closed.pop_front() else {
                 return;
             };
--- a/verbenaspool_coordination/src/claim.rs
+++ b/verbenaspool_coordination/src/claim.rs
@@ -57,9 +57,9 @@
     /// How far the claim has come.
     state: State,
     /// Whether the last call has to be made again after a pause.
-    again: bool,
+    retry: bool,
     /// Whether a write was sent whose fate isn't known.
-    open: bool,
+    unconfirmed_write: bool,
 }
 
 /// How far a claim has come.
@@ -78,12 +78,12 @@
 pub enum Outcome {
     /// The attempt may run. The claim can be released under this version if the
     /// attempt is confirmed as not run.
-    Mine {
+    Acquired {
         /// The version of the claim's object.
         version: u64,
     },
     /// Another attempt holds the key.
-    Other {
+    Taken {
         /// What its claim says.
         record: Record,
         /// The version of the claim's object.
@@ -92,9 +92,9 @@
     /// No claim could be made; the call mustn't be sent.
     Failed {
         /// The last trouble met.
-        why: String,
+        reason: String,
         /// Whether the claim may stand all the same, and keep the key.
-        open: bool,
+        may_be_stored: bool,
     },
 }
 
@@ -118,8 +118,8 @@
             record,
             when: When::Absent,
             state: State::Write,
-            again: false,
-            open: false,
+            retry: false,
+            unconfirmed_write: false,
         }
     }
 
@@ -133,11 +133,11 @@
     ///
     /// let agent = Agent { control: ([127, 0, 0, 1], 7102).into(), process: 9 };
     /// let record = Record { attempt: "3.18".into(), agent, request: Hash::of(b"POST /bookings") };
-    /// let claim = Claim::over("firms/quetzal/claims/1f".into(), 7, record);
+    /// let claim = Claim::replace("firms/quetzal/claims/1f".into(), 7, record);
     /// assert!(matches!(claim.step(), Step::Call(Call::Put { when: When::Version(7), .. })));
     /// ```
     #[must_use]
-    pub fn over(key: String, version: u64, record: Record) -> Self {
+    pub fn replace(key: String, version: u64, record: Record) -> Self {
         Self {
             when: When::Version(version),
             ..Self::new(key, record)
@@ -151,15 +151,15 @@
     /// let agent = Agent { control: ([127, 0, 0, 1], 7102).into(), process: 9 };
     /// let record = Record { attempt: "3.17".into(), agent, request: Hash::of(b"POST /bookings") };
     /// let claim = Claim::new("firms/quetzal/claims/1f".into(), record);
-    /// assert!(matches!(claim.abandon(), Outcome::Failed { open: false, .. }));
+    /// assert!(matches!(claim.abandon(), Outcome::Failed { may_be_stored: false, .. }));
     /// ```
     #[must_use]
     pub fn abandon(&self) -> Outcome {
         match &self.state {
             State::Done(outcome) => outcome.clone(),
             _ => Outcome::Failed {
-                why: "the platform gave no answer in time".to_owned(),
-                open: self.open,
+                reason: "the platform gave no answer in time".to_owned(),
+                may_be_stored: self.unconfirmed_write,
             },
         }
     }
@@ -182,13 +182,13 @@
     }
 
     /// Takes in the claim that stands.
-    fn settle(&mut self, version: u64, value: &[u8]) {
+    fn compare(&mut self, version: u64, value: &[u8]) {
         let outcome = match serde_json::from_slice::<Record>(value) {
-            Ok(record) if record == self.record => Outcome::Mine { version },
-            Ok(record) => Outcome::Other { record, version },
+            Ok(record) if record == self.record => Outcome::Acquired { version },
+            Ok(record) => Outcome::Taken { record, version },
             Err(_) => Outcome::Failed {
-                why: "the stored claim is garbled".to_owned(),
-                open: false,
+                reason: "the stored claim is garbled".to_owned(),
+                may_be_stored: false,
             },
         };
         self.state = State::Done(outcome);
@@ -211,7 +211,7 @@
             },
             State::Done(outcome) => return Step::Done(outcome.clone()),
         };
-        if self.again {
+        if self.retry {
             Step::Retry(call)
         } else {
             Step::Call(call)
@@ -219,22 +219,25 @@
     }
 
     fn answer(&mut self, answer: Answer) {
-        self.again = false;
+        self.retry = false;
         match (&self.state, answer) {
-            (_, Answer::Failed(_)) => self.again = true,
+            (_, Answer::Failed(_)) => self.retry = true,
             (state, Answer::Lost(_)) => {
-                self.open |= matches!(state, State::Write);
-                self.again = true;
+                self.unconfirmed_write |= matches!(state, State::Write);
+                self.retry = true;
             }
-            (_, Answer::Refused(why)) => {
-                let open = self.open;
-                self.state = State::Done(Outcome::Failed { why, open });
+            (_, Answer::Rejected(reason)) => {
+                let may_be_stored = self.unconfirmed_write;
+                self.state = State::Done(Outcome::Failed {
+                    reason,
+                    may_be_stored,
+                });
             }
             (State::Write, Answer::Changed(version)) => {
-                self.state = State::Done(Outcome::Mine { version });
+                self.state = State::Done(Outcome::Acquired { version });
             }
             (State::Write, _) => self.state = State::Read,
-            (State::Read, Answer::Found { version, value }) => self.settle(version, &value),
+            (State::Read, Answer::Found { version, value }) => self.compare(version, &value),
             // Its holder released it in between.
             (State::Read, _) => {
                 self.when = When::Absent;
--- a/verbenaspool_coordination/src/collection.rs
+++ b/verbenaspool_coordination/src/gc.rs
@@ -26,15 +26,15 @@
     /// The firm.
     firm: Name,
     /// The version of the accepted head's object.
-    object: u64,
+    head_version: u64,
     /// The pieces of the accepted head's file.
-    kept: BTreeSet<Hash>,
+    referenced: BTreeSet<Hash>,
     /// What is to be deleted, once listed.
     queue: Option<VecDeque<Entry>>,
     /// Pieces deleted so far.
     deleted: usize,
     /// Whether the store failed a call. What is left waits for the next apply.
-    ended: bool,
+    stopped: bool,
 }
 
 impl Collection {
@@ -42,28 +42,29 @@
     /// whose file has the pieces `kept`.
     ///
     /// ```
-    /// use verbenaspool_coordination::{collection::Collection, store::{Machine, Step}};
+    /// use verbenaspool_coordination::{gc::Collection, store::{Machine, Step}};
     ///
     /// let collection = Collection::new("quetzal".parse().unwrap(), 7, Default::default());
     /// assert!(matches!(collection.step(), Step::Call(_)));
     /// ```
     #[must_use]
-    pub fn new(firm: Name, object: u64, kept: BTreeSet<Hash>) -> Self {
+    pub fn new(firm: Name, head_version: u64, referenced: BTreeSet<Hash>) -> Self {
         Self {
             firm,
-            object,
-            kept,
+            head_version,
+            referenced,
             queue: None,
             deleted: 0,
-            ended: false,
+            stopped: false,
         }
     }
 
     /// Whether a listed object may be deleted.
-    fn garbage(&self, entry: &Entry) -> bool {
+    fn is_garbage(&self, entry: &Entry) -> bool {
         let name = entry.key.strip_prefix(&keys::pieces(&self.firm));
         let hash = name.and_then(|name| name.parse().ok());
-        entry.version < self.object && hash.is_some_and(|hash| !self.kept.contains(&hash))
+        entry.version < self.head_version
+            && hash.is_some_and(|hash| !self.referenced.contains(&hash))
     }
 }
 
@@ -72,14 +73,14 @@
 
     fn step(&self) -> Step<usize> {
         let Some(queue) = &self.queue else {
-            if self.ended {
+            if self.stopped {
                 return Step::Done(0);
             }
             let prefix = keys::pieces(&self.firm);
             return Step::Call(Call::List { prefix });
         };
         match queue.front() {
-            Some(entry) if !self.ended => Step::Call(Call::Delete {
+            Some(entry) if !self.stopped => Step::Call(Call::Delete {
                 key: entry.key.clone(),
                 when: When::Version(entry.version),
             }),
@@ -90,10 +91,10 @@
     fn answer(&mut self, answer: Answer) {
         match answer {
             Answer::Listed(entries) => {
-                let garbage = entries.into_iter().filter(|entry| self.garbage(entry));
+                let garbage = entries.into_iter().filter(|entry| self.is_garbage(entry));
                 self.queue = Some(garbage.collect());
             }
-            Answer::Failed(_) | Answer::Lost(_) | Answer::Refused(_) => self.ended = true,
+            Answer::Failed(_) | Answer::Lost(_) | Answer::Rejected(_) => self.stopped = true,
             Answer::Changed(_) => {
                 self.deleted += 1;
                 self.queue.as_mut().and_then(VecDeque::pop_front);
--- a/verbenaspool_coordination/src/head.rs
+++ b/verbenaspool_coordination/src/head.rs
@@ -8,7 +8,7 @@
 /// Applies that a head remembers besides its own. An operator whose answer was
 /// lost finds out what became of the apply as long as no more than these were
 /// accepted since; settling takes milliseconds, so that is plenty.
-const REMEMBERED: usize = 8;
+const MAX_PREVIOUS_APPLIES: usize = 8;
 
 /// What is accepted. A file is accepted exactly when the compare-and-swap that
 /// put its head in place took effect.
@@ -24,7 +24,8 @@
     /// The applies before, the latest first, whose versions count down from here.
     pub before: Vec<String>,
     /// The hash of all of the above, by which a garbled head is told.
-    seal: Hash,
+    #[serde(rename = "seal")]
+    checksum: Hash,
 }
 
 impl Head {
@@ -34,11 +35,11 @@
     /// use verbenaspool_coordination::{head::Head, piece::Hash};
     ///
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert_eq!(Head::read(&head.write()), Some(head));
+    /// assert_eq!(Head::from_bytes(&head.to_bytes()), Some(head));
     /// ```
     #[must_use]
     pub fn first(apply: &str, root: Hash) -> Self {
-        Self::sealed(Version(1), apply, root, Vec::new())
+        Self::with_checksum(Version(1), apply, root, Vec::new())
     }
 
     /// The head that follows this one.
@@ -48,13 +49,13 @@
     /// use verbenaspool_state::version::Version;
     ///
     /// let head = Head::first("apply-1", Hash::of(b"root")).next("apply-2", Hash::of(b"other"));
-    /// assert_eq!(head.accepted("apply-1"), Some(Version(1)));
+    /// assert_eq!(head.version_of("apply-1"), Some(Version(1)));
     /// ```
     #[must_use]
     pub fn next(&self, apply: &str, root: Hash) -> Self {
         let before = std::iter::once(&self.apply).chain(&self.before);
-        let before = before.take(REMEMBERED).cloned().collect();
-        Self::sealed(self.version.next(), apply, root, before)
+        let before = before.take(MAX_PREVIOUS_APPLIES).cloned().collect();
+        Self::with_checksum(self.version.next(), apply, root, before)
     }
 
     /// The version that an apply was accepted as, if the head still knows it.
@@ -62,10 +63,10 @@
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert_eq!(head.accepted("another"), None);
+    /// assert_eq!(head.version_of("another"), None);
     /// ```
     #[must_use]
-    pub fn accepted(&self, apply: &str) -> Option<Version> {
+    pub fn version_of(&self, apply: &str) -> Option<Version> {
         let mut ids = std::iter::once(&self.apply).chain(&self.before);
         let back = ids.position(|id| id == apply)?;
         Some(Version(self.version.0.saturating_sub(back as u64)))
@@ -77,10 +78,10 @@
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// # use verbenaspool_state::version::Version;
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert!(head.reaches(Version(1)));
+    /// assert!(head.remembers(Version(1)));
     /// ```
     #[must_use]
-    pub fn reaches(&self, version: Version) -> bool {
+    pub fn remembers(&self, version: Version) -> bool {
         let oldest = self.version.0.saturating_sub(self.before.len() as u64);
         (oldest..=self.version.0).contains(&version.0)
     }
@@ -92,10 +93,10 @@
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
-    /// assert!(Head::first("apply-1", Hash::of(b"root")).write().len() < 1_000);
+    /// assert!(Head::first("apply-1", Hash::of(b"root")).to_bytes().len() < 1_000);
     /// ```
     #[must_use]
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a head is written as JSON")
     }
 
@@ -103,31 +104,31 @@
     ///
     /// ```
     /// # use verbenaspool_coordination::head::Head;
-    /// assert_eq!(Head::read(b"garbage"), None);
+    /// assert_eq!(Head::from_bytes(b"garbage"), None);
     /// ```
     #[must_use]
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let head: Self = serde_json::from_slice(bytes).ok()?;
-        head.sound().then_some(head)
+        head.is_valid().then_some(head)
     }
 
-    /// Whether the seal fits, for a head that came by another way than [`Head::read`].
+    /// Whether the seal fits, for a head that came by another way than [`Head::from_bytes`].
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// let mut head = Head::first("apply-1", Hash::of(b"root"));
     /// head.version.0 = 9;
-    /// assert!(!head.sound());
+    /// assert!(!head.is_valid());
     /// ```
     #[must_use]
-    pub fn sound(&self) -> bool {
-        self.seal == seal(self.version, &self.apply, self.root, &self.before)
+    pub fn is_valid(&self) -> bool {
+        self.checksum == checksum(self.version, &self.apply, self.root, &self.before)
     }
 
     /// A head with its seal.
-    fn sealed(version: Version, apply: &str, root: Hash, before: Vec<String>) -> Self {
+    fn with_checksum(version: Version, apply: &str, root: Hash, before: Vec<String>) -> Self {
         Self {
-            seal: seal(version, apply, root, &before),
+            checksum: checksum(version, apply, root, &before),
             version,
             apply: apply.to_owned(),
             root,
@@ -137,7 +138,7 @@
 }
 
 /// The hash of a head's content.
-fn seal(version: Version, apply: &str, root: Hash, before: &[String]) -> Hash {
+fn checksum(version: Version, apply: &str, root: Hash, before: &[String]) -> Hash {
     let text = format!("{version} {apply} {root} {}", before.join(" "));
     Hash::of(text.as_bytes())
 }
--- a/verbenaspool_coordination/src/lease.rs
+++ b/verbenaspool_coordination/src/lease.rs
@@ -7,7 +7,7 @@
 //! steps of a wall clock do nothing.
 //!
 //! Failures guarded against:
-//! - The holder is paused past its time. When it wakes, [`Lease::held`] tells it
+//! - The holder is paused past its time. When it wakes, [`Lease::current_fence`] tells it
 //!   that it holds nothing; should it act before it looks, or should its machine
 //!   have stood still as a whole and its clock with it, its orders carry a fence
 //!   that whoever saw the successor's refuses.
@@ -31,17 +31,17 @@
 pub struct Settings {
     /// How long a lease is held without renewal. A pause shorter than this costs
     /// nothing; work waits this long for a holder that died.
-    pub time: Duration,
+    pub duration: Duration,
     /// What a rival waits beyond that, since two clocks may tick differently: 2%
     /// of the time is a hundred times what quartz clocks drift.
-    pub margin: Duration,
+    pub drift_margin: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            time: Duration::from_secs(10),
-            margin: Duration::from_millis(200),
+            duration: Duration::from_secs(10),
+            drift_margin: Duration::from_millis(200),
         }
     }
 }
@@ -68,17 +68,17 @@
     /// What the process holds.
     held: Option<Held>,
     /// The record of another holder, and when it was first seen as it is.
-    rival: Option<Rival>,
+    observed: Option<ObservedRecord>,
     /// The call that has no answer yet.
-    open: Option<Open>,
+    pending: Option<PendingCall>,
     /// Whether the record has to be read before it is written.
-    read: bool,
+    must_read: bool,
     /// What to write once the record was read.
-    plan: Option<(Record, When)>,
+    next_write: Option<(Record, When)>,
     /// When the next call is due.
-    due: Duration,
+    next_call_at: Duration,
     /// Whether the lease is being given back.
-    ending: bool,
+    releasing: bool,
 }
 
 /// A lease as held.
@@ -87,14 +87,14 @@
     /// The fence.
     fence: u64,
     /// Until when the lease is held.
-    until: Duration,
+    valid_until: Duration,
     /// The version of the lease's object.
     version: u64,
 }
 
 /// Another holder's record.
 #[derive(Debug, Clone, Copy)]
-struct Rival {
+struct ObservedRecord {
     /// The version of the lease's object.
     version: u64,
     /// When this version was first seen.
@@ -103,7 +103,7 @@
 
 /// A call without an answer.
 #[derive(Debug, Clone)]
-enum Open {
+enum PendingCall {
     /// The record is being read.
     Read,
     /// The record is being written.
@@ -111,7 +111,7 @@
         /// What is written.
         record: Record,
         /// When the call was made; the lease's time counts from here.
-        sent: Duration,
+        sent_at: Duration,
     },
 }
 
@@ -124,7 +124,7 @@
     ///
     /// let key = "firms/quetzal/leases/group-1".to_owned();
     /// let lease = Lease::new(key, "rank-0.17".to_owned(), Settings::default());
-    /// assert_eq!(lease.held(Default::default()), None);
+    /// assert_eq!(lease.current_fence(Default::default()), None);
     /// ```
     #[must_use]
     pub fn new(key: String, holder: String, settings: Settings) -> Self {
@@ -133,12 +133,12 @@
             holder,
             settings,
             held: None,
-            rival: None,
-            open: None,
-            read: true,
-            plan: None,
-            due: Duration::ZERO,
-            ending: false,
+            observed: None,
+            pending: None,
+            must_read: true,
+            next_write: None,
+            next_call_at: Duration::ZERO,
+            releasing: false,
         }
     }
 
@@ -148,11 +148,13 @@
     /// ```
     /// # use verbenaspool_coordination::lease::{Lease, Settings};
     /// # let lease = Lease::new("key".into(), "rank-0.17".into(), Settings::default());
-    /// assert_eq!(lease.held(std::time::Duration::ZERO), None);
+    /// assert_eq!(lease.current_fence(std::time::Duration::ZERO), None);
     /// ```
     #[must_use]
-    pub fn held(&self, now: Duration) -> Option<u64> {
-        let held = self.held.filter(|held| now < held.until && !self.ending);
+    pub fn current_fence(&self, now: Duration) -> Option<u64> {
+        let held = self
+            .held
+            .filter(|held| now < held.valid_until && !self.releasing);
         held.map(|held| held.fence)
     }
 
@@ -161,12 +163,12 @@
     /// ```
     /// # use verbenaspool_coordination::lease::{Lease, Settings};
     /// # let mut lease = Lease::new("key".into(), "rank-0.17".into(), Settings::default());
-    /// lease.end();
-    /// assert_eq!(lease.call(std::time::Duration::ZERO), None);
+    /// lease.release();
+    /// assert_eq!(lease.next_call(std::time::Duration::ZERO), None);
     /// ```
-    pub fn end(&mut self) {
-        self.ending = true;
-        self.due = Duration::ZERO;
+    pub fn release(&mut self) {
+        self.releasing = true;
+        self.next_call_at = Duration::ZERO;
     }
 
     /// The call to make now, if one is due. Each must be answered, if only by
@@ -175,30 +177,30 @@
     /// ```
     /// # use verbenaspool_coordination::lease::{Lease, Settings};
     /// # let mut lease = Lease::new("key".into(), "rank-0.17".into(), Settings::default());
-    /// assert!(lease.call(std::time::Duration::ZERO).is_some());
+    /// assert!(lease.next_call(std::time::Duration::ZERO).is_some());
     /// ```
-    pub fn call(&mut self, now: Duration) -> Option<Call> {
-        if self.open.is_some() || now < self.due {
+    pub fn next_call(&mut self, now: Duration) -> Option<Call> {
+        if self.pending.is_some() || now < self.next_call_at {
             return None;
         }
-        if let Some((record, when)) = self.plan.take() {
-            return Some(self.write(now, record, when));
+        if let Some((record, when)) = self.next_write.take() {
+            return Some(self.write_call(now, record, when));
         }
-        if self.ending {
+        if self.releasing {
             let held = self.held.take()?;
             let record = Record {
                 holder: None,
                 fence: held.fence,
             };
-            return Some(self.write(now, record, When::Version(held.version)));
+            return Some(self.write_call(now, record, When::Version(held.version)));
         }
         if let Some(held) = self.held
-            && !self.read
+            && !self.must_read
         {
-            let record = self.record(held.fence);
-            return Some(self.write(now, record, When::Version(held.version)));
+            let record = self.own_record(held.fence);
+            return Some(self.write_call(now, record, When::Version(held.version)));
         }
-        self.open = Some(Open::Read);
+        self.pending = Some(PendingCall::Read);
         Some(Call::Get {
             key: self.key.clone(),
         })
@@ -211,61 +213,61 @@
     /// # use verbenaspool_coordination::{lease::{Lease, Settings}, store::Answer};
     /// # let mut lease = Lease::new("key".into(), "rank-0.17".into(), Settings::default());
     /// let now = Duration::ZERO;
-    /// lease.call(now);
+    /// lease.next_call(now);
     /// lease.answer(now, Answer::Absent);
-    /// lease.call(now);
+    /// lease.next_call(now);
     /// lease.answer(now, Answer::Changed(7));
-    /// assert_eq!(lease.held(now), Some(1));
+    /// assert_eq!(lease.current_fence(now), Some(1));
     /// ```
     pub fn answer(&mut self, now: Duration, answer: Answer) {
-        let open = self.open.take();
-        match (open, answer) {
-            (Some(Open::Write { record, sent }), Answer::Changed(version)) => {
-                self.written(now, &record, sent, version);
+        let pending = self.pending.take();
+        match (pending, answer) {
+            (Some(PendingCall::Write { record, sent_at }), Answer::Changed(version)) => {
+                self.handle_write(now, &record, sent_at, version);
             }
-            (Some(Open::Write { .. }), Answer::Conflict(_)) => {
+            (Some(PendingCall::Write { .. }), Answer::Conflict(_)) => {
                 // Someone else wrote: either a rival, or this process by a write
                 // whose answer was lost.
                 self.held = None;
-                self.read = true;
-                self.due = now;
+                self.must_read = true;
+                self.next_call_at = now;
             }
-            (Some(Open::Read), Answer::Absent) => {
-                self.plan(now, self.record(1), When::Absent);
+            (Some(PendingCall::Read), Answer::Absent) => {
+                self.schedule_write(now, self.own_record(1), When::Absent);
             }
-            (Some(Open::Read), Answer::Found { version, value }) => {
+            (Some(PendingCall::Read), Answer::Found { version, value }) => {
                 match serde_json::from_slice(&value) {
-                    Ok(record) => self.found(now, version, &record),
+                    Ok(record) => self.handle_record(now, version, &record),
                     // A garbled record names no fence that could be counted up
                     // from; waiting is all that is safe.
-                    Err(_) => self.due = now + self.pause(),
+                    Err(_) => self.next_call_at = now + self.renew_interval(),
                 }
             }
             // No answer: what was written, if anything, has to be read. A lease
             // that is held stays so until its time ends, which may be soon.
             _ => {
-                self.read = true;
-                self.due = now + self.retry_pause(now);
+                self.must_read = true;
+                self.next_call_at = now + self.retry_interval(now);
             }
         }
     }
 
     /// Time between renewals, and between looks at a rival's record. Calls that wait no
     /// longer for an answer may be lost twice in a row before the lease is.
-    fn pause(&self) -> Duration {
-        self.settings.time / 4
+    fn renew_interval(&self) -> Duration {
+        self.settings.duration / 4
     }
 
     /// Time before the next call after one that got no answer.
-    fn retry_pause(&self, now: Duration) -> Duration {
-        match self.held(now) {
-            Some(_) => self.pause() / 4,
-            None => self.pause(),
+    fn retry_interval(&self, now: Duration) -> Duration {
+        match self.current_fence(now) {
+            Some(_) => self.renew_interval() / 4,
+            None => self.renew_interval(),
         }
     }
 
     /// This process's record.
-    fn record(&self, fence: u64) -> Record {
+    fn own_record(&self, fence: u64) -> Record {
         Record {
             holder: Some(self.holder.clone()),
             fence,
@@ -273,16 +275,19 @@
     }
 
     /// Makes a write the next call.
-    fn plan(&mut self, now: Duration, record: Record, when: When) {
-        self.plan = Some((record, when));
-        self.due = now;
+    fn schedule_write(&mut self, now: Duration, record: Record, when: When) {
+        self.next_write = Some((record, when));
+        self.next_call_at = now;
     }
 
     /// The call that writes `record`.
-    fn write(&mut self, now: Duration, record: Record, when: When) -> Call {
+    fn write_call(&mut self, now: Duration, record: Record, when: When) -> Call {
         // A record holds nothing that JSON can't say.
         let value = serde_json::to_vec(&record).unwrap_or_default();
-        self.open = Some(Open::Write { record, sent: now });
+        self.pending = Some(PendingCall::Write {
+            record,
+            sent_at: now,
+        });
         Call::Put {
             key: self.key.clone(),
             value,
@@ -291,46 +296,50 @@
     }
 
     /// Takes in that `record` was written.
-    fn written(&mut self, now: Duration, record: &Record, sent: Duration, version: u64) {
+    fn handle_write(&mut self, now: Duration, record: &Record, sent_at: Duration, version: u64) {
         if record.holder.is_none() {
             return;
         }
         self.held = Some(Held {
             fence: record.fence,
-            until: sent + self.settings.time,
+            valid_until: sent_at + self.settings.duration,
             version,
         });
-        self.read = false;
-        self.rival = None;
-        self.due = now + self.pause();
+        self.must_read = false;
+        self.observed = None;
+        self.next_call_at = now + self.renew_interval();
     }
 
     /// Takes the stored record in.
-    fn found(&mut self, now: Duration, version: u64, record: &Record) {
+    fn handle_record(&mut self, now: Duration, version: u64, record: &Record) {
         match &record.holder {
-            None => self.plan(now, self.record(record.fence + 1), When::Version(version)),
+            None => self.schedule_write(
+                now,
+                self.own_record(record.fence + 1),
+                When::Version(version),
+            ),
             // A write of this process whose answer was lost. When it took effect
             // is unknown, so it counts only once it is renewed.
             Some(holder) if *holder == self.holder => {
-                self.plan(now, self.record(record.fence), When::Version(version));
+                self.schedule_write(now, self.own_record(record.fence), When::Version(version));
             }
             Some(_) => {
                 self.held = None;
-                self.wait(now, version, record.fence);
+                self.observe(now, version, record.fence);
             }
         }
     }
 
     /// Waits for another holder's time to end.
-    fn wait(&mut self, now: Duration, version: u64, fence: u64) {
-        let seen = self.rival.filter(|rival| rival.version == version);
-        let since = seen.map_or(now, |rival| rival.since);
-        self.rival = Some(Rival { version, since });
-        let end = since + self.settings.time + self.settings.margin;
+    fn observe(&mut self, now: Duration, version: u64, fence: u64) {
+        let known = self.observed.filter(|observed| observed.version == version);
+        let since = known.map_or(now, |observed| observed.since);
+        self.observed = Some(ObservedRecord { version, since });
+        let end = since + self.settings.duration + self.settings.drift_margin;
         if now >= end {
-            self.plan(now, self.record(fence + 1), When::Version(version));
+            self.schedule_write(now, self.own_record(fence + 1), When::Version(version));
         } else {
-            self.due = end.min(now + self.pause());
+            self.next_call_at = end.min(now + self.renew_interval());
         }
     }
 }
--- a/verbenaspool_coordination/src/lease/tests.rs
+++ b/verbenaspool_coordination/src/lease/tests.rs
@@ -17,7 +17,7 @@
 
 impl Store {
     /// Carries a call out.
-    fn make(&mut self, call: Call) -> Answer {
+    fn execute(&mut self, call: Call) -> Answer {
         match call {
             Call::Get { .. } => match &self.value {
                 Some(value) => Answer::Found {
@@ -39,7 +39,7 @@
                 self.value = Some(value);
                 Answer::Changed(self.version)
             }
-            _ => Answer::Refused("not used".to_owned()),
+            _ => Answer::Rejected("not used".to_owned()),
         }
     }
 }
@@ -48,34 +48,34 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// The process makes its next call and gets the answer.
-    Turn(usize),
+    Call(usize),
     /// The call takes effect and its answer is lost.
-    Lose(usize),
+    LoseAnswer(usize),
     /// The call is lost before it takes effect.
-    Drop(usize),
+    DropCall(usize),
     /// The call is held up and takes effect after its caller gave up on it.
-    Delay(usize),
+    DelayCall(usize),
     /// What was held up longest takes effect.
-    Arrive,
+    DeliverDelayed,
     /// Time passes, in milliseconds.
-    Pass(u64),
+    Wait(u64),
     /// The process starts again.
     Restart(usize),
     /// The process gives the lease back.
-    End(usize),
+    Release(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let who = 0_usize..3;
+    let process = 0_usize..3;
     prop_oneof![
-        8 => who.clone().prop_map(Step::Turn),
-        2 => who.clone().prop_map(Step::Lose),
-        1 => who.clone().prop_map(Step::Drop),
-        1 => who.clone().prop_map(Step::Delay),
-        1 => Just(Step::Arrive),
-        6 => (0_u64..4_000).prop_map(Step::Pass),
-        1 => who.clone().prop_map(Step::Restart),
-        1 => who.prop_map(Step::End),
+        8 => process.clone().prop_map(Step::Call),
+        2 => process.clone().prop_map(Step::LoseAnswer),
+        1 => process.clone().prop_map(Step::DropCall),
+        1 => process.clone().prop_map(Step::DelayCall),
+        1 => Just(Step::DeliverDelayed),
+        6 => (0_u64..4_000).prop_map(Step::Wait),
+        1 => process.clone().prop_map(Step::Restart),
+        1 => process.prop_map(Step::Release),
     ]
 }
 
@@ -100,42 +100,45 @@
         let mut store = Store::default();
         let mut now = Duration::ZERO;
         let mut leases: Vec<Lease> = (0..3).map(|i| lease(i, 0)).collect();
-        let mut highest = 0;
+        let mut highest_fence = 0;
         let mut delayed = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Pass(ms) => now += Duration::from_millis(ms),
+                Step::Wait(ms) => now += Duration::from_millis(ms),
                 Step::Restart(i) => leases[i] = lease(i, number + 1),
-                Step::End(i) => leases[i].end(),
-                Step::Arrive => {
+                Step::Release(i) => leases[i].release(),
+                Step::DeliverDelayed => {
                     if !delayed.is_empty() {
-                        store.make(delayed.remove(0));
+                        store.execute(delayed.remove(0));
                     }
                 }
-                Step::Turn(i) | Step::Lose(i) | Step::Drop(i) | Step::Delay(i) => {
-                    let Some(call) = leases[i].call(now) else {
+                Step::Call(i) | Step::LoseAnswer(i) | Step::DropCall(i) | Step::DelayCall(i) => {
+                    let Some(call) = leases[i].next_call(now) else {
                         continue;
                     };
                     let answer = match step {
-                        Step::Delay(_) => {
+                        Step::DelayCall(_) => {
                             delayed.push(call);
                             Answer::Lost("late".to_owned())
                         }
-                        Step::Drop(_) => Answer::Lost("dropped".to_owned()),
-                        Step::Lose(_) => {
-                            store.make(call);
+                        Step::DropCall(_) => Answer::Lost("dropped".to_owned()),
+                        Step::LoseAnswer(_) => {
+                            store.execute(call);
                             Answer::Lost("lost".to_owned())
                         }
-                        _ => store.make(call),
+                        _ => store.execute(call),
                     };
                     leases[i].answer(now, answer);
                 }
             }
-            let holders: Vec<u64> = leases.iter().filter_map(|l| l.held(now)).collect();
+            let holders: Vec<u64> = leases.iter().filter_map(|l| l.current_fence(now)).collect();
             prop_assert!(holders.len() <= 1, "held under fences {holders:?}");
             for fence in holders {
-                prop_assert!(fence >= highest, "fence {fence} after {highest}");
-                highest = fence;
+                prop_assert!(
+                    fence >= highest_fence,
+                    "fence {fence} after {highest_fence}"
+                );
+                highest_fence = fence;
             }
         }
         Ok(())
@@ -148,56 +151,62 @@
 fn two_lost_renewals_keep_the_lease() {
     let mut store = Store::default();
     let mut lease = lease(0, 0);
-    let time = Settings::default().time;
+    let duration = Settings::default().duration;
     let mut now = Duration::ZERO;
     for _ in 0..2 {
-        let call = lease.call(now).expect("a first call");
-        lease.answer(now, store.make(call));
+        let call = lease.next_call(now).expect("a first call");
+        lease.answer(now, store.execute(call));
     }
-    let mut lost = 0;
-    while now < time * 2 {
-        now += time / 50;
-        while let Some(call) = lease.call(now) {
-            if lost < 2 {
-                lost += 1;
-                now += time / 4;
+    let mut lost_count = 0;
+    while now < duration * 2 {
+        now += duration / 50;
+        while let Some(call) = lease.next_call(now) {
+            if lost_count < 2 {
+                lost_count += 1;
+                now += duration / 4;
                 lease.answer(now, Answer::Lost("no answer in time".to_owned()));
             } else {
-                lease.answer(now, store.make(call));
+                lease.answer(now, store.execute(call));
             }
         }
-        assert_eq!(lease.held(now), Some(1), "{now:?}");
+        assert_eq!(lease.current_fence(now), Some(1), "{now:?}");
     }
 }
 
 // The holder is paused past its time and its successor works. The sleeper must
 // see that it holds nothing, and the successor's fence must be the higher one.
 #[test]
-fn paused_holder() {
+fn paused_holder_loses_the_lease() {
     let mut store = Store::default();
-    let (mut one, mut two) = (lease(1, 0), lease(2, 0));
+    let (mut first, mut second) = (lease(1, 0), lease(2, 0));
     let mut now = Duration::ZERO;
-    for lease in [&mut one, &mut two] {
+    for lease in [&mut first, &mut second] {
         for _ in 0..2 {
-            if let Some(call) = lease.call(now) {
-                let answer = store.make(call);
+            if let Some(call) = lease.next_call(now) {
+                let answer = store.execute(call);
                 lease.answer(now, answer);
             }
         }
     }
-    assert_eq!((one.held(now), two.held(now)), (Some(1), None));
+    assert_eq!(
+        (first.current_fence(now), second.current_fence(now)),
+        (Some(1), None)
+    );
     for _ in 0..30 {
         now += Duration::from_millis(500);
-        while let Some(call) = two.call(now) {
-            let answer = store.make(call);
-            two.answer(now, answer);
+        while let Some(call) = second.next_call(now) {
+            let answer = store.execute(call);
+            second.answer(now, answer);
         }
     }
-    assert_eq!((one.held(now), two.held(now)), (None, Some(2)));
+    assert_eq!(
+        (first.current_fence(now), second.current_fence(now)),
+        (None, Some(2))
+    );
     // It wakes up and tries to renew: it is told off and waits.
-    while let Some(call) = one.call(now) {
-        let answer = store.make(call);
-        one.answer(now, answer);
+    while let Some(call) = first.next_call(now) {
+        let answer = store.execute(call);
+        first.answer(now, answer);
     }
-    assert_eq!(one.held(now), None);
+    assert_eq!(first.current_fence(now), None);
 }
--- a/verbenaspool_coordination/src/piece.rs
+++ b/verbenaspool_coordination/src/piece.rs
@@ -26,19 +26,19 @@
 /// narrower ones need more levels.
 pub const FANOUT: usize = 16;
 /// Customers a leaf holds on average at most, before the tree gets a level more.
-const LEAF: usize = 4;
+const MAX_MEAN_LEAF_CUSTOMERS: usize = 4;
 /// The deepest tree: 16⁴ leaves, a quarter of a million customers.
-const DEEPEST: u8 = 4;
+const MAX_DEPTH: u8 = 4;
 /// Hash bytes kept. 128 bits make an accidental clash of a million pieces less
 /// likely than one in 10²⁶; only who may already apply the file could seek one.
-const KEPT: usize = 16;
+const HASH_BYTES: usize = 16;
 /// The largest piece, below the platform's bound of a megabyte for one value.
-pub const LARGEST: usize = 900_000;
+pub const MAX_PIECE_BYTES: usize = 900_000;
 
 /// The hash that names a piece: the start of its BLAKE3 digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Hash([u8; KEPT]);
+pub struct Hash([u8; HASH_BYTES]);
 
 impl Hash {
     /// The hash of a piece's bytes.
@@ -51,8 +51,8 @@
     /// ```
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
-        let mut kept = [0; KEPT];
-        kept.copy_from_slice(&blake3::hash(bytes).as_bytes()[..KEPT]);
+        let mut kept = [0; HASH_BYTES];
+        kept.copy_from_slice(&blake3::hash(bytes).as_bytes()[..HASH_BYTES]);
         Self(kept)
     }
 }
@@ -67,10 +67,10 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        if text.len() != 2 * KEPT || !text.is_ascii() {
+        if text.len() != 2 * HASH_BYTES || !text.is_ascii() {
             return Err(Error::Hash);
         }
-        let mut bytes = [0; KEPT];
+        let mut bytes = [0; HASH_BYTES];
         for (i, byte) in bytes.iter_mut().enumerate() {
             *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| Error::Hash)?;
         }
@@ -128,7 +128,7 @@
 /// Cuts a file into pieces. The order of customers doesn't matter.
 ///
 /// # Errors
-/// When a piece would be over [`LARGEST`].
+/// When a piece would be over [`MAX_PIECE_BYTES`].
 ///
 /// ```
 /// # use verbenaspool_coordination::piece;
@@ -148,41 +148,42 @@
     let depth = depth(customers.len());
     let mut leaves = vec![Vec::new(); FANOUT.pow(depth.into())];
     for customer in customers {
-        leaves[leaf(&customer.name, depth)].push(customer);
+        leaves[leaf_index(&customer.name, depth)].push(customer);
     }
-    let mut cut = Cut::default();
+    let mut splitter = Splitter::default();
     let mut level = Vec::with_capacity(leaves.len());
     for leaf in &leaves {
-        level.push(cut.add(leaf)?);
+        level.push(splitter.add(leaf)?);
     }
     while level.len() > 1 {
-        let nodes: Result<Vec<Hash>, Error> = level.chunks(FANOUT).map(|c| cut.add(&c)).collect();
+        let nodes: Result<Vec<Hash>, Error> =
+            level.chunks(FANOUT).map(|c| splitter.add(&c)).collect();
         level = nodes?;
     }
-    let base = cut.add(&Borrowed {
+    let base = splitter.add(&BaseRef {
         firm: &file.firm,
         places: &file.places,
         services: &file.services,
     })?;
-    let root = cut.add(&Root {
+    let root = splitter.add(&Root {
         base,
         depth,
         customers: level[0],
     })?;
     Ok(Split {
         root,
-        pieces: cut.pieces,
+        pieces: splitter.pieces,
     })
 }
 
 /// The levels of nodes for a number of customers.
 fn depth(customers: usize) -> u8 {
-    let enough = |depth: &u8| customers <= LEAF * FANOUT.pow((*depth).into());
-    (0..DEEPEST).find(enough).unwrap_or(DEEPEST)
+    let enough = |depth: &u8| customers <= MAX_MEAN_LEAF_CUSTOMERS * FANOUT.pow((*depth).into());
+    (0..MAX_DEPTH).find(enough).unwrap_or(MAX_DEPTH)
 }
 
 /// The leaf that a customer stands in: the first hex digits of its name's hash.
-fn leaf(name: &Name, depth: u8) -> usize {
+fn leaf_index(name: &Name, depth: u8) -> usize {
     let hash = blake3::hash(name.as_str().as_bytes());
     let bytes = hash.as_bytes();
     let word = usize::from(bytes[0]) << 8 | usize::from(bytes[1]);
@@ -191,23 +192,23 @@
 
 /// [`Base`], borrowed for writing.
 #[derive(Serialize)]
-struct Borrowed<'a> {
+struct BaseRef<'a> {
     firm: &'a Name,
     places: &'a [Place],
     services: &'a [Service],
 }
 
-/// Pieces gathered while a file is cut.
+/// Pieces gathered while a file is splitter.
 #[derive(Default)]
-struct Cut {
+struct Splitter {
     pieces: BTreeMap<Hash, Rc<[u8]>>,
 }
 
-impl Cut {
+impl Splitter {
     /// Adds a value as a piece.
     fn add<T: Serialize>(&mut self, value: &T) -> Result<Hash, Error> {
         let bytes = serde_json::to_vec(value).map_err(|_| Error::Content)?;
-        if bytes.len() > LARGEST {
+        if bytes.len() > MAX_PIECE_BYTES {
             return Err(Error::Large { bytes: bytes.len() });
         }
         let hash = Hash::of(&bytes);
@@ -220,7 +221,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is no hash.
-    #[error("a piece is named by {} hex digits", 2 * KEPT)]
+    #[error("a piece is named by {} hex digits", 2 * HASH_BYTES)]
     Hash,
     /// The bytes aren't those that the hash names.
     #[error("the piece {0} came with other content")]
@@ -231,8 +232,8 @@
     /// The hash fits but the content is none that this version reads.
     #[error("a piece's content can't be read")]
     Content,
-    /// A piece is over [`LARGEST`].
-    #[error("a piece has {bytes} bytes; at most {LARGEST} are allowed")]
+    /// A piece is over [`MAX_PIECE_BYTES`].
+    #[error("a piece has {bytes} bytes; at most {MAX_PIECE_BYTES} are allowed")]
     Large {
         /// The piece's size in bytes.
         bytes: usize,
--- a/verbenaspool_coordination/src/piece/delta.rs
+++ b/verbenaspool_coordination/src/piece/delta.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::{customer::Customer, name::Name};
 
-use super::{Error, FANOUT, Hash, Pieces, Root, leaf};
+use super::{Error, FANOUT, Hash, Pieces, Root, leaf_index};
 
 /// The most changes in one delta; more are cheaper sent as pieces.
-const LONGEST: usize = 1_000;
+const MAX_CHANGES: usize = 1_000;
 
 /// What differs between the files of two roots.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -72,10 +72,10 @@
         }
         for (old, new) in level.into_iter().filter(|(old, new)| old != new) {
             let old: Vec<Customer> = self.read(old).ok()?;
-            delta.compare(&old, self.read(new).ok()?);
+            delta.add_differences(&old, self.read(new).ok()?);
         }
         let changes = delta.changed.len() + delta.removed.len();
-        (changes <= LONGEST).then_some(delta)
+        (changes <= MAX_CHANGES).then_some(delta)
     }
 
     /// Builds the pieces of a delta's new root from those of its old one. What
@@ -89,27 +89,27 @@
     ///
     /// let (from, to) = (Hash::of(b"one"), Hash::of(b"two"));
     /// let delta = Delta { from, to, base: None, changed: vec![], removed: vec![] };
-    /// assert_eq!(Pieces::default().follow(&delta), Err(Error::Missing(from)));
+    /// assert_eq!(Pieces::default().apply(&delta), Err(Error::Missing(from)));
     /// ```
-    pub fn follow(&mut self, delta: &Delta) -> Result<(), Error> {
+    pub fn apply(&mut self, delta: &Delta) -> Result<(), Error> {
         let mut root: Root = self.read(delta.from)?;
         let mut built = BTreeMap::new();
         if let Some(base) = &delta.base {
-            root.base = add(&mut built, base.as_bytes().to_vec());
+            root.base = add_piece(&mut built, base.as_bytes().to_vec());
         }
         let depth = root.depth;
         let mut leaves: BTreeMap<usize, Changes> = BTreeMap::new();
         for customer in &delta.changed {
-            let changes = leaves.entry(leaf(&customer.name, depth)).or_default();
+            let changes = leaves.entry(leaf_index(&customer.name, depth)).or_default();
             changes.changed.push(customer);
         }
         for name in &delta.removed {
-            let changes = leaves.entry(leaf(name, depth)).or_default();
+            let changes = leaves.entry(leaf_index(name, depth)).or_default();
             changes.removed.push(name);
         }
         let leaves: Vec<_> = leaves.into_iter().collect();
         root.customers = self.rebuild(&mut built, root.customers, depth, &leaves)?;
-        let to = add(&mut built, write(&root)?);
+        let to = add_piece(&mut built, serialize(&root)?);
         if to != delta.to {
             return Err(Error::Mismatch(delta.to));
         }
@@ -132,20 +132,23 @@
             return Ok(old);
         }
         if depth == 0 {
-            let customers = leaves[0].1.edit(self.read(old)?);
-            return Ok(add(built, write(&customers)?));
+            let customers = leaves[0].1.apply_to(self.read(old)?);
+            return Ok(add_piece(built, serialize(&customers)?));
         }
         let mut children: Vec<Hash> = self.read(old)?;
         if children.len() != FANOUT {
             return Err(Error::Content);
         }
         let width = FANOUT.pow(u32::from(depth) - 1);
-        for part in leaves.chunk_by(|(a, _), (b, _)| a / width == b / width) {
-            let child = part[0].0 / width;
-            let below: Vec<_> = part.iter().map(|(i, c)| (i % width, c.clone())).collect();
+        for subtree in leaves.chunk_by(|(a, _), (b, _)| a / width == b / width) {
+            let child = subtree[0].0 / width;
+            let below: Vec<_> = subtree
+                .iter()
+                .map(|(i, c)| (i % width, c.clone()))
+                .collect();
             children[child] = self.rebuild(built, children[child], depth - 1, &below)?;
         }
-        Ok(add(built, write(&children)?))
+        Ok(add_piece(built, serialize(&children)?))
     }
 }
 
@@ -160,7 +163,7 @@
 
 impl Changes<'_> {
     /// A leaf's customers after the changes.
-    fn edit(&self, mut customers: Vec<Customer>) -> Vec<Customer> {
+    fn apply_to(&self, mut customers: Vec<Customer>) -> Vec<Customer> {
         let gone = |name: &Name| {
             self.removed.contains(&name) || self.changed.iter().any(|c| c.name == *name)
         };
@@ -173,7 +176,7 @@
 
 impl Delta {
     /// Adds what differs between two leaves.
-    fn compare(&mut self, old: &[Customer], new: Vec<Customer>) {
+    fn add_differences(&mut self, old: &[Customer], new: Vec<Customer>) {
         let kept = |name: &Name| new.iter().any(|customer| customer.name == *name);
         let gone = old.iter().filter(|customer| !kept(&customer.name));
         self.removed
@@ -184,13 +187,13 @@
 }
 
 /// Adds a built piece.
-fn add(built: &mut BTreeMap<Hash, Vec<u8>>, bytes: Vec<u8>) -> Hash {
+fn add_piece(built: &mut BTreeMap<Hash, Vec<u8>>, bytes: Vec<u8>) -> Hash {
     let hash = Hash::of(&bytes);
     built.insert(hash, bytes);
     hash
 }
 
 /// The bytes of a piece.
-fn write<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
+fn serialize<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
     serde_json::to_vec(value).map_err(|_| Error::Content)
 }
--- a/verbenaspool_coordination/src/piece/pieces.rs
+++ b/verbenaspool_coordination/src/piece/pieces.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 use verbenaspool_state::{customer::Customer, file::File};
 
-use super::{Base, Error, Hash, LARGEST, Root, Split};
+use super::{Base, Error, Hash, MAX_PIECE_BYTES, Root, Split};
 
 /// Pieces by hash, each with the content that its hash names.
 ///
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Pieces {
     /// The content by hash.
-    held: BTreeMap<Hash, Rc<[u8]>>,
+    contents: BTreeMap<Hash, Rc<[u8]>>,
     /// Leaves read before.
     leaves: BTreeMap<Hash, Rc<[Customer]>>,
 }
@@ -38,13 +38,13 @@
     /// assert!(pieces.insert(Hash::of(b"[]"), b"garbage").is_err());
     /// ```
     pub fn insert(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), Error> {
-        if bytes.len() > LARGEST {
+        if bytes.len() > MAX_PIECE_BYTES {
             return Err(Error::Large { bytes: bytes.len() });
         }
         if Hash::of(bytes) != hash {
             return Err(Error::Mismatch(hash));
         }
-        self.held.insert(hash, bytes.into());
+        self.contents.insert(hash, bytes.into());
         Ok(())
     }
 
@@ -58,7 +58,7 @@
     /// ```
     pub fn extend(&mut self, split: &Split) {
         let pieces = split.pieces.iter().map(|(h, b)| (*h, Rc::clone(b)));
-        self.held.extend(pieces);
+        self.contents.extend(pieces);
     }
 
     /// A held piece's content.
@@ -69,7 +69,7 @@
     /// ```
     #[must_use]
     pub fn get(&self, hash: Hash) -> Option<&[u8]> {
-        self.held.get(&hash).map(AsRef::as_ref)
+        self.contents.get(&hash).map(AsRef::as_ref)
     }
 
     /// How many pieces are held.
@@ -80,7 +80,7 @@
     /// ```
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.contents.len()
     }
 
     /// Whether no piece is held.
@@ -91,7 +91,7 @@
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.contents.is_empty()
     }
 
     /// The hashes still missing below `root`, as far as can be seen now: while
@@ -107,9 +107,9 @@
     /// ```
     pub fn missing(&self, root: Hash) -> Result<BTreeSet<Hash>, Error> {
         let mut missing = BTreeSet::new();
-        self.walk(root, &mut |seen| {
-            if !seen.held {
-                missing.insert(seen.hash);
+        self.walk(root, &mut |visited| {
+            if !visited.held {
+                missing.insert(visited.hash);
             }
             true
         })?;
@@ -125,20 +125,20 @@
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
     /// let root = Hash::of(b"some root");
-    /// assert_eq!(Pieces::default().unread(root), Ok(Some(root)));
+    /// assert_eq!(Pieces::default().missing_node(root), Ok(Some(root)));
     /// ```
-    pub fn unread(&self, root: Hash) -> Result<Option<Hash>, Error> {
-        let mut unread = None;
-        self.walk(root, &mut |seen| {
-            if !seen.held && seen.inner {
-                unread = Some(seen.hash);
+    pub fn missing_node(&self, root: Hash) -> Result<Option<Hash>, Error> {
+        let mut missing = None;
+        self.walk(root, &mut |visited| {
+            if !visited.held && visited.has_children {
+                missing = Some(visited.hash);
             }
             true
         })?;
-        Ok(unread)
+        Ok(missing)
     }
 
-    /// The hashes of all pieces of `root`, held or not, as far as can be seen.
+    /// The hashes of all pieces of `root`, held or not, as far as can be visited.
     ///
     /// # Errors
     /// When a held piece can't be read as what it should be.
@@ -150,8 +150,8 @@
     /// ```
     pub fn referenced(&self, root: Hash) -> Result<BTreeSet<Hash>, Error> {
         let mut all = BTreeSet::new();
-        self.walk(root, &mut |seen| {
-            all.insert(seen.hash);
+        self.walk(root, &mut |visited| {
+            all.insert(visited.hash);
             true
         })?;
         Ok(all)
@@ -170,9 +170,9 @@
         let mut kept = BTreeSet::new();
         for root in roots {
             // What can't be read isn't walked further, and so is dropped.
-            let _ = self.walk(*root, &mut |seen| kept.insert(seen.hash));
+            let _ = self.walk(*root, &mut |visited| kept.insert(visited.hash));
         }
-        self.held.retain(|hash, _| kept.contains(hash));
+        self.contents.retain(|hash, _| kept.contains(hash));
         self.leaves.retain(|hash, _| kept.contains(hash));
     }
 
@@ -227,16 +227,16 @@
         Ok(leaf)
     }
 
-    /// Calls `visit` with each piece below `root`, as far as can be seen. Below
+    /// Calls `visit` with each piece below `root`, as far as can be visited. Below
     /// a piece for which it returns false, nothing is visited.
-    fn walk(&self, root: Hash, visit: &mut dyn FnMut(Seen) -> bool) -> Result<(), Error> {
-        let see = |hash, inner| Seen {
+    fn walk(&self, root: Hash, visit: &mut dyn FnMut(Visited) -> bool) -> Result<(), Error> {
+        let describe = |hash, has_children| Visited {
             hash,
-            held: self.held.contains_key(&hash),
-            inner,
+            held: self.contents.contains_key(&hash),
+            has_children,
         };
-        let go_on = visit(see(root, true));
-        if !go_on || !self.held.contains_key(&root) {
+        let descend = visit(describe(root, true));
+        if !descend || !self.contents.contains_key(&root) {
             return Ok(());
         }
         let Root {
@@ -244,13 +244,13 @@
             depth,
             customers,
         } = self.read(root)?;
-        visit(see(base, false));
+        visit(describe(base, false));
         let mut level = vec![customers];
-        for left in (0..=depth).rev() {
+        for levels_below in (0..=depth).rev() {
             let mut below = Vec::new();
             for hash in level {
-                let seen = see(hash, left > 0);
-                if visit(seen) && seen.held && seen.inner {
+                let visited = describe(hash, levels_below > 0);
+                if visit(visited) && visited.held && visited.has_children {
                     below.extend(self.read::<Vec<Hash>>(hash)?);
                 }
             }
@@ -261,18 +261,18 @@
 
     /// Reads a held piece.
     pub(super) fn read<T: DeserializeOwned>(&self, hash: Hash) -> Result<T, Error> {
-        let bytes = self.held.get(&hash).ok_or(Error::Missing(hash))?;
+        let bytes = self.contents.get(&hash).ok_or(Error::Missing(hash))?;
         serde_json::from_slice(bytes).map_err(|_| Error::Content)
     }
 }
 
 /// A piece met on a walk.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Visited {
     /// Its hash.
     hash: Hash,
     /// Whether it is held.
     held: bool,
     /// Whether it names further pieces.
-    inner: bool,
+    has_children: bool,
 }
--- a/verbenaspool_coordination/src/piece/tests.rs
+++ b/verbenaspool_coordination/src/piece/tests.rs
@@ -69,8 +69,8 @@
     let mut pieces = Pieces::default();
     for (hash, bytes) in &split.pieces {
         assert_eq!(pieces.insert(*hash, b"[]x"), Err(Error::Mismatch(*hash)));
-        let cut = &bytes[..bytes.len() - 1];
-        assert_eq!(pieces.insert(*hash, cut), Err(Error::Mismatch(*hash)));
+        let truncated = &bytes[..bytes.len() - 1];
+        assert_eq!(pieces.insert(*hash, truncated), Err(Error::Mismatch(*hash)));
     }
     // Content that fits its hash and yet is no root.
     let root = Hash::of(b"[1]");
@@ -85,7 +85,7 @@
     };
     pieces.extend(&split);
     let held = pieces.len();
-    assert_eq!(pieces.follow(&wrong), Err(Error::Mismatch(wrong.to)));
+    assert_eq!(pieces.apply(&wrong), Err(Error::Mismatch(wrong.to)));
     assert_eq!(pieces.len(), held);
 }
 
@@ -112,7 +112,7 @@
         let mut receiver = Pieces::default();
         receiver.extend(&old);
         if let Some(delta) = sender.delta(old.root, new.root) {
-            prop_assert_eq!(receiver.follow(&delta), Ok(()));
+            prop_assert_eq!(receiver.apply(&delta), Ok(()));
             prop_assert_eq!(receiver.missing(new.root), Ok([].into()));
             prop_assert_eq!(receiver.join(new.root), sender.join(new.root));
         }
--- a/verbenaspool_coordination/src/store.rs
+++ b/verbenaspool_coordination/src/store.rs
@@ -93,7 +93,7 @@
     /// take effect yet.
     Lost(String),
     /// The store refuses the call for good: not ours, or too large.
-    Refused(String),
+    Rejected(String),
 }
 
 /// An object as listed.
--- a/verbenaspool_coordination/tests/attempt.rs
+++ b/verbenaspool_coordination/tests/attempt.rs
@@ -8,13 +8,13 @@
     test_runner::{Config, RngSeed},
 };
 
-use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Limits, Message, Refusal};
+use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Limits, Rejection, Status};
 
 /// So few closed attempts are remembered that floors rise all the time.
-const SMALL: Limits = Limits {
-    running: 4,
-    closed: 3,
-    silence: Duration::from_mins(1),
+const SMALL_LIMITS: Limits = Limits {
+    max_running: 4,
+    max_closed: 3,
+    entry_expiry: Duration::from_mins(1),
 };
 
 #[derive(Debug, Clone, Copy)]
@@ -22,7 +22,7 @@
     Arrive(Key),
     Finish(Key, Ending),
     Settle(Key),
-    Pass(u64),
+    Wait(u64),
     Leave,
 }
 
@@ -40,14 +40,14 @@
         8 => key().prop_map(Event::Arrive),
         8 => (key(), ending).prop_map(|(key, ending)| Event::Finish(key, ending)),
         8 => key().prop_map(Event::Settle),
-        2 => (0..30_u64).prop_map(Event::Pass),
+        2 => (0..30_u64).prop_map(Event::Wait),
         1 => Just(Event::Leave),
     ]
 }
 
 /// What an observer saw of the ledger.
 #[derive(Debug, Default)]
-struct Seen {
+struct Observed {
     arrived: HashSet<Key>,
     admitted: HashSet<Key>,
     /// Admitted, and maybe run by the upstream.
@@ -56,34 +56,34 @@
     promised: HashSet<Key>,
 }
 
-/// Plays one event and checks every word against what was seen.
-fn play(ledger: &mut Ledger, seen: &mut Seen, now: Duration, event: Event) {
+/// Plays one event and checks every word against what was observed.
+fn apply_event(ledger: &mut Ledger, observed: &mut Observed, now: Duration, event: Event) {
     match event {
         // An entry sends an attempt once, so it arrives once.
-        Event::Arrive(key) if seen.arrived.insert(key) => match ledger.admit(key, now) {
+        Event::Arrive(key) if observed.arrived.insert(key) => match ledger.admit(key, now) {
             Ok(()) => {
-                assert!(!seen.promised.contains(&key), "{key:?} ran after all");
-                seen.admitted.insert(key);
-                seen.ran.insert(key);
+                assert!(!observed.promised.contains(&key), "{key:?} ran after all");
+                observed.admitted.insert(key);
+                observed.ran.insert(key);
             }
-            Err(Refusal::Repeated) => {}
-            Err(_) => assert!(!seen.ran.contains(&key), "{key:?} had run"),
+            Err(Rejection::Repeated) => {}
+            Err(_) => assert!(!observed.ran.contains(&key), "{key:?} had run"),
         },
-        Event::Arrive(_) | Event::Pass(_) => {}
+        Event::Arrive(_) | Event::Wait(_) => {}
         Event::Finish(key, ending) => {
             let running = ledger.running();
             ledger.finish(key, ending);
             if ledger.running() < running && ending == Ending::NotRun {
-                seen.ran.remove(&key);
+                observed.ran.remove(&key);
             }
         }
         Event::Settle(key) => match ledger.settle(key, now) {
-            Message::Refused => {
-                assert!(!seen.ran.contains(&key), "{key:?} had run");
-                seen.promised.insert(key);
+            Status::Rejected => {
+                assert!(!observed.ran.contains(&key), "{key:?} had run");
+                observed.promised.insert(key);
             }
-            Message::Running | Message::Ended => assert!(seen.admitted.contains(&key)),
-            Message::Unknown => {}
+            Status::Running | Status::Ended => assert!(observed.admitted.contains(&key)),
+            Status::Unknown => {}
         },
         Event::Leave => ledger.leave(),
     }
@@ -98,28 +98,28 @@
     })]
 
     #[test]
-    fn no_word_is_broken(events in prop::collection::vec(event(), 1..120)) {
-        let mut ledger = Ledger::new(SMALL);
-        let mut seen = Seen::default();
+    fn statuses_stay_true(events in prop::collection::vec(event(), 1..120)) {
+        let mut ledger = Ledger::new(SMALL_LIMITS);
+        let mut observed = Observed::default();
         let mut now = Duration::ZERO;
         for event in events {
-            if let Event::Pass(seconds) = event {
+            if let Event::Wait(seconds) = event {
                 now += Duration::from_secs(seconds);
             }
             // The silence after which a floor is forgotten is longer than any
             // copy of an attempt is on its way; nothing arrives behind it here.
-            if now >= SMALL.silence {
+            if now >= SMALL_LIMITS.entry_expiry {
                 break;
             }
-            play(&mut ledger, &mut seen, now, event);
-            prop_assert!(ledger.running() <= SMALL.running);
-            prop_assert!(ledger.records() <= SMALL.running + SMALL.closed);
+            apply_event(&mut ledger, &mut observed, now, event);
+            prop_assert!(ledger.running() <= SMALL_LIMITS.max_running);
+            prop_assert!(ledger.records() <= SMALL_LIMITS.max_running + SMALL_LIMITS.max_closed);
         }
     }
 }
 
 #[test]
-fn words_after_the_record_is_forgotten() {
+fn status_after_the_record_is_forgotten() {
     // A ledger that forgot an ended booking must not call it "refused": the
     // caller would repeat it and be charged twice.
     let key = |counter| Key { entry: 1, counter };
@@ -128,44 +128,44 @@
         (
             "ended",
             Some(Ending::Ran),
-            Message::Unknown,
-            Refusal::Repeated,
+            Status::Unknown,
+            Rejection::Repeated,
         ),
         (
             "broken",
             Some(Ending::Broken),
-            Message::Unknown,
-            Refusal::Repeated,
+            Status::Unknown,
+            Rejection::Repeated,
         ),
         (
             "not sent",
             Some(Ending::NotRun),
-            Message::Refused,
-            Refusal::Tombstone,
+            Status::Rejected,
+            Rejection::Tombstone,
         ),
-        ("settled", None, Message::Refused, Refusal::Tombstone),
+        ("settled", None, Status::Rejected, Rejection::Tombstone),
     ];
-    for (name, ending, word, refusal) in table {
-        let mut ledger = Ledger::new(SMALL);
+    for (name, ending, status, rejection) in table {
+        let mut ledger = Ledger::new(SMALL_LIMITS);
         match ending {
             Some(ending) => {
                 ledger.admit(key(1), now).unwrap();
                 ledger.finish(key(1), ending);
             }
-            None => assert_eq!(ledger.settle(key(1), now), Message::Refused),
+            None => assert_eq!(ledger.settle(key(1), now), Status::Rejected),
         }
         for later in 2..6 {
             ledger.settle(key(later), now);
         }
-        assert_eq!(ledger.records(), SMALL.closed, "{name}");
-        assert_eq!(ledger.settle(key(1), now), word, "{name}");
-        assert_eq!(ledger.admit(key(1), now), Err(refusal), "{name}");
+        assert_eq!(ledger.records(), SMALL_LIMITS.max_closed, "{name}");
+        assert_eq!(ledger.settle(key(1), now), status, "{name}");
+        assert_eq!(ledger.admit(key(1), now), Err(rejection), "{name}");
     }
 }
 
 #[test]
 fn silent_entries_are_forgotten() {
-    let mut ledger = Ledger::new(SMALL);
+    let mut ledger = Ledger::new(SMALL_LIMITS);
     let old = Key {
         entry: 1,
         counter: 1,
@@ -182,7 +182,7 @@
             entry: 3,
             counter: 1,
         },
-        SMALL.silence,
+        SMALL_LIMITS.entry_expiry,
     );
     assert_eq!(ledger.entries(), 2);
 }
--- a/verbenaspool_coordination/tests/store/apply.rs
+++ b/verbenaspool_coordination/tests/store/apply.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use verbenaspool_coordination::{
-    apply::{Apply, Order, Outcome},
-    collection::Collection,
+    apply::{Apply, Outcome, Request},
+    gc::Collection,
     head::Head,
     keys,
     piece::{self, Pieces},
@@ -39,10 +39,10 @@
 
 /// An apply under an id of its own.
 fn apply(id: &str, mark: u32) -> Apply {
-    Apply::new(Order {
+    Apply::new(Request {
         firm: firm(),
         id: id.to_owned(),
-        expect: None,
+        expected_version: None,
         split: piece::split(&file(mark)).unwrap(),
     })
 }
@@ -70,11 +70,11 @@
 /// The stored head.
 fn head(store: &Store) -> Option<Head> {
     let (_, value) = store.objects.get(&keys::head(&firm()))?;
-    Head::read(value)
+    Head::from_bytes(value)
 }
 
 /// Whether everything that the head refers to is there.
-fn whole(store: &Store) -> bool {
+fn is_complete(store: &Store) -> bool {
     let Some(head) = head(store) else {
         return true;
     };
@@ -95,56 +95,60 @@
 // be told what really happened, versions must count up one by one, and nothing
 // that the head refers to may ever be missing.
 #[test]
-fn operators_are_told_the_truth() {
+fn reported_outcomes_are_true() {
     let outcome = runner(400).run(&runs(), |events| {
         let mut store = Store::default();
-        let mut seen = 0;
+        let mut checked_revision = 0;
         let mut operators: Vec<Operator> = (0..3)
             .map(|i| Operator::new(format!("{i}-first"), i))
             .collect();
         let mut accepted: BTreeMap<u64, String> = BTreeMap::new();
-        let mut refused: Vec<String> = Vec::new();
-        let mut told: Vec<(String, u64)> = Vec::new();
+        let mut rejected: Vec<String> = Vec::new();
+        let mut reported: Vec<(String, u64)> = Vec::new();
         for (number, event) in events.into_iter().enumerate() {
             let next = u32::try_from(number).unwrap();
             match event {
-                Event::Arrive => {
+                Event::DeliverDelayed => {
                     if !store.delayed.is_empty() {
                         let call = store.delayed.remove(0);
-                        store.make(call);
+                        store.execute(call);
                     }
                 }
-                Event::Turn(who, fault) => {
-                    let one = &mut operators[who];
-                    if let Some(collection) = &mut one.collection {
-                        if store.turn(collection, fault).is_some() {
-                            *one = Operator::new(format!("{who}-{number}"), next);
+                Event::Call(index, fault) => {
+                    let operator = &mut operators[index];
+                    if let Some(collection) = &mut operator.collection {
+                        if store.call_next(collection, fault).is_some() {
+                            *operator = Operator::new(format!("{index}-{number}"), next);
                         }
-                    } else if let Some(outcome) = store.turn(&mut one.apply, fault) {
+                    } else if let Some(outcome) = store.call_next(&mut operator.apply, fault) {
                         match outcome {
-                            Outcome::Accepted { version, object } => {
-                                told.push((one.id.clone(), version.0));
-                                let split = piece::split(&file(one.mark)).unwrap();
+                            Outcome::Accepted {
+                                version,
+                                object_version,
+                            } => {
+                                reported.push((operator.id.clone(), version.0));
+                                let split = piece::split(&file(operator.mark)).unwrap();
                                 let kept = split.pieces.keys().copied().collect();
-                                let object = object.unwrap_or_default();
-                                one.collection = Some(Collection::new(firm(), object, kept));
+                                let object_version = object_version.unwrap_or_default();
+                                operator.collection =
+                                    Some(Collection::new(firm(), object_version, kept));
                             }
                             Outcome::Conflict { .. } | Outcome::Failed(_) => {
-                                refused.push(one.id.clone());
-                                *one = Operator::new(format!("{who}-{number}"), next);
+                                rejected.push(operator.id.clone());
+                                *operator = Operator::new(format!("{index}-{number}"), next);
                             }
                             Outcome::Unchanged(_) | Outcome::Unknown(_) => {
-                                *one = Operator::new(format!("{who}-{number}"), next);
+                                *operator = Operator::new(format!("{index}-{number}"), next);
                             }
                         }
                     }
                 }
-                Event::Abandon(who) => {
-                    let one = &mut operators[who];
-                    if let Outcome::Failed(_) = one.apply.abandon() {
-                        refused.push(one.id.clone());
+                Event::Abandon(index) => {
+                    let operator = &mut operators[index];
+                    if let Outcome::Failed(_) = operator.apply.abandon() {
+                        rejected.push(operator.id.clone());
                     }
-                    *one = Operator::new(format!("{who}-{number}"), next);
+                    *operator = Operator::new(format!("{index}-{number}"), next);
                 }
             }
             if let Some(head) = head(&store) {
@@ -153,16 +157,19 @@
                 let id = accepted.entry(head.version.0).or_insert(head.apply.clone());
                 prop_assert_eq!(&*id, &head.apply);
             }
-            if seen != store.revision {
-                prop_assert!(whole(&store), "the head refers to a piece that is gone");
-                seen = store.revision;
+            if checked_revision != store.revision {
+                prop_assert!(
+                    is_complete(&store),
+                    "the head refers to a piece that is gone"
+                );
+                checked_revision = store.revision;
             }
         }
-        for (id, version) in told {
+        for (id, version) in reported {
             prop_assert_eq!(accepted.get(&version), Some(&id));
         }
-        for id in refused {
-            prop_assert!(!accepted.values().any(|a| *a == id), "{} was refused", id);
+        for id in rejected {
+            prop_assert!(!accepted.values().any(|a| *a == id), "{} was rejected", id);
         }
         Ok(())
     });
@@ -170,12 +177,12 @@
 }
 
 /// Drives a machine without faults.
-fn drive<T>(store: &mut Store, machine: &mut dyn Machine<Outcome = T>) -> T {
+fn run<T>(store: &mut Store, machine: &mut dyn Machine<Outcome = T>) -> T {
     loop {
         match machine.step() {
             Step::Done(outcome) => return outcome,
             Step::Call(call) | Step::Retry(call) => {
-                let answer = store.make(call);
+                let answer = store.execute(call);
                 machine.answer(answer);
             }
         }
@@ -185,13 +192,13 @@
 #[test]
 fn expected_version() {
     let mut store = Store::default();
-    let mut order = Order {
+    let mut request = Request {
         firm: firm(),
         id: "one".to_owned(),
-        expect: Some(Version(0)),
+        expected_version: Some(Version(0)),
         split: piece::split(&file(1)).unwrap(),
     };
-    let first = drive(&mut store, &mut Apply::new(order.clone()));
+    let first = run(&mut store, &mut Apply::new(request.clone()));
     assert!(matches!(
         first,
         Outcome::Accepted {
@@ -199,13 +206,13 @@
             ..
         }
     ));
-    "two".clone_into(&mut order.id);
-    order.split = piece::split(&file(2)).unwrap();
-    let stale = drive(&mut store, &mut Apply::new(order.clone()));
+    "two".clone_into(&mut request.id);
+    request.split = piece::split(&file(2)).unwrap();
+    let stale = run(&mut store, &mut Apply::new(request.clone()));
     let (expected, current) = (Version(0), Version(1));
     assert_eq!(stale, Outcome::Conflict { expected, current });
-    order.expect = Some(Version(1));
-    let second = drive(&mut store, &mut Apply::new(order.clone()));
+    request.expected_version = Some(Version(1));
+    let second = run(&mut store, &mut Apply::new(request.clone()));
     assert!(matches!(
         second,
         Outcome::Accepted {
@@ -214,9 +221,9 @@
         }
     ));
     // The file that stands already needs no new version.
-    order.expect = None;
-    "three".clone_into(&mut order.id);
-    let same = drive(&mut store, &mut Apply::new(order));
+    request.expected_version = None;
+    "three".clone_into(&mut request.id);
+    let same = run(&mut store, &mut Apply::new(request));
     assert_eq!(same, Outcome::Unchanged(Version(2)));
 }
 
@@ -231,17 +238,17 @@
         let Step::Call(call) = lost.step() else {
             unreachable!("no call fails here");
         };
-        let answer = store.make(call);
+        let answer = store.execute(call);
         lost.answer(answer);
     }
     let Step::Call(swap) = lost.step() else {
         unreachable!("the loop ended on it");
     };
-    store.make(swap);
+    store.execute(swap);
     lost.answer(Answer::Lost("lost".to_owned()));
     for mark in 0..10 {
-        let outcome = drive(&mut store, &mut apply(&format!("later-{mark}"), mark + 20));
+        let outcome = run(&mut store, &mut apply(&format!("later-{mark}"), mark + 20));
         assert!(matches!(outcome, Outcome::Accepted { .. }));
     }
-    assert!(matches!(drive(&mut store, &mut lost), Outcome::Unknown(_)));
+    assert!(matches!(run(&mut store, &mut lost), Outcome::Unknown(_)));
 }
--- a/verbenaspool_coordination/tests/store/claim.rs
+++ b/verbenaspool_coordination/tests/store/claim.rs
@@ -34,30 +34,30 @@
 // to the platform are lost, late and answered to nobody. Were two attempts told
 // that the key is theirs, the skipper would be charged twice.
 #[test]
-fn one_attempt_runs() {
+fn at_most_one_attempt_holds_the_key() {
     let outcome = runner(1_000).run(&runs(), |events| {
         let mut store = Store::default();
         let mut claims: Vec<Claim> = (0..3).map(|caller| claim(caller, 0)).collect();
-        let mut mine: Option<String> = None;
+        let mut holder: Option<String> = None;
         for (number, event) in events.into_iter().enumerate() {
             let (caller, outcome) = match event {
-                Event::Arrive => {
+                Event::DeliverDelayed => {
                     if !store.delayed.is_empty() {
                         let call = store.delayed.remove(0);
-                        store.make(call);
+                        store.execute(call);
                     }
                     continue;
                 }
-                Event::Turn(caller, fault) => (caller, store.turn(&mut claims[caller], fault)),
+                Event::Call(caller, fault) => (caller, store.call_next(&mut claims[caller], fault)),
                 Event::Abandon(caller) => (caller, Some(claims[caller].abandon())),
             };
             let Some(outcome) = outcome else {
                 continue;
             };
-            if let Outcome::Mine { .. } = outcome {
-                let holder = caller.to_string();
-                prop_assert!(mine.is_none(), "{mine:?} and {holder} both hold the key");
-                mine = Some(holder);
+            if let Outcome::Acquired { .. } = outcome {
+                let name = caller.to_string();
+                prop_assert!(holder.is_none(), "{holder:?} and {name} both hold the key");
+                holder = Some(name);
             }
             claims[caller] = claim(caller, number + 1);
         }
@@ -82,14 +82,14 @@
 
 impl Ledger {
     /// An attempt arrives.
-    fn send(&mut self, attempt: String) {
+    fn admit(&mut self, attempt: String) {
         if !self.tombstones.contains(&attempt) {
             self.ran.insert(attempt);
         }
     }
 
     /// Whether an attempt will never run; asking makes sure of it.
-    fn refuses(&mut self, attempt: &str) -> bool {
+    fn confirm_not_run(&mut self, attempt: &str) -> bool {
         if self.ran.contains(attempt) {
             return false;
         }
@@ -104,7 +104,7 @@
 // claim replaced without the agent's word, or an attempt sent that the claim
 // doesn't name, the booking would run twice.
 #[test]
-fn a_replaced_claim_lets_one_attempt_run() {
+fn replaced_claims_let_one_attempt_run() {
     let outcome = runner(1_000).run(&runs(), |events| {
         let mut store = Store::default();
         let mut ledger = Ledger::default();
@@ -118,33 +118,33 @@
         for (number, event) in events.into_iter().enumerate() {
             let number = number + 1;
             match event {
-                Event::Arrive => {
+                Event::DeliverDelayed => {
                     if !store.delayed.is_empty() {
                         let call = store.delayed.remove(0);
-                        store.make(call);
+                        store.execute(call);
                     }
                 }
                 Event::Abandon(caller) => entries[caller] = start(caller, number),
-                Event::Turn(caller, fault) => match &mut entries[caller] {
+                Event::Call(caller, fault) => match &mut entries[caller] {
                     Entry::Sending(attempt) => {
-                        ledger.send(attempt.clone());
+                        ledger.admit(attempt.clone());
                         entries[caller] = start(caller, number);
                     }
                     Entry::Claiming(claim, attempt) => {
                         let attempt = attempt.clone();
-                        match store.turn(claim.as_mut(), fault) {
+                        match store.call_next(claim.as_mut(), fault) {
                             None => {}
-                            Some(Outcome::Mine { .. }) => {
+                            Some(Outcome::Acquired { .. }) => {
                                 entries[caller] = Entry::Sending(attempt);
                             }
-                            Some(Outcome::Other {
+                            Some(Outcome::Taken {
                                 record: other,
                                 version,
-                            }) if ledger.refuses(&other.attempt) => {
+                            }) if ledger.confirm_not_run(&other.attempt) => {
                                 let own = record(caller, number);
                                 let name = own.attempt.clone();
-                                let over = Claim::over(KEY.to_owned(), version, own);
-                                entries[caller] = Entry::Claiming(Box::new(over), name);
+                                let replacement = Claim::replace(KEY.to_owned(), version, own);
+                                entries[caller] = Entry::Claiming(Box::new(replacement), name);
                             }
                             Some(_) => entries[caller] = start(caller, number),
                         }
--- a/verbenaspool_coordination/tests/store/model.rs
+++ b/verbenaspool_coordination/tests/store/model.rs
@@ -19,7 +19,7 @@
 
 impl Store {
     /// Carries a call out.
-    pub fn make(&mut self, call: Call) -> Answer {
+    pub fn execute(&mut self, call: Call) -> Answer {
         match call {
             Call::Get { key } => match self.objects.get(&key) {
                 Some((version, value)) => Answer::Found {
@@ -70,17 +70,21 @@
     }
 
     /// Makes a machine's next call under a fault; the outcome if it has one.
-    pub fn turn<T>(&mut self, machine: &mut dyn Machine<Outcome = T>, fault: Fault) -> Option<T> {
+    pub fn call_next<T>(
+        &mut self,
+        machine: &mut dyn Machine<Outcome = T>,
+        fault: Fault,
+    ) -> Option<T> {
         let call = match machine.step() {
             Step::Done(outcome) => return Some(outcome),
             Step::Call(call) | Step::Retry(call) => call,
         };
         let answer = match fault {
-            Fault::None => self.make(call),
+            Fault::None => self.execute(call),
             Fault::Unsent => Answer::Failed("down".to_owned()),
             Fault::Dropped => Answer::Lost("dropped".to_owned()),
             Fault::AnswerLost => {
-                self.make(call);
+                self.execute(call);
                 Answer::Lost("lost".to_owned())
             }
             Fault::Late => {
@@ -112,9 +116,9 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
     /// A caller's next call is made.
-    Turn(usize, Fault),
+    Call(usize, Fault),
     /// What was held up longest takes effect.
-    Arrive,
+    DeliverDelayed,
     /// A caller gives up what it does and goes on to the next.
     Abandon(usize),
 }
@@ -130,8 +134,8 @@
         1 => Just(Fault::Late),
     ];
     let event = prop_oneof![
-        20 => (who.clone(), fault).prop_map(|(who, fault)| Event::Turn(who, fault)),
-        1 => Just(Event::Arrive),
+        20 => (who.clone(), fault).prop_map(|(who, fault)| Event::Call(who, fault)),
+        1 => Just(Event::DeliverDelayed),
         1 => who.prop_map(Event::Abandon),
     ];
     prop::collection::vec(event, 1..300)
--- a/verbenaspool_protocol/src/settle.rs
+++ b/verbenaspool_protocol/src/settle.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use verbenaspool_coordination::attempt::Message;
+use verbenaspool_coordination::attempt::Status;
 
 use crate::attempt;
 
@@ -34,13 +34,13 @@
     Unknown,
 }
 
-impl From<Message> for Answer {
-    fn from(message: Message) -> Self {
-        match message {
-            Message::Refused => Self::Refused,
-            Message::Running => Self::Running,
-            Message::Ended => Self::Ended,
-            Message::Unknown => Self::Unknown,
+impl From<Status> for Answer {
+    fn from(status: Status) -> Self {
+        match status {
+            Status::Rejected => Self::Refused,
+            Status::Running => Self::Running,
+            Status::Ended => Self::Ended,
+            Status::Unknown => Self::Unknown,
         }
     }
 }
--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use verbenaspool_coordination::{
     adoption::{Adoption, Error, Settings, Verdict},
-    apply::{Order, Outcome},
+    apply::{Outcome, Request},
     head::Head,
     piece::{self, Hash},
 };
@@ -142,7 +142,7 @@
             decisions: Decisions::default(),
         };
         large.services = vec![service];
-        let room = piece::LARGEST - 600;
+        let room = piece::MAX_PIECE_BYTES - 600;
         large.services[0].path = format!("/{}/", "x".repeat(room));
         let mut fits = order(FIRM, 1, "apply-1");
         fits.split = piece::split(&large).unwrap();
@@ -150,7 +150,7 @@
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
         let adopted = instance.source.above(Version(0)).await;
         assert_eq!(adopted.file.services, large.services);
-        large.services[0].path = format!("/{}/", "x".repeat(piece::LARGEST));
+        large.services[0].path = format!("/{}/", "x".repeat(piece::MAX_PIECE_BYTES));
         assert!(matches!(
             piece::split(&large),
             Err(piece::Error::Large { .. })
@@ -185,7 +185,7 @@
     let mut adoption = Adoption::new(name(FIRM), Settings::default());
     assert_eq!(adoption.offer(head(5, split.root)), Verdict::New);
     for (hash, bytes) in &split.pieces {
-        adoption.insert(*hash, bytes).unwrap();
+        adoption.insert_piece(*hash, bytes).unwrap();
     }
     assert!(adoption.poll(Duration::ZERO, 1).unwrap().is_some());
     let mut raised = head(4, split.root);
@@ -194,15 +194,15 @@
     let cases = [
         ("old", head(4, split.root), Verdict::Old),
         ("same", head(5, split.root), Verdict::Known),
-        ("other file", head(5, other.root), Verdict::Garbled),
-        ("raised version", raised, Verdict::Garbled),
+        ("other file", head(5, other.root), Verdict::Corrupt),
+        ("raised version", raised, Verdict::Corrupt),
     ];
     for (story, head, verdict) in cases {
         assert_eq!(adoption.offer(head), verdict, "{story}");
     }
     assert_eq!(adoption.offer(head(6, other.root)), Verdict::New);
     for (hash, bytes) in &other.pieces {
-        adoption.insert(*hash, bytes).unwrap();
+        adoption.insert_piece(*hash, bytes).unwrap();
     }
     let refused = adoption.poll(Duration::from_secs(1), 1);
     assert!(matches!(refused, Err(Error::Firm { .. })), "{refused:?}");
@@ -228,12 +228,12 @@
         let mut adoption = Adoption::new(name(FIRM), Settings::default());
         adoption.offer(Head::first("apply", split.root));
         for (hash, bytes) in &split.pieces {
-            adoption.insert(*hash, bytes).unwrap();
+            adoption.insert_piece(*hash, bytes).unwrap();
         }
         let early = adoption.poll(Duration::ZERO, alive.max(2)).unwrap();
         assert!(early.is_none(), "{story}");
         if holds {
-            adoption.hold(&name("entry-2"), Version(1));
+            adoption.set_peer_version(&name("entry-2"), Version(1));
         }
         let adopted = adoption.poll(Duration::from_millis(at), alive).unwrap();
         assert_eq!(adopted.is_some(), in_force, "{story}");
@@ -246,7 +246,7 @@
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        let first: Order = order(FIRM, 1, "apply-1");
+        let first: Request = order(FIRM, 1, "apply-1");
         platform.set(|faults| {
             faults.lose_after = 3;
             faults.lose_answers = 50;
@@ -309,7 +309,7 @@
         for turn in 0..1_000_u64 {
             adoption.offer(head.clone());
             for (hash, bytes) in split.pieces.iter().filter(|_| turn == 0) {
-                adoption.insert(*hash, bytes).unwrap();
+                adoption.insert_piece(*hash, bytes).unwrap();
             }
             let now = Duration::from_millis(turn * 10);
             if let Some(adopted) = adoption.poll(now, 2).unwrap() {
--- a/verbenaspool_standin/tests/config/support.rs
+++ b/verbenaspool_standin/tests/config/support.rs
@@ -4,7 +4,7 @@
 
 use monoio::net::TcpListener;
 use verbenaspool_coordination::{
-    apply::{Order, Outcome},
+    apply::{Outcome, Request},
     piece,
 };
 use verbenaspool_standin::platform::Platform;
@@ -81,18 +81,18 @@
 }
 
 /// An order to apply that file.
-pub fn order(firm: &str, mark: u32, id: &str) -> Order {
-    Order {
+pub fn order(firm: &str, mark: u32, id: &str) -> Request {
+    Request {
         firm: name(firm),
         id: id.to_owned(),
-        expect: None,
+        expected_version: None,
         split: piece::split(&file(firm, mark)).expect("the file fits"),
     }
 }
 
 /// Applies a file within a bound that is long beside the faults of the tests.
-pub async fn apply(store: &dyn Store, order: Order) -> Outcome {
-    config::apply(store, order, Duration::from_secs(5), 7).await
+pub async fn apply(store: &dyn Store, request: Request) -> Outcome {
+    config::apply(store, request, Duration::from_secs(5), 7).await
 }
 
 /// The version of an accepted outcome.
--- a/verbenaspool_transport/src/config.rs
+++ b/verbenaspool_transport/src/config.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use verbenaspool_coordination::{
-    apply::{Apply, Order, Outcome},
-    collection::Collection,
+    apply::{Apply, Outcome, Request},
+    gc::Collection,
 };
 
 use crate::platform::{Store, driver};
@@ -23,29 +23,29 @@
 ///
 /// ```no_run
 /// # async fn example(store: &dyn verbenaspool_transport::platform::Store,
-/// #     order: verbenaspool_coordination::apply::Order) {
+/// #     request: verbenaspool_coordination::apply::Request) {
 /// use std::time::Duration;
 /// use verbenaspool_transport::config;
 ///
-/// println!("{:?}", config::apply(store, order, Duration::from_secs(20), 7).await);
+/// println!("{:?}", config::apply(store, request, Duration::from_secs(20), 7).await);
 /// # }
 /// ```
-pub async fn apply(store: &dyn Store, order: Order, within: Duration, seed: u64) -> Outcome {
-    let firm = order.firm.clone();
-    let split = order.split.clone();
+pub async fn apply(store: &dyn Store, request: Request, within: Duration, seed: u64) -> Outcome {
+    let firm = request.firm.clone();
+    let split = request.split.clone();
     let kept = split.pieces.keys().copied().collect();
-    let mut apply = Apply::new(order);
+    let mut apply = Apply::new(request);
     let Some(outcome) = driver::drive(store, &mut apply, within, seed).await else {
         return apply.abandon();
     };
     if let Outcome::Accepted {
-        object: Some(object),
+        object_version: Some(object_version),
         version,
     } = outcome
     {
         // Without the bundles reading the file is slower, and no less right.
         let _ = bundle::pack(store, &firm, version, &split).await;
-        let mut collection = Collection::new(firm, object, kept);
+        let mut collection = Collection::new(firm, object_version, kept);
         // What can't be collected now is left to the next apply.
         driver::drive(store, &mut collection, within, seed).await;
     }
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -72,7 +72,7 @@
 /// What the source says of itself now.
 fn message(source: &Source) -> Message {
     let adoption = source.adoption.borrow();
-    let held = adoption.held().map(|head| head.version);
+    let held = adoption.complete_head().map(|head| head.version);
     let membership = source.membership.borrow();
     let reaches = source.reaches();
     membership.word(
@@ -151,7 +151,7 @@
     let heard = membership.hear(source.now(), message) == Heard::Current;
     drop(membership);
     if heard {
-        source.adoption.borrow_mut().hold(&name, held);
+        source.adoption.borrow_mut().set_peer_version(&name, held);
     }
     heard
 }
@@ -162,7 +162,7 @@
     let told = beat.message.clone();
     take_in(source, &beat.table, beat.message);
     let differs = source.membership.borrow().differs(&told);
-    let held = source.adoption.borrow().held().cloned();
+    let held = source.adoption.borrow().complete_head().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
     if theirs > own {
         // Its head comes with the answer to a heartbeat of ours.
@@ -178,10 +178,10 @@
 /// Gets hold of a head that a peer holds, and passes it on.
 async fn pull(source: &Rc<Source>, from: &Member, head: Head) {
     match source.offer(head.clone()) {
-        Verdict::Garbled | Verdict::Old => return,
+        Verdict::Corrupt | Verdict::Old => return,
         Verdict::New | Verdict::Known => {}
     }
-    if source.adoption.borrow().held() == Some(&head) {
+    if source.adoption.borrow().complete_head() == Some(&head) {
         return;
     }
     fetch(source, from.address, head.root).await;
@@ -192,8 +192,8 @@
 fn hold(source: &Rc<Source>, from: &Member, head: &Head) {
     let whole = {
         let mut adoption = source.adoption.borrow_mut();
-        adoption.hold(&from.name, head.version);
-        adoption.missing().is_empty()
+        adoption.set_peer_version(&from.name, head.version);
+        adoption.missing_pieces().is_empty()
     };
     source.enforce();
     if whole {
@@ -205,7 +205,7 @@
 async fn fetch(source: &Source, address: SocketAddr, root: Hash) {
     let mut have = source.current().map(|adopted| adopted.head.root);
     for _ in 0..ROUNDS {
-        let missing = source.adoption.borrow().missing();
+        let missing = source.adoption.borrow().missing_pieces();
         if missing.is_empty() {
             return;
         }
@@ -230,14 +230,16 @@
 fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &Fetched) -> bool {
     let mut adoption = source.adoption.borrow_mut();
     let delta = fetched.delta.as_ref();
-    let mut used = delta.is_some_and(|delta| adoption.follow(delta).is_ok());
+    let mut used = delta.is_some_and(|delta| adoption.apply_delta(delta).is_ok());
     // Only what is missing is taken: a faulty peer could fill the memory.
     for piece in fetched
         .pieces
         .iter()
         .filter(|piece| missing.contains(&piece.hash))
     {
-        used |= adoption.insert(piece.hash, piece.text.as_bytes()).is_ok();
+        used |= adoption
+            .insert_piece(piece.hash, piece.text.as_bytes())
+            .is_ok();
     }
     used
 }
@@ -250,17 +252,20 @@
         if verdict == Verdict::New {
             if let Some(delta) = delta {
                 // One that doesn't fit costs a fetch.
-                let _ = source.adoption.borrow_mut().follow(&delta);
+                let _ = source.adoption.borrow_mut().apply_delta(&delta);
             }
             fetch(source, from.address, head.root).await;
             hold(source, &from, &head);
         } else {
-            source.adoption.borrow_mut().hold(&from.name, head.version);
+            source
+                .adoption
+                .borrow_mut()
+                .set_peer_version(&from.name, head.version);
             source.enforce();
         }
     }
     let adoption = source.adoption.borrow();
-    let held = adoption.held().map(|head| head.version);
+    let held = adoption.complete_head().map(|head| head.version);
     Holding {
         version: held.unwrap_or_default(),
     }
@@ -295,10 +300,10 @@
 pub(super) fn pass_on(source: &Rc<Source>, from: Option<&Member>) {
     let (head, delta) = {
         let adoption = source.adoption.borrow();
-        let Some(head) = adoption.held().cloned() else {
+        let Some(head) = adoption.complete_head().cloned() else {
             return;
         };
-        let before = adoption.before().filter(|root| *root != head.root);
+        let before = adoption.previous_root().filter(|root| *root != head.root);
         let delta = before.and_then(|before| adoption.delta(before, head.root));
         (head, delta)
     };
@@ -323,7 +328,10 @@
     let held = call::<_, Holding>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
     match held {
         Ok(Holding { version }) => {
-            source.adoption.borrow_mut().hold(&peer.name, version);
+            source
+                .adoption
+                .borrow_mut()
+                .set_peer_version(&peer.name, version);
             source.enforce();
         }
         Err(_) if offer.head.version >= highest(&source) => {
@@ -341,7 +349,7 @@
 fn highest(source: &Source) -> Version {
     let adoption = source.adoption.borrow();
     adoption
-        .highest()
+        .highest_head()
         .map(|head| head.version)
         .unwrap_or_default()
 }
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -377,7 +377,7 @@
                     self.trouble.take();
                     since = revision;
                     // Changes that come meanwhile are read together.
-                    let pause = self.adoption.borrow().pause();
+                    let pause = self.adoption.borrow().min_interval();
                     self.sleep(pause).await;
                 }
                 Err(e) => {
@@ -405,13 +405,13 @@
 
     /// Takes a stored head and all that it names.
     async fn take(self: &Rc<Self>, value: &[u8]) -> Result<(), Error> {
-        let head = Head::read(value).ok_or_else(|| garbled("the head"))?;
+        let head = Head::from_bytes(value).ok_or_else(|| garbled("the head"))?;
         match self.offer(head.clone()) {
-            Verdict::Garbled => return Err(garbled("the head")),
+            Verdict::Corrupt => return Err(garbled("the head")),
             Verdict::Old => return Ok(()),
             Verdict::New | Verdict::Known => {}
         }
-        let fresh = self.adoption.borrow().held() != Some(&head);
+        let fresh = self.adoption.borrow().complete_head() != Some(&head);
         self.fetch().await?;
         self.enforce();
         if fresh {
@@ -426,7 +426,7 @@
         bundle::read(&*self.store, &self.options.firm, |piece| {
             let mut adoption = self.adoption.borrow_mut();
             // One that doesn't fit its hash is read by itself.
-            let _ = adoption.insert(piece.hash, piece.text.as_bytes());
+            let _ = adoption.insert_piece(piece.hash, piece.text.as_bytes());
         })
         .await
     }
@@ -435,7 +435,7 @@
     async fn fetch(&self) -> Result<(), Error> {
         let mut bundles = true;
         loop {
-            let missing = self.adoption.borrow().missing();
+            let missing = self.adoption.borrow().missing_pieces();
             if missing.is_empty() {
                 return Ok(());
             }
@@ -449,7 +449,7 @@
                 let object = self.store.get(&key).await?;
                 // Collected, because a later head stands by now: read that.
                 let object = object.ok_or_else(|| garbled("a piece"))?;
-                let inserted = self.adoption.borrow_mut().insert(hash, &object.value);
+                let inserted = self.adoption.borrow_mut().insert_piece(hash, &object.value);
                 inserted.map_err(|e| Error::Unknown(e.to_string()))?;
             }
         }
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -154,7 +154,7 @@
     monoio::time::sleep(pause).await;
     let after = statuses(store, firm).await?;
     let head = match store.get(&keys::head(firm)).await? {
-        Some(object) => Head::read(&object.value),
+        Some(object) => Head::from_bytes(&object.value),
         None => None,
     };
     let places = match &head {
--- a/verbenaspool_transport/src/platform/driver.rs
+++ b/verbenaspool_transport/src/platform/driver.rs
@@ -144,7 +144,7 @@
 fn answer(error: &Error) -> Answer {
     match error {
         Error::Conflict { current } => Answer::Conflict(*current),
-        Error::Large | Error::Refused => Answer::Refused(error.to_string()),
+        Error::Large | Error::Refused => Answer::Rejected(error.to_string()),
         Error::Busy | Error::Unsent(_) => Answer::Failed(error.to_string()),
         Error::Unknown(_) => Answer::Lost(error.to_string()),
     }
