--- a/verbenaspool_coordination/src/attempt.rs
+++ b/verbenaspool_coordination/src/attempt.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    fn forget(&mut self, counter: u64) {
+    fn drop_record(&mut self, counter: u64) {
         let record = self.records.remove(&counter);
         self.rejected_through = self.rejected_through.max(counter);
         if matches!(record, Some(Record::Ended | Record::Broken)) {
@@ -317,7 +317,7 @@
                 return;
             };
             if let Some(entry) = self.entries.get_mut(&oldest.entry) {
-                entry.forget(oldest.counter);
+                entry.drop_record(oldest.counter);
             }
         }
     }
--- a/verbenaspool_coordination/src/head.rs
+++ b/verbenaspool_coordination/src/head.rs
@@ -22,7 +22,8 @@
     /// The root piece of the file.
     pub root: Hash,
     /// The applies before, the latest first, whose versions count down from here.
-    pub before: Vec<String>,
+    #[serde(rename = "before")]
+    pub previous_applies: Vec<String>,
     /// The hash of all of the above, by which a garbled head is told.
     #[serde(rename = "seal")]
     checksum: Hash,
@@ -53,9 +54,9 @@
     /// ```
     #[must_use]
     pub fn next(&self, apply: &str, root: Hash) -> Self {
-        let before = std::iter::once(&self.apply).chain(&self.before);
-        let before = before.take(MAX_PREVIOUS_APPLIES).cloned().collect();
-        Self::with_checksum(self.version.next(), apply, root, before)
+        let applies = std::iter::once(&self.apply).chain(&self.previous_applies);
+        let previous_applies = applies.take(MAX_PREVIOUS_APPLIES).cloned().collect();
+        Self::with_checksum(self.version.next(), apply, root, previous_applies)
     }
 
     /// The version that an apply was accepted as, if the head still knows it.
@@ -67,9 +68,9 @@
     /// ```
     #[must_use]
     pub fn version_of(&self, apply: &str) -> Option<Version> {
-        let mut ids = std::iter::once(&self.apply).chain(&self.before);
-        let back = ids.position(|id| id == apply)?;
-        Some(Version(self.version.0.saturating_sub(back as u64)))
+        let mut ids = std::iter::once(&self.apply).chain(&self.previous_applies);
+        let offset = ids.position(|id| id == apply)?;
+        Some(Version(self.version.0.saturating_sub(offset as u64)))
     }
 
     /// Whether the head still knows which apply was accepted as `version`.
@@ -82,7 +83,10 @@
     /// ```
     #[must_use]
     pub fn remembers(&self, version: Version) -> bool {
-        let oldest = self.version.0.saturating_sub(self.before.len() as u64);
+        let oldest = self
+            .version
+            .0
+            .saturating_sub(self.previous_applies.len() as u64);
         (oldest..=self.version.0).contains(&version.0)
     }
 
@@ -122,23 +126,28 @@
     /// ```
     #[must_use]
     pub fn is_valid(&self) -> bool {
-        self.checksum == checksum(self.version, &self.apply, self.root, &self.before)
+        self.checksum == checksum(self.version, &self.apply, self.root, &self.previous_applies)
     }
 
     /// A head with its seal.
-    fn with_checksum(version: Version, apply: &str, root: Hash, before: Vec<String>) -> Self {
+    fn with_checksum(
+        version: Version,
+        apply: &str,
+        root: Hash,
+        previous_applies: Vec<String>,
+    ) -> Self {
         Self {
-            checksum: checksum(version, apply, root, &before),
+            checksum: checksum(version, apply, root, &previous_applies),
             version,
             apply: apply.to_owned(),
             root,
-            before,
+            previous_applies,
         }
     }
 }
 
 /// The hash of a head's content.
-fn checksum(version: Version, apply: &str, root: Hash, before: &[String]) -> Hash {
-    let text = format!("{version} {apply} {root} {}", before.join(" "));
+fn checksum(version: Version, apply: &str, root: Hash, previous_applies: &[String]) -> Hash {
+    let text = format!("{version} {apply} {root} {}", previous_applies.join(" "));
     Hash::of(text.as_bytes())
 }
--- a/verbenaspool_coordination/src/piece.rs
+++ b/verbenaspool_coordination/src/piece.rs
@@ -178,16 +178,17 @@
 
 /// The levels of nodes for a number of customers.
 fn depth(customers: usize) -> u8 {
-    let enough = |depth: &u8| customers <= MAX_MEAN_LEAF_CUSTOMERS * FANOUT.pow((*depth).into());
-    (0..MAX_DEPTH).find(enough).unwrap_or(MAX_DEPTH)
+    let has_capacity =
+        |depth: &u8| customers <= MAX_MEAN_LEAF_CUSTOMERS * FANOUT.pow((*depth).into());
+    (0..MAX_DEPTH).find(has_capacity).unwrap_or(MAX_DEPTH)
 }
 
 /// The leaf that a customer stands in: the first hex digits of its name's hash.
 fn leaf_index(name: &Name, depth: u8) -> usize {
     let hash = blake3::hash(name.as_str().as_bytes());
     let bytes = hash.as_bytes();
-    let word = usize::from(bytes[0]) << 8 | usize::from(bytes[1]);
-    word >> (4 * (4 - depth))
+    let prefix = usize::from(bytes[0]) << 8 | usize::from(bytes[1]);
+    prefix >> (4 * (4 - depth))
 }
 
 /// [`Base`], borrowed for writing.
--- a/verbenaspool_coordination/src/piece/delta.rs
+++ b/verbenaspool_coordination/src/piece/delta.rs
@@ -62,13 +62,13 @@
         };
         let mut level = vec![(old.customers, new.customers)];
         for _ in 0..old.depth {
-            let mut below = Vec::new();
+            let mut next_level = Vec::new();
             for (old, new) in level.into_iter().filter(|(old, new)| old != new) {
                 let old: Vec<Hash> = self.read(old).ok()?;
                 let new: Vec<Hash> = self.read(new).ok()?;
-                below.extend(old.into_iter().zip(new));
+                next_level.extend(old.into_iter().zip(new));
             }
-            level = below;
+            level = next_level;
         }
         for (old, new) in level.into_iter().filter(|(old, new)| old != new) {
             let old: Vec<Customer> = self.read(old).ok()?;
@@ -142,11 +142,11 @@
         let width = FANOUT.pow(u32::from(depth) - 1);
         for subtree in leaves.chunk_by(|(a, _), (b, _)| a / width == b / width) {
             let child = subtree[0].0 / width;
-            let below: Vec<_> = subtree
+            let child_leaves: Vec<_> = subtree
                 .iter()
                 .map(|(i, c)| (i % width, c.clone()))
                 .collect();
-            children[child] = self.rebuild(built, children[child], depth - 1, &below)?;
+            children[child] = self.rebuild(built, children[child], depth - 1, &child_leaves)?;
         }
         Ok(add_piece(built, serialize(&children)?))
     }
@@ -164,10 +164,10 @@
 impl Changes<'_> {
     /// A leaf's customers after the changes.
     fn apply_to(&self, mut customers: Vec<Customer>) -> Vec<Customer> {
-        let gone = |name: &Name| {
+        let is_replaced = |name: &Name| {
             self.removed.contains(&name) || self.changed.iter().any(|c| c.name == *name)
         };
-        customers.retain(|customer| !gone(&customer.name));
+        customers.retain(|customer| !is_replaced(&customer.name));
         customers.extend(self.changed.iter().map(|&customer| customer.clone()));
         customers.sort_by(|a, b| a.name.cmp(&b.name));
         customers
@@ -177,10 +177,10 @@
 impl Delta {
     /// Adds what differs between two leaves.
     fn add_differences(&mut self, old: &[Customer], new: Vec<Customer>) {
-        let kept = |name: &Name| new.iter().any(|customer| customer.name == *name);
-        let gone = old.iter().filter(|customer| !kept(&customer.name));
+        let is_kept = |name: &Name| new.iter().any(|customer| customer.name == *name);
+        let removed = old.iter().filter(|customer| !is_kept(&customer.name));
         self.removed
-            .extend(gone.map(|customer| customer.name.clone()));
+            .extend(removed.map(|customer| customer.name.clone()));
         let fresh = new.into_iter().filter(|customer| !old.contains(customer));
         self.changed.extend(fresh);
     }
--- a/verbenaspool_coordination/src/piece/pieces.rs
+++ b/verbenaspool_coordination/src/piece/pieces.rs
@@ -199,11 +199,11 @@
         } = self.read(base)?;
         let mut level = vec![customers];
         for _ in 0..depth {
-            let mut below = Vec::new();
+            let mut next_level = Vec::new();
             for node in level {
-                below.extend(self.read::<Vec<Hash>>(node)?);
+                next_level.extend(self.read::<Vec<Hash>>(node)?);
             }
-            level = below;
+            level = next_level;
         }
         let mut customers = Vec::new();
         for hash in level {
@@ -247,14 +247,14 @@
         visit(describe(base, false));
         let mut level = vec![customers];
         for levels_below in (0..=depth).rev() {
-            let mut below = Vec::new();
+            let mut next_level = Vec::new();
             for hash in level {
                 let visited = describe(hash, levels_below > 0);
                 if visit(visited) && visited.held && visited.has_children {
-                    below.extend(self.read::<Vec<Hash>>(hash)?);
+                    next_level.extend(self.read::<Vec<Hash>>(hash)?);
                 }
             }
-            level = below;
+            level = next_level;
         }
         Ok(())
     }
--- a/verbenaspool_coordination/src/piece/tests.rs
+++ b/verbenaspool_coordination/src/piece/tests.rs
@@ -24,14 +24,14 @@
 }
 
 /// A file of so many customers.
-fn sized(count: u16) -> File {
+fn file_of(count: u16) -> File {
     file((0..count).map(|i| customer(i, 1)).collect())
 }
 
 #[test]
 fn split_and_join() {
     for count in [0, 1, 4, 5, 64, 65, 1024, 1025, 3000] {
-        let file = sized(count);
+        let file = file_of(count);
         let split = split(&file).unwrap();
         let mut pieces = Pieces::default();
         pieces.extend(&split);
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn one_change_sends_little() {
-    let old = split(&sized(16_000)).unwrap();
-    let mut file = sized(16_000);
+fn one_change_sends_few_bytes() {
+    let old = split(&file_of(16_000)).unwrap();
+    let mut file = file_of(16_000);
     file.customers[77].share = 9;
     let new = split(&file).unwrap();
     let fresh = new
@@ -64,8 +64,8 @@
 // must go on with what it has rather than put a file in force that nobody
 // applied, so each piece is checked against the hash that names it.
 #[test]
-fn garbage_is_refused() {
-    let split = split(&sized(3)).unwrap();
+fn corrupt_pieces_are_rejected() {
+    let split = split(&file_of(3)).unwrap();
     let mut pieces = Pieces::default();
     for (hash, bytes) in &split.pieces {
         assert_eq!(pieces.insert(*hash, b"[]x"), Err(Error::Mismatch(*hash)));
@@ -76,7 +76,7 @@
     let root = Hash::of(b"[1]");
     pieces.insert(root, b"[1]").unwrap();
     assert_eq!(pieces.join(root), Err(Error::Content));
-    let wrong = Delta {
+    let invalid = Delta {
         from: split.root,
         to: Hash::of(b"other"),
         base: None,
@@ -84,9 +84,9 @@
         removed: Vec::new(),
     };
     pieces.extend(&split);
-    let held = pieces.len();
-    assert_eq!(pieces.apply(&wrong), Err(Error::Mismatch(wrong.to)));
-    assert_eq!(pieces.len(), held);
+    let piece_count = pieces.len();
+    assert_eq!(pieces.apply(&invalid), Err(Error::Mismatch(invalid.to)));
+    assert_eq!(pieces.len(), piece_count);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let strategy = (0_u16..300, change);
     let mut runner = TestRunner::deterministic();
     let outcome = runner.run(&strategy, |(count, changes)| {
-        let old = sized(count);
+        let old = file_of(count);
         let mut new = old.clone();
         for (number, share) in changes {
             let changed = customer(number, share);
--- a/verbenaspool_coordination/tests/attempt.rs
+++ b/verbenaspool_coordination/tests/attempt.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn status_after_the_record_is_forgotten() {
+fn status_after_the_record_is_dropped() {
     // A ledger that forgot an ended booking must not call it "refused": the
     // caller would repeat it and be charged twice.
     let key = |counter| Key { entry: 1, counter };
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn silent_entries_are_forgotten() {
+fn silent_entries_expire() {
     let mut ledger = Ledger::new(SMALL_LIMITS);
     let old = Key {
         entry: 1,
--- a/verbenaspool_coordination/tests/store/model.rs
+++ b/verbenaspool_coordination/tests/store/model.rs
@@ -45,11 +45,11 @@
                 Answer::Changed(self.revision)
             }
             Call::List { prefix } => {
-                let below = self
+                let listed = self
                     .objects
                     .iter()
                     .filter(|(key, _)| key.starts_with(&prefix));
-                let entries = below.map(|(key, (version, _))| Entry {
+                let entries = listed.map(|(key, (version, _))| Entry {
                     key: key.clone(),
                     version: *version,
                 });
@@ -87,7 +87,7 @@
                 self.execute(call);
                 Answer::Lost("lost".to_owned())
             }
-            Fault::Late => {
+            Fault::Delayed => {
                 self.delayed.push(call);
                 Answer::Lost("late".to_owned())
             }
@@ -109,7 +109,7 @@
     /// It takes effect and its answer is lost.
     AnswerLost,
     /// It takes effect after its caller gave up on it.
-    Late,
+    Delayed,
 }
 
 /// What may happen in a step of a run.
@@ -125,18 +125,18 @@
 
 /// Runs of events among three callers.
 pub fn runs() -> impl Strategy<Value = Vec<Event>> {
-    let who = 0_usize..3;
+    let caller = 0_usize..3;
     let fault = prop_oneof![
         12 => Just(Fault::None),
         1 => Just(Fault::Unsent),
         1 => Just(Fault::Dropped),
         2 => Just(Fault::AnswerLost),
-        1 => Just(Fault::Late),
+        1 => Just(Fault::Delayed),
     ];
     let event = prop_oneof![
-        20 => (who.clone(), fault).prop_map(|(who, fault)| Event::Call(who, fault)),
+        20 => (caller.clone(), fault).prop_map(|(caller, fault)| Event::Call(caller, fault)),
         1 => Just(Event::DeliverDelayed),
-        1 => who.prop_map(Event::Abandon),
+        1 => caller.prop_map(Event::Abandon),
     ];
     prop::collection::vec(event, 1..300)
 }
