--- a/verbenaspool_coordination/src/adoption.rs
+++ b/verbenaspool_coordination/src/adoption.rs
@@ -1,20 +1,19 @@
-//! Adopting accepted files: the version in force at an instance only goes up.
+//! Adoption of accepted files: the version active at an instance never decreases.
 //!
-//! Heads come from the platform and from peers, late, twice and out of order.
-//! The highest one heard of is what the instance works towards: it gathers the
-//! pieces, then waits until a second peer of the zone holds them too, and puts
-//! the file in force.
+//! Heads arrive from the platform and from peers, delayed, duplicated and out of order.
+//! The instance targets the highest one: it fetches the pieces, waits until a second
+//! instance of the zone holds them too, and activates the file.
 //!
-//! Failure guarded against by that wait: an instance puts a version in force,
-//! is replaced during an outage of the platform, and its successor finds only
-//! peers at the version before. Callers would see the zone go back. With a
-//! second holder the successor finds the version there. The wait is bounded by
-//! [`Settings::wait`], because a zone whose other instances can't be reached
-//! has to go on; what remains possible then is the loss of all holders at once.
+//! The wait prevents a version rollback: without it, an instance could activate a
+//! version and be replaced during an outage of the platform, and its successor would
+//! find only peers with the previous version. With a second holder, the successor finds
+//! the newer version there. The wait is limited by [`Settings::max_wait`], because a
+//! zone whose other instances are unreachable has to make progress; a rollback then
+//! needs the loss of all holders at once.
 //!
-//! While one version waits to be in force, later ones gather behind it and only
-//! the highest of them is next. Were the waiting one replaced by each that comes,
-//! a stream of changes could keep all of them from ever being in force.
+//! While one version waits for activation, only the highest of the later ones is kept
+//! as the next. If each new version replaced the waiting one, a stream of changes could
+//! prevent all of them from being activated.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -29,47 +28,46 @@
     piece::{self, Delta, Hash, Pieces},
 };
 
-/// Versions whose pieces are kept. Peers of a zone are a few versions apart at
-/// most; one that is further behind is sent pieces in place of differences.
-const KEPT: usize = 8;
+/// Number of versions whose pieces are retained. Peers of a zone are at most a few
+/// versions apart; one that is further behind receives pieces instead of a delta.
+const RETAINED_VERSIONS: usize = 8;
 
-/// Settings of adoption.
+/// Settings of the adoption.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Instances of the zone that have to hold a version before it is in force,
-    /// this one counted; fewer where fewer are alive.
-    pub holders: usize,
-    /// The longest wait for the other holders. A peer that is alive answers in
-    /// milliseconds, so a wait over this means it can't be reached.
-    pub wait: Duration,
-    /// The least time between two versions in force, for each customer. Putting
-    /// a version in force costs about 3 us a customer, so this bounds what a
-    /// stream of changes takes to 2.4% of a core at any size: 1 ms passes
-    /// between the versions of 10 customers, 2 s between those of 16,000.
-    pub pause: Duration,
+    /// Number of instances of the zone, including this one, that must hold a version
+    /// before it is activated; fewer if fewer are alive.
+    pub min_holders: usize,
+    /// Longest wait for the other holders. A live peer answers in milliseconds, so a
+    /// longer wait means that it is unreachable.
+    pub max_wait: Duration,
+    /// Minimum time between two activations, per customer. An activation costs about 3
+    /// us per customer, so this limits the cost of a stream of changes to 2.4% of a
+    /// core at any size: 1 ms between versions with 10 customers, 2 s with 16,000.
+    pub min_interval_per_customer: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            holders: 2,
-            wait: Duration::from_secs(1),
-            pause: Duration::from_micros(125),
+            min_holders: 2,
+            max_wait: Duration::from_secs(1),
+            min_interval_per_customer: Duration::from_micros(125),
         }
     }
 }
 
-/// A file in force.
+/// An activated file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Adopted {
-    /// The head that names it.
+    /// The head that names the file.
     pub head: Head,
     /// The file.
     pub file: File,
 }
 
 impl Adopted {
-    /// The version in force.
+    /// Returns the version of the file.
     ///
     /// ```no_run
     /// # use verbenaspool_coordination::adoption::Adopted;
@@ -83,28 +81,28 @@
     }
 }
 
-/// The adoption of one firm's files at one instance.
+/// State of the adoption of one firm's files at one instance.
 #[derive(Debug)]
 pub struct Adoption {
     /// The firm.
     firm: Name,
-    /// The settings.
+    /// Settings of the adoption.
     settings: Settings,
-    /// All pieces held.
+    /// All pieces that this instance holds.
     pieces: Pieces,
-    /// The head that waits to be in force, all of whose pieces are held.
+    /// The head that waits for activation; all of its pieces are held.
     ready: Option<Ready>,
-    /// The highest head heard of, if some of its pieces are missing or another
-    /// one is ready before it.
+    /// The highest known head, if some of its pieces are missing or another head waits
+    /// for activation before it.
     next: Option<Head>,
-    /// Peers of the zone, with the highest version that each holds.
-    holders: BTreeMap<Name, Version>,
-    /// When the last version came in force.
-    since: Duration,
-    /// The file in force.
+    /// Versions held by the peers of the zone.
+    peer_versions: BTreeMap<Name, Version>,
+    /// When the last version was activated.
+    activated_at: Duration,
+    /// The active file.
     current: Option<Rc<Adopted>>,
-    /// Roots whose pieces are kept, the latest last.
-    kept: VecDeque<Hash>,
+    /// Roots whose pieces are retained, newest last.
+    retained_roots: VecDeque<Hash>,
 }
 
 /// A head whose pieces are all held.
@@ -112,47 +110,47 @@
 struct Ready {
     /// The head.
     head: Head,
-    /// Since when its pieces are held.
-    since: Duration,
+    /// When its pieces were found to be complete.
+    complete_since: Duration,
 }
 
-/// What became of an offered head.
+/// Result of offering a head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is higher than all heard of before.
+    /// It is higher than all known heads.
     New,
-    /// It is known already.
+    /// It is already known.
     Known,
-    /// It is older than one that is known.
+    /// It is older than a known head.
     Old,
-    /// Its content doesn't fit its seal, or it names another file under a known
-    /// version. It isn't used.
-    Garbled,
+    /// Its checksum doesn't match, or it names another file under a known version. It
+    /// is ignored.
+    Corrupt,
 }
 
-/// Why a held file can't be put in force.
+/// Why a complete file can't be activated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The pieces make no file.
-    #[error("version {version} can't be read: {cause}")]
+    /// The pieces don't form a valid file.
+    #[error("version {version} is invalid: {cause}")]
     Piece {
         /// The version.
         version: Version,
-        /// What is wrong.
+        /// Error of the pieces.
         cause: piece::Error,
     },
-    /// The file is another firm's.
-    #[error("version {version} is a file of {firm}")]
+    /// The file belongs to another firm.
+    #[error("version {version} belongs to another firm: {firm}")]
     Firm {
         /// The version.
         version: Version,
-        /// The firm that the file names.
+        /// The firm named in the file.
         firm: Name,
     },
 }
 
 impl Adoption {
-    /// An instance that holds nothing yet.
+    /// Creates an instance that holds no file.
     ///
     /// ```
     /// use verbenaspool_coordination::adoption::{Adoption, Settings};
@@ -168,14 +166,14 @@
             pieces: Pieces::default(),
             ready: None,
             next: None,
-            holders: BTreeMap::new(),
-            since: Duration::ZERO,
+            peer_versions: BTreeMap::new(),
+            activated_at: Duration::ZERO,
             current: None,
-            kept: VecDeque::new(),
+            retained_roots: VecDeque::new(),
         }
     }
 
-    /// The file in force.
+    /// Returns the active file.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
@@ -187,36 +185,37 @@
         self.current.as_ref()
     }
 
-    /// The highest head whose pieces are all held, which may be passed on.
+    /// Returns the highest head whose pieces are all held; it can be passed on to
+    /// peers.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.held(), None);
+    /// assert_eq!(adoption.complete_head(), None);
     /// ```
     #[must_use]
-    pub fn held(&self) -> Option<&Head> {
-        let next = self.next.as_ref().filter(|next| self.whole(next));
+    pub fn complete_head(&self) -> Option<&Head> {
+        let next = self.next.as_ref().filter(|next| self.is_complete(next));
         let ready = self.ready.as_ref().map(|ready| &ready.head);
         let current = self.current.as_ref().map(|adopted| &adopted.head);
         next.or(ready).or(current)
     }
 
-    /// The highest head heard of.
+    /// Returns the highest known head.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.highest(), None);
+    /// assert_eq!(adoption.highest_head(), None);
     /// ```
     #[must_use]
-    pub fn highest(&self) -> Option<&Head> {
+    pub fn highest_head(&self) -> Option<&Head> {
         let ready = self.ready.as_ref().map(|ready| &ready.head);
         let current = self.current.as_ref().map(|adopted| &adopted.head);
         self.next.as_ref().or(ready).or(current)
     }
 
-    /// Takes in a head from the platform or a peer.
+    /// Handles a head from the platform or a peer.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings, Verdict};
@@ -227,10 +226,10 @@
     /// assert_eq!(adoption.offer(head), Verdict::Known);
     /// ```
     pub fn offer(&mut self, head: Head) -> Verdict {
-        if !head.sound() {
-            return Verdict::Garbled;
+        if !head.is_valid() {
+            return Verdict::Corrupt;
         }
-        if let Some(known) = self.highest() {
+        if let Some(known) = self.highest_head() {
             if head.version < known.version {
                 return Verdict::Old;
             }
@@ -238,7 +237,7 @@
                 return if head == *known {
                     Verdict::Known
                 } else {
-                    Verdict::Garbled
+                    Verdict::Corrupt
                 };
             }
         }
@@ -246,38 +245,38 @@
         Verdict::New
     }
 
-    /// The pieces to fetch now; empty once all are held. Fetching some may bring
-    /// to light that more are missing.
+    /// Returns the pieces to fetch now; empty once all are held. A fetched node may
+    /// reveal further missing pieces.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.missing().is_empty());
+    /// assert!(adoption.missing_pieces().is_empty());
     /// ```
     #[must_use]
-    pub fn missing(&self) -> BTreeSet<Hash> {
+    pub fn missing_pieces(&self) -> BTreeSet<Hash> {
         let Some(next) = &self.next else {
             return BTreeSet::new();
         };
-        // A held piece that can't be read shows when the file is put together.
+        // An unreadable piece is reported when the file is activated.
         self.pieces.missing(next.root).unwrap_or_default()
     }
 
-    /// Takes a piece in.
+    /// Adds a piece.
     ///
     /// # Errors
-    /// When the content isn't what the hash names.
+    /// If the content doesn't match the hash.
     ///
     /// ```
     /// # use verbenaspool_coordination::{adoption::{Adoption, Settings}, piece::Hash};
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.insert(Hash::of(b"[]"), b"garbage").is_err());
+    /// assert!(adoption.insert_piece(Hash::of(b"[]"), b"garbage").is_err());
     /// ```
-    pub fn insert(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), piece::Error> {
+    pub fn insert_piece(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), piece::Error> {
         self.pieces.insert(hash, bytes)
     }
 
-    /// A held piece, to be passed on.
+    /// Returns a held piece, to be passed on.
     ///
     /// ```
     /// # use verbenaspool_coordination::{adoption::{Adoption, Settings}, piece::Hash};
@@ -289,23 +288,23 @@
         self.pieces.get(hash)
     }
 
-    /// The root that was held before the latest, which most peers hold as well.
+    /// Returns the root of the previous version, which most peers hold as well.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert_eq!(adoption.before(), None);
+    /// assert_eq!(adoption.previous_root(), None);
     /// ```
     #[must_use]
-    pub fn before(&self) -> Option<Hash> {
-        let coming = self.ready.is_some() || self.next.is_some();
-        let back = if coming { 1 } else { 2 };
-        let index = self.kept.len().checked_sub(back)?;
-        self.kept.get(index).copied()
+    pub fn previous_root(&self) -> Option<Hash> {
+        let has_pending = self.ready.is_some() || self.next.is_some();
+        let offset = if has_pending { 1 } else { 2 };
+        let index = self.retained_roots.len().checked_sub(offset)?;
+        self.retained_roots.get(index).copied()
     }
 
-    /// What a peer that holds `from` has to be told to hold `to` as well, if both
-    /// are held here.
+    /// Returns the changes that lead from the root `from` to the root `to`, if both are
+    /// held.
     ///
     /// ```
     /// # use verbenaspool_coordination::{adoption::{Adoption, Settings}, piece::Hash};
@@ -317,41 +316,41 @@
         self.pieces.delta(from, to)
     }
 
-    /// Takes in what differs from a version held here.
+    /// Applies a delta to a version that is held.
     ///
     /// # Errors
-    /// When that version isn't held or the changes don't lead to the next one.
+    /// If that version isn't held or the changes don't lead to the delta's target.
     ///
     /// ```
     /// # use verbenaspool_coordination::{adoption::{Adoption, Settings}, piece::{Delta, Hash}};
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
     /// # let (from, to) = (Hash::of(b"one"), Hash::of(b"two"));
     /// let delta = Delta { from, to, base: None, changed: vec![], removed: vec![] };
-    /// assert!(adoption.follow(&delta).is_err());
+    /// assert!(adoption.apply_delta(&delta).is_err());
     /// ```
-    pub fn follow(&mut self, delta: &Delta) -> Result<(), piece::Error> {
-        self.pieces.follow(delta)
+    pub fn apply_delta(&mut self, delta: &Delta) -> Result<(), piece::Error> {
+        self.pieces.apply(delta)
     }
 
-    /// Takes in that a peer of the zone holds `version`.
+    /// Records the version that a peer of the zone holds.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # use verbenaspool_state::version::Version;
     /// # let mut adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// adoption.hold(&"entry-2".parse().unwrap(), Version(1));
+    /// adoption.set_peer_version(&"entry-2".parse().unwrap(), Version(1));
     /// ```
-    pub fn hold(&mut self, peer: &Name, version: Version) {
-        // A peer that started again may hold less than its predecessor did.
-        self.holders.insert(peer.clone(), version);
+    pub fn set_peer_version(&mut self, peer: &Name, version: Version) {
+        // A restarted peer may hold a lower version than before.
+        self.peer_versions.insert(peer.clone(), version);
     }
 
-    /// Puts the next file in force if it is time to. `alive` counts the zone's
-    /// live instances, this one included.
+    /// Activates the next file if it is due. `alive` is the number of live instances of
+    /// the zone, including this one.
     ///
     /// # Errors
-    /// When the pieces are held and yet make no file of the firm. The version is
-    /// then left out; what was in force stays.
+    /// If all pieces are held but don't form a valid file of the firm. That version is
+    /// skipped; the active one stays.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -364,41 +363,43 @@
         let Some(ready) = &self.ready else {
             return Ok(None);
         };
-        let has = |held: &&Version| **held >= ready.head.version;
-        let holders = 1 + self.holders.values().filter(has).count();
-        let enough = holders >= self.settings.holders.min(alive.max(1));
-        if !enough && now.saturating_sub(ready.since) < self.settings.wait {
+        let holds_ready = |version: &&Version| **version >= ready.head.version;
+        let holders = 1 + self.peer_versions.values().filter(holds_ready).count();
+        let enough = holders >= self.settings.min_holders.min(alive.max(1));
+        if !enough && now.saturating_sub(ready.complete_since) < self.settings.max_wait {
             return Ok(None);
         }
-        if now.saturating_sub(self.since) < self.pause() {
+        if now.saturating_sub(self.activated_at) < self.min_interval() {
             return Ok(None);
         }
-        let adopted = self.enforce()?;
-        self.since = now;
+        let adopted = self.activate()?;
+        self.activated_at = now;
         self.advance(now)?;
         Ok(Some(adopted))
     }
 
-    /// The least time between two versions in force, at the present size.
+    /// Returns the minimum time between two activations for the current number of
+    /// customers.
     ///
     /// ```
     /// # use verbenaspool_coordination::adoption::{Adoption, Settings};
     /// # let adoption = Adoption::new("quetzal".parse().unwrap(), Settings::default());
-    /// assert!(adoption.pause().is_zero());
+    /// assert!(adoption.min_interval().is_zero());
     /// ```
     #[must_use]
-    pub fn pause(&self) -> Duration {
+    pub fn min_interval(&self) -> Duration {
         let customers = self.current.as_ref().map_or(0, |a| a.file.customers.len());
-        self.settings.pause * u32::try_from(customers).unwrap_or(u32::MAX)
+        self.settings.min_interval_per_customer * u32::try_from(customers).unwrap_or(u32::MAX)
     }
 
     /// Whether all pieces of a head are held.
-    fn whole(&self, head: &Head) -> bool {
+    fn is_complete(&self, head: &Head) -> bool {
         let missing = self.pieces.missing(head.root);
         missing.is_ok_and(|missing| missing.is_empty())
     }
 
-    /// Makes the highest head ready, if none is and its pieces are held.
+    /// Marks the highest head as ready if its pieces are complete and no other head is
+    /// ready.
     fn advance(&mut self, now: Duration) -> Result<(), Error> {
         if self.ready.is_some() {
             return Ok(());
@@ -409,7 +410,10 @@
         match self.pieces.missing(next.root) {
             Ok(missing) if missing.is_empty() => {
                 let head = self.next.take();
-                self.ready = head.map(|head| Ready { head, since: now });
+                self.ready = head.map(|head| Ready {
+                    head,
+                    complete_since: now,
+                });
                 Ok(())
             }
             Ok(_) => Ok(()),
@@ -421,9 +425,9 @@
         }
     }
 
-    /// Puts the ready file in force.
-    fn enforce(&mut self) -> Result<Rc<Adopted>, Error> {
-        // `poll` has seen that one is ready.
+    /// Activates the ready file.
+    fn activate(&mut self) -> Result<Rc<Adopted>, Error> {
+        // `poll` has checked that a head is ready.
         let Ready { head, .. } = self.ready.take().expect("a head is ready");
         let file = self.pieces.join(head.root).map_err(|cause| Error::Piece {
             version: head.version,
@@ -433,21 +437,21 @@
             let (version, firm) = (head.version, file.firm);
             return Err(Error::Firm { version, firm });
         }
-        self.keep(head.root);
+        self.retain_recent(head.root);
         let adopted = Rc::new(Adopted { head, file });
         self.current = Some(Rc::clone(&adopted));
         Ok(adopted)
     }
 
-    /// Keeps the pieces of `root` and of some versions before, so that a peer that
-    /// holds one of those can be told what differs.
-    fn keep(&mut self, root: Hash) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+    /// Retains the pieces of `root` and of some previous versions, so that deltas can
+    /// be built for peers that hold one of those.
+    fn retain_recent(&mut self, root: Hash) {
+        if self.retained_roots.len() == RETAINED_VERSIONS {
+            self.retained_roots.pop_front();
         }
-        self.kept.push_back(root);
-        let mut roots: Vec<Hash> = self.kept.iter().copied().collect();
-        // What is held of the next file already stays.
+        self.retained_roots.push_back(root);
+        let mut roots: Vec<Hash> = self.retained_roots.iter().copied().collect();
+        // Pieces already held of the next file are retained as well.
         roots.extend(self.next.as_ref().map(|next| next.root));
         self.pieces.retain(&roots);
     }
--- a/verbenaspool_coordination/src/apply.rs
+++ b/verbenaspool_coordination/src/apply.rs
@@ -1,12 +1,12 @@
-//! Applying a file: entirely or not at all, and the operator told which.
+//! Applies a file atomically and reports the outcome to the operator.
 //!
-//! The machine reads the head, uploads the pieces that the head's file doesn't
-//! have, and swaps the head by compare-and-swap. Only the swap makes anything
-//! count: whatever fails before it leaves unreferenced pieces at worst.
+//! The state machine reads the head, uploads the pieces that the head's file lacks, and
+//! replaces the head by compare-and-swap. Only the swap makes the file accepted; a
+//! failure before it leaves at most unreferenced pieces.
 //!
-//! A swap whose answer is lost may have taken effect, or may do so yet. It is
-//! sent again under the same condition, which lets it take effect at most once,
-//! until the store gives an answer; then the head tells by the apply's id.
+//! A swap whose answer is lost may have taken effect, or may still do so. It is sent
+//! again under the same condition, so that it takes effect at most once, until the
+//! store answers; the apply ids in the head then show the outcome.
 
 use std::{collections::VecDeque, rc::Rc};
 
@@ -19,118 +19,119 @@
     store::{Answer, Call, Machine, Step, When},
 };
 
-/// One apply of one file.
+/// Applies one file.
 #[derive(Debug)]
 pub struct Apply {
-    /// What the operator asked for.
-    order: Order,
-    /// The new pieces, and the old nodes read to find out what differs.
+    /// The operator's request.
+    request: Request,
+    /// The new pieces, and the nodes of the current file that were read for comparison.
     pieces: Pieces,
-    /// The head that the new one is to replace.
-    base: Option<Base>,
-    /// How far the apply has come.
+    /// The head to replace.
+    base: Option<StoredHead>,
+    /// Current state.
     state: State,
-    /// Whether the last call has to be made again after a pause.
-    again: bool,
-    /// Whether a swap was sent whose fate isn't known.
-    open: bool,
-    /// The last trouble met, to be reported if the apply is given up.
-    trouble: String,
+    /// Whether the last call must be repeated after a delay.
+    retry: bool,
+    /// Whether a swap was sent whose outcome is unknown.
+    unconfirmed_swap: bool,
+    /// Last error, reported if the apply is abandoned.
+    last_error: String,
 }
 
-/// What the operator asked for.
+/// An operator's request to apply a file.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct Request {
     /// The firm.
     pub firm: Name,
-    /// The apply's id, unique; a later apply under the same id settles this one.
+    /// Unique id of the apply. Applying again under the same id resolves an unknown
+    /// outcome.
     pub id: String,
-    /// The version that the operator expects to replace, if one was named.
-    pub expect: Option<Version>,
-    /// The file in pieces.
+    /// Version that the operator expects to replace, if specified.
+    pub expected_version: Option<Version>,
+    /// The file, split into pieces.
     pub split: Split,
 }
 
-/// The head that the new one is to replace.
+/// A head as read from the store.
 #[derive(Debug, Clone)]
-struct Base {
-    /// The version of the head's object.
-    object: u64,
+struct StoredHead {
+    /// Version of the head's object in the store.
+    object_version: u64,
     /// The head.
     head: Head,
 }
 
-/// How far an apply has come.
+/// State of an apply.
 #[derive(Debug)]
 enum State {
-    /// The head is to be read.
-    Start,
-    /// A node of the head's file is to be read.
-    Walk(Hash),
-    /// Pieces are to be written; once none is left, the head is to be swapped.
+    /// Reads the head.
+    ReadHead,
+    /// Reads a node of the current head's file.
+    ReadNode(Hash),
+    /// Writes the queued pieces; swaps the head once the queue is empty.
     Upload(VecDeque<(Hash, Rc<[u8]>)>),
-    /// The swap met another head, which is to be read.
-    Settle,
-    /// The outcome stands.
+    /// Reads the head that made the swap fail.
+    ResolveConflict,
+    /// Finished.
     Done(Outcome),
 }
 
-/// What became of an apply.
+/// Outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The file is accepted.
     Accepted {
-        /// The version that it got.
+        /// Version assigned to the file.
         version: Version,
-        /// The version of the head's object, where this apply's head still stands.
-        object: Option<u64>,
+        /// Version of the head's object, if this apply's head is still the current one.
+        object_version: Option<u64>,
     },
-    /// The file is what is accepted already; nothing was changed.
+    /// The file is already the accepted one; nothing changed.
     Unchanged(Version),
-    /// Another apply came first, or the expected version isn't there. Nothing of
-    /// this file is in force.
+    /// Another apply was accepted first, or the current version isn't the expected one.
+    /// This file isn't accepted.
     Conflict {
-        /// The version that this apply was made for.
+        /// Version that this apply was to replace.
         expected: Version,
-        /// The version that stands.
+        /// Current version.
         current: Version,
     },
-    /// The file wasn't accepted and never will be under this apply.
+    /// The file wasn't accepted and this apply will never make it so.
     Failed(String),
-    /// The swap was sent and its fate couldn't be learnt: an apply under the
-    /// same id finds out.
+    /// The swap was sent and its outcome couldn't be determined. Applying again under
+    /// the same id resolves it.
     Unknown(String),
 }
 
 impl Apply {
-    /// An apply that has made no call yet.
+    /// Creates an apply that has made no call yet.
     ///
     /// ```
-    /// use verbenaspool_coordination::{apply::{Apply, Order}, piece, store::{Call, Machine, Step}};
+    /// use verbenaspool_coordination::{apply::{Apply, Request}, piece, store::{Call, Machine, Step}};
     /// use verbenaspool_state::file::File;
     ///
     /// let firm: verbenaspool_state::name::Name = "quetzal".parse().unwrap();
     /// let file = File { firm: firm.clone(), places: vec![], services: vec![], customers: vec![] };
     /// let split = piece::split(&file).unwrap();
-    /// let apply = Apply::new(Order { firm, id: "apply-1".into(), expect: None, split });
+    /// let apply = Apply::new(Request { firm, id: "apply-1".into(), expected_version: None, split });
     /// assert_eq!(apply.step(), Step::Call(Call::Get { key: "firms/quetzal/head".into() }));
     /// ```
     #[must_use]
-    pub fn new(order: Order) -> Self {
+    pub fn new(request: Request) -> Self {
         let mut pieces = Pieces::default();
-        pieces.extend(&order.split);
+        pieces.extend(&request.split);
         Self {
-            order,
+            request,
             pieces,
             base: None,
-            state: State::Start,
-            again: false,
-            open: false,
-            trouble: String::new(),
+            state: State::ReadHead,
+            retry: false,
+            unconfirmed_swap: false,
+            last_error: String::new(),
         }
     }
 
-    /// What to tell the operator if the apply is given up now.
+    /// Returns the outcome to report if the apply is abandoned now.
     ///
     /// ```no_run
     /// # use verbenaspool_coordination::apply::{Apply, Outcome};
@@ -142,34 +143,34 @@
     pub fn abandon(&self) -> Outcome {
         match &self.state {
             State::Done(outcome) => outcome.clone(),
-            _ if self.open => Outcome::Unknown(self.trouble.clone()),
-            _ => Outcome::Failed(self.trouble.clone()),
+            _ if self.unconfirmed_swap => Outcome::Unknown(self.last_error.clone()),
+            _ => Outcome::Failed(self.last_error.clone()),
         }
     }
 
-    /// The version that this apply replaces.
-    fn replaced(&self) -> Version {
+    /// Returns the version that this apply replaces.
+    fn base_version(&self) -> Version {
         let head = self.base.as_ref().map(|base| base.head.version);
         head.unwrap_or_default()
     }
 
-    /// The head to be put in place.
+    /// Builds the new head.
     fn head(&self) -> Head {
-        let Order { id, split, .. } = &self.order;
+        let Request { id, split, .. } = &self.request;
         match &self.base {
             Some(base) => base.head.next(id, split.root),
             None => Head::first(id, split.root),
         }
     }
 
-    /// The call of the present state.
+    /// Returns the call that the current state needs.
     fn call(&self) -> Result<Call, Outcome> {
-        let firm = &self.order.firm;
+        let firm = &self.request.firm;
         Ok(match &self.state {
-            State::Start | State::Settle => Call::Get {
+            State::ReadHead | State::ResolveConflict => Call::Get {
                 key: keys::head(firm),
             },
-            State::Walk(hash) => Call::Get {
+            State::ReadNode(hash) => Call::Get {
                 key: keys::piece(firm, *hash),
             },
             State::Upload(queue) => match queue.front() {
@@ -184,62 +185,68 @@
         })
     }
 
-    /// The call that makes the file count.
+    /// Returns the compare-and-swap that makes the file the accepted one.
     fn swap(&self) -> Call {
         let when = self
             .base
             .as_ref()
-            .map_or(When::Absent, |base| When::Version(base.object));
+            .map_or(When::Absent, |base| When::Version(base.object_version));
         Call::Put {
-            key: keys::head(&self.order.firm),
-            value: self.head().write(),
+            key: keys::head(&self.request.firm),
+            value: self.head().to_bytes(),
             when,
         }
     }
 
-    /// Takes the head in, at the start.
-    fn start(&mut self, found: Option<Base>) {
+    /// Handles the head read at the start.
+    fn handle_head(&mut self, found: Option<StoredHead>) {
         if let Some(base) = &found {
             let current = base.head.version;
-            if let Some(version) = base.head.accepted(&self.order.id) {
-                let object = (version == current).then_some(base.object);
-                return self.finish(Outcome::Accepted { version, object });
+            if let Some(version) = base.head.version_of(&self.request.id) {
+                let object_version = (version == current).then_some(base.object_version);
+                return self.finish(Outcome::Accepted {
+                    version,
+                    object_version,
+                });
             }
-            if base.head.root == self.order.split.root && self.expected(current) {
+            if base.head.root == self.request.split.root && self.may_replace(current) {
                 return self.finish(Outcome::Unchanged(current));
             }
         }
         self.base = found;
-        let current = self.replaced();
-        if !self.expected(current) {
-            let expected = self.order.expect.unwrap_or_default();
+        let current = self.base_version();
+        if !self.may_replace(current) {
+            let expected = self.request.expected_version.unwrap_or_default();
             return self.finish(Outcome::Conflict { expected, current });
         }
-        self.walk();
+        self.read_or_upload();
     }
 
-    /// Whether the operator is content to replace `current`.
-    fn expected(&self, current: Version) -> bool {
-        self.order.expect.is_none_or(|expect| expect == current)
+    /// Whether the request allows `current` to be replaced.
+    fn may_replace(&self, current: Version) -> bool {
+        self.request
+            .expected_version
+            .is_none_or(|expected| expected == current)
     }
 
-    /// Reads on in the head's file, or goes on to write what it doesn't have.
+    /// Reads the next node of the current head's file, or starts the upload once all
+    /// are known.
     ///
-    /// Only nodes that differ have to be read: the new file's pieces stand in for
-    /// all that are the same. Every piece outside the head's file is written even
-    /// if it already stands in the store, because it may be about to be collected;
-    /// writing it gives it a new version, which the collection's condition minds.
-    fn walk(&mut self) {
+    /// Only nodes that differ are read: pieces shared with the new file are already at
+    /// hand. Every piece outside the head's file is written even if it is already
+    /// stored, because it may be about to be garbage collected; the write gives it a
+    /// new version, on which the collection's delete condition fails.
+    fn read_or_upload(&mut self) {
         let Some(base) = &self.base else {
-            let all = self.order.split.pieces.clone();
+            let all = self.request.split.pieces.clone();
             self.state = State::Upload(all.into_iter().collect());
             return;
         };
         let root = base.head.root;
-        match (self.pieces.unread(root), self.pieces.referenced(root)) {
-            (Ok(Some(hash)), _) => self.state = State::Walk(hash),
+        match (self.pieces.missing_node(root), self.pieces.referenced(root)) {
+            (Ok(Some(hash)), _) => self.state = State::ReadNode(hash),
             (Ok(None), Ok(known)) => {
-                let pieces = self.order.split.pieces.iter();
+                let pieces = self.request.split.pieces.iter();
                 let fresh = pieces.filter(|(hash, _)| !known.contains(hash));
                 self.state = State::Upload(fresh.map(|(h, b)| (*h, Rc::clone(b))).collect());
             }
@@ -247,58 +254,61 @@
         }
     }
 
-    /// Takes a node of the head's file in.
-    fn node(&mut self, hash: Hash, answer: Answer) {
+    /// Handles a node of the current head's file.
+    fn handle_node(&mut self, hash: Hash, answer: Answer) {
         match answer {
             Answer::Found { value, .. } => match self.pieces.insert(hash, &value) {
-                Ok(()) => self.walk(),
+                Ok(()) => self.read_or_upload(),
                 Err(e) => self.finish(Outcome::Failed(e.to_string())),
             },
-            // The head was replaced and its pieces were collected meanwhile.
-            _ => self.state = State::Start,
+            // The head was replaced and its pieces were garbage collected in the
+            // meantime.
+            _ => self.state = State::ReadHead,
         }
     }
 
-    /// Takes in what stands in place of the head that was to be replaced.
-    fn settle(&mut self, found: Option<Base>) {
+    /// Handles the head that made the swap fail.
+    fn resolve_conflict(&mut self, found: Option<StoredHead>) {
         let Some(base) = found else {
-            return self.finish(Outcome::Failed("the head is gone".to_owned()));
+            return self.finish(Outcome::Failed("the head was deleted".to_owned()));
         };
         let current = base.head.version;
-        let outcome = match base.head.accepted(&self.order.id) {
+        let outcome = match base.head.version_of(&self.request.id) {
             Some(version) => Outcome::Accepted {
                 version,
-                object: (version == current).then_some(base.object),
+                object_version: (version == current).then_some(base.object_version),
             },
-            // The head remembers only so many applies. Beyond them a swap whose
+            // A head lists a limited number of applies. Beyond that, a swap whose
             // answer was lost can't be told from one that never took effect.
-            None if self.open && !base.head.reaches(self.replaced().next()) => {
-                Outcome::Unknown("too many versions were accepted since".to_owned())
+            None if self.unconfirmed_swap && !base.head.remembers(self.base_version().next()) => {
+                Outcome::Unknown(
+                    "too many versions were accepted since the swap was sent".to_owned(),
+                )
             }
             None => Outcome::Conflict {
-                expected: self.replaced(),
+                expected: self.base_version(),
                 current,
             },
         };
         self.finish(outcome);
     }
 
-    /// Ends the apply.
+    /// Finishes the apply with an outcome.
     fn finish(&mut self, outcome: Outcome) {
         self.state = State::Done(outcome);
     }
 
-    /// Reads the answer to a read of the head.
-    fn read(&mut self, answer: Answer) -> Option<Base> {
+    /// Parses the answer to a read of the head; fails the apply if the head is corrupt.
+    fn parse_head(&mut self, answer: Answer) -> Option<StoredHead> {
         let Answer::Found { version, value } = answer else {
             return None;
         };
-        let head = Head::read(&value);
+        let head = Head::from_bytes(&value);
         if head.is_none() {
-            self.finish(Outcome::Failed("the stored head is garbled".to_owned()));
+            self.finish(Outcome::Failed("the stored head is corrupt".to_owned()));
         }
-        head.map(|head| Base {
-            object: version,
+        head.map(|head| StoredHead {
+            object_version: version,
             head,
         })
     }
@@ -309,7 +319,7 @@
 
     fn step(&self) -> Step<Outcome> {
         match self.call() {
-            Ok(call) if self.again => Step::Retry(call),
+            Ok(call) if self.retry => Step::Retry(call),
             Ok(call) => Step::Call(call),
             Err(outcome) => Step::Done(outcome),
         }
@@ -317,48 +327,51 @@
 
     fn answer(&mut self, answer: Answer) {
         let swap = matches!(&self.state, State::Upload(queue) if queue.is_empty());
-        self.again = false;
+        self.retry = false;
         match answer {
-            Answer::Failed(why) => {
-                self.trouble = why;
-                self.again = true;
+            Answer::Failed(reason) => {
+                self.last_error = reason;
+                self.retry = true;
                 return;
             }
-            Answer::Lost(why) => {
-                self.trouble = why;
-                self.again = true;
-                self.open |= swap;
+            Answer::Lost(reason) => {
+                self.last_error = reason;
+                self.retry = true;
+                self.unconfirmed_swap |= swap;
                 return;
             }
-            Answer::Refused(why) => return self.finish(Outcome::Failed(why)),
+            Answer::Rejected(reason) => return self.finish(Outcome::Failed(reason)),
             _ => {}
         }
         match &mut self.state {
-            State::Start => {
-                let found = self.read(answer);
+            State::ReadHead => {
+                let found = self.parse_head(answer);
                 if !matches!(self.state, State::Done(_)) {
-                    self.start(found);
+                    self.handle_head(found);
                 }
             }
-            State::Walk(hash) => {
+            State::ReadNode(hash) => {
                 let hash = *hash;
-                self.node(hash, answer);
+                self.handle_node(hash, answer);
             }
             State::Upload(queue) if !queue.is_empty() => {
                 queue.pop_front();
             }
             State::Upload(_) => match answer {
-                Answer::Changed(object) => {
+                Answer::Changed(object_version) => {
                     let version = self.head().version;
-                    let object = Some(object);
-                    self.finish(Outcome::Accepted { version, object });
+                    let object_version = Some(object_version);
+                    self.finish(Outcome::Accepted {
+                        version,
+                        object_version,
+                    });
                 }
-                _ => self.state = State::Settle,
+                _ => self.state = State::ResolveConflict,
             },
-            State::Settle => {
-                let found = self.read(answer);
+            State::ResolveConflict => {
+                let found = self.parse_head(answer);
                 if !matches!(self.state, State::Done(_)) {
-                    self.settle(found);
+                    self.resolve_conflict(found);
                 }
             }
             State::Done(_) => {}
--- a/verbenaspool_coordination/src/attempt.rs
+++ b/verbenaspool_coordination/src/attempt.rs
@@ -1,67 +1,68 @@
-//! The agent's ledger of attempts, which makes "this did not run" true.
+//! The agent's ledger of attempts, which guarantees that a rejected attempt doesn't
+//! run.
 //!
-//! An entry whose answer is lost asks what became of the attempt. "Refused" is
-//! a promise: the attempt did not run, and a copy of it that is still on its
-//! way is refused when it arrives. The ledger keeps that promise with a
-//! tombstone for each such attempt.
+//! An entry that lost the answer to an attempt asks the agent for its status.
+//! [`Status::Rejected`] is a guarantee: the attempt did not run, and a copy of it that
+//! is still in flight is rejected on arrival. The ledger records a tombstone for each
+//! such attempt.
 //!
-//! Memory is bounded without breaking the promise. The oldest closed records
-//! are forgotten, and each raises its entry's floor: an attempt at or below the
-//! floor that has no record is refused. Where the forgotten record had run, a
-//! second mark rises as well, below which the ledger says "unknown" rather than
-//! "refused".
+//! Memory is bounded without breaking the guarantee. The oldest closed records are
+//! dropped, and each raises its entry's `rejected_through`: an attempt up to that
+//! counter without a record is rejected. If the dropped attempt had run, `ran_through`
+//! rises as well, up to which the ledger reports "unknown" instead of "rejected".
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
     time::Duration,
 };
 
-/// Names an attempt: the entry process that made it, and its count there.
+/// Identifies an attempt: the entry process that made it, and the attempt's number
+/// there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The incarnation of the entry process.
+    /// Incarnation of the entry process.
     pub entry: u64,
-    /// Counts the attempts of that process from 1.
+    /// Number of the attempt within that process, starting at 1.
     pub counter: u64,
 }
 
-/// Bounds on what the ledger holds.
+/// Limits of the ledger's size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts that run at once.
-    pub running: usize,
-    /// Closed attempts that are remembered. At 100 requests a second the
-    /// default spans over two minutes, and an entry asks within seconds.
-    pub closed: usize,
-    /// How long an entry process must be silent before its floor is forgotten.
-    /// A copy of an attempt that comes later than this would run, so it is far
-    /// longer than a connection survives without a byte.
-    pub silence: Duration,
+    /// Maximum number of running attempts.
+    pub max_running: usize,
+    /// Maximum number of closed attempts with a record. At 100 requests a second the
+    /// default covers over two minutes, and an entry asks within seconds.
+    pub max_closed: usize,
+    /// How long an entry process must be silent before its state is dropped. A copy of
+    /// an attempt that arrives later than this would run, so this is far longer than a
+    /// connection survives without traffic.
+    pub entry_expiry: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            running: 4_096,
-            closed: 16_384,
-            silence: Duration::from_hours(24),
+            max_running: 4_096,
+            max_closed: 16_384,
+            entry_expiry: Duration::from_hours(24),
         }
     }
 }
 
 /// Why an attempt may not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// The instance is leaving.
     #[error("the instance is leaving")]
     Leaving,
-    /// As many attempts run as may.
-    #[error("as many attempts run as may")]
+    /// The maximum number of attempts is running.
+    #[error("the maximum number of attempts is running")]
     Full,
-    /// The attempt was refused before, and stays refused.
-    #[error("the attempt was refused before")]
+    /// The attempt was rejected before, and stays rejected.
+    #[error("the attempt was rejected before")]
     Tombstone,
-    /// The attempt was admitted before, so that it may have run.
+    /// The attempt was admitted before, so it may have run.
     #[error("the attempt was admitted before")]
     Repeated,
 }
@@ -69,22 +70,22 @@
 /// How an admitted attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The upstream ran it and answered whole.
+    /// The upstream ran it and the response is complete.
     Ran,
     /// No byte of it reached the upstream.
     NotRun,
-    /// It broke off: the upstream may have run it.
+    /// It was interrupted: the upstream may have run it.
     Broken,
 }
 
-/// What became of an attempt.
+/// Status of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Message {
+pub enum Status {
     /// It did not run and never will.
-    Refused,
+    Rejected,
     /// It is running.
     Running,
-    /// It ran to its end.
+    /// It ran to completion.
     Ended,
     /// It may have run.
     Unknown,
@@ -93,45 +94,45 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Record {
     Running,
-    Refused,
+    Rejected,
     Ended,
     Broken,
 }
 
-/// What is known of one entry process.
+/// State of one entry process.
 #[derive(Debug, Default)]
 struct Entry {
-    /// At or below it, an attempt without a record is refused.
-    floor: u64,
-    /// At or below it, an attempt without a record may have run.
-    ran: u64,
+    /// Attempts up to this counter without a record are rejected.
+    rejected_through: u64,
+    /// Attempts up to this counter without a record may have run.
+    ran_through: u64,
     records: BTreeMap<u64, Record>,
-    heard: Duration,
+    last_contact: Duration,
 }
 
 impl Entry {
-    fn word(&self, counter: u64) -> Option<Message> {
+    fn status(&self, counter: u64) -> Option<Status> {
         match self.records.get(&counter) {
-            Some(Record::Running) => Some(Message::Running),
-            Some(Record::Refused) => Some(Message::Refused),
-            Some(Record::Ended) => Some(Message::Ended),
-            Some(Record::Broken) => Some(Message::Unknown),
-            None if counter <= self.ran => Some(Message::Unknown),
-            None if counter <= self.floor => Some(Message::Refused),
+            Some(Record::Running) => Some(Status::Running),
+            Some(Record::Rejected) => Some(Status::Rejected),
+            Some(Record::Ended) => Some(Status::Ended),
+            Some(Record::Broken) => Some(Status::Unknown),
+            None if counter <= self.ran_through => Some(Status::Unknown),
+            None if counter <= self.rejected_through => Some(Status::Rejected),
             None => None,
         }
     }
 
-    fn forget(&mut self, counter: u64) {
+    fn drop_record(&mut self, counter: u64) {
         let record = self.records.remove(&counter);
-        self.floor = self.floor.max(counter);
+        self.rejected_through = self.rejected_through.max(counter);
         if matches!(record, Some(Record::Ended | Record::Broken)) {
-            self.ran = self.ran.max(counter);
+            self.ran_through = self.ran_through.max(counter);
         }
     }
 }
 
-/// The attempts that one agent process admitted and refused.
+/// The attempts that one agent process admitted or rejected.
 #[derive(Debug, Default)]
 pub struct Ledger {
     limits: Limits,
@@ -143,7 +144,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     ///
     /// ```
     /// use verbenaspool_coordination::attempt::{Ledger, Limits};
@@ -158,35 +159,34 @@
         }
     }
 
-    /// Admits an attempt that just arrived.
+    /// Admits an attempt on arrival.
     ///
-    /// An entry sends an attempt once and on one connection, so an attempt that
-    /// arrived has no second copy on its way, and its refusal needs no
-    /// tombstone. Under overload these would push out the records of attempts
-    /// that ran.
+    /// An entry sends an attempt once and on one connection, so no second copy of an
+    /// attempt that arrived is in flight, and rejecting it needs no tombstone. Under
+    /// overload, tombstones would displace the records of attempts that ran.
     ///
     /// # Errors
-    /// The attempt may not run. Only [`Refusal::Repeated`] leaves open whether
-    /// it ran before.
+    /// If the attempt may not run. Only after [`Rejection::Repeated`] may it have run
+    /// before.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Key, Ledger, Refusal};
+    /// use verbenaspool_coordination::attempt::{Key, Ledger, Rejection};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
     /// assert_eq!(ledger.admit(key, Duration::ZERO), Ok(()));
-    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Refusal::Repeated));
+    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Rejection::Repeated));
     /// ```
-    pub fn admit(&mut self, key: Key, now: Duration) -> Result<(), Refusal> {
-        let (full, leaving) = (self.running >= self.limits.running, self.leaving);
+    pub fn admit(&mut self, key: Key, now: Duration) -> Result<(), Rejection> {
+        let (full, leaving) = (self.running >= self.limits.max_running, self.leaving);
         let entry = self.entry(key.entry, now);
-        match entry.word(key.counter) {
-            Some(Message::Refused) => return Err(Refusal::Tombstone),
-            Some(_) => return Err(Refusal::Repeated),
-            None if leaving => return Err(Refusal::Leaving),
-            None if full => return Err(Refusal::Full),
+        match entry.status(key.counter) {
+            Some(Status::Rejected) => return Err(Rejection::Tombstone),
+            Some(_) => return Err(Rejection::Repeated),
+            None if leaving => return Err(Rejection::Leaving),
+            None if full => return Err(Rejection::Full),
             None => {}
         }
         entry.records.insert(key.counter, Record::Running);
@@ -194,18 +194,18 @@
         Ok(())
     }
 
-    /// Closes an admitted attempt; one that is not running stays as it is.
+    /// Closes an admitted attempt; has no effect if it isn't running.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Message};
+    /// use verbenaspool_coordination::attempt::{Ending, Key, Ledger, Status};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
     /// ledger.admit(key, Duration::ZERO).unwrap();
     /// ledger.finish(key, Ending::Ran);
-    /// assert_eq!(ledger.settle(key, Duration::ZERO), Message::Ended);
+    /// assert_eq!(ledger.settle(key, Duration::ZERO), Status::Ended);
     /// ```
     pub fn finish(&mut self, key: Key, ending: Ending) {
         let entry = self.entries.get_mut(&key.entry);
@@ -217,37 +217,37 @@
         }
         *record = match ending {
             Ending::Ran => Record::Ended,
-            Ending::NotRun => Record::Refused,
+            Ending::NotRun => Record::Rejected,
             Ending::Broken => Record::Broken,
         };
         self.running -= 1;
         self.close(key);
     }
 
-    /// Says what became of an attempt. One that has not arrived is refused from
-    /// now on, which is what makes the word true.
+    /// Returns the status of an attempt. One that has not arrived is rejected from now
+    /// on, which makes the returned status true.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_coordination::attempt::{Key, Ledger, Refusal, Message};
+    /// use verbenaspool_coordination::attempt::{Key, Ledger, Rejection, Status};
     ///
     /// let mut ledger = Ledger::default();
     /// let key = Key { entry: 7, counter: 1 };
-    /// assert_eq!(ledger.settle(key, Duration::ZERO), Message::Refused);
-    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Refusal::Tombstone));
+    /// assert_eq!(ledger.settle(key, Duration::ZERO), Status::Rejected);
+    /// assert_eq!(ledger.admit(key, Duration::ZERO), Err(Rejection::Tombstone));
     /// ```
-    pub fn settle(&mut self, key: Key, now: Duration) -> Message {
+    pub fn settle(&mut self, key: Key, now: Duration) -> Status {
         let entry = self.entry(key.entry, now);
-        if let Some(word) = entry.word(key.counter) {
-            return word;
+        if let Some(status) = entry.status(key.counter) {
+            return status;
         }
-        entry.records.insert(key.counter, Record::Refused);
+        entry.records.insert(key.counter, Record::Rejected);
         self.close(key);
-        Message::Refused
+        Status::Rejected
     }
 
-    /// Refuses every attempt that is not admitted yet, for good.
+    /// Rejects all attempts that aren't admitted yet, permanently.
     ///
     /// ```
     /// let mut ledger = verbenaspool_coordination::attempt::Ledger::default();
@@ -268,7 +268,7 @@
         self.leaving
     }
 
-    /// How many attempts run.
+    /// Number of running attempts.
     ///
     /// ```
     /// assert_eq!(verbenaspool_coordination::attempt::Ledger::default().running(), 0);
@@ -278,7 +278,7 @@
         self.running
     }
 
-    /// How many records are held, running and closed, as a measure of memory.
+    /// Number of records of running and closed attempts, as a measure of memory use.
     ///
     /// ```
     /// assert_eq!(verbenaspool_coordination::attempt::Ledger::default().records(), 0);
@@ -288,7 +288,7 @@
         self.running + self.closed.len()
     }
 
-    /// How many entry processes are known, as a measure of memory.
+    /// Number of known entry processes, as a measure of memory use.
     ///
     /// ```
     /// assert_eq!(verbenaspool_coordination::attempt::Ledger::default().entries(), 0);
@@ -300,24 +300,24 @@
 
     fn entry(&mut self, incarnation: u64, now: Duration) -> &mut Entry {
         if !self.entries.contains_key(&incarnation) {
-            let silence = self.limits.silence;
+            let expiry = self.limits.entry_expiry;
             self.entries.retain(|_, entry| {
-                !entry.records.is_empty() || now.saturating_sub(entry.heard) < silence
+                !entry.records.is_empty() || now.saturating_sub(entry.last_contact) < expiry
             });
         }
         let entry = self.entries.entry(incarnation).or_default();
-        entry.heard = now;
+        entry.last_contact = now;
         entry
     }
 
     fn close(&mut self, key: Key) {
         self.closed.push_back(key);
-        while self.closed.len() > self.limits.closed {
+        while self.closed.len() > self.limits.max_closed {
             let Some(oldest) = self.closed.pop_front() else {
                 return;
             };
             if let Some(entry) = self.entries.get_mut(&oldest.entry) {
-                entry.forget(oldest.counter);
+                entry.drop_record(oldest.counter);
             }
         }
     }
--- a/verbenaspool_coordination/src/head.rs
+++ b/verbenaspool_coordination/src/head.rs
@@ -1,143 +1,156 @@
-//! The head of a firm's configuration: the one object that says what is accepted.
+//! The head of a firm's configuration: the object that names the accepted file.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::version::Version;
 
 use crate::piece::Hash;
 
-/// Applies that a head remembers besides its own. An operator whose answer was
-/// lost finds out what became of the apply as long as no more than these were
-/// accepted since; settling takes milliseconds, so that is plenty.
-const REMEMBERED: usize = 8;
+/// Number of previous applies that a head lists. An operator whose response was lost
+/// can still resolve the apply as long as no more than this many were accepted since;
+/// resolving takes milliseconds, so 8 is ample.
+const MAX_PREVIOUS_APPLIES: usize = 8;
 
-/// What is accepted. A file is accepted exactly when the compare-and-swap that
-/// put its head in place took effect.
+/// The accepted configuration. A file is accepted exactly when the compare-and-swap
+/// that writes its head takes effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// The version, one above the head before.
+    /// Version of the configuration, one above that of the previous head.
     pub version: Version,
-    /// The id of the apply that put the head in place.
+    /// Id of the apply that wrote this head.
     pub apply: String,
-    /// The root piece of the file.
+    /// Hash of the file's root piece.
     pub root: Hash,
-    /// The applies before, the latest first, whose versions count down from here.
-    pub before: Vec<String>,
-    /// The hash of all of the above, by which a garbled head is told.
-    seal: Hash,
+    /// Ids of the previous applies, newest first; their versions count down from this
+    /// head's version.
+    #[serde(rename = "before")]
+    pub previous_applies: Vec<String>,
+    /// Hash of all other fields, which detects a corrupt head.
+    #[serde(rename = "seal")]
+    checksum: Hash,
 }
 
 impl Head {
-    /// The first head of a firm.
+    /// Creates the first head of a firm.
     ///
     /// ```
     /// use verbenaspool_coordination::{head::Head, piece::Hash};
     ///
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert_eq!(Head::read(&head.write()), Some(head));
+    /// assert_eq!(Head::from_bytes(&head.to_bytes()), Some(head));
     /// ```
     #[must_use]
     pub fn first(apply: &str, root: Hash) -> Self {
-        Self::sealed(Version(1), apply, root, Vec::new())
+        Self::with_checksum(Version(1), apply, root, Vec::new())
     }
 
-    /// The head that follows this one.
+    /// Creates the successor of this head.
     ///
     /// ```
     /// use verbenaspool_coordination::{head::Head, piece::Hash};
     /// use verbenaspool_state::version::Version;
     ///
     /// let head = Head::first("apply-1", Hash::of(b"root")).next("apply-2", Hash::of(b"other"));
-    /// assert_eq!(head.accepted("apply-1"), Some(Version(1)));
+    /// assert_eq!(head.version_of("apply-1"), Some(Version(1)));
     /// ```
     #[must_use]
     pub fn next(&self, apply: &str, root: Hash) -> Self {
-        let before = std::iter::once(&self.apply).chain(&self.before);
-        let before = before.take(REMEMBERED).cloned().collect();
-        Self::sealed(self.version.next(), apply, root, before)
+        let applies = std::iter::once(&self.apply).chain(&self.previous_applies);
+        let previous_applies = applies.take(MAX_PREVIOUS_APPLIES).cloned().collect();
+        Self::with_checksum(self.version.next(), apply, root, previous_applies)
     }
 
-    /// The version that an apply was accepted as, if the head still knows it.
+    /// Returns the version under which an apply was accepted, if this head still lists
+    /// it.
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert_eq!(head.accepted("another"), None);
+    /// assert_eq!(head.version_of("another"), None);
     /// ```
     #[must_use]
-    pub fn accepted(&self, apply: &str) -> Option<Version> {
-        let mut ids = std::iter::once(&self.apply).chain(&self.before);
-        let back = ids.position(|id| id == apply)?;
-        Some(Version(self.version.0.saturating_sub(back as u64)))
+    pub fn version_of(&self, apply: &str) -> Option<Version> {
+        let mut ids = std::iter::once(&self.apply).chain(&self.previous_applies);
+        let offset = ids.position(|id| id == apply)?;
+        Some(Version(self.version.0.saturating_sub(offset as u64)))
     }
 
-    /// Whether the head still knows which apply was accepted as `version`.
+    /// Whether this head still lists the apply that was accepted as `version`.
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// # use verbenaspool_state::version::Version;
     /// let head = Head::first("apply-1", Hash::of(b"root"));
-    /// assert!(head.reaches(Version(1)));
+    /// assert!(head.remembers(Version(1)));
     /// ```
     #[must_use]
-    pub fn reaches(&self, version: Version) -> bool {
-        let oldest = self.version.0.saturating_sub(self.before.len() as u64);
+    pub fn remembers(&self, version: Version) -> bool {
+        let oldest = self
+            .version
+            .0
+            .saturating_sub(self.previous_applies.len() as u64);
         (oldest..=self.version.0).contains(&version.0)
     }
 
-    /// The head as stored.
+    /// Serializes the head for storage.
     ///
     /// # Panics
-    /// Never: a head holds nothing that JSON can't say.
+    /// Never: every field can be represented in JSON.
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
-    /// assert!(Head::first("apply-1", Hash::of(b"root")).write().len() < 1_000);
+    /// assert!(Head::first("apply-1", Hash::of(b"root")).to_bytes().len() < 1_000);
     /// ```
     #[must_use]
-    pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a head is written as JSON")
+    pub fn to_bytes(&self) -> Vec<u8> {
+        serde_json::to_vec(self).expect("a head serializes to JSON")
     }
 
-    /// Reads a stored head; `None` if it is garbled.
+    /// Parses a stored head; returns `None` if it is corrupt.
     ///
     /// ```
     /// # use verbenaspool_coordination::head::Head;
-    /// assert_eq!(Head::read(b"garbage"), None);
+    /// assert_eq!(Head::from_bytes(b"garbage"), None);
     /// ```
     #[must_use]
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let head: Self = serde_json::from_slice(bytes).ok()?;
-        head.sound().then_some(head)
+        head.is_valid().then_some(head)
     }
 
-    /// Whether the seal fits, for a head that came by another way than [`Head::read`].
+    /// Whether the checksum matches, for a head that wasn't parsed by
+    /// [`Head::from_bytes`].
     ///
     /// ```
     /// # use verbenaspool_coordination::{head::Head, piece::Hash};
     /// let mut head = Head::first("apply-1", Hash::of(b"root"));
     /// head.version.0 = 9;
-    /// assert!(!head.sound());
+    /// assert!(!head.is_valid());
     /// ```
     #[must_use]
-    pub fn sound(&self) -> bool {
-        self.seal == seal(self.version, &self.apply, self.root, &self.before)
+    pub fn is_valid(&self) -> bool {
+        self.checksum == checksum(self.version, &self.apply, self.root, &self.previous_applies)
     }
 
-    /// A head with its seal.
-    fn sealed(version: Version, apply: &str, root: Hash, before: Vec<String>) -> Self {
+    /// Creates a head and computes its checksum.
+    fn with_checksum(
+        version: Version,
+        apply: &str,
+        root: Hash,
+        previous_applies: Vec<String>,
+    ) -> Self {
         Self {
-            seal: seal(version, apply, root, &before),
+            checksum: checksum(version, apply, root, &previous_applies),
             version,
             apply: apply.to_owned(),
             root,
-            before,
+            previous_applies,
         }
     }
 }
 
-/// The hash of a head's content.
-fn seal(version: Version, apply: &str, root: Hash, before: &[String]) -> Hash {
-    let text = format!("{version} {apply} {root} {}", before.join(" "));
+/// Computes the checksum of a head's fields.
+fn checksum(version: Version, apply: &str, root: Hash, previous_applies: &[String]) -> Hash {
+    let text = format!("{version} {apply} {root} {}", previous_applies.join(" "));
     Hash::of(text.as_bytes())
 }
--- a/verbenaspool_coordination/src/lease/tests.rs
+++ b/verbenaspool_coordination/src/lease/tests.rs
@@ -16,8 +16,8 @@
 }
 
 impl Store {
-    /// Carries a call out.
-    fn make(&mut self, call: Call) -> Answer {
+    /// Executes a call.
+    fn execute(&mut self, call: Call) -> Answer {
         match call {
             Call::Get { .. } => match &self.value {
                 Some(value) => Answer::Found {
@@ -39,54 +39,55 @@
                 self.value = Some(value);
                 Answer::Changed(self.version)
             }
-            _ => Answer::Refused("not used".to_owned()),
+            _ => Answer::Rejected("not used".to_owned()),
         }
     }
 }
 
-/// What may happen in a step of a run.
+/// A step of a random run.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// The process makes its next call and gets the answer.
-    Turn(usize),
+    Call(usize),
     /// The call takes effect and its answer is lost.
-    Lose(usize),
+    LoseAnswer(usize),
     /// The call is lost before it takes effect.
-    Drop(usize),
-    /// The call is held up and takes effect after its caller gave up on it.
-    Delay(usize),
-    /// What was held up longest takes effect.
-    Arrive,
+    DropCall(usize),
+    /// The call is delayed and takes effect after its caller timed out.
+    DelayCall(usize),
+    /// The oldest delayed call takes effect.
+    DeliverDelayed,
     /// Time passes, in milliseconds.
-    Pass(u64),
-    /// The process starts again.
+    Wait(u64),
+    /// The process restarts.
     Restart(usize),
-    /// The process gives the lease back.
-    End(usize),
+    /// The process releases the lease.
+    Release(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let who = 0_usize..3;
+    let process = 0_usize..3;
     prop_oneof![
-        8 => who.clone().prop_map(Step::Turn),
-        2 => who.clone().prop_map(Step::Lose),
-        1 => who.clone().prop_map(Step::Drop),
-        1 => who.clone().prop_map(Step::Delay),
-        1 => Just(Step::Arrive),
-        6 => (0_u64..4_000).prop_map(Step::Pass),
-        1 => who.clone().prop_map(Step::Restart),
-        1 => who.prop_map(Step::End),
+        8 => process.clone().prop_map(Step::Call),
+        2 => process.clone().prop_map(Step::LoseAnswer),
+        1 => process.clone().prop_map(Step::DropCall),
+        1 => process.clone().prop_map(Step::DelayCall),
+        1 => Just(Step::DeliverDelayed),
+        6 => (0_u64..4_000).prop_map(Step::Wait),
+        1 => process.clone().prop_map(Step::Restart),
+        1 => process.prop_map(Step::Release),
     ]
 }
 
-/// A process's lease under its present incarnation.
+/// Creates the lease of a process in the given incarnation.
 fn lease(process: usize, incarnation: usize) -> Lease {
     let holder = format!("{process}.{incarnation}");
     Lease::new("lease".to_owned(), holder, Settings::default())
 }
 
-// Three processes want one lease through lost calls, lost answers, pauses and
-// restarts. Were two to hold it at once, a group would get orders from both.
+// Guards against two holders at the same time, from whom a group would receive
+// conflicting orders. Three processes compete for the lease with lost calls, lost
+// answers, pauses and restarts.
 #[test]
 fn one_holder_at_a_time() {
     let runs = prop::collection::vec(step(), 1..200);
@@ -100,42 +101,45 @@
         let mut store = Store::default();
         let mut now = Duration::ZERO;
         let mut leases: Vec<Lease> = (0..3).map(|i| lease(i, 0)).collect();
-        let mut highest = 0;
+        let mut highest_fence = 0;
         let mut delayed = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Pass(ms) => now += Duration::from_millis(ms),
+                Step::Wait(ms) => now += Duration::from_millis(ms),
                 Step::Restart(i) => leases[i] = lease(i, number + 1),
-                Step::End(i) => leases[i].end(),
-                Step::Arrive => {
+                Step::Release(i) => leases[i].release(),
+                Step::DeliverDelayed => {
                     if !delayed.is_empty() {
-                        store.make(delayed.remove(0));
+                        store.execute(delayed.remove(0));
                     }
                 }
-                Step::Turn(i) | Step::Lose(i) | Step::Drop(i) | Step::Delay(i) => {
-                    let Some(call) = leases[i].call(now) else {
+                Step::Call(i) | Step::LoseAnswer(i) | Step::DropCall(i) | Step::DelayCall(i) => {
+                    let Some(call) = leases[i].next_call(now) else {
                         continue;
                     };
                     let answer = match step {
-                        Step::Delay(_) => {
+                        Step::DelayCall(_) => {
                             delayed.push(call);
-                            Answer::Lost("late".to_owned())
+                            Answer::Lost("delayed".to_owned())
                         }
-                        Step::Drop(_) => Answer::Lost("dropped".to_owned()),
-                        Step::Lose(_) => {
-                            store.make(call);
+                        Step::DropCall(_) => Answer::Lost("dropped".to_owned()),
+                        Step::LoseAnswer(_) => {
+                            store.execute(call);
                             Answer::Lost("lost".to_owned())
                         }
-                        _ => store.make(call),
+                        _ => store.execute(call),
                     };
                     leases[i].answer(now, answer);
                 }
             }
-            let holders: Vec<u64> = leases.iter().filter_map(|l| l.held(now)).collect();
+            let holders: Vec<u64> = leases.iter().filter_map(|l| l.current_fence(now)).collect();
             prop_assert!(holders.len() <= 1, "held under fences {holders:?}");
             for fence in holders {
-                prop_assert!(fence >= highest, "fence {fence} after {highest}");
-                highest = fence;
+                prop_assert!(
+                    fence >= highest_fence,
+                    "fence {fence} after {highest_fence}"
+                );
+                highest_fence = fence;
             }
         }
         Ok(())
@@ -148,56 +152,63 @@
 fn two_lost_renewals_keep_the_lease() {
     let mut store = Store::default();
     let mut lease = lease(0, 0);
-    let time = Settings::default().time;
+    let duration = Settings::default().duration;
     let mut now = Duration::ZERO;
     for _ in 0..2 {
-        let call = lease.call(now).expect("a first call");
-        lease.answer(now, store.make(call));
+        let call = lease.next_call(now).expect("a first call");
+        lease.answer(now, store.execute(call));
     }
-    let mut lost = 0;
-    while now < time * 2 {
-        now += time / 50;
-        while let Some(call) = lease.call(now) {
-            if lost < 2 {
-                lost += 1;
-                now += time / 4;
+    let mut lost_count = 0;
+    while now < duration * 2 {
+        now += duration / 50;
+        while let Some(call) = lease.next_call(now) {
+            if lost_count < 2 {
+                lost_count += 1;
+                now += duration / 4;
                 lease.answer(now, Answer::Lost("no answer in time".to_owned()));
             } else {
-                lease.answer(now, store.make(call));
+                lease.answer(now, store.execute(call));
             }
         }
-        assert_eq!(lease.held(now), Some(1), "{now:?}");
+        assert_eq!(lease.current_fence(now), Some(1), "{now:?}");
     }
 }
 
-// The holder is paused past its time and its successor works. The sleeper must
-// see that it holds nothing, and the successor's fence must be the higher one.
+// Guards against a paused holder that acts on an expired lease: after its successor has
+// acquired the lease, it must not see itself as the holder, and the successor's fence
+// must be higher.
 #[test]
-fn paused_holder() {
+fn paused_holder_loses_the_lease() {
     let mut store = Store::default();
-    let (mut one, mut two) = (lease(1, 0), lease(2, 0));
+    let (mut first, mut second) = (lease(1, 0), lease(2, 0));
     let mut now = Duration::ZERO;
-    for lease in [&mut one, &mut two] {
+    for lease in [&mut first, &mut second] {
         for _ in 0..2 {
-            if let Some(call) = lease.call(now) {
-                let answer = store.make(call);
+            if let Some(call) = lease.next_call(now) {
+                let answer = store.execute(call);
                 lease.answer(now, answer);
             }
         }
     }
-    assert_eq!((one.held(now), two.held(now)), (Some(1), None));
+    assert_eq!(
+        (first.current_fence(now), second.current_fence(now)),
+        (Some(1), None)
+    );
     for _ in 0..30 {
         now += Duration::from_millis(500);
-        while let Some(call) = two.call(now) {
-            let answer = store.make(call);
-            two.answer(now, answer);
+        while let Some(call) = second.next_call(now) {
+            let answer = store.execute(call);
+            second.answer(now, answer);
         }
     }
-    assert_eq!((one.held(now), two.held(now)), (None, Some(2)));
-    // It wakes up and tries to renew: it is told off and waits.
-    while let Some(call) = one.call(now) {
-        let answer = store.make(call);
-        one.answer(now, answer);
+    assert_eq!(
+        (first.current_fence(now), second.current_fence(now)),
+        (None, Some(2))
+    );
+    // The first holder resumes and tries to renew; it is rejected and waits.
+    while let Some(call) = first.next_call(now) {
+        let answer = store.execute(call);
+        first.answer(now, answer);
     }
-    assert_eq!(one.held(now), None);
+    assert_eq!(first.current_fence(now), None);
 }
--- a/verbenaspool_coordination/src/lib.rs
+++ b/verbenaspool_coordination/src/lib.rs
@@ -1,11 +1,11 @@
-//! State machines of verbenaspool without I/O: adoption, membership, leases, group steps.
+//! I/O-free state machines of verbenaspool: adoption, membership, leases, rank groups.
 
 pub mod adoption;
 pub mod apply;
 pub mod attempt;
 pub mod claim;
-pub mod collection;
 pub mod gather;
+pub mod gc;
 pub mod group;
 pub mod head;
 pub mod keys;
--- a/verbenaspool_coordination/src/piece/pieces.rs
+++ b/verbenaspool_coordination/src/piece/pieces.rs
@@ -1,4 +1,4 @@
-//! The pieces that an instance holds, checked when they come in.
+//! The pieces that an instance holds, verified on insertion.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,27 +8,26 @@
 use serde::de::DeserializeOwned;
 use verbenaspool_state::{customer::Customer, file::File};
 
-use super::{Base, Error, Hash, LARGEST, Root, Split};
+use super::{Base, Error, Hash, MAX_PIECE_BYTES, Root, Split};
 
-/// Pieces by hash, each with the content that its hash names.
+/// Pieces by hash. The content of each matches its hash.
 ///
-/// Leaves are kept as read: putting the next version together then reads only
-/// the leaves that differ, which is what keeps a change cheap among thousands
-/// of customers.
+/// Parsed leaves are cached: joining the next version then parses only the leaves that
+/// differ, which keeps a change cheap with thousands of customers.
 #[derive(Debug, Clone, Default)]
 pub struct Pieces {
-    /// The content by hash.
-    held: BTreeMap<Hash, Rc<[u8]>>,
-    /// Leaves read before.
+    /// Content by hash.
+    contents: BTreeMap<Hash, Rc<[u8]>>,
+    /// Parsed leaves by hash.
     leaves: BTreeMap<Hash, Rc<[Customer]>>,
 }
 
 impl Pieces {
-    /// Takes a piece in.
+    /// Adds a piece.
     ///
     /// # Errors
-    /// When the content isn't what the hash names, as from a faulty peer, or is
-    /// too large to be a piece.
+    /// If the content doesn't match the hash, as from a faulty peer, or exceeds
+    /// [`MAX_PIECE_BYTES`].
     ///
     /// ```
     /// use verbenaspool_coordination::piece::{Hash, Pieces};
@@ -38,17 +37,17 @@
     /// assert!(pieces.insert(Hash::of(b"[]"), b"garbage").is_err());
     /// ```
     pub fn insert(&mut self, hash: Hash, bytes: &[u8]) -> Result<(), Error> {
-        if bytes.len() > LARGEST {
+        if bytes.len() > MAX_PIECE_BYTES {
             return Err(Error::Large { bytes: bytes.len() });
         }
         if Hash::of(bytes) != hash {
             return Err(Error::Mismatch(hash));
         }
-        self.held.insert(hash, bytes.into());
+        self.contents.insert(hash, bytes.into());
         Ok(())
     }
 
-    /// Takes all pieces of a file in.
+    /// Adds all pieces of a file.
     ///
     /// ```no_run
     /// # use verbenaspool_coordination::piece::{Pieces, Split};
@@ -58,10 +57,10 @@
     /// ```
     pub fn extend(&mut self, split: &Split) {
         let pieces = split.pieces.iter().map(|(h, b)| (*h, Rc::clone(b)));
-        self.held.extend(pieces);
+        self.contents.extend(pieces);
     }
 
-    /// A held piece's content.
+    /// Returns the content of a piece.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
@@ -69,10 +68,10 @@
     /// ```
     #[must_use]
     pub fn get(&self, hash: Hash) -> Option<&[u8]> {
-        self.held.get(&hash).map(AsRef::as_ref)
+        self.contents.get(&hash).map(AsRef::as_ref)
     }
 
-    /// How many pieces are held.
+    /// Returns the number of pieces.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::Pieces;
@@ -80,10 +79,10 @@
     /// ```
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.contents.len()
     }
 
-    /// Whether no piece is held.
+    /// Whether there are no pieces.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::Pieces;
@@ -91,14 +90,14 @@
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.contents.is_empty()
     }
 
-    /// The hashes still missing below `root`, as far as can be seen now: while
-    /// a node is missing, nothing is known of what lies below it.
+    /// Returns the missing hashes below `root`, as far as they are known: the children
+    /// of a missing node are unknown.
     ///
     /// # Errors
-    /// When a held piece can't be read as what it should be.
+    /// If a held piece has invalid content.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
@@ -107,41 +106,41 @@
     /// ```
     pub fn missing(&self, root: Hash) -> Result<BTreeSet<Hash>, Error> {
         let mut missing = BTreeSet::new();
-        self.walk(root, &mut |seen| {
-            if !seen.held {
-                missing.insert(seen.hash);
+        self.walk(root, &mut |visited| {
+            if !visited.held {
+                missing.insert(visited.hash);
             }
             true
         })?;
         Ok(missing)
     }
 
-    /// A piece that has to be read before all of `root` can be seen: a missing
-    /// root or node, but no missing leaf.
+    /// Returns a missing root or node, which must be read before all pieces of `root`
+    /// are known. Missing leaves don't count.
     ///
     /// # Errors
-    /// When a held piece can't be read as what it should be.
+    /// If a held piece has invalid content.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
     /// let root = Hash::of(b"some root");
-    /// assert_eq!(Pieces::default().unread(root), Ok(Some(root)));
+    /// assert_eq!(Pieces::default().missing_node(root), Ok(Some(root)));
     /// ```
-    pub fn unread(&self, root: Hash) -> Result<Option<Hash>, Error> {
-        let mut unread = None;
-        self.walk(root, &mut |seen| {
-            if !seen.held && seen.inner {
-                unread = Some(seen.hash);
+    pub fn missing_node(&self, root: Hash) -> Result<Option<Hash>, Error> {
+        let mut missing = None;
+        self.walk(root, &mut |visited| {
+            if !visited.held && visited.has_children {
+                missing = Some(visited.hash);
             }
             true
         })?;
-        Ok(unread)
+        Ok(missing)
     }
 
-    /// The hashes of all pieces of `root`, held or not, as far as can be seen.
+    /// Returns the known hashes of all pieces of `root`, held or not.
     ///
     /// # Errors
-    /// When a held piece can't be read as what it should be.
+    /// If a held piece has invalid content.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
@@ -150,14 +149,14 @@
     /// ```
     pub fn referenced(&self, root: Hash) -> Result<BTreeSet<Hash>, Error> {
         let mut all = BTreeSet::new();
-        self.walk(root, &mut |seen| {
-            all.insert(seen.hash);
+        self.walk(root, &mut |visited| {
+            all.insert(visited.hash);
             true
         })?;
         Ok(all)
     }
 
-    /// Drops all pieces that none of `roots` refers to.
+    /// Drops all pieces that none of `roots` references.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Hash, Pieces};
@@ -169,17 +168,17 @@
     pub fn retain(&mut self, roots: &[Hash]) {
         let mut kept = BTreeSet::new();
         for root in roots {
-            // What can't be read isn't walked further, and so is dropped.
-            let _ = self.walk(*root, &mut |seen| kept.insert(seen.hash));
+            // Pieces below an invalid one aren't visited and are therefore dropped.
+            let _ = self.walk(*root, &mut |visited| kept.insert(visited.hash));
         }
-        self.held.retain(|hash, _| kept.contains(hash));
+        self.contents.retain(|hash, _| kept.contains(hash));
         self.leaves.retain(|hash, _| kept.contains(hash));
     }
 
-    /// Puts a file together, its customers in the order of the tree.
+    /// Joins the pieces to a file, with its customers in the order of the tree.
     ///
     /// # Errors
-    /// When a piece is missing or can't be read.
+    /// If a piece is missing or has invalid content.
     ///
     /// ```
     /// # use verbenaspool_coordination::piece::{Error, Hash, Pieces};
@@ -199,11 +198,11 @@
         } = self.read(base)?;
         let mut level = vec![customers];
         for _ in 0..depth {
-            let mut below = Vec::new();
+            let mut next_level = Vec::new();
             for node in level {
-                below.extend(self.read::<Vec<Hash>>(node)?);
+                next_level.extend(self.read::<Vec<Hash>>(node)?);
             }
-            level = below;
+            level = next_level;
         }
         let mut customers = Vec::new();
         for hash in level {
@@ -217,7 +216,7 @@
         })
     }
 
-    /// A leaf's customers, read once.
+    /// Returns a leaf's customers; parses each leaf only once.
     fn leaf(&mut self, hash: Hash) -> Result<Rc<[Customer]>, Error> {
         if let Some(leaf) = self.leaves.get(&hash) {
             return Ok(Rc::clone(leaf));
@@ -227,16 +226,16 @@
         Ok(leaf)
     }
 
-    /// Calls `visit` with each piece below `root`, as far as can be seen. Below
-    /// a piece for which it returns false, nothing is visited.
-    fn walk(&self, root: Hash, visit: &mut dyn FnMut(Seen) -> bool) -> Result<(), Error> {
-        let see = |hash, inner| Seen {
+    /// Calls `visit` with each known piece below `root`. If it returns false for a
+    /// piece, the pieces below that one are skipped.
+    fn walk(&self, root: Hash, visit: &mut dyn FnMut(Visited) -> bool) -> Result<(), Error> {
+        let describe = |hash, has_children| Visited {
             hash,
-            held: self.held.contains_key(&hash),
-            inner,
+            held: self.contents.contains_key(&hash),
+            has_children,
         };
-        let go_on = visit(see(root, true));
-        if !go_on || !self.held.contains_key(&root) {
+        let descend = visit(describe(root, true));
+        if !descend || !self.contents.contains_key(&root) {
             return Ok(());
         }
         let Root {
@@ -244,35 +243,35 @@
             depth,
             customers,
         } = self.read(root)?;
-        visit(see(base, false));
+        visit(describe(base, false));
         let mut level = vec![customers];
-        for left in (0..=depth).rev() {
-            let mut below = Vec::new();
+        for levels_below in (0..=depth).rev() {
+            let mut next_level = Vec::new();
             for hash in level {
-                let seen = see(hash, left > 0);
-                if visit(seen) && seen.held && seen.inner {
-                    below.extend(self.read::<Vec<Hash>>(hash)?);
+                let visited = describe(hash, levels_below > 0);
+                if visit(visited) && visited.held && visited.has_children {
+                    next_level.extend(self.read::<Vec<Hash>>(hash)?);
                 }
             }
-            level = below;
+            level = next_level;
         }
         Ok(())
     }
 
-    /// Reads a held piece.
+    /// Parses a held piece.
     pub(super) fn read<T: DeserializeOwned>(&self, hash: Hash) -> Result<T, Error> {
-        let bytes = self.held.get(&hash).ok_or(Error::Missing(hash))?;
+        let bytes = self.contents.get(&hash).ok_or(Error::Missing(hash))?;
         serde_json::from_slice(bytes).map_err(|_| Error::Content)
     }
 }
 
-/// A piece met on a walk.
+/// A piece visited by [`Pieces::walk`].
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    /// Its hash.
+struct Visited {
+    /// Hash of the piece.
     hash: Hash,
     /// Whether it is held.
     held: bool,
-    /// Whether it names further pieces.
-    inner: bool,
+    /// Whether it references further pieces.
+    has_children: bool,
 }
--- a/verbenaspool_coordination/src/piece/tests.rs
+++ b/verbenaspool_coordination/src/piece/tests.rs
@@ -3,7 +3,7 @@
 
 use super::{Delta, Error, Hash, Pieces, split};
 
-/// A customer whose share tells versions apart.
+/// Creates a customer; the share distinguishes versions of it.
 fn customer(number: u16, share: u32) -> Customer {
     Customer {
         name: format!("customer-{number}").parse().unwrap(),
@@ -13,7 +13,7 @@
     }
 }
 
-/// A file of these customers.
+/// Creates a file of these customers.
 fn file(customers: Vec<Customer>) -> File {
     File {
         firm: "tidewater".parse().unwrap(),
@@ -23,15 +23,15 @@
     }
 }
 
-/// A file of so many customers.
-fn sized(count: u16) -> File {
+/// Creates a file of `count` customers.
+fn file_of(count: u16) -> File {
     file((0..count).map(|i| customer(i, 1)).collect())
 }
 
 #[test]
 fn split_and_join() {
     for count in [0, 1, 4, 5, 64, 65, 1024, 1025, 3000] {
-        let file = sized(count);
+        let file = file_of(count);
         let split = split(&file).unwrap();
         let mut pieces = Pieces::default();
         pieces.extend(&split);
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn one_change_sends_little() {
-    let old = split(&sized(16_000)).unwrap();
-    let mut file = sized(16_000);
+fn one_change_sends_few_bytes() {
+    let old = split(&file_of(16_000)).unwrap();
+    let mut file = file_of(16_000);
     file.customers[77].share = 9;
     let new = split(&file).unwrap();
     let fresh = new
@@ -60,23 +60,22 @@
     assert!(sizes.iter().sum::<usize>() < 4_000, "{sizes:?}");
 }
 
-// A peer passes on pieces that were damaged, cut off or made up. The instance
-// must go on with what it has rather than put a file in force that nobody
-// applied, so each piece is checked against the hash that names it.
+// Guards against activating a file that nobody applied because a peer passed on
+// damaged, truncated or forged pieces: every piece is checked against its hash.
 #[test]
-fn garbage_is_refused() {
-    let split = split(&sized(3)).unwrap();
+fn corrupt_pieces_are_rejected() {
+    let split = split(&file_of(3)).unwrap();
     let mut pieces = Pieces::default();
     for (hash, bytes) in &split.pieces {
         assert_eq!(pieces.insert(*hash, b"[]x"), Err(Error::Mismatch(*hash)));
-        let cut = &bytes[..bytes.len() - 1];
-        assert_eq!(pieces.insert(*hash, cut), Err(Error::Mismatch(*hash)));
+        let truncated = &bytes[..bytes.len() - 1];
+        assert_eq!(pieces.insert(*hash, truncated), Err(Error::Mismatch(*hash)));
     }
-    // Content that fits its hash and yet is no root.
+    // The content matches its hash but isn't a root.
     let root = Hash::of(b"[1]");
     pieces.insert(root, b"[1]").unwrap();
     assert_eq!(pieces.join(root), Err(Error::Content));
-    let wrong = Delta {
+    let invalid = Delta {
         from: split.root,
         to: Hash::of(b"other"),
         base: None,
@@ -84,9 +83,9 @@
         removed: Vec::new(),
     };
     pieces.extend(&split);
-    let held = pieces.len();
-    assert_eq!(pieces.follow(&wrong), Err(Error::Mismatch(wrong.to)));
-    assert_eq!(pieces.len(), held);
+    let piece_count = pieces.len();
+    assert_eq!(pieces.apply(&invalid), Err(Error::Mismatch(invalid.to)));
+    assert_eq!(pieces.len(), piece_count);
 }
 
 #[test]
@@ -95,12 +94,12 @@
     let strategy = (0_u16..300, change);
     let mut runner = TestRunner::deterministic();
     let outcome = runner.run(&strategy, |(count, changes)| {
-        let old = sized(count);
+        let old = file_of(count);
         let mut new = old.clone();
         for (number, share) in changes {
             let changed = customer(number, share);
             new.customers.retain(|c| c.name != changed.name);
-            // Share 0 stands for a removal here.
+            // A share of 0 means removal in this test.
             if share > 0 {
                 new.customers.push(changed);
             }
@@ -112,7 +111,7 @@
         let mut receiver = Pieces::default();
         receiver.extend(&old);
         if let Some(delta) = sender.delta(old.root, new.root) {
-            prop_assert_eq!(receiver.follow(&delta), Ok(()));
+            prop_assert_eq!(receiver.apply(&delta), Ok(()));
             prop_assert_eq!(receiver.missing(new.root), Ok([].into()));
             prop_assert_eq!(receiver.join(new.root), sender.join(new.root));
         }
--- a/verbenaspool_coordination/tests/store/apply.rs
+++ b/verbenaspool_coordination/tests/store/apply.rs
@@ -1,11 +1,11 @@
-//! Applies that race, and collections after them.
+//! Concurrent applies, each followed by a garbage collection.
 
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
 use verbenaspool_coordination::{
-    apply::{Apply, Order, Outcome},
-    collection::Collection,
+    apply::{Apply, Outcome, Request},
+    gc::Collection,
     head::Head,
     keys,
     piece::{self, Pieces},
@@ -20,8 +20,8 @@
     "tidewater".parse().unwrap()
 }
 
-/// A file of some customers, told apart by their shares. Every third one is the
-/// same as another, so that pieces are dropped and come back.
+/// Creates a file of 12 customers whose shares depend on `mark`. Files repeat among the
+/// marks, so that pieces are dropped and come back.
 fn file(mark: u32) -> File {
     let customer = |i: u32| Customer {
         name: format!("customer-{i}").parse().unwrap(),
@@ -37,17 +37,17 @@
     }
 }
 
-/// An apply under an id of its own.
+/// Creates an apply with the given id.
 fn apply(id: &str, mark: u32) -> Apply {
-    Apply::new(Order {
+    Apply::new(Request {
         firm: firm(),
         id: id.to_owned(),
-        expect: None,
+        expected_version: None,
         split: piece::split(&file(mark)).unwrap(),
     })
 }
 
-/// An operator: an apply under way, then the collection after it.
+/// An operator that runs an apply, then the garbage collection after it.
 struct Operator {
     id: String,
     mark: u32,
@@ -67,14 +67,14 @@
     }
 }
 
-/// The stored head.
+/// Returns the stored head.
 fn head(store: &Store) -> Option<Head> {
     let (_, value) = store.objects.get(&keys::head(&firm()))?;
-    Head::read(value)
+    Head::from_bytes(value)
 }
 
-/// Whether everything that the head refers to is there.
-fn whole(store: &Store) -> bool {
+/// Whether all pieces that the head references exist.
+fn is_complete(store: &Store) -> bool {
     let Some(head) = head(store) else {
         return true;
     };
@@ -90,61 +90,64 @@
         .is_ok_and(|missing| missing.is_empty())
 }
 
-// Three operators apply files at once, calls are lost, late and answered to
-// nobody, operators give up, and collections run in between. Each operator must
-// be told what really happened, versions must count up one by one, and nothing
-// that the head refers to may ever be missing.
+// Guards against operators that are told a wrong outcome, skipped versions, and missing
+// pieces. Three operators apply files concurrently while calls are lost or delayed,
+// answers are lost, operators abandon their applies, and collections run in between.
 #[test]
-fn operators_are_told_the_truth() {
+fn reported_outcomes_are_true() {
     let outcome = runner(400).run(&runs(), |events| {
         let mut store = Store::default();
-        let mut seen = 0;
+        let mut checked_revision = 0;
         let mut operators: Vec<Operator> = (0..3)
             .map(|i| Operator::new(format!("{i}-first"), i))
             .collect();
         let mut accepted: BTreeMap<u64, String> = BTreeMap::new();
-        let mut refused: Vec<String> = Vec::new();
-        let mut told: Vec<(String, u64)> = Vec::new();
+        let mut rejected: Vec<String> = Vec::new();
+        let mut reported: Vec<(String, u64)> = Vec::new();
         for (number, event) in events.into_iter().enumerate() {
             let next = u32::try_from(number).unwrap();
             match event {
-                Event::Arrive => {
+                Event::DeliverDelayed => {
                     if !store.delayed.is_empty() {
                         let call = store.delayed.remove(0);
-                        store.make(call);
+                        store.execute(call);
                     }
                 }
-                Event::Turn(who, fault) => {
-                    let one = &mut operators[who];
-                    if let Some(collection) = &mut one.collection {
-                        if store.turn(collection, fault).is_some() {
-                            *one = Operator::new(format!("{who}-{number}"), next);
+                Event::Call(index, fault) => {
+                    let operator = &mut operators[index];
+                    if let Some(collection) = &mut operator.collection {
+                        if store.call_next(collection, fault).is_some() {
+                            *operator = Operator::new(format!("{index}-{number}"), next);
                         }
-                    } else if let Some(outcome) = store.turn(&mut one.apply, fault) {
+                    } else if let Some(outcome) = store.call_next(&mut operator.apply, fault) {
                         match outcome {
-                            Outcome::Accepted { version, object } => {
-                                told.push((one.id.clone(), version.0));
-                                let split = piece::split(&file(one.mark)).unwrap();
+                            Outcome::Accepted {
+                                version,
+                                object_version,
+                            } => {
+                                reported.push((operator.id.clone(), version.0));
+                                let split = piece::split(&file(operator.mark)).unwrap();
                                 let kept = split.pieces.keys().copied().collect();
-                                let object = object.unwrap_or_default();
-                                one.collection = Some(Collection::new(firm(), object, kept));
+                                let object_version = object_version.unwrap_or_default();
+                                operator.collection =
+                                    Some(Collection::new(firm(), object_version, kept));
                             }
                             Outcome::Conflict { .. } | Outcome::Failed(_) => {
-                                refused.push(one.id.clone());
-                                *one = Operator::new(format!("{who}-{number}"), next);
+                                rejected.push(operator.id.clone());
+                                *operator = Operator::new(format!("{index}-{number}"), next);
                             }
                             Outcome::Unchanged(_) | Outcome::Unknown(_) => {
-                                *one = Operator::new(format!("{who}-{number}"), next);
+                                *operator = Operator::new(format!("{index}-{number}"), next);
                             }
                         }
                     }
                 }
-                Event::Abandon(who) => {
-                    let one = &mut operators[who];
-                    if let Outcome::Failed(_) = one.apply.abandon() {
-                        refused.push(one.id.clone());
+                Event::Abandon(index) => {
+                    let operator = &mut operators[index];
+                    if let Outcome::Failed(_) = operator.apply.abandon() {
+                        rejected.push(operator.id.clone());
                     }
-                    *one = Operator::new(format!("{who}-{number}"), next);
+                    *operator = Operator::new(format!("{index}-{number}"), next);
                 }
             }
             if let Some(head) = head(&store) {
@@ -153,29 +156,32 @@
                 let id = accepted.entry(head.version.0).or_insert(head.apply.clone());
                 prop_assert_eq!(&*id, &head.apply);
             }
-            if seen != store.revision {
-                prop_assert!(whole(&store), "the head refers to a piece that is gone");
-                seen = store.revision;
+            if checked_revision != store.revision {
+                prop_assert!(
+                    is_complete(&store),
+                    "the head refers to a piece that is gone"
+                );
+                checked_revision = store.revision;
             }
         }
-        for (id, version) in told {
+        for (id, version) in reported {
             prop_assert_eq!(accepted.get(&version), Some(&id));
         }
-        for id in refused {
-            prop_assert!(!accepted.values().any(|a| *a == id), "{} was refused", id);
+        for id in rejected {
+            prop_assert!(!accepted.values().any(|a| *a == id), "{} was rejected", id);
         }
         Ok(())
     });
     outcome.unwrap();
 }
 
-/// Drives a machine without faults.
-fn drive<T>(store: &mut Store, machine: &mut dyn Machine<Outcome = T>) -> T {
+/// Runs a state machine to its outcome without faults.
+fn run<T>(store: &mut Store, machine: &mut dyn Machine<Outcome = T>) -> T {
     loop {
         match machine.step() {
             Step::Done(outcome) => return outcome,
             Step::Call(call) | Step::Retry(call) => {
-                let answer = store.make(call);
+                let answer = store.execute(call);
                 machine.answer(answer);
             }
         }
@@ -185,13 +191,13 @@
 #[test]
 fn expected_version() {
     let mut store = Store::default();
-    let mut order = Order {
+    let mut request = Request {
         firm: firm(),
         id: "one".to_owned(),
-        expect: Some(Version(0)),
+        expected_version: Some(Version(0)),
         split: piece::split(&file(1)).unwrap(),
     };
-    let first = drive(&mut store, &mut Apply::new(order.clone()));
+    let first = run(&mut store, &mut Apply::new(request.clone()));
     assert!(matches!(
         first,
         Outcome::Accepted {
@@ -199,13 +205,13 @@
             ..
         }
     ));
-    "two".clone_into(&mut order.id);
-    order.split = piece::split(&file(2)).unwrap();
-    let stale = drive(&mut store, &mut Apply::new(order.clone()));
+    "two".clone_into(&mut request.id);
+    request.split = piece::split(&file(2)).unwrap();
+    let stale = run(&mut store, &mut Apply::new(request.clone()));
     let (expected, current) = (Version(0), Version(1));
     assert_eq!(stale, Outcome::Conflict { expected, current });
-    order.expect = Some(Version(1));
-    let second = drive(&mut store, &mut Apply::new(order.clone()));
+    request.expected_version = Some(Version(1));
+    let second = run(&mut store, &mut Apply::new(request.clone()));
     assert!(matches!(
         second,
         Outcome::Accepted {
@@ -213,16 +219,16 @@
             ..
         }
     ));
-    // The file that stands already needs no new version.
-    order.expect = None;
-    "three".clone_into(&mut order.id);
-    let same = drive(&mut store, &mut Apply::new(order));
+    // Applying the accepted file again needs no new version.
+    request.expected_version = None;
+    "three".clone_into(&mut request.id);
+    let same = run(&mut store, &mut Apply::new(request));
     assert_eq!(same, Outcome::Unchanged(Version(2)));
 }
 
-// A swap's answer is lost and ten more versions are accepted before its operator
-// asks again. The head has forgotten by then, and the operator must not be told
-// that the file was refused, because it had been accepted.
+// Guards against reporting an accepted file as failed: the answer to a swap is lost,
+// and by the time its operator asks again, ten more versions were accepted and the head
+// no longer lists the apply.
 #[test]
 fn forgotten_apply_is_unknown() {
     let mut store = Store::default();
@@ -231,17 +237,17 @@
         let Step::Call(call) = lost.step() else {
             unreachable!("no call fails here");
         };
-        let answer = store.make(call);
+        let answer = store.execute(call);
         lost.answer(answer);
     }
     let Step::Call(swap) = lost.step() else {
         unreachable!("the loop ended on it");
     };
-    store.make(swap);
+    store.execute(swap);
     lost.answer(Answer::Lost("lost".to_owned()));
     for mark in 0..10 {
-        let outcome = drive(&mut store, &mut apply(&format!("later-{mark}"), mark + 20));
+        let outcome = run(&mut store, &mut apply(&format!("later-{mark}"), mark + 20));
         assert!(matches!(outcome, Outcome::Accepted { .. }));
     }
-    assert!(matches!(drive(&mut store, &mut lost), Outcome::Unknown(_)));
+    assert!(matches!(run(&mut store, &mut lost), Outcome::Unknown(_)));
 }
