--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -157,7 +157,7 @@
             return false;
         }
         let (bound, entries) = self.budget();
-        self.queue.allows(&bound, entries)
+        self.queue.allows_retry(&bound, entries)
     }
 
     /// What bounds repeats, and how many entries share it.
@@ -181,7 +181,7 @@
             return left;
         }
         let usual = self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
-        let passes = self.queue.pass(upstream).unwrap_or_default() * FIRST_EVENT_PASSES;
+        let passes = self.queue.pass_time(upstream).unwrap_or_default() * FIRST_EVENT_PASSES;
         let most = self.route.target.mul_f64(MOST_PATIENCE);
         usual.max(passes.min(most)).min(left)
     }
@@ -196,7 +196,7 @@
             return Sent::Barred;
         }
         let (bound, entries) = self.budget();
-        if self.sendings.get() > 0 && !self.queue.repeat(&bound, entries) {
+        if self.sendings.get() > 0 && !self.queue.try_retry(&bound, entries) {
             permit.release(AttemptOutcome::Unknown);
             return Sent::NotRun("no-budget");
         }
--- a/verbenaspool/src/direct/crash.rs
+++ b/verbenaspool/src/direct/crash.rs
@@ -62,7 +62,7 @@
         let upstream = digest::hash(&replica.id);
         let crash = Crash::new(gateway.clock.now(), upstream, ran);
         gateway.on_crash(self.fingerprint, crash);
-        self.queue.crashed(&replica.id);
+        self.queue.record_crash(&replica.id);
     }
 
     /// Why the request may be sent to no upstream now, if upstreams crashed under it.
@@ -81,7 +81,7 @@
         }
         let after = match bar {
             Bar::Quarantined(left) => left,
-            Bar::Suspect => self.queue.come_back(self.caller_left()),
+            Bar::Suspect => self.queue.retry_after(self.caller_left()),
         };
         Refused::later(bar.reason(), after)
     }
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -305,7 +305,7 @@
     fn budgets(&self) -> Vec<Budget> {
         let budgets = self.queues().into_iter().map(|queue| Budget {
             service: digest::hash(&queue.service),
-            times_ms: queue.common_times(),
+            times_ms: queue.common_waits(),
         });
         let known = budgets.filter(|budget| !budget.times_ms.is_empty());
         known.take(digest::MAX_BUDGETS).collect()
@@ -317,7 +317,7 @@
             let service = digest::hash(&queue.service);
             let budget = budgets.iter().find(|budget| budget.service == service);
             if let Some(budget) = budget {
-                queue.hint_times(&budget.times_ms);
+                queue.set_wait_hints(&budget.times_ms);
             }
         }
     }
--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -27,11 +27,11 @@
     clock: Rc<dyn Clock>,
     log: Logger,
     dispatcher: RefCell<Dispatcher>,
-    budget: RefCell<RetryBudget>,
-    times: RefCell<RetryDetector>,
-    customers: RefCell<CustomerRates>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
-    next: Cell<Ticket>,
+    retry_budget: RefCell<RetryBudget>,
+    retry_detector: RefCell<RetryDetector>,
+    customer_rates: RefCell<CustomerRates>,
+    verdict_senders: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    last_ticket: Cell<Ticket>,
 }
 
 /// A request's permit at an upstream; gone with the value.
@@ -40,20 +40,20 @@
     queue: Rc<ServiceQueue>,
     /// The upstream.
     pub upstream: Rc<str>,
-    since: Duration,
-    ending: Cell<AttemptOutcome>,
+    granted_at: Duration,
+    outcome: Cell<AttemptOutcome>,
     /// Whether its agent is being asked for a slot.
-    asking: Cell<bool>,
+    reservation_pending: Cell<bool>,
 }
 
 impl Permit {
     /// Says how the sending ended; without it, nothing is learnt.
-    pub fn release(self, ending: AttemptOutcome) {
-        self.ending.set(ending);
+    pub fn release(self, outcome: AttemptOutcome) {
+        self.outcome.set(outcome);
     }
 
     /// Whether the agent beside the upstream is to be asked before a request is sent.
-    pub fn asks(&self) -> bool {
+    pub fn needs_reservation(&self) -> bool {
         let now = self.queue.clock.now();
         self.queue
             .dispatcher
@@ -63,8 +63,8 @@
 
     /// Says that the request is on its way: the agent beside the upstream kept a slot
     /// for it, or wasn't asked.
-    pub fn reserved(&self) {
-        self.asking.set(false);
+    pub fn finish_reservation(&self) {
+        self.reservation_pending.set(false);
         self.queue
             .dispatcher
             .borrow_mut()
@@ -72,7 +72,7 @@
     }
 
     /// Says that the agent beside the upstream didn't answer.
-    pub fn unanswered(&self) {
+    pub fn record_agent_timeout(&self) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
         dispatcher.record_agent_timeout(now, &self.upstream);
@@ -80,15 +80,16 @@
 
     /// Says that the upstream has begun to answer.
     pub fn on_response_started(&self) {
-        let taken = |dispatcher: &mut Dispatcher, _| dispatcher.record_accepted(&self.upstream);
-        if self.queue.with(taken) {
+        let record_accepted =
+            |dispatcher: &mut Dispatcher, _| dispatcher.record_accepted(&self.upstream);
+        if self.queue.with(record_accepted) {
             info!(self.queue.log, "Entry: A group takes requests again.";
                 "service" => &*self.queue.service, "upstream" => &*self.upstream);
         }
     }
 
     /// An event of a stream came, behind a pause where another one came before.
-    pub fn event(&self, pause: Option<Duration>) {
+    pub fn record_event(&self, pause: Option<Duration>) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
         dispatcher.record_event(now, &self.upstream);
@@ -104,7 +105,7 @@
     }
 
     /// What it means that a stream here has been silent since some time.
-    pub fn silence(&self, since: Duration) -> StallScope {
+    pub fn classify_stall(&self, since: Duration) -> StallScope {
         let now = self.queue.clock.now();
         let dispatcher = self.queue.dispatcher.borrow();
         dispatcher.classify_stall(now, &self.upstream, since)
@@ -118,17 +119,18 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if self.asking.get() {
-            self.reserved();
+        if self.reservation_pending.get() {
+            self.finish_reservation();
         }
-        if self.ending.get() == AttemptOutcome::Good {
-            let lasted = self.queue.clock.now().saturating_sub(self.since);
+        if self.outcome.get() == AttemptOutcome::Good {
+            let service_time = self.queue.clock.now().saturating_sub(self.granted_at);
             self.queue
                 .dispatcher
                 .borrow_mut()
-                .record_service_time(lasted);
+                .record_service_time(service_time);
         }
-        self.queue.free(&self.upstream, self.ending.get());
+        self.queue
+            .finish_attempt(&self.upstream, self.outcome.get());
     }
 }
 
@@ -142,7 +144,7 @@
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         self.queue.dispatcher.borrow_mut().cancel(self.ticket);
-        self.queue.waiting.borrow_mut().remove(&self.ticket);
+        self.queue.verdict_senders.borrow_mut().remove(&self.ticket);
         // A caller may leave just as its turn has come; its permit must come free.
         self.verdict.close();
         if let Ok(Verdict::Send(upstream)) = self.verdict.try_recv() {
@@ -150,7 +152,8 @@
                 .dispatcher
                 .borrow_mut()
                 .finish_reservation(&upstream);
-            self.queue.free(&upstream, AttemptOutcome::Unknown);
+            self.queue
+                .finish_attempt(&upstream, AttemptOutcome::Unknown);
         }
     }
 }
@@ -170,11 +173,11 @@
             clock,
             log,
             dispatcher: RefCell::new(Dispatcher::new(zone, seed)),
-            budget: RefCell::default(),
-            times: RefCell::default(),
-            customers: RefCell::default(),
-            waiting: RefCell::default(),
-            next: Cell::default(),
+            retry_budget: RefCell::default(),
+            retry_detector: RefCell::default(),
+            customer_rates: RefCell::default(),
+            verdict_senders: RefCell::default(),
+            last_ticket: Cell::default(),
         }
     }
 
@@ -182,26 +185,26 @@
     pub fn with<R>(&self, change: impl FnOnce(&mut Dispatcher, Duration) -> R) -> R {
         let now = self.clock.now();
         let result = change(&mut self.dispatcher.borrow_mut(), now);
-        self.pump();
+        self.process_queue();
         result
     }
 
     /// Serves those who wait, as far as there is room, and refuses the others
     /// whose time is over.
-    pub fn pump(&self) {
+    pub fn process_queue(&self) {
         let now = self.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         if dispatcher.waiting_count() == 0 {
             return;
         }
         let verdicts = dispatcher.process_queue(now);
-        let mut waiting = self.waiting.borrow_mut();
+        let mut verdict_senders = self.verdict_senders.borrow_mut();
         for (ticket, verdict) in verdicts {
-            let told = match waiting.remove(&ticket) {
+            let delivered = match verdict_senders.remove(&ticket) {
                 Some(sender) => sender.send(verdict),
                 None => Err(verdict),
             };
-            if let Err(Verdict::Send(upstream)) = told {
+            if let Err(Verdict::Send(upstream)) = delivered {
                 dispatcher.finish_reservation(&upstream);
                 dispatcher.finish_attempt(now, &upstream, AttemptOutcome::Unknown);
             }
@@ -212,94 +215,98 @@
     ///
     /// # Errors
     /// There is no room, nor will there be in time.
-    pub async fn admit(self: &Rc<Self>, ask: PlacementRequest) -> Result<Permit, Rejection> {
-        let ticket = self.next.get() + 1;
-        self.next.set(ticket);
+    pub async fn admit(self: &Rc<Self>, request: PlacementRequest) -> Result<Permit, Rejection> {
+        let ticket = self.last_ticket.get() + 1;
+        self.last_ticket.set(ticket);
         let (sender, verdict) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
+        self.verdict_senders.borrow_mut().insert(ticket, sender);
         let mut waiter = Waiter {
             queue: self,
             ticket,
             verdict,
         };
-        self.with(|dispatcher, now| dispatcher.submit(now, ticket, ask));
+        self.with(|dispatcher, now| dispatcher.submit(now, ticket, request));
         match (&mut waiter.verdict).await {
             Ok(Verdict::Send(upstream)) => Ok(Permit {
                 queue: self.clone(),
                 upstream,
-                since: self.clock.now(),
-                ending: Cell::new(AttemptOutcome::Unknown),
-                asking: Cell::new(true),
+                granted_at: self.clock.now(),
+                outcome: Cell::new(AttemptOutcome::Unknown),
+                reservation_pending: Cell::new(true),
             }),
-            Ok(Verdict::Reject(refusal)) => {
+            Ok(Verdict::Reject(rejection)) => {
                 let now = self.clock.now();
-                self.times
+                self.retry_detector
                     .borrow_mut()
-                    .record_rejection(now, refusal.retry_after);
-                Err(refusal)
+                    .record_rejection(now, rejection.retry_after);
+                Err(rejection)
             }
             Err(_) => unreachable!("a ticket is answered before its sender goes"),
         }
     }
 
     /// Gives a permit at an upstream back.
-    fn free(&self, upstream: &str, ending: AttemptOutcome) {
-        if self.with(|dispatcher, now| dispatcher.finish_attempt(now, upstream, ending)) {
+    fn finish_attempt(&self, upstream: &str, outcome: AttemptOutcome) {
+        if self.with(|dispatcher, now| dispatcher.finish_attempt(now, upstream, outcome)) {
             info!(self.log, "Entry: A group takes no requests; one now and then will look.";
                 "service" => &*self.service, "upstream" => upstream,
-                "because" => format!("{ending:?}"));
+                "because" => format!("{outcome:?}"));
         }
     }
 
     /// Counts a request.
-    pub fn request(&self, bound: &RetryLimits) {
+    pub fn record_request(&self, limits: &RetryLimits) {
         let now = self.clock.now();
-        self.budget.borrow_mut().record_request(now, bound);
+        self.retry_budget.borrow_mut().record_request(now, limits);
     }
 
     /// How much of its time a caller had spent before it sent a request that says that
     /// it waits so long.
-    pub fn spent(&self, wait: Duration) -> Duration {
+    pub fn prior_wait(&self, wait: Duration) -> Duration {
         let now = self.clock.now();
-        self.times.borrow_mut().observe(now, wait)
+        self.retry_detector.borrow_mut().observe(now, wait)
     }
 
     /// The times that many callers of the service give at first, in milliseconds.
-    pub fn common_times(&self) -> Vec<u32> {
-        let times = self.times.borrow();
+    pub fn common_waits(&self) -> Vec<u32> {
+        let retry_detector = self.retry_detector.borrow();
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
-        times.common_waits().map(ms).collect()
+        retry_detector.common_waits().map(ms).collect()
     }
 
     /// Takes in the times that many callers give at first, as another entry reports.
-    pub fn hint_times(&self, times_ms: &[u32]) {
-        let times = times_ms
+    pub fn set_wait_hints(&self, waits_ms: &[u32]) {
+        let waits = waits_ms
             .iter()
             .map(|ms| Duration::from_millis((*ms).into()));
-        self.times.borrow_mut().set_hints(times);
+        self.retry_detector.borrow_mut().set_hints(waits);
     }
 
     /// Takes in a request of a customer; tells whether it is beyond what the customer
     /// usually sends.
-    pub fn beyond(&self, customer: &Rc<str>) -> bool {
+    pub fn observe_customer(&self, customer: &Rc<str>) -> bool {
         let now = self.clock.now();
-        self.customers.borrow_mut().observe(now, customer)
+        self.customer_rates.borrow_mut().observe(now, customer)
     }
 
     /// Whether a request may be sent once more, as things are now.
-    pub fn allows(&self, bound: &RetryLimits, entries: usize) -> bool {
+    pub fn allows_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
-        self.budget.borrow_mut().allows_retry(now, bound, entries)
+        self.retry_budget
+            .borrow_mut()
+            .allows_retry(now, limits, entries)
     }
 
     /// Whether a request may be sent once more; counts it if so.
-    pub fn repeat(&self, bound: &RetryLimits, entries: usize) -> bool {
+    pub fn try_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
-        self.budget.borrow_mut().try_retry(now, bound, entries)
+        self.retry_budget
+            .borrow_mut()
+            .try_retry(now, limits, entries)
     }
 
     /// An upstream crashed.
-    pub fn crashed(&self, upstream: &str) {
+    pub fn record_crash(&self, upstream: &str) {
         self.with(|dispatcher, now| dispatcher.record_crash(now, upstream));
     }
 
@@ -310,27 +317,29 @@
     }
 
     /// What is known of the service now.
-    pub fn known(&self) -> ServiceDiagnostics {
+    pub fn diagnostics(&self) -> ServiceDiagnostics {
         let now = self.clock.now();
         self.dispatcher.borrow().diagnostics(now)
     }
 
     /// How long a pass of an upstream's group takes now, where that is known.
-    pub fn pass(&self, upstream: &str) -> Option<Duration> {
+    pub fn pass_time(&self, upstream: &str) -> Option<Duration> {
         let now = self.clock.now();
         self.dispatcher.borrow().pass_time(now, upstream)
     }
 
     /// When the caller of a request should come back that was turned away, if it waits
     /// so much longer.
-    pub fn come_back(&self, left: Duration) -> Duration {
+    pub fn retry_after(&self, caller_time_left: Duration) -> Duration {
         let now = self.clock.now();
-        let after = self
+        let retry_after = self
             .dispatcher
             .borrow_mut()
-            .rejection(now, left)
+            .rejection(now, caller_time_left)
             .retry_after;
-        self.times.borrow_mut().record_rejection(now, after);
-        after
+        self.retry_detector
+            .borrow_mut()
+            .record_rejection(now, retry_after);
+        retry_after
     }
 }
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -191,8 +191,8 @@
         if silent < STALL_TIMEOUT {
             return None;
         }
-        let waits =
-            permit.silence(self.since) == StallScope::Service && silent < GROUP_STALL_TIMEOUT;
+        let waits = permit.classify_stall(self.since) == StallScope::Service
+            && silent < GROUP_STALL_TIMEOUT;
         (!waits).then_some(Next::Silent)
     }
 
@@ -205,10 +205,10 @@
         let now = self.work.gateway.clock.now();
         if let Some(permit) = &self.permit {
             let pause = now.saturating_sub(self.since);
-            permit.event((self.flows && count == 1).then_some(pause));
+            permit.record_event((self.flows && count == 1).then_some(pause));
             let late = self.work.route.gap.is_some_and(|gap| pause > gap);
             if late && self.work.record.is_longest(pause) {
-                self.work.record.known(self.work.queue.known());
+                self.work.record.known(self.work.queue.diagnostics());
             }
         }
         self.since = now;
@@ -277,7 +277,7 @@
         let work = self.work.clone();
         let mut ask = self.ask(why);
         if let Some(permit) = &self.permit
-            && permit.silence(self.since) == StallScope::Group
+            && permit.classify_stall(self.since) == StallScope::Group
             && why == SILENT_REASON
         {
             ask.excluded.extend(permit.group_members());
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -103,14 +103,16 @@
         .ok_or(Refused::later("no-service", UNREADY_RETRY_AFTER))?;
     record.routed(&route.name, service, table.version);
     let queue = gateway.queue(service);
-    queue.request(&gateway.settings.borrow().bounds.retries());
+    queue.record_request(&gateway.settings.borrow().bounds.retries());
     let mut headers = parts.headers;
     hop::strip(&mut headers);
     headers.remove(EXPECT);
     header::sanitize(&mut headers, name.as_deref());
     let wait = said.wait.unwrap_or(MAX_CALLER_WAIT);
-    let spent = queue.spent(wait);
-    let beyond = name.as_ref().is_some_and(|name| queue.beyond(name));
+    let spent = queue.prior_wait(wait);
+    let beyond = name
+        .as_ref()
+        .is_some_and(|name| queue.observe_customer(name));
     record.asked(wait, spent, beyond);
     let uri = below(&parts.uri);
     let fingerprint = Fingerprint::of(name.as_deref(), &uri.to_string(), &body);
@@ -193,7 +195,7 @@
         Err(_) if work.exposed.get() => Err(Refused::late("timeout")),
         Err(_) => Err(Refused::later(
             "timeout",
-            work.queue.come_back(work.caller_left()),
+            work.queue.retry_after(work.caller_left()),
         )),
     }
 }
@@ -206,7 +208,7 @@
             return failed.ok_or_else(|| work.refuse(bar));
         }
         let admitted = work.admit(work.ask()).await;
-        work.record.known(work.queue.known());
+        work.record.known(work.queue.diagnostics());
         let permit = match admitted {
             Ok(permit) => permit,
             Err(refusal) => {
@@ -246,7 +248,7 @@
         } else if work.exposed.get() {
             Refused::unknown("unknown")
         } else {
-            Refused::later("turned-away", work.queue.come_back(work.caller_left()))
+            Refused::later("turned-away", work.queue.retry_after(work.caller_left()))
         });
     }
 }
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -135,17 +135,17 @@
             let permit = queue.admit(ask.clone()).await?;
             match self.reserve(&permit).await {
                 Outcome::Granted(answer) => {
-                    permit.reserved();
+                    permit.finish_reservation();
                     self.status(&answer.status);
                     return Ok(permit);
                 }
                 Outcome::Denied(answer) => self.status(&answer.status),
                 Outcome::Silent if silent + 1 < MAX_SILENT_AGENTS => {
                     silent += 1;
-                    permit.unanswered();
+                    permit.record_agent_timeout();
                 }
                 Outcome::Silent | Outcome::Unasked => {
-                    permit.reserved();
+                    permit.finish_reservation();
                     return Ok(permit);
                 }
             }
@@ -155,7 +155,7 @@
     /// Has the agent beside an upstream keep a slot.
     async fn reserve(&self, permit: &Permit) -> Outcome {
         let replica = self.replica(&permit.upstream);
-        let Some(replica) = replica.filter(|_| permit.asks()) else {
+        let Some(replica) = replica.filter(|_| permit.needs_reservation()) else {
             return Outcome::Unasked;
         };
         let agent = self.agent(&replica);
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -204,7 +204,7 @@
     while gateway.clock.now() < until {
         gateway.clock.sleep(TICK_INTERVAL).await;
         for queue in gateway.queues() {
-            queue.pump();
+            queue.process_queue();
         }
     }
 }
