--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -226,16 +226,18 @@
         match &sent {
             Sent::NotRun(why) => {
                 self.exposed.set(before);
-                self.record.sent(&id, why);
+                self.record.record_attempt(&id, why);
             }
             Sent::Unknown(why) => {
-                self.record.sent(&id, why);
+                self.record.record_attempt(&id, why);
                 if *why == BROKEN_REASON {
                     self.detect_crash(&id).await;
                 }
             }
             Sent::Barred => {}
-            Sent::Answered(response, _) => self.record.sent(&id, response.status().as_str()),
+            Sent::Answered(response, _) => {
+                self.record.record_attempt(&id, response.status().as_str())
+            }
         }
         sent
     }
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -437,7 +437,7 @@
                 }
             }
             Some(Message::Answer(answer)) if answer.status.upstream.ip() == from => {
-                gateway.reservations.answered(from, answer);
+                gateway.reservations.handle_answer(from, answer);
             }
             _ => {}
         }
--- a/verbenaspool/src/direct/readiness.rs
+++ b/verbenaspool/src/direct/readiness.rs
@@ -30,7 +30,7 @@
 
 impl Handler for Metrics {
     fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> Answer {
-        self.0.measure();
+        self.0.update_gauges();
         let text = self.0.metrics.text();
         Box::pin(std::future::ready(plain(StatusCode::OK, text)))
     }
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -8,48 +8,48 @@
 
 use super::gateway::Gateway;
 
-/// The story of one request, told in its line.
+/// The summary of one request, told in its line.
 #[derive(Debug, Default)]
-struct Story {
+struct Summary {
     route: Option<Rc<str>>,
     service: Option<Rc<str>>,
-    version: u64,
+    table_version: u64,
     /// How long the caller waits, and what it had spent of its time before.
-    waits: Duration,
-    spent: Duration,
+    caller_wait: Duration,
+    prior_wait: Duration,
     /// Whether it was beyond what its customer usually sends.
-    beyond: bool,
+    over_usual_rate: bool,
     fingerprint: Option<Fingerprint>,
     /// What was known of the service when the request was placed or refused, or had its
     /// longest pause.
-    known: ServiceDiagnostics,
+    diagnostics: ServiceDiagnostics,
     /// Each upstream that it was sent to, and how that ended.
-    sent: Vec<String>,
+    attempts: Vec<String>,
     /// When the first byte of the answer was passed on.
-    first: Option<Duration>,
+    first_event_at: Option<Duration>,
     events: u64,
     /// When the last event was passed on, and the longest pause between two.
-    last: Option<Duration>,
-    pause: Duration,
+    last_event_at: Option<Duration>,
+    longest_pause: Duration,
     /// The status and what decided it.
-    ended: Option<(u16, &'static str)>,
+    result: Option<(u16, &'static str)>,
 }
 
 /// One request's record; its line is written when the value goes.
 pub struct Record {
     gateway: Rc<Gateway>,
     id: String,
-    began: Duration,
-    story: RefCell<Story>,
+    received_at: Duration,
+    summary: RefCell<Summary>,
 }
 
 impl Record {
     /// A record that begins now.
     pub fn new(gateway: Rc<Gateway>, id: &str) -> Rc<Self> {
         Rc::new(Self {
-            began: gateway.clock.now(),
+            received_at: gateway.clock.now(),
             id: id.to_owned(),
-            story: RefCell::default(),
+            summary: RefCell::default(),
             gateway,
         })
     }
@@ -60,58 +60,63 @@
     }
 
     /// Where the request goes, by which version of the configuration.
-    pub fn routed(&self, route: &Rc<str>, service: &Rc<str>, version: u64) {
-        let mut story = self.story.borrow_mut();
-        story.route = Some(route.clone());
-        story.service = Some(service.clone());
-        story.version = version;
+    pub fn set_route(&self, route: &Rc<str>, service: &Rc<str>, table_version: u64) {
+        let mut summary = self.summary.borrow_mut();
+        summary.route = Some(route.clone());
+        summary.service = Some(service.clone());
+        summary.table_version = table_version;
     }
 
     /// What identifies the request's content.
-    pub fn identified(&self, fingerprint: Fingerprint) {
-        self.story.borrow_mut().fingerprint = Some(fingerprint);
+    pub fn set_fingerprint(&self, fingerprint: Fingerprint) {
+        self.summary.borrow_mut().fingerprint = Some(fingerprint);
     }
 
     /// How long the caller waits, what it had spent of its time before, and whether the
     /// request is beyond what its customer usually sends.
-    pub fn asked(&self, waits: Duration, spent: Duration, beyond: bool) {
-        let mut story = self.story.borrow_mut();
-        story.waits = waits;
-        story.spent = spent;
-        story.beyond = beyond;
+    pub fn set_caller_state(
+        &self,
+        caller_wait: Duration,
+        prior_wait: Duration,
+        over_usual_rate: bool,
+    ) {
+        let mut summary = self.summary.borrow_mut();
+        summary.caller_wait = caller_wait;
+        summary.prior_wait = prior_wait;
+        summary.over_usual_rate = over_usual_rate;
     }
 
     /// What is known of the service as the request is placed or refused.
-    pub fn known(&self, known: ServiceDiagnostics) {
-        self.story.borrow_mut().known = known;
+    pub fn set_diagnostics(&self, diagnostics: ServiceDiagnostics) {
+        self.summary.borrow_mut().diagnostics = diagnostics;
     }
 
     /// Whether a pause between two events is the longest so far.
-    pub fn is_longest(&self, pause: Duration) -> bool {
-        pause > self.story.borrow().pause
+    pub fn is_longest_pause(&self, pause: Duration) -> bool {
+        pause > self.summary.borrow().longest_pause
     }
 
     /// How a sending to an upstream went on.
-    pub fn sent(&self, upstream: &str, what: &str) {
-        let after = self.gateway.clock.now().saturating_sub(self.began);
-        let line = format!("{upstream} {what} at {} ms", after.as_millis());
-        self.story.borrow_mut().sent.push(line);
+    pub fn record_attempt(&self, upstream: &str, result: &str) {
+        let elapsed = self.gateway.clock.now().saturating_sub(self.received_at);
+        let attempt = format!("{upstream} {result} at {} ms", elapsed.as_millis());
+        self.summary.borrow_mut().attempts.push(attempt);
     }
 
     /// Events were passed on.
-    pub fn events(&self, count: u64) {
+    pub fn record_events(&self, count: u64) {
         let now = self.gateway.clock.now();
-        let mut story = self.story.borrow_mut();
-        story.first.get_or_insert(now);
-        if let Some(last) = story.last.replace(now) {
-            story.pause = story.pause.max(now.saturating_sub(last));
+        let mut summary = self.summary.borrow_mut();
+        summary.first_event_at.get_or_insert(now);
+        if let Some(last) = summary.last_event_at.replace(now) {
+            summary.longest_pause = summary.longest_pause.max(now.saturating_sub(last));
         }
-        story.events += count;
+        summary.events += count;
     }
 
     /// How the request ended: the status that the caller got, and why.
-    pub fn end(&self, status: u16, why: &'static str) {
-        self.story.borrow_mut().ended = Some((status, why));
+    pub fn set_result(&self, status: u16, why: &'static str) {
+        self.summary.borrow_mut().result = Some((status, why));
     }
 }
 
@@ -119,44 +124,47 @@
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        let story = self.story.take();
-        let (status, why) = story.ended.unwrap_or((0, "caller-left"));
-        let route = story.route.as_deref().unwrap_or_default();
-        let service = story.service.as_deref().unwrap_or_default();
-        let took = now.saturating_sub(self.began);
-        let first = story.first.unwrap_or(now).saturating_sub(self.began);
+        let summary = self.summary.take();
+        let (status, why) = summary.result.unwrap_or((0, "caller-left"));
+        let route = summary.route.as_deref().unwrap_or_default();
+        let service = summary.service.as_deref().unwrap_or_default();
+        let total = now.saturating_sub(self.received_at);
+        let first = summary
+            .first_event_at
+            .unwrap_or(now)
+            .saturating_sub(self.received_at);
         let pairs = [("service", service), ("result", why)];
-        let ended = gateway.metrics.counter(
+        let requests = gateway.metrics.counter(
             "verbenaspool_requests_total",
             "Requests by how they ended.",
             &pairs,
         );
-        ended.count();
-        let times = gateway.metrics.histogram(
+        requests.count();
+        let first_byte = gateway.metrics.histogram(
             "verbenaspool_first_byte_seconds",
             "Time to the first byte of the answer.",
             &[("service", service)],
         );
-        times.record(first);
+        first_byte.record(first);
         let [pause_ms, first_ms, took_ms] =
-            [story.pause, first, took].map(|time| time.as_secs_f64() * 1e3);
+            [summary.longest_pause, first, total].map(|time| time.as_secs_f64() * 1e3);
         let log = gateway.log.new(o!(
             "request" => self.id.clone(), "status" => status, "why" => why,
             "route" => route.to_owned(), "service" => service.to_owned(),
-            "fingerprint" => story.fingerprint.map(|fingerprint| fingerprint.to_string()),
-            "version" => story.version, "sent" => story.sent.join("; "),
-            "waits_ms" => story.waits.as_secs_f64() * 1e3,
-            "beyond" => story.beyond, "spent_ms" => story.spent.as_secs_f64() * 1e3,
-            "pass_ms" => story.known.longest_pass.as_secs_f64() * 1e3,
-            "slowest" => story.known.slowest_pace,
-            "slowest_upstream" => story.known.slowest_upstream.as_deref().unwrap_or_default().to_owned(),
-            "said_ms" => story.known.status_age.as_secs_f64() * 1e3,
-            "closed" => story.known.unavailable,
-            "events" => story.events, "pause_ms" => pause_ms, "first_ms" => first_ms,
+            "fingerprint" => summary.fingerprint.map(|fingerprint| fingerprint.to_string()),
+            "version" => summary.table_version, "sent" => summary.attempts.join("; "),
+            "waits_ms" => summary.caller_wait.as_secs_f64() * 1e3,
+            "beyond" => summary.over_usual_rate, "spent_ms" => summary.prior_wait.as_secs_f64() * 1e3,
+            "pass_ms" => summary.diagnostics.longest_pass.as_secs_f64() * 1e3,
+            "slowest" => summary.diagnostics.slowest_pace,
+            "slowest_upstream" => summary.diagnostics.slowest_upstream.as_deref().unwrap_or_default().to_owned(),
+            "said_ms" => summary.diagnostics.status_age.as_secs_f64() * 1e3,
+            "closed" => summary.diagnostics.unavailable,
+            "events" => summary.events, "pause_ms" => pause_ms, "first_ms" => first_ms,
             "took_ms" => took_ms,
         ));
         // Lines of requests that failed are kept before those of the others.
-        if fails(status, why) {
+        if is_failure(status, why) {
             warn!(log, "Entry: A request ended.");
         } else {
             info!(log, "Entry: A request ended.");
@@ -166,14 +174,14 @@
 
 /// Whether a request counts as failed. What no configuration allows doesn't: whoever
 /// asks for it may do so as often as it likes.
-fn fails(status: u16, why: &str) -> bool {
-    let whole = matches!(why, "whole" | "answered");
-    !matches!(status, 400..500) && (status >= 500 || !whole)
+fn is_failure(status: u16, why: &str) -> bool {
+    let complete = matches!(why, "whole" | "answered");
+    !matches!(status, 400..500) && (status >= 500 || !complete)
 }
 
 impl Gateway {
     /// Brings gauges up to date before they are told.
-    pub fn measure(&self) {
+    pub fn update_gauges(&self) {
         let gauge = |name, help, value| self.metrics.gauge(name, help, &[]).set(value);
         #[allow(clippy::cast_precision_loss)] // Versions stay far below 2^52.
         let version = self.version() as f64;
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -128,7 +128,7 @@
                 Next::End if self.events.is_whole() => {
                     self.finish(AttemptOutcome::Good);
                     self.work.gateway.on_success(self.work.fingerprint);
-                    self.work.record.end(200, "whole");
+                    self.work.record.set_result(200, "whole");
                     return None;
                 }
                 Next::End => match self.move_on(CUT_REASON, AttemptOutcome::Bad).await {
@@ -207,13 +207,15 @@
             let pause = now.saturating_sub(self.since);
             permit.record_event((self.flows && count == 1).then_some(pause));
             let late = self.work.route.gap.is_some_and(|gap| pause > gap);
-            if late && self.work.record.is_longest(pause) {
-                self.work.record.known(self.work.queue.diagnostics());
+            if late && self.work.record.is_longest_pause(pause) {
+                self.work
+                    .record
+                    .set_diagnostics(self.work.queue.diagnostics());
             }
         }
         self.since = now;
         self.flows = true;
-        self.work.record.events(count);
+        self.work.record.record_events(count);
         Ok(Some(events))
     }
 
@@ -238,7 +240,9 @@
         ending: AttemptOutcome,
     ) -> Result<(), &'static str> {
         let from = self.permit.as_ref().map(|permit| permit.upstream.clone());
-        self.work.record.sent(from.as_deref().unwrap_or("-"), why);
+        self.work
+            .record
+            .record_attempt(from.as_deref().unwrap_or("-"), why);
         self.finish(ending);
         if let Some(upstream) = from.filter(|_| [BROKEN_REASON, CUT_REASON].contains(&why)) {
             self.work.detect_crash(&upstream).await;
@@ -304,7 +308,7 @@
         }
         let from = self.permit.as_ref().map(|permit| permit.upstream.clone());
         let from = from.as_deref().unwrap_or("-");
-        self.work.record.sent(from, why);
+        self.work.record.record_attempt(from, why);
         // A slow upstream is known to be so by the report of its agent.
         let ending = if why == SLOW_REASON {
             AttemptOutcome::Unknown
@@ -359,7 +363,7 @@
     /// Breaks the answer off, so that it can't look whole.
     fn fail(mut self, why: &'static str) -> (Result<Frame<Bytes>, body::Error>, Self) {
         self.finish(AttemptOutcome::Unknown);
-        self.work.record.end(200, why);
+        self.work.record.set_result(200, why);
         self.over = true;
         (Err(Box::new(Broken(why))), self)
     }
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -64,7 +64,7 @@
         },
         Err(refused) => refused,
     };
-    record.end(refused.status.as_u16(), refused.why);
+    record.set_result(refused.status.as_u16(), refused.why);
     refused.response()
 }
 
@@ -101,7 +101,7 @@
     let service = route
         .service(rand::random())
         .ok_or(Refused::later("no-service", UNREADY_RETRY_AFTER))?;
-    record.routed(&route.name, service, table.version);
+    record.set_route(&route.name, service, table.version);
     let queue = gateway.queue(service);
     queue.record_request(&gateway.settings.borrow().bounds.retries());
     let mut headers = parts.headers;
@@ -113,10 +113,10 @@
     let beyond = name
         .as_ref()
         .is_some_and(|name| queue.observe_customer(name));
-    record.asked(wait, spent, beyond);
+    record.set_caller_state(wait, spent, beyond);
     let uri = below(&parts.uri);
     let fingerprint = Fingerprint::of(name.as_deref(), &uri.to_string(), &body);
-    record.identified(fingerprint);
+    record.set_fingerprint(fingerprint);
     Ok(Work {
         gateway: gateway.clone(),
         record: record.clone(),
@@ -208,7 +208,7 @@
             return failed.ok_or_else(|| work.refuse(bar));
         }
         let admitted = work.admit(work.ask()).await;
-        work.record.known(work.queue.diagnostics());
+        work.record.set_diagnostics(work.queue.diagnostics());
         let permit = match admitted {
             Ok(permit) => permit,
             Err(refusal) => {
@@ -275,12 +275,12 @@
     let Ok(body) = Limited::new(body, MAX_BUFFERED_BYTES).collect().await else {
         let upstream = permit.upstream.clone();
         permit.release(AttemptOutcome::Bad);
-        work.record.sent(&upstream, "broken-off");
+        work.record.record_attempt(&upstream, "broken-off");
         work.detect_crash(&upstream).await;
         return Taken::Broken;
     };
     let response = Response::from_parts(parts, Body::full(body.to_bytes()));
-    work.record.end(status.as_u16(), "answered");
+    work.record.set_result(status.as_u16(), "answered");
     if status.is_server_error() {
         // The time that the request had was over; the upstream may be well.
         let late = status == StatusCode::GATEWAY_TIMEOUT;
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -36,7 +36,7 @@
 
 /// Silent agents after which a request is sent without asking: where those of
 /// two upstreams are, they were stopped rather than frozen with their instances.
-const MAX_SILENT_AGENTS: u32 = 2;
+const MAX_UNRESPONSIVE_AGENTS: u32 = 2;
 
 /// What came of asking an agent.
 enum Outcome {
@@ -45,27 +45,27 @@
     /// None is free, or the upstream runs nothing.
     Denied(Answer),
     /// The agent didn't answer.
-    Silent,
+    NoAnswer,
     /// There is no agent to be asked.
-    Unasked,
+    NotRequired,
 }
 
 /// Asks that wait for an answer.
 pub struct Reservations {
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    next: Cell<u64>,
-    waiting: RefCell<HashMap<u64, (IpAddr, oneshot::Sender<Answer>)>>,
+    last_ticket: Cell<u64>,
+    pending: RefCell<HashMap<u64, (IpAddr, oneshot::Sender<Answer>)>>,
 }
 
 /// An ask that waits; forgotten with the value.
-struct Waiting<'a> {
+struct PendingReservation<'a> {
     reservations: &'a Reservations,
     ticket: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingReservation<'_> {
     fn drop(&mut self) {
-        self.reservations.waiting.borrow_mut().remove(&self.ticket);
+        self.reservations.pending.borrow_mut().remove(&self.ticket);
     }
 }
 
@@ -75,37 +75,37 @@
     pub fn new() -> Self {
         Self {
             socket: RefCell::default(),
-            next: Cell::new(rand::random()),
-            waiting: RefCell::default(),
+            last_ticket: Cell::new(rand::random()),
+            pending: RefCell::default(),
         }
     }
 
     /// Asks go by this socket from here on.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.socket.replace(Some(socket));
     }
 
     /// Takes an answer in; one that nobody waits for, or that comes from elsewhere than
     /// from whom was asked, is dropped.
-    pub fn answered(&self, from: IpAddr, answer: Answer) -> bool {
-        let mut waiting = self.waiting.borrow_mut();
-        let asked = waiting.get(&answer.ticket);
-        if asked.is_none_or(|(agent, _)| *agent != from) {
+    pub fn handle_answer(&self, from: IpAddr, answer: Answer) -> bool {
+        let mut pending = self.pending.borrow_mut();
+        let request = pending.get(&answer.ticket);
+        if request.is_none_or(|(agent, _)| *agent != from) {
             return false;
         }
-        let sender = waiting.remove(&answer.ticket);
+        let sender = pending.remove(&answer.ticket);
         sender.is_some_and(|(_, sender)| sender.send(answer).is_ok())
     }
 
     /// Asks the agent at an address for a slot.
-    async fn ask(&self, agent: SocketAddr, slots: u32) -> Option<Answer> {
+    async fn request(&self, agent: SocketAddr, slots: u32) -> Option<Answer> {
         let socket = self.socket.borrow().clone()?;
-        let ticket = self.next.get().wrapping_add(1);
-        self.next.set(ticket);
+        let ticket = self.last_ticket.get().wrapping_add(1);
+        self.last_ticket.set(ticket);
         let (sender, answer) = oneshot::channel();
-        let asked = (agent.ip(), sender);
-        self.waiting.borrow_mut().insert(ticket, asked);
-        let _waiting = Waiting {
+        let request = (agent.ip(), sender);
+        self.pending.borrow_mut().insert(ticket, request);
+        let _pending = PendingReservation {
             reservations: self,
             ticket,
         };
@@ -128,11 +128,11 @@
     pub async fn admit(
         &self,
         queue: &Rc<ServiceQueue>,
-        ask: PlacementRequest,
+        request: PlacementRequest,
     ) -> Result<Permit, Rejection> {
-        let mut silent = 0;
+        let mut unanswered = 0;
         loop {
-            let permit = queue.admit(ask.clone()).await?;
+            let permit = queue.admit(request.clone()).await?;
             match self.reserve(&permit).await {
                 Outcome::Granted(answer) => {
                     permit.finish_reservation();
@@ -140,11 +140,11 @@
                     return Ok(permit);
                 }
                 Outcome::Denied(answer) => self.status(&answer.status),
-                Outcome::Silent if silent + 1 < MAX_SILENT_AGENTS => {
-                    silent += 1;
+                Outcome::NoAnswer if unanswered + 1 < MAX_UNRESPONSIVE_AGENTS => {
+                    unanswered += 1;
                     permit.record_agent_timeout();
                 }
-                Outcome::Silent | Outcome::Unasked => {
+                Outcome::NoAnswer | Outcome::NotRequired => {
                     permit.finish_reservation();
                     return Ok(permit);
                 }
@@ -156,22 +156,22 @@
     async fn reserve(&self, permit: &Permit) -> Outcome {
         let replica = self.replica(&permit.upstream);
         let Some(replica) = replica.filter(|_| permit.needs_reservation()) else {
-            return Outcome::Unasked;
+            return Outcome::NotRequired;
         };
-        let agent = self.agent(&replica);
-        match self.reservations.ask(agent, replica.slots).await {
+        let agent = self.agent_address(&replica);
+        match self.reservations.request(agent, replica.slots).await {
             Some(answer) if answer.granted => Outcome::Granted(answer),
             Some(answer) => Outcome::Denied(answer),
             None => {
                 debug!(self.log, "Entry: An agent doesn't answer.";
                     "agent" => agent.to_string(), "upstream" => &*permit.upstream);
-                Outcome::Silent
+                Outcome::NoAnswer
             }
         }
     }
 
     /// Where the agent beside an upstream is.
-    fn agent(&self, replica: &Replica) -> SocketAddr {
+    fn agent_address(&self, replica: &Replica) -> SocketAddr {
         let port = self.settings.borrow().peer_port;
         SocketAddr::new(replica.address.ip(), port)
     }
--- a/verbenaspool/src/direct/reserve/tests.rs
+++ b/verbenaspool/src/direct/reserve/tests.rs
@@ -31,15 +31,15 @@
 #[test]
 fn only_the_agent_that_was_asked_is_believed() {
     let reservations = Reservations::new();
-    let (sender, mut told) = oneshot::channel();
+    let (sender, mut received) = oneshot::channel();
     reservations
-        .waiting
+        .pending
         .borrow_mut()
         .insert(4, (agent(1), sender));
-    assert!(!reservations.answered(agent(2), answer(4)));
-    assert!(!reservations.answered(agent(1), answer(5)));
-    assert!(told.try_recv().is_err());
-    assert!(reservations.answered(agent(1), answer(4)));
-    assert_eq!(told.try_recv(), Ok(answer(4)));
-    assert!(!reservations.answered(agent(1), answer(4)));
+    assert!(!reservations.handle_answer(agent(2), answer(4)));
+    assert!(!reservations.handle_answer(agent(1), answer(5)));
+    assert!(received.try_recv().is_err());
+    assert!(reservations.handle_answer(agent(1), answer(4)));
+    assert_eq!(received.try_recv(), Ok(answer(4)));
+    assert!(!reservations.handle_answer(agent(1), answer(4)));
 }
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -181,7 +181,7 @@
     match peers::open(gateway) {
         Ok(socket) => {
             let socket = Rc::new(socket);
-            gateway.reservations.open(socket.clone());
+            gateway.reservations.set_socket(socket.clone());
             // Later processes have higher numbers, as far as the time of day
             // can be trusted; a digest that looks older is ignored for a while.
             let since = SystemTime::now().duration_since(UNIX_EPOCH);
