--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -32,7 +32,7 @@
 
 /// The longest silence before an answer begins, in times of its target: callers leave
 /// after four times, or two seconds.
-const MOST_PATIENCE: f64 = 3.6;
+const MAX_FIRST_EVENT_TIMEOUT_FACTOR: f64 = 3.6;
 
 /// The least time that is worth sending a request with.
 const MIN_SEND_TIME: Duration = Duration::from_millis(30);
@@ -44,7 +44,7 @@
 const BROKEN_REASON: &str = "broken";
 
 /// A caller's request, ready to be sent.
-pub struct Work {
+pub struct PendingRequest {
     pub gateway: Rc<Gateway>,
     pub record: Rc<Record>,
     pub route: Rc<Route>,
@@ -55,30 +55,30 @@
     pub body: Bytes,
     pub fingerprint: Fingerprint,
     /// What the request says of itself.
-    pub said: header::Request,
+    pub caller_headers: header::Request,
     pub priority: u8,
     /// Whether it is beyond what its customer usually sends.
-    pub beyond: bool,
+    pub over_usual_rate: bool,
     /// When its answer must begin to be in time.
     pub target: Duration,
     /// When it gets its final answer, whatever that is.
     pub deadline: Duration,
     /// When it came.
-    pub began: Duration,
+    pub received_at: Duration,
     /// When the present upstream began to answer.
-    pub started: Cell<Option<Duration>>,
+    pub response_started_at: Cell<Option<Duration>>,
     /// Sendings that may have reached an upstream.
-    pub sendings: Cell<u32>,
+    pub attempts: Cell<u32>,
     /// Upstreams that couldn't be connected to.
-    pub unreached: Cell<u32>,
+    pub connect_failures: Cell<u32>,
     /// Whether a sending may have run of which nothing is known.
-    pub exposed: Cell<bool>,
+    pub may_have_run: Cell<bool>,
     /// Upstreams that are not to be sent to again.
     pub tried: std::cell::RefCell<Vec<Rc<str>>>,
 }
 
 /// What is known behind a sending.
-pub enum Sent {
+pub enum SendOutcome {
     /// The upstream answered, and the answer belongs to the request.
     Answered(Response<Body>, Permit),
     /// The request didn't run there and won't.
@@ -86,11 +86,11 @@
     /// The request may have run there, or may still.
     Unknown(&'static str),
     /// It wasn't sent, as upstreams crashed under it.
-    Barred,
+    Blocked,
 }
 
 /// What came of waiting for an answer.
-enum Waited {
+enum WaitResult {
     /// An answer, or an error instead.
     Answered(Result<Response<Body>, Error>),
     /// Nothing in time.
@@ -99,36 +99,37 @@
     Slow,
 }
 
-impl Work {
+impl PendingRequest {
     /// The time that is left.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.gateway.clock.now())
     }
 
     /// Until when the request must be placed, for its first event to come before its
     /// caller leaves.
     fn place_by(&self) -> Duration {
-        self.leaves(self.began).saturating_sub(self.route.target)
+        self.caller_leaves_at(self.received_at)
+            .saturating_sub(self.route.target)
     }
 
     /// When the caller leaves that has had no event since some time.
-    pub fn leaves(&self, since: Duration) -> Duration {
+    pub fn caller_leaves_at(&self, since: Duration) -> Duration {
         let silence = self.route.silence.map(|silence| since + silence);
         silence.unwrap_or(self.deadline).min(self.deadline)
     }
 
     /// How long the caller still waits, which may be longer than the route's time.
-    pub fn caller_left(&self) -> Duration {
+    pub fn caller_time_left(&self) -> Duration {
         let until = self
-            .said
+            .caller_headers
             .wait
-            .map_or(self.deadline, |wait| self.began + wait);
+            .map_or(self.deadline, |wait| self.received_at + wait);
         until.saturating_sub(self.gateway.clock.now())
     }
 
     /// What the request asks of its service's queue.
-    pub fn ask(&self) -> PlacementRequest {
-        let streams = self.route.kind == Kind::Streaming;
+    pub fn placement_request(&self) -> PlacementRequest {
+        let is_stream = self.route.kind == Kind::Streaming;
         PlacementRequest {
             priority: self.priority,
             queued_at: self.gateway.clock.now(),
@@ -136,8 +137,8 @@
             deadline: self.deadline,
             place_by: self.place_by(),
             resumption: Resumption::None,
-            over_usual_rate: self.beyond,
-            max_gap: self.route.gap.filter(|_| streams),
+            over_usual_rate: self.over_usual_rate,
+            max_gap: self.route.gap.filter(|_| is_stream),
             excluded: self.tried.borrow().clone(),
         }
     }
@@ -146,126 +147,126 @@
     ///
     /// # Errors
     /// There is no room, nor will there be in time.
-    pub async fn admit(&self, ask: PlacementRequest) -> Result<Permit, Rejection> {
-        self.gateway.admit(&self.queue, ask).await
+    pub async fn admit(&self, placement: PlacementRequest) -> Result<Permit, Rejection> {
+        self.gateway.admit(&self.queue, placement).await
     }
 
     /// Whether the request may be sent once more, as things are now. It counts only
     /// when it is sent: one that then finds no upstream has cost nobody anything.
-    pub fn may_repeat(&self) -> bool {
-        if self.sendings.get() >= self.route.attempts || self.left() < MIN_SEND_TIME {
+    pub fn may_retry(&self) -> bool {
+        if self.attempts.get() >= self.route.attempts || self.time_left() < MIN_SEND_TIME {
             return false;
         }
-        let (bound, entries) = self.budget();
-        self.queue.allows_retry(&bound, entries)
+        let (limits, entries) = self.retry_limits();
+        self.queue.allows_retry(&limits, entries)
     }
 
     /// What bounds repeats, and how many entries share it.
-    fn budget(&self) -> (RetryLimits, usize) {
+    fn retry_limits(&self) -> (RetryLimits, usize) {
         let now = self.gateway.clock.now();
-        let bound = self.gateway.settings.borrow().bounds.retries();
-        (bound, self.gateway.sharers(now))
+        let limits = self.gateway.settings.borrow().bounds.retries();
+        (limits, self.gateway.sharers(now))
     }
 
     /// Whether another upstream may be tried after one that can't be reached.
-    pub fn may_reconnect(&self) -> bool {
-        self.unreached.get() < MAX_CONNECT_FAILURES && self.left() >= MIN_SEND_TIME
+    pub fn may_retry_connect(&self) -> bool {
+        self.connect_failures.get() < MAX_CONNECT_FAILURES && self.time_left() >= MIN_SEND_TIME
     }
 
     /// How long the upstream may be silent before the request is sent elsewhere, where
     /// it may be.
-    fn patience(&self, upstream: &str) -> Duration {
-        let left = self.left();
-        let last = self.sendings.get() >= self.route.attempts;
-        if last || !self.route.is_repeatable() {
+    fn response_timeout(&self, upstream: &str) -> Duration {
+        let left = self.time_left();
+        let is_last = self.attempts.get() >= self.route.attempts;
+        if is_last || !self.route.is_repeatable() {
             return left;
         }
-        let usual = self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
+        let timeout = self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
         let passes = self.queue.pass_time(upstream).unwrap_or_default() * FIRST_EVENT_PASSES;
-        let most = self.route.target.mul_f64(MOST_PATIENCE);
-        usual.max(passes.min(most)).min(left)
+        let max = self.route.target.mul_f64(MAX_FIRST_EVENT_TIMEOUT_FACTOR);
+        timeout.max(passes.min(max)).min(left)
     }
 
     /// Sends the request to an upstream, behind an event of the caller's where
     /// there is one.
-    pub async fn send(&self, permit: Permit, after: Option<u64>) -> Sent {
+    pub async fn send(&self, permit: Permit, last_event: Option<u64>) -> SendOutcome {
         let id = permit.upstream.clone();
         // It may have waited for its permit.
-        if self.barred().is_some() {
+        if self.block_reason().is_some() {
             permit.release(AttemptOutcome::Unknown);
-            return Sent::Barred;
+            return SendOutcome::Blocked;
         }
-        let (bound, entries) = self.budget();
-        if self.sendings.get() > 0 && !self.queue.try_retry(&bound, entries) {
+        let (limits, entries) = self.retry_limits();
+        if self.attempts.get() > 0 && !self.queue.try_retry(&limits, entries) {
             permit.release(AttemptOutcome::Unknown);
-            return Sent::NotRun("no-budget");
+            return SendOutcome::NotRun("no-budget");
         }
         self.tried.borrow_mut().push(id.clone());
         let Some(replica) = self.gateway.replica(&id) else {
             permit.release(AttemptOutcome::Unknown);
-            return Sent::NotRun("upstream-gone");
+            return SendOutcome::NotRun("upstream-gone");
         };
-        let Ok(request) = self.request(&id, after) else {
-            return Sent::NotRun("bad-request");
+        let Ok(request) = self.upstream_request(&id, last_event) else {
+            return SendOutcome::NotRun("bad-request");
         };
-        self.sendings.set(self.sendings.get() + 1);
-        self.started.take();
-        let before = self.exposed.replace(true);
+        self.attempts.set(self.attempts.get() + 1);
+        self.response_started_at.take();
+        let may_have_run_before = self.may_have_run.replace(true);
         let client = &self.gateway.client;
-        let answer = async {
+        let response = async {
             if self.route.is_repeatable() {
                 client.send(replica.address, request).await
             } else {
                 client.send_fresh(replica.address, request).await
             }
         };
-        let began = self.gateway.clock.now();
-        let answer = self.await_answer(answer, &permit).await;
-        let waited = self.gateway.clock.now().saturating_sub(began);
-        let sent = self.judge(answer, waited, permit);
-        match &sent {
-            Sent::NotRun(why) => {
-                self.exposed.set(before);
-                self.record.record_attempt(&id, why);
+        let sent_at = self.gateway.clock.now();
+        let result = self.await_response(response, &permit).await;
+        let waited = self.gateway.clock.now().saturating_sub(sent_at);
+        let outcome = self.classify_response(result, waited, permit);
+        match &outcome {
+            SendOutcome::NotRun(reason) => {
+                self.may_have_run.set(may_have_run_before);
+                self.record.record_attempt(&id, reason);
             }
-            Sent::Unknown(why) => {
-                self.record.record_attempt(&id, why);
-                if *why == BROKEN_REASON {
+            SendOutcome::Unknown(reason) => {
+                self.record.record_attempt(&id, reason);
+                if *reason == BROKEN_REASON {
                     self.detect_crash(&id).await;
                 }
             }
-            Sent::Barred => {}
-            Sent::Answered(response, _) => {
+            SendOutcome::Blocked => {}
+            SendOutcome::Answered(response, _) => {
                 self.record.record_attempt(&id, response.status().as_str())
             }
         }
-        sent
+        outcome
     }
 
     /// Waits for an answer, as long as the upstream may be silent.
     ///
     /// A request whose prompt a slow rank has still to read holds back the rank's whole
     /// group like a stream, so it goes elsewhere as well, where it may.
-    async fn await_answer(
+    async fn await_response(
         &self,
-        answer: impl Future<Output = Result<Response<Body>, Error>>,
+        response: impl Future<Output = Result<Response<Body>, Error>>,
         permit: &Permit,
-    ) -> Waited {
-        let mut answer = pin!(answer);
-        let until = self.gateway.clock.now() + self.patience(&permit.upstream);
+    ) -> WaitResult {
+        let mut response = pin!(response);
+        let until = self.gateway.clock.now() + self.response_timeout(&permit.upstream);
         loop {
             let now = self.gateway.clock.now();
-            let left = until.saturating_sub(now).max(self.stays(now));
+            let left = until.saturating_sub(now).max(self.extra_wait(now));
             if left.is_zero() {
-                return Waited::Silent;
+                return WaitResult::Silent;
             }
-            if let Ok(answer) =
-                monoio::time::timeout(left.min(relay::POLL_INTERVAL), &mut answer).await
+            if let Ok(result) =
+                monoio::time::timeout(left.min(relay::POLL_INTERVAL), &mut response).await
             {
-                return Waited::Answered(answer);
+                return WaitResult::Answered(result);
             }
-            if self.route.is_repeatable() && permit.is_slow() && self.may_repeat() {
-                return Waited::Slow;
+            if self.route.is_repeatable() && permit.is_slow() && self.may_retry() {
+                return WaitResult::Slow;
             }
         }
     }
@@ -275,9 +276,9 @@
     ///
     /// Without this a caller who would wait for seconds more got a 502 as soon as the
     /// budget of repeats was spent, though nothing was known to have failed.
-    fn stays(&self, now: Duration) -> Duration {
+    fn extra_wait(&self, now: Duration) -> Duration {
         let left = self.deadline.saturating_sub(now);
-        if self.route.is_repeatable() && self.may_repeat() {
+        if self.route.is_repeatable() && self.may_retry() {
             Duration::ZERO
         } else {
             left.min(relay::POLL_INTERVAL)
@@ -285,10 +286,14 @@
     }
 
     /// The request as the upstream gets it.
-    fn request(&self, id: &str, after: Option<u64>) -> Result<Request<Body>, http::Error> {
+    fn upstream_request(
+        &self,
+        id: &str,
+        last_event: Option<u64>,
+    ) -> Result<Request<Body>, http::Error> {
         let mut headers = self.headers.clone();
-        header::address(&mut headers, id, self.left());
-        if let Some(event) = after {
+        header::address(&mut headers, id, self.time_left());
+        if let Some(event) = last_event {
             header::resume(&mut headers, event);
         }
         let mut request = Request::builder()
@@ -302,7 +307,7 @@
     /// What silence tells of the upstream. A route may allow less time than its
     /// requests take: that the time is over then says nothing, and an upstream
     /// that was left alone for it would be missed by all other requests.
-    fn silence(&self, waited: Duration) -> AttemptOutcome {
+    fn silence_outcome(&self, waited: Duration) -> AttemptOutcome {
         if waited >= self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR) {
             AttemptOutcome::Silent
         } else {
@@ -311,52 +316,57 @@
     }
 
     /// What an answer, or the want of one, tells.
-    fn judge(&self, answer: Waited, waited: Duration, permit: Permit) -> Sent {
-        let response = match answer {
-            Waited::Silent => {
-                permit.release(self.silence(waited));
-                return Sent::Unknown("silent");
+    fn classify_response(
+        &self,
+        result: WaitResult,
+        waited: Duration,
+        permit: Permit,
+    ) -> SendOutcome {
+        let response = match result {
+            WaitResult::Silent => {
+                permit.release(self.silence_outcome(waited));
+                return SendOutcome::Unknown("silent");
             }
-            Waited::Slow => {
+            WaitResult::Slow => {
                 permit.release(AttemptOutcome::Unknown);
-                return Sent::Unknown(relay::SLOW_REASON);
+                return SendOutcome::Unknown(relay::SLOW_REASON);
             }
-            Waited::Answered(Err(Error::NotSent(_))) => {
+            WaitResult::Answered(Err(Error::NotSent(_))) => {
                 permit.release(AttemptOutcome::Unreached);
-                self.sendings.set(self.sendings.get() - 1);
-                self.unreached.set(self.unreached.get() + 1);
-                return Sent::NotRun("unreached");
+                self.attempts.set(self.attempts.get() - 1);
+                self.connect_failures.set(self.connect_failures.get() + 1);
+                return SendOutcome::NotRun("unreached");
             }
-            Waited::Answered(Err(Error::Broken(_))) => {
+            WaitResult::Answered(Err(Error::Broken(_))) => {
                 permit.release(AttemptOutcome::Bad);
-                return Sent::Unknown(BROKEN_REASON);
+                return SendOutcome::Unknown(BROKEN_REASON);
             }
-            Waited::Answered(Ok(response)) => response,
+            WaitResult::Answered(Ok(response)) => response,
         };
-        let said = header::answer(response.headers());
+        let markers = header::answer(response.headers());
         let status = response.status();
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let nameless = misdirected && header::is_nameless(response.headers());
         // A late or doubled answer to another request may come where this one's
         // is due. Its connection goes with it.
-        if !nameless && !header::belongs(response.headers(), self.said.id.as_ref()) {
+        if !nameless && !header::belongs(response.headers(), self.caller_headers.id.as_ref()) {
             permit.release(AttemptOutcome::Bad);
-            return Sent::Unknown("not-its-answer");
+            return SendOutcome::Unknown("not-its-answer");
         }
         if misdirected {
             permit.release(AttemptOutcome::Unreached);
-            return Sent::NotRun("misdirected");
+            return SendOutcome::NotRun("misdirected");
         }
-        if said.not_run {
+        if markers.not_run {
             permit.release(AttemptOutcome::Full);
-            return Sent::NotRun("turned-away");
+            return SendOutcome::NotRun("turned-away");
         }
-        if status.is_success() && (!said.signed || said.encoded) {
+        if status.is_success() && (!markers.signed || markers.encoded) {
             permit.release(AttemptOutcome::Bad);
-            return Sent::Unknown("not-the-upstreams-answer");
+            return SendOutcome::Unknown("not-the-upstreams-answer");
         }
-        self.started.set(Some(self.gateway.clock.now()));
+        self.response_started_at.set(Some(self.gateway.clock.now()));
         permit.on_response_started();
-        Sent::Answered(response, permit)
+        SendOutcome::Answered(response, permit)
     }
 }
--- a/verbenaspool/src/direct/crash.rs
+++ b/verbenaspool/src/direct/crash.rs
@@ -7,7 +7,7 @@
 use verbenaspool_protocol::digest;
 use verbenaspool_state::replica::State;
 
-use super::{answer::Refused, attempt::Work};
+use super::{answer::Failure, attempt::PendingRequest};
 
 /// How long an instance has to refuse a connection. Its kernel does so within a round trip;
 /// the request waits for it.
@@ -15,7 +15,7 @@
 
 /// Why a request may be sent to no upstream.
 #[derive(Debug, Clone, Copy)]
-pub enum Bar {
+pub enum BlockReason {
     /// It crashed upstreams, and is rejected for so much longer.
     Quarantined(Duration),
     /// It may have crashed an upstream, and the service can't lose another one now: those that
@@ -23,9 +23,9 @@
     Suspect,
 }
 
-impl Bar {
+impl BlockReason {
     /// The reason as logs and callers read it.
-    pub fn reason(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Quarantined(_) => "quarantined",
             Self::Suspect => "suspect",
@@ -33,14 +33,14 @@
     }
 }
 
-impl Work {
+impl PendingRequest {
     /// Finds out whether the upstream crashed that broke off this request's answer, and
     /// records it: its instance refuses connections then. One that leaves on purpose doesn't
     /// count.
     pub async fn detect_crash(&self, upstream: &str) {
         let gateway = &self.gateway;
-        let started = self.started.get();
-        let ran = started.map(|started| gateway.clock.now().saturating_sub(started));
+        let response_started_at = self.response_started_at.get();
+        let ran = response_started_at.map(|started| gateway.clock.now().saturating_sub(started));
         let listed = gateway.replica(upstream);
         let Some(replica) = listed.filter(|replica| replica.state == State::Ready) else {
             return;
@@ -53,12 +53,12 @@
         warn!(gateway.log, "upstream crashed"; "upstream" => &*replica.id,
             "service" => &*replica.service, "request" => self.record.id(),
             "fingerprint" => self.fingerprint.to_string(), "ran_ms" => ran_ms);
-        let crashed = gateway.metrics.counter(
+        let crashed_requests = gateway.metrics.counter(
             "verbenaspool_crashed_requests_total",
             "Requests whose upstream crashed while it had them.",
             &[("service", &*replica.service)],
         );
-        crashed.count();
+        crashed_requests.count();
         let upstream = digest::hash(&replica.id);
         let crash = Crash::new(gateway.clock.now(), upstream, ran);
         gateway.on_crash(self.fingerprint, crash);
@@ -66,23 +66,23 @@
     }
 
     /// Why the request may be sent to no upstream now, if upstreams crashed under it.
-    pub fn barred(&self) -> Option<Bar> {
+    pub fn block_reason(&self) -> Option<BlockReason> {
         match self.gateway.status_of(self.fingerprint) {
-            Status::Quarantined(left) => Some(Bar::Quarantined(left)),
-            Status::Suspect if !self.queue.can_lose_one() => Some(Bar::Suspect),
+            Status::Quarantined(left) => Some(BlockReason::Quarantined(left)),
+            Status::Suspect if !self.queue.can_lose_one() => Some(BlockReason::Suspect),
             Status::Suspect | Status::Clear => None,
         }
     }
 
     /// What the caller is told of a request that is barred.
-    pub fn refuse(&self, bar: Bar) -> Refused {
-        if self.exposed.get() {
-            return Refused::unknown(bar.reason());
+    pub fn blocked_failure(&self, reason: BlockReason) -> Failure {
+        if self.may_have_run.get() {
+            return Failure::bad_gateway(reason.name());
         }
-        let after = match bar {
-            Bar::Quarantined(left) => left,
-            Bar::Suspect => self.queue.retry_after(self.caller_left()),
+        let retry_after = match reason {
+            BlockReason::Quarantined(left) => left,
+            BlockReason::Suspect => self.queue.retry_after(self.caller_time_left()),
         };
-        Refused::later(bar.reason(), after)
+        Failure::unavailable(reason.name(), retry_after)
     }
 }
--- a/verbenaspool/src/direct/events.rs
+++ b/verbenaspool/src/direct/events.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// An event is missing, or comes a second time.
-    Order,
+    OutOfOrder,
     /// An event is longer than any that engines send.
-    Large,
+    TooLarge,
 }
 
 /// The largest event, in bytes. Those of engines have some hundred.
@@ -20,33 +20,33 @@
 
 /// Cuts a stream's bytes into whole events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct Splitter {
     partial: BytesMut,
     /// The id of the last whole event, where events have ids.
-    last: Option<u64>,
+    last_id: Option<u64>,
 }
 
-impl Events {
+impl Splitter {
     /// Events of which the caller has those up to `last` already.
-    pub fn after(last: Option<u64>) -> Self {
+    pub fn after(last_id: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
-            last,
+            last_id,
         }
     }
 
     /// The id of the last whole event.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Whether the stream stands behind a whole event.
-    pub fn is_whole(&self) -> bool {
+    pub fn at_event_end(&self) -> bool {
         self.partial.is_empty()
     }
 
     /// Drops the part of an event that another upstream will send whole.
-    pub fn cut(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -57,27 +57,27 @@
         let mut count = 0;
         let mut start = 0;
         let mut at = searched;
-        while let Some(end) = boundary(&self.partial, at) {
+        while let Some(end) = event_end(&self.partial, at) {
             let event = &self.partial[start..end];
-            if let Some(id) = id(event) {
-                if self.last.is_some_and(|last| id != last + 1) {
-                    return Err(Fault::Order);
+            if let Some(id) = event_id(event) {
+                if self.last_id.is_some_and(|last| id != last + 1) {
+                    return Err(Fault::OutOfOrder);
                 }
-                self.last = Some(id);
+                self.last_id = Some(id);
             }
             count += 1;
             start = end;
             at = end;
         }
         if self.partial.len() - start > MAX_EVENT_BYTES {
-            return Err(Fault::Large);
+            return Err(Fault::TooLarge);
         }
         Ok((self.partial.split_to(start).freeze(), count))
     }
 }
 
 /// The end of the first event at or behind `from`: behind its empty line.
-fn boundary(bytes: &[u8], from: usize) -> Option<usize> {
+fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|byte| *byte == b'\n') {
         let next = at + found + 1;
@@ -91,7 +91,7 @@
 }
 
 /// The id of an event.
-fn id(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -115,8 +115,8 @@
     }
 
     /// How the request ended: the status that the caller got, and why.
-    pub fn set_result(&self, status: u16, why: &'static str) {
-        self.summary.borrow_mut().result = Some((status, why));
+    pub fn set_result(&self, status: u16, reason: &'static str) {
+        self.summary.borrow_mut().result = Some((status, reason));
     }
 }
 
@@ -125,7 +125,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         let summary = self.summary.take();
-        let (status, why) = summary.result.unwrap_or((0, "caller-left"));
+        let (status, reason) = summary.result.unwrap_or((0, "caller-left"));
         let route = summary.route.as_deref().unwrap_or_default();
         let service = summary.service.as_deref().unwrap_or_default();
         let total = now.saturating_sub(self.received_at);
@@ -133,7 +133,7 @@
             .first_event_at
             .unwrap_or(now)
             .saturating_sub(self.received_at);
-        let pairs = [("service", service), ("result", why)];
+        let pairs = [("service", service), ("result", reason)];
         let requests = gateway.metrics.counter(
             "verbenaspool_requests_total",
             "Requests by how they ended.",
@@ -149,7 +149,7 @@
         let [pause_ms, first_ms, took_ms] =
             [summary.longest_pause, first, total].map(|time| time.as_secs_f64() * 1e3);
         let log = gateway.log.new(o!(
-            "request" => self.id.clone(), "status" => status, "why" => why,
+            "request" => self.id.clone(), "status" => status, "why" => reason,
             "route" => route.to_owned(), "service" => service.to_owned(),
             "fingerprint" => summary.fingerprint.map(|fingerprint| fingerprint.to_string()),
             "version" => summary.table_version, "sent" => summary.attempts.join("; "),
@@ -164,7 +164,7 @@
             "took_ms" => took_ms,
         ));
         // Lines of requests that failed are kept before those of the others.
-        if is_failure(status, why) {
+        if is_failure(status, reason) {
             warn!(log, "Entry: A request ended.");
         } else {
             info!(log, "Entry: A request ended.");
@@ -174,8 +174,8 @@
 
 /// Whether a request counts as failed. What no configuration allows doesn't: whoever
 /// asks for it may do so as often as it likes.
-fn is_failure(status: u16, why: &str) -> bool {
-    let complete = matches!(why, "whole" | "answered");
+fn is_failure(status: u16, reason: &str) -> bool {
+    let complete = matches!(reason, "whole" | "answered");
     !matches!(status, 400..500) && (status >= 500 || !complete)
 }
 
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -21,8 +21,8 @@
 use verbenaspool_transport::http::body::{self, Body};
 
 use super::{
-    attempt::{Sent, Work},
-    events::Events,
+    attempt::{PendingRequest, SendOutcome},
+    events::Splitter,
     queue::Permit,
 };
 
@@ -41,10 +41,10 @@
 const BROKEN_REASON: &str = "broken-off";
 
 /// Why a stream leaves an upstream: it ended inside an event.
-const CUT_REASON: &str = "cut-off";
+const TRUNCATED_REASON: &str = "cut-off";
 
 /// Why a stream leaves an upstream: nothing came for too long.
-const SILENT_REASON: &str = "fell-silent";
+const STALL_REASON: &str = "fell-silent";
 
 /// Why a stream leaves an upstream: it holds back its whole group.
 pub const SLOW_REASON: &str = "slow";
@@ -56,19 +56,19 @@
 
 /// A stream on its way.
 struct Relay {
-    work: Rc<Work>,
+    request: Rc<PendingRequest>,
     permit: Option<Permit>,
     /// What the present upstream sends; none while there is no upstream. An empty
     /// body instead would look like a stream that ended whole.
     body: Option<Body>,
-    events: Events,
+    splitter: Splitter,
     /// When the last event came, or the answer began.
-    since: Duration,
+    last_event_at: Duration,
     /// Whether an event has come from the present upstream.
-    flows: bool,
+    has_event: bool,
     /// Until when a silent stream isn't tried to be moved.
-    stays: Duration,
-    over: bool,
+    next_move_at: Duration,
+    done: bool,
 }
 
 /// What came of waiting for more of a stream.
@@ -80,33 +80,37 @@
     /// The upstream broke off.
     Broken(&'static str),
     /// Nothing came for too long.
-    Silent,
+    Stalled,
     /// The upstream is slow, and holds back its whole group.
     Slow,
     /// The request's time is over.
-    Late,
+    TimedOut,
 }
 
 /// The answer whose body is relayed.
-pub fn relay(work: Rc<Work>, response: Response<Body>, permit: Permit) -> Response<Body> {
+pub fn relay(
+    request: Rc<PendingRequest>,
+    response: Response<Body>,
+    permit: Permit,
+) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
-    super::request::clean(&mut parts.headers);
-    let now = work.gateway.clock.now();
+    super::request::strip_hop_headers(&mut parts.headers);
+    let now = request.gateway.clock.now();
     let relay = Relay {
-        events: Events::after(header::resumed(&work.headers)),
-        work,
+        splitter: Splitter::after(header::resumed(&request.headers)),
+        request,
         permit: Some(permit),
         body: Some(body),
-        since: now,
-        flows: false,
-        stays: Duration::ZERO,
-        over: false,
+        last_event_at: now,
+        has_event: false,
+        next_move_at: Duration::ZERO,
+        done: false,
     };
     let frames = stream::unfold(relay, |relay| async move {
-        if relay.over {
+        if relay.done {
             return None;
         }
-        relay.next().await
+        relay.next_events().await
     });
     let body = Body::wrap(StreamBody::new(Box::pin(frames)));
     Response::from_parts(parts, body)
@@ -114,58 +118,58 @@
 
 impl Relay {
     /// The next whole events.
-    async fn next(mut self) -> Option<(Result<Frame<Bytes>, body::Error>, Self)> {
+    async fn next_events(mut self) -> Option<(Result<Frame<Bytes>, body::Error>, Self)> {
         loop {
-            match self.wait().await {
-                Next::Data(bytes) => match self.take(&bytes) {
+            match self.wait_for_data().await {
+                Next::Data(bytes) => match self.accept_bytes(&bytes) {
                     Ok(Some(events)) => return Some((Ok(Frame::data(events)), self)),
                     Ok(None) => {}
-                    Err(why) => match self.move_on(why, AttemptOutcome::Bad).await {
+                    Err(reason) => match self.fail_over(reason, AttemptOutcome::Bad).await {
                         Ok(()) => {}
-                        Err(why) => return Some(self.fail(why)),
+                        Err(reason) => return Some(self.abort(reason)),
                     },
                 },
-                Next::End if self.events.is_whole() => {
-                    self.finish(AttemptOutcome::Good);
-                    self.work.gateway.on_success(self.work.fingerprint);
-                    self.work.record.set_result(200, "whole");
+                Next::End if self.splitter.at_event_end() => {
+                    self.release_upstream(AttemptOutcome::Good);
+                    self.request.gateway.on_success(self.request.fingerprint);
+                    self.request.record.set_result(200, "whole");
                     return None;
                 }
-                Next::End => match self.move_on(CUT_REASON, AttemptOutcome::Bad).await {
+                Next::End => match self.fail_over(TRUNCATED_REASON, AttemptOutcome::Bad).await {
                     Ok(()) => {}
-                    Err(why) => return Some(self.fail(why)),
+                    Err(reason) => return Some(self.abort(reason)),
                 },
-                Next::Broken(why) => match self.move_on(why, AttemptOutcome::Bad).await {
+                Next::Broken(reason) => match self.fail_over(reason, AttemptOutcome::Bad).await {
                     Ok(()) => {}
-                    Err(why) => return Some(self.fail(why)),
+                    Err(reason) => return Some(self.abort(reason)),
                 },
-                Next::Silent => match self.escape(SILENT_REASON).await {
+                Next::Stalled => match self.try_move(STALL_REASON).await {
                     Ok(()) => {}
-                    Err(why) => return Some(self.fail(why)),
+                    Err(reason) => return Some(self.abort(reason)),
                 },
-                Next::Slow => match self.escape(SLOW_REASON).await {
+                Next::Slow => match self.try_move(SLOW_REASON).await {
                     Ok(()) => {}
-                    Err(why) => return Some(self.fail(why)),
+                    Err(reason) => return Some(self.abort(reason)),
                 },
-                Next::Late => {
-                    self.finish(AttemptOutcome::Unknown);
-                    return Some(self.fail("timeout"));
+                Next::TimedOut => {
+                    self.release_upstream(AttemptOutcome::Unknown);
+                    return Some(self.abort("timeout"));
                 }
             }
         }
     }
 
     /// Waits for more.
-    async fn wait(&mut self) -> Next {
+    async fn wait_for_data(&mut self) -> Next {
         loop {
-            let now = self.work.gateway.clock.now();
-            if now >= self.work.deadline {
-                return Next::Late;
+            let now = self.request.gateway.clock.now();
+            if now >= self.request.deadline {
+                return Next::TimedOut;
             }
-            if let Some(why) = self.leaves(now) {
-                return why;
+            if let Some(reason) = self.move_reason(now) {
+                return reason;
             }
-            let wait = self.work.deadline.saturating_sub(now).min(POLL_INTERVAL);
+            let wait = self.request.deadline.saturating_sub(now).min(POLL_INTERVAL);
             let Some(body) = &mut self.body else {
                 return Next::Broken("lost");
             };
@@ -179,86 +183,88 @@
     }
 
     /// Why the stream should go on at another upstream, if it should.
-    fn leaves(&self, now: Duration) -> Option<Next> {
+    fn move_reason(&self, now: Duration) -> Option<Next> {
         let permit = self.permit.as_ref()?;
-        if now < self.stays {
+        if now < self.next_move_at {
             return None;
         }
         if permit.is_slow() {
             return Some(Next::Slow);
         }
-        let silent = now.saturating_sub(self.since);
-        if silent < STALL_TIMEOUT {
+        let silent_for = now.saturating_sub(self.last_event_at);
+        if silent_for < STALL_TIMEOUT {
             return None;
         }
-        let waits = permit.classify_stall(self.since) == StallScope::Service
-            && silent < GROUP_STALL_TIMEOUT;
-        (!waits).then_some(Next::Silent)
+        let wait = permit.classify_stall(self.last_event_at) == StallScope::Service
+            && silent_for < GROUP_STALL_TIMEOUT;
+        (!wait).then_some(Next::Stalled)
     }
 
     /// Takes bytes in and returns the whole events among them.
-    fn take(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, &'static str> {
-        let (events, count) = self.events.push(bytes).map_err(|_| "out-of-order")?;
+    fn accept_bytes(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, &'static str> {
+        let (events, count) = self.splitter.push(bytes).map_err(|_| "out-of-order")?;
         if count == 0 {
             return Ok(None);
         }
-        let now = self.work.gateway.clock.now();
+        let now = self.request.gateway.clock.now();
         if let Some(permit) = &self.permit {
-            let pause = now.saturating_sub(self.since);
-            permit.record_event((self.flows && count == 1).then_some(pause));
-            let late = self.work.route.gap.is_some_and(|gap| pause > gap);
-            if late && self.work.record.is_longest_pause(pause) {
-                self.work
+            let pause = now.saturating_sub(self.last_event_at);
+            permit.record_event((self.has_event && count == 1).then_some(pause));
+            let late = self.request.route.gap.is_some_and(|gap| pause > gap);
+            if late && self.request.record.is_longest_pause(pause) {
+                self.request
                     .record
-                    .set_diagnostics(self.work.queue.diagnostics());
+                    .set_diagnostics(self.request.queue.diagnostics());
             }
         }
-        self.since = now;
-        self.flows = true;
-        self.work.record.record_events(count);
+        self.last_event_at = now;
+        self.has_event = true;
+        self.request.record.record_events(count);
         Ok(Some(events))
     }
 
     /// What the stream asks for to go on elsewhere, until its caller leaves: an engine
     /// cuts off what stalls 1.5 s after the last event, half a second before that.
-    fn ask(&self, why: &'static str) -> PlacementRequest {
+    fn placement_request(&self, reason: &'static str) -> PlacementRequest {
         PlacementRequest {
-            place_by: self.work.leaves(self.since),
-            resumption: if why == SLOW_REASON {
+            place_by: self.request.caller_leaves_at(self.last_event_at),
+            resumption: if reason == SLOW_REASON {
                 Resumption::Moved
             } else {
                 Resumption::Interrupted
             },
-            ..self.work.ask()
+            ..self.request.placement_request()
         }
     }
 
     /// Goes on at another upstream, after the last whole event.
-    async fn move_on(
+    async fn fail_over(
         &mut self,
-        why: &'static str,
-        ending: AttemptOutcome,
+        reason: &'static str,
+        outcome: AttemptOutcome,
     ) -> Result<(), &'static str> {
-        let from = self.permit.as_ref().map(|permit| permit.upstream.clone());
-        self.work
+        let upstream = self.permit.as_ref().map(|permit| permit.upstream.clone());
+        self.request
             .record
-            .record_attempt(from.as_deref().unwrap_or("-"), why);
-        self.finish(ending);
-        if let Some(upstream) = from.filter(|_| [BROKEN_REASON, CUT_REASON].contains(&why)) {
-            self.work.detect_crash(&upstream).await;
+            .record_attempt(upstream.as_deref().unwrap_or("-"), reason);
+        self.release_upstream(outcome);
+        if let Some(upstream) =
+            upstream.filter(|_| [BROKEN_REASON, TRUNCATED_REASON].contains(&reason))
+        {
+            self.request.detect_crash(&upstream).await;
         }
-        if !self.work.route.resumable {
-            return Err(why);
+        if !self.request.route.resumable {
+            return Err(reason);
         }
         loop {
-            if let Some(bar) = self.work.barred() {
-                return Err(bar.reason());
+            if let Some(block) = self.request.block_reason() {
+                return Err(block.name());
             }
-            if !self.work.may_repeat() {
-                return Err(why);
+            if !self.request.may_retry() {
+                return Err(reason);
             }
-            let Ok(permit) = self.work.admit(self.ask(why)).await else {
-                return Err(why);
+            let Ok(permit) = self.request.admit(self.placement_request(reason)).await else {
+                return Err(reason);
             };
             if self.resume(permit).await {
                 return Ok(());
@@ -268,28 +274,32 @@
 
     /// Looks for another upstream while the present one is silent or slow; where it
     /// goes on first, nothing is lost.
-    async fn escape(&mut self, why: &'static str) -> Result<(), &'static str> {
-        self.stays = self.work.gateway.clock.now() + STALL_TIMEOUT;
-        if !self.work.route.resumable || self.work.barred().is_some() {
+    async fn try_move(&mut self, reason: &'static str) -> Result<(), &'static str> {
+        self.next_move_at = self.request.gateway.clock.now() + STALL_TIMEOUT;
+        if !self.request.route.resumable || self.request.block_reason().is_some() {
             return Ok(());
         }
-        if !self.work.may_repeat() {
+        if !self.request.may_retry() {
             // A stream that stays on a slow rank holds back the streams of all others. Its
             // caller resumes it after the last whole event.
-            return if why == SLOW_REASON { Err(why) } else { Ok(()) };
+            return if reason == SLOW_REASON {
+                Err(reason)
+            } else {
+                Ok(())
+            };
         }
-        let work = self.work.clone();
-        let mut ask = self.ask(why);
+        let request = self.request.clone();
+        let mut placement = self.placement_request(reason);
         if let Some(permit) = &self.permit
-            && permit.classify_stall(self.since) == StallScope::Group
-            && why == SILENT_REASON
+            && permit.classify_stall(self.last_event_at) == StallScope::Group
+            && reason == STALL_REASON
         {
-            ask.excluded.extend(permit.group_members());
+            placement.excluded.extend(permit.group_members());
         }
         let Some(body) = &mut self.body else {
             return Ok(());
         };
-        let admitted = Box::pin(work.admit(ask));
+        let admitted = Box::pin(request.admit(placement));
         let frame = Box::pin(body.frame());
         let permit = match select(admitted, frame).await {
             Either::Left((Ok(permit), frame)) => {
@@ -299,31 +309,31 @@
             Either::Left((Err(_), _)) => return Ok(()),
             Either::Right((frame, admitted)) => {
                 drop(admitted);
-                self.keep(frame);
+                self.push_back(frame);
                 return Ok(());
             }
         };
-        if !self.work.may_repeat() {
+        if !self.request.may_retry() {
             return Ok(());
         }
-        let from = self.permit.as_ref().map(|permit| permit.upstream.clone());
-        let from = from.as_deref().unwrap_or("-");
-        self.work.record.record_attempt(from, why);
+        let upstream = self.permit.as_ref().map(|permit| permit.upstream.clone());
+        let upstream = upstream.as_deref().unwrap_or("-");
+        self.request.record.record_attempt(upstream, reason);
         // A slow upstream is known to be so by the report of its agent.
-        let ending = if why == SLOW_REASON {
+        let outcome = if reason == SLOW_REASON {
             AttemptOutcome::Unknown
         } else {
             AttemptOutcome::Silent
         };
-        self.finish(ending);
+        self.release_upstream(outcome);
         if self.resume(permit).await {
             return Ok(());
         }
-        self.move_on(why, ending).await
+        self.fail_over(reason, outcome).await
     }
 
     /// Puts back what came while another upstream was looked for.
-    fn keep(&mut self, frame: Option<Result<Frame<Bytes>, body::Error>>) {
+    fn push_back(&mut self, frame: Option<Result<Frame<Bytes>, body::Error>>) {
         let rest = self.body.take().unwrap_or_else(Body::empty);
         let first = stream::iter(frame);
         let rest = stream::unfold(rest, |mut rest| async move {
@@ -336,14 +346,14 @@
 
     /// Resumes the stream at an upstream.
     async fn resume(&mut self, permit: Permit) -> bool {
-        self.events.cut();
-        let last = self.events.last();
-        match self.work.send(permit, last).await {
-            Sent::Answered(response, permit) if response.status() == StatusCode::OK => {
+        self.splitter.discard_partial();
+        let last = self.splitter.last_id();
+        match self.request.send(permit, last).await {
+            SendOutcome::Answered(response, permit) if response.status() == StatusCode::OK => {
                 self.body = Some(response.into_body());
                 self.permit = Some(permit);
-                self.since = self.work.gateway.clock.now();
-                self.flows = false;
+                self.last_event_at = self.request.gateway.clock.now();
+                self.has_event = false;
                 true
             }
             _ => false,
@@ -351,20 +361,20 @@
     }
 
     /// Gives the permit at the present upstream back, and closes its connection.
-    fn finish(&mut self, ending: AttemptOutcome) {
+    fn release_upstream(&mut self, outcome: AttemptOutcome) {
         if let Some(permit) = self.permit.take() {
-            permit.release(ending);
+            permit.release(outcome);
         }
-        if ending != AttemptOutcome::Good {
+        if outcome != AttemptOutcome::Good {
             self.body = None;
         }
     }
 
     /// Breaks the answer off, so that it can't look whole.
-    fn fail(mut self, why: &'static str) -> (Result<Frame<Bytes>, body::Error>, Self) {
-        self.finish(AttemptOutcome::Unknown);
-        self.work.record.set_result(200, why);
-        self.over = true;
-        (Err(Box::new(Broken(why))), self)
+    fn abort(mut self, reason: &'static str) -> (Result<Frame<Bytes>, body::Error>, Self) {
+        self.release_upstream(AttemptOutcome::Unknown);
+        self.request.record.set_result(200, reason);
+        self.done = true;
+        (Err(Box::new(Broken(reason))), self)
     }
 }
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -23,8 +23,8 @@
 };
 
 use super::{
-    answer::Refused,
-    attempt::{Sent, Work},
+    answer::Failure,
+    attempt::{PendingRequest, SendOutcome},
     gateway::Gateway,
     queue::Permit,
     record::Record,
@@ -47,60 +47,61 @@
 
 impl Handler for Gateway {
     fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
-        Box::pin(answer(self, request))
+        Box::pin(handle_request(self, request))
     }
 }
 
 /// Answers one request.
-async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
-    let said = header::read(&parts.headers);
-    let id = said.id.as_ref().and_then(|id| id.to_str().ok());
+    let caller_headers = header::read(&parts.headers);
+    let id = caller_headers.id.as_ref().and_then(|id| id.to_str().ok());
     let record = Record::new(gateway.clone(), id.unwrap_or("-"));
-    let refused = match check(&gateway, &record, parts, body, said).await {
-        Ok(work) => match serve(Rc::new(work)).await {
+    let failure = match prepare(&gateway, &record, parts, body, caller_headers).await {
+        Ok(request) => match serve(Rc::new(request)).await {
             Ok(response) => return response,
-            Err(refused) => refused,
+            Err(failure) => failure,
         },
-        Err(refused) => refused,
+        Err(failure) => failure,
     };
-    record.set_result(refused.status.as_u16(), refused.why);
-    refused.response()
+    record.set_result(failure.status.as_u16(), failure.reason);
+    failure.into_response()
 }
 
 /// Checks a request and reads its body.
-async fn check(
+async fn prepare(
     gateway: &Rc<Gateway>,
     record: &Rc<Record>,
     parts: Parts,
     body: Incoming,
-    said: header::Request,
-) -> Result<Work, Refused> {
+    caller_headers: header::Request,
+) -> Result<PendingRequest, Failure> {
     if gateway.closed.get() {
         // What comes this late into a stop couldn't be finished within it.
-        return Err(Refused {
+        return Err(Failure {
             close: true,
-            ..Refused::later("stopping", STOPPING_RETRY_AFTER)
+            ..Failure::unavailable("stopping", STOPPING_RETRY_AFTER)
         });
     }
-    let began = gateway.clock.now();
-    let table = gateway
-        .table()
-        .ok_or(Refused::later("no-configuration", UNREADY_RETRY_AFTER))?;
+    let received_at = gateway.clock.now();
+    let table = gateway.table().ok_or(Failure::unavailable(
+        "no-configuration",
+        UNREADY_RETRY_AFTER,
+    ))?;
     let route = table
         .route(host(&parts).unwrap_or_default(), parts.uri.path())
-        .ok_or(Refused::new(StatusCode::NOT_FOUND, "no-route"))?
+        .ok_or(Failure::new(StatusCode::NOT_FOUND, "no-route"))?
         .clone();
-    let customer = customer(&table, &said, route.public)?;
+    let customer = authenticate(&table, &caller_headers, route.public)?;
     let name = customer.map(|customer| customer.name.clone());
     let priority = customer.and_then(|customer| customer.priority);
-    let most = table.limits.body_bytes;
-    let body = monoio::time::timeout(table.limits.idle_time, read(body, most))
+    let max_bytes = table.limits.body_bytes;
+    let body = monoio::time::timeout(table.limits.idle_time, read_body(body, max_bytes))
         .await
-        .map_err(|_| Refused::new(StatusCode::REQUEST_TIMEOUT, "slow-body"))??;
+        .map_err(|_| Failure::new(StatusCode::REQUEST_TIMEOUT, "slow-body"))??;
     let service = route
         .service(rand::random())
-        .ok_or(Refused::later("no-service", UNREADY_RETRY_AFTER))?;
+        .ok_or(Failure::unavailable("no-service", UNREADY_RETRY_AFTER))?;
     record.set_route(&route.name, service, table.version);
     let queue = gateway.queue(service);
     queue.record_request(&gateway.settings.borrow().bounds.retries());
@@ -108,16 +109,16 @@
     hop::strip(&mut headers);
     headers.remove(EXPECT);
     header::sanitize(&mut headers, name.as_deref());
-    let wait = said.wait.unwrap_or(MAX_CALLER_WAIT);
-    let spent = queue.prior_wait(wait);
-    let beyond = name
+    let wait = caller_headers.wait.unwrap_or(MAX_CALLER_WAIT);
+    let prior_wait = queue.prior_wait(wait);
+    let over_usual_rate = name
         .as_ref()
         .is_some_and(|name| queue.observe_customer(name));
-    record.set_caller_state(wait, spent, beyond);
-    let uri = below(&parts.uri);
+    record.set_caller_state(wait, prior_wait, over_usual_rate);
+    let uri = path_and_query(&parts.uri);
     let fingerprint = Fingerprint::of(name.as_deref(), &uri.to_string(), &body);
     record.set_fingerprint(fingerprint);
-    Ok(Work {
+    Ok(PendingRequest {
         gateway: gateway.clone(),
         record: record.clone(),
         queue,
@@ -127,16 +128,16 @@
         body,
         fingerprint,
         priority: priority.unwrap_or(route.priority),
-        beyond,
-        target: (began + route.target).saturating_sub(spent),
-        deadline: began + wait.min(route.timeout),
-        began,
-        said,
+        over_usual_rate,
+        target: (received_at + route.target).saturating_sub(prior_wait),
+        deadline: received_at + wait.min(route.timeout),
+        received_at,
+        caller_headers,
         route,
-        started: std::cell::Cell::default(),
-        sendings: std::cell::Cell::default(),
-        unreached: std::cell::Cell::default(),
-        exposed: std::cell::Cell::default(),
+        response_started_at: std::cell::Cell::default(),
+        attempts: std::cell::Cell::default(),
+        connect_failures: std::cell::Cell::default(),
+        may_have_run: std::cell::Cell::default(),
         tried: std::cell::RefCell::default(),
     })
 }
@@ -149,142 +150,156 @@
 }
 
 /// The customer whose key a request bears.
-fn customer<'a>(
+fn authenticate<'a>(
     table: &'a Table,
-    said: &header::Request,
+    caller_headers: &header::Request,
     public: bool,
-) -> Result<Option<&'a Customer>, Refused> {
-    let found = said.key.as_deref().and_then(|key| table.customer(key));
+) -> Result<Option<&'a Customer>, Failure> {
+    let found = caller_headers
+        .key
+        .as_deref()
+        .and_then(|key| table.customer(key));
     if found.is_none() && table.is_keyed() && !public {
-        return Err(Refused::new(StatusCode::UNAUTHORIZED, "unknown-key"));
+        return Err(Failure::new(StatusCode::UNAUTHORIZED, "unknown-key"));
     }
     Ok(found.map(|customer| &**customer))
 }
 
 /// Reads a body whole.
-async fn read(body: Incoming, most: usize) -> Result<Bytes, Refused> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Failure> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(why) if why.is::<LengthLimitError>() => Err(Refused {
+        Err(error) if error.is::<LengthLimitError>() => Err(Failure {
             close: true,
-            ..Refused::new(StatusCode::PAYLOAD_TOO_LARGE, "large-body")
+            ..Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "large-body")
         }),
-        Err(_) => Err(Refused {
+        Err(_) => Err(Failure {
             close: true,
-            ..Refused::new(StatusCode::BAD_REQUEST, "broken-body")
+            ..Failure::new(StatusCode::BAD_REQUEST, "broken-body")
         }),
     }
 }
 
 /// The path and query by themselves.
-fn below(uri: &Uri) -> Uri {
+fn path_and_query(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
 /// Takes out of an answer's headers what concerns the upstream's connection.
-pub fn clean(headers: &mut HeaderMap) {
+pub fn strip_hop_headers(headers: &mut HeaderMap) {
     hop::strip(headers);
 }
 
 /// Serves a request within its time.
-async fn serve(work: Rc<Work>) -> Result<Response<Body>, Refused> {
-    let served = attempts(&work);
-    match monoio::time::timeout(work.left(), served).await {
-        Ok(served) => served,
-        Err(_) if work.exposed.get() => Err(Refused::late("timeout")),
-        Err(_) => Err(Refused::later(
+async fn serve(request: Rc<PendingRequest>) -> Result<Response<Body>, Failure> {
+    let response = run_attempts(&request);
+    match monoio::time::timeout(request.time_left(), response).await {
+        Ok(result) => result,
+        Err(_) if request.may_have_run.get() => Err(Failure::gateway_timeout("timeout")),
+        Err(_) => Err(Failure::unavailable(
             "timeout",
-            work.queue.retry_after(work.caller_left()),
+            request.queue.retry_after(request.caller_time_left()),
         )),
     }
 }
 
 /// Sends a request to one upstream after another, as far as it may be.
-async fn attempts(work: &Rc<Work>) -> Result<Response<Body>, Refused> {
+async fn run_attempts(request: &Rc<PendingRequest>) -> Result<Response<Body>, Failure> {
     let mut failed = None;
     loop {
-        if let Some(bar) = work.barred() {
-            return failed.ok_or_else(|| work.refuse(bar));
+        if let Some(reason) = request.block_reason() {
+            return failed.ok_or_else(|| request.blocked_failure(reason));
         }
-        let admitted = work.admit(work.ask()).await;
-        work.record.set_diagnostics(work.queue.diagnostics());
+        let admitted = request.admit(request.placement_request()).await;
+        request.record.set_diagnostics(request.queue.diagnostics());
         let permit = match admitted {
             Ok(permit) => permit,
-            Err(refusal) => {
+            Err(rejection) => {
                 if let Some(response) = failed {
                     return Ok(response);
                 }
-                return Err(if work.exposed.get() {
-                    Refused::unknown("unknown")
+                return Err(if request.may_have_run.get() {
+                    Failure::bad_gateway("unknown")
                 } else {
-                    Refused::later(refusal.reason.name(), refusal.retry_after)
+                    Failure::unavailable(rejection.reason.name(), rejection.retry_after)
                 });
             }
         };
-        let again = match work.send(permit, None).await {
-            Sent::Answered(response, permit) => match take(work, response, permit).await {
-                Taken::Failed(response) if work.route.is_repeatable() => {
-                    work.exposed.set(false);
+        let retry = match request.send(permit, None).await {
+            SendOutcome::Answered(response, permit) => match receive(request, response, permit)
+                .await
+            {
+                Received::Failed(response) if request.route.is_repeatable() => {
+                    request.may_have_run.set(false);
                     failed = Some(response);
-                    work.may_repeat()
+                    request.may_retry()
                 }
-                Taken::Whole(response) | Taken::Failed(response) => return Ok(response),
-                Taken::Broken => work.route.is_repeatable() && work.may_repeat(),
+                Received::Complete(response) | Received::Failed(response) => return Ok(response),
+                Received::Unusable => request.route.is_repeatable() && request.may_retry(),
             },
-            Sent::NotRun("unreached") => work.may_reconnect(),
-            Sent::Barred => true,
-            Sent::NotRun(_) => work.may_repeat(),
-            Sent::Unknown(_) => work.route.is_repeatable() && work.may_repeat(),
+            SendOutcome::NotRun("unreached") => request.may_retry_connect(),
+            SendOutcome::Blocked => true,
+            SendOutcome::NotRun(_) => request.may_retry(),
+            SendOutcome::Unknown(_) => request.route.is_repeatable() && request.may_retry(),
         };
-        if again {
+        if retry {
             continue;
         }
         if let Some(response) = failed {
             return Ok(response);
         }
-        return Err(if work.exposed.get() && work.left().is_zero() {
-            Refused::late("timeout")
-        } else if work.exposed.get() {
-            Refused::unknown("unknown")
-        } else {
-            Refused::later("turned-away", work.queue.retry_after(work.caller_left()))
-        });
+        return Err(
+            if request.may_have_run.get() && request.time_left().is_zero() {
+                Failure::gateway_timeout("timeout")
+            } else if request.may_have_run.get() {
+                Failure::bad_gateway("unknown")
+            } else {
+                Failure::unavailable(
+                    "turned-away",
+                    request.queue.retry_after(request.caller_time_left()),
+                )
+            },
+        );
     }
 }
 
 /// What came of an upstream's answer.
-enum Taken {
+enum Received {
     /// It can be passed on.
-    Whole(Response<Body>),
+    Complete(Response<Body>),
     /// It can be passed on, but tells a failure.
     Failed(Response<Body>),
     /// It broke off.
-    Broken,
+    Unusable,
 }
 
 /// Takes an upstream's answer in: streams are passed on as they come, others are
 /// read whole first.
-async fn take(work: &Rc<Work>, response: Response<Body>, permit: Permit) -> Taken {
+async fn receive(
+    request: &Rc<PendingRequest>,
+    response: Response<Body>,
+    permit: Permit,
+) -> Received {
     let status = response.status();
-    if work.route.kind == Kind::Streaming && status == StatusCode::OK {
-        return Taken::Whole(relay::relay(work.clone(), response, permit));
+    if request.route.kind == Kind::Streaming && status == StatusCode::OK {
+        return Received::Complete(relay::relay(request.clone(), response, permit));
     }
     let (mut parts, body) = response.into_parts();
-    clean(&mut parts.headers);
+    strip_hop_headers(&mut parts.headers);
     let Ok(body) = Limited::new(body, MAX_BUFFERED_BYTES).collect().await else {
         let upstream = permit.upstream.clone();
         permit.release(AttemptOutcome::Bad);
-        work.record.record_attempt(&upstream, "broken-off");
-        work.detect_crash(&upstream).await;
-        return Taken::Broken;
+        request.record.record_attempt(&upstream, "broken-off");
+        request.detect_crash(&upstream).await;
+        return Received::Unusable;
     };
     let response = Response::from_parts(parts, Body::full(body.to_bytes()));
-    work.record.set_result(status.as_u16(), "answered");
+    request.record.set_result(status.as_u16(), "answered");
     if status.is_server_error() {
         // The time that the request had was over; the upstream may be well.
-        let late = status == StatusCode::GATEWAY_TIMEOUT;
-        permit.release(if late {
+        let timed_out = status == StatusCode::GATEWAY_TIMEOUT;
+        permit.release(if timed_out {
             AttemptOutcome::Unknown
         } else {
             AttemptOutcome::Bad
@@ -292,15 +307,15 @@
         // These statuses promise that the request didn't run, which this
         // upstream didn't say.
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Taken::Broken;
+            return Received::Unusable;
         }
-        return Taken::Failed(response);
+        return Received::Failed(response);
     }
     permit.release(AttemptOutcome::Good);
-    work.gateway.on_success(work.fingerprint);
-    let promises = [StatusCode::TOO_MANY_REQUESTS, StatusCode::REQUEST_TIMEOUT];
-    if promises.contains(&status) {
-        return Taken::Broken;
+    request.gateway.on_success(request.fingerprint);
+    let not_run_statuses = [StatusCode::TOO_MANY_REQUESTS, StatusCode::REQUEST_TIMEOUT];
+    if not_run_statuses.contains(&status) {
+        return Received::Unusable;
     }
-    Taken::Whole(response)
+    Received::Complete(response)
 }
