--- a/verbenaspool/src/direct/crash.rs
+++ b/verbenaspool/src/direct/crash.rs
@@ -67,7 +67,7 @@
 
     /// Why the request may be sent to no upstream now, if upstreams crashed under it.
     pub fn block_reason(&self) -> Option<BlockReason> {
-        match self.gateway.status_of(self.fingerprint) {
+        match self.gateway.quarantine_status(self.fingerprint) {
             Status::Quarantined(left) => Some(BlockReason::Quarantined(left)),
             Status::Suspect if !self.queue.can_lose_one() => Some(BlockReason::Suspect),
             Status::Suspect | Status::Clear => None,
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -422,7 +422,7 @@
                 gateway.learn_budgets(&budgets);
             }
             Some(Message::Suspicions(suspicions)) if is_peer(&gateway, from) => {
-                gateway.learn_suspicions(&suspicions);
+                gateway.record_suspicions(&suspicions);
             }
             // An agent speaks for the upstream on its own instance only.
             Some(Message::Status(status)) if status.upstream.ip() == from => {
--- a/verbenaspool/src/direct/quarantine.rs
+++ b/verbenaspool/src/direct/quarantine.rs
@@ -21,7 +21,7 @@
 
 impl Gateway {
     /// What is to be done with a request.
-    pub fn status_of(&self, request: Fingerprint) -> Status {
+    pub fn quarantine_status(&self, request: Fingerprint) -> Status {
         if self.settings.borrow().quarantine.crashes == 0 {
             return Status::Clear;
         }
@@ -31,7 +31,7 @@
 
     /// Records a crash of an upstream that had a request, and reports it to peers.
     pub fn on_crash(&self, request: Fingerprint, crash: Crash) {
-        self.count_crash(request, crash, Observer::Own);
+        self.record_crash(request, crash, Observer::Own);
         self.suspected.notify_one();
     }
 
@@ -49,44 +49,44 @@
     }
 
     /// Records a crash.
-    fn count_crash(&self, request: Fingerprint, crash: Crash, observer: Observer) {
+    fn record_crash(&self, request: Fingerprint, crash: Crash, observer: Observer) {
         let now = self.clock.now();
-        let bound = self.settings.borrow().quarantine.bound();
+        let limits = self.settings.borrow().quarantine.bound();
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.record_crash(now, request, crash, observer, &bound) {
+        if quarantine.record_crash(now, request, crash, observer, &limits) {
             warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
-                "for_s" => bound.duration.as_secs());
+                "for_s" => limits.duration.as_secs());
             self.unsaved.notify_one();
         }
     }
 
     /// Takes over what a peer reports.
-    pub fn learn_suspicions(&self, suspicions: &[Suspicion]) {
+    pub fn record_suspicions(&self, suspicions: &[Suspicion]) {
         let now = self.clock.now();
         for suspicion in suspicions {
             let request = suspicion.request;
             if let Some(age) = suspicion.succeeded_ms {
                 let mut quarantine = self.quarantine.borrow_mut();
-                quarantine.record_success(now, request, before(now, age), Observer::Peer);
+                quarantine.record_success(now, request, ms_before(now, age), Observer::Peer);
             }
             for crash in &suspicion.crashes {
                 let crash = Crash {
                     upstream: crash.upstream,
-                    at: before(now, crash.age_ms),
+                    at: ms_before(now, crash.age_ms),
                     early: crash.early,
                 };
-                self.count_crash(request, crash, Observer::Peer);
+                self.record_crash(request, crash, Observer::Peer);
             }
             if let Some(term) = suspicion.term {
                 let until = now + Duration::from_millis(term.left_ms.into());
-                let since = before(now, term.age_ms);
-                self.hold(request, Term { since, until });
+                let since = ms_before(now, term.age_ms);
+                self.record_term(request, Term { since, until });
             }
         }
     }
 
     /// Rejects a request as another entry does.
-    pub fn hold(&self, request: Fingerprint, term: Term) {
+    pub fn record_term(&self, request: Fingerprint, term: Term) {
         let now = self.clock.now();
         if self.quarantine.borrow_mut().record_term(now, request, term) {
             info!(self.log, "request quarantined by another entry";
@@ -133,7 +133,7 @@
 }
 
 /// The time so many milliseconds ago.
-fn before(now: Duration, age_ms: u32) -> Duration {
+fn ms_before(now: Duration, age_ms: u32) -> Duration {
     now.saturating_sub(Duration::from_millis(age_ms.into()))
 }
 
@@ -149,9 +149,9 @@
         if !suspicions.is_empty() {
             peers::broadcast(&gateway, &socket, &Message::Suspicions(suspicions)).await;
         }
-        let pause = gateway.clock.sleep(REPORT_INTERVAL);
+        let next_report = gateway.clock.sleep(REPORT_INTERVAL);
         monoio::select! {
-            () = pause => {}
+            () = next_report => {}
             () = gateway.suspected.notified() => {}
         }
     }
--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -52,7 +52,7 @@
                 since: now.saturating_sub(age),
                 until: now + left,
             };
-            self.hold(entry.request, term);
+            self.record_term(entry.request, term);
         }
     }
 
