--- a/verbenaspool/src/direct/answer.rs
+++ b/verbenaspool/src/direct/answer.rs
@@ -1,25 +1,25 @@
-//! The entry's own answers.
+//! Error responses that the entry generates itself.
 
 use std::time::Duration;
 
 use http::{HeaderValue, Response, StatusCode, header};
 use verbenaspool_transport::http::body::Body;
 
-/// An answer of the entry itself, which no upstream gave.
+/// An error response of the entry, as opposed to one forwarded from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Why, for the log, the metrics and the caller.
+    /// The reason for logs, metrics and the caller.
     pub reason: &'static str,
-    /// When to come back, where that helps.
+    /// The value of Retry-After, if a retry can succeed.
     pub retry_after: Option<Duration>,
-    /// Whether the caller's connection closes behind it.
+    /// Whether the caller's connection is closed after the response.
     pub close: bool,
 }
 
 impl Failure {
-    /// An answer by status and reason.
+    /// Creates a failure without a Retry-After.
     pub const fn new(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The request hasn't run and won't; the caller may come back after a while.
+    /// Status 503: the request has not run and will not; the caller may retry.
     pub const fn unavailable(reason: &'static str, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Nobody knows whether the request ran.
+    /// Status 502: it is unknown whether the request ran.
     pub const fn bad_gateway(reason: &'static str) -> Self {
         Self::new(StatusCode::BAD_GATEWAY, reason)
     }
 
-    /// The time that the request had is over, and it may have run.
+    /// Status 504: the request's deadline has passed, and it may have run.
     pub const fn gateway_timeout(reason: &'static str) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason)
     }
 
-    /// The answer as the caller gets it.
+    /// The HTTP response for the caller.
     pub fn into_response(self) -> Response<Body> {
         let mut response = Response::new(Body::full(format!("{}\n", self.reason)));
         *response.status_mut() = self.status;
--- a/verbenaspool/src/direct/crash.rs
+++ b/verbenaspool/src/direct/crash.rs
@@ -1,4 +1,4 @@
-//! Tells an upstream's crash from a connection that broke.
+//! Distinguishes a crash of an upstream from a broken connection.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 
 use super::{answer::Failure, attempt::PendingRequest};
 
-/// How long an instance has to refuse a connection. Its kernel does so within a round trip;
-/// the request waits for it.
+/// How long to wait for an instance to refuse a connection. Its kernel does so within a round
+/// trip. The request waits for the result.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why a request may be sent to no upstream.
+/// Why a request may not be sent to any upstream.
 #[derive(Debug, Clone, Copy)]
 pub enum BlockReason {
-    /// It crashed upstreams, and is rejected for so much longer.
+    /// It crashed upstreams and is rejected for this long.
     Quarantined(Duration),
-    /// It may have crashed an upstream, and the service can't lose another one now: those that
-    /// run serve everybody else.
+    /// It may have crashed an upstream, and the service can't lose another one now without
+    /// failing the requests of other callers.
     Suspect,
 }
 
 impl BlockReason {
-    /// The reason as logs and callers read it.
+    /// The reason in logs and responses.
     pub fn name(self) -> &'static str {
         match self {
             Self::Quarantined(_) => "quarantined",
@@ -34,9 +34,10 @@
 }
 
 impl PendingRequest {
-    /// Finds out whether the upstream crashed that broke off this request's answer, and
-    /// records it: its instance refuses connections then. One that leaves on purpose doesn't
-    /// count.
+    /// Checks whether an upstream crashed after its connection broke, and records the crash.
+    ///
+    /// The instance of a crashed upstream refuses connections. Upstreams that are shutting down
+    /// don't count.
     pub async fn detect_crash(&self, upstream: &str) {
         let gateway = &self.gateway;
         let response_started_at = self.response_started_at.get();
@@ -65,7 +66,7 @@
         self.queue.record_crash(&replica.id);
     }
 
-    /// Why the request may be sent to no upstream now, if upstreams crashed under it.
+    /// Whether the request is currently blocked because upstreams crashed while processing it.
     pub fn block_reason(&self) -> Option<BlockReason> {
         match self.gateway.quarantine_status(self.fingerprint) {
             Status::Quarantined(left) => Some(BlockReason::Quarantined(left)),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What the caller is told of a request that is barred.
+    /// The response to a blocked request.
     pub fn blocked_failure(&self, reason: BlockReason) -> Failure {
         if self.may_have_run.get() {
             return Failure::bad_gateway(reason.name());
--- a/verbenaspool/src/direct/events.rs
+++ b/verbenaspool/src/direct/events.rs
@@ -1,33 +1,34 @@
-//! The events of a stream, cut at their ends.
+//! Splits a stream of server-sent events into events.
 //!
-//! An upstream may break off in the middle of an event, and the stream then goes
-//! on at another upstream with the next whole one. So only whole events are
-//! passed on, each once and in order.
+//! A connection to an upstream may break in the middle of an event; another upstream then
+//! resumes the stream after the last complete event. Only complete events are therefore
+//! forwarded, each once and in order.
 
 use bytes::{Bytes, BytesMut};
 
-/// Why a stream can't go on.
+/// Why a stream is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An event is missing, or comes a second time.
+    /// An event is missing or repeated.
     OutOfOrder,
-    /// An event is longer than any that engines send.
+    /// An event exceeds [`MAX_EVENT_BYTES`].
     TooLarge,
 }
 
-/// The largest event, in bytes. Those of engines have some hundred.
+/// Maximum size of an event. Events of engines have a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Cuts a stream's bytes into whole events.
+/// Splits the bytes of a stream into complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
+    /// Bytes after the last complete event.
     partial: BytesMut,
-    /// The id of the last whole event, where events have ids.
+    /// The id of the last complete event, if events have ids.
     last_id: Option<u64>,
 }
 
 impl Splitter {
-    /// Events of which the caller has those up to `last` already.
+    /// Creates a splitter for a caller that already has the events up to `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
@@ -35,22 +36,22 @@
         }
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether the stream stands behind a whole event.
+    /// Whether the bytes received so far end with a complete event.
     pub fn at_event_end(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Drops the part of an event that another upstream will send whole.
+    /// Discards an incomplete event, which another upstream will send again.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes in; returns the whole events among them, and how many.
+    /// Appends bytes. Returns the events that are now complete and their number.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(Bytes, u64), Fault> {
         let searched = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
@@ -76,7 +77,7 @@
     }
 }
 
-/// The end of the first event at or behind `from`: behind its empty line.
+/// The index after the empty line that ends the first event, searched from `from`.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|byte| *byte == b'\n') {
@@ -90,7 +91,7 @@
     None
 }
 
-/// The id of an event.
+/// The value of an event's `id` field.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/verbenaspool/src/direct/quarantine.rs
+++ b/verbenaspool/src/direct/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that upstreams crash under: what this entry saw, and what its peers report.
+//! Requests that crash upstreams, as observed by this entry and reported by its peers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,14 +13,14 @@
 
 use super::{gateway::Gateway, peers};
 
-/// How often peers are told what this entry saw lately, as datagrams get lost.
+/// Interval of reports to peers. Reports are repeated because datagrams get lost.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long peers are told of it.
+/// How long an observation is reported to peers.
 const REPORT_PERIOD: Duration = Duration::from_secs(5);
 
 impl Gateway {
-    /// What is to be done with a request.
+    /// Whether a request is suspected or quarantined.
     pub fn quarantine_status(&self, request: Fingerprint) -> Status {
         if self.settings.borrow().quarantine.crashes == 0 {
             return Status::Clear;
@@ -35,7 +35,7 @@
         self.suspected.notify_one();
     }
 
-    /// Records that a request succeeded, and tells peers if upstreams crashed under it.
+    /// Records that a request succeeded, and informs peers if it was suspected before.
     pub fn on_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut quarantine = self.quarantine.borrow_mut();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Records a crash.
+    /// Records a crash observed by this entry or a peer.
     fn record_crash(&self, request: Fingerprint, crash: Crash, observer: Observer) {
         let now = self.clock.now();
         let limits = self.settings.borrow().quarantine.bound();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes over what a peer reports.
+    /// Records the suspicions reported by a peer.
     pub fn record_suspicions(&self, suspicions: &[Suspicion]) {
         let now = self.clock.now();
         for suspicion in suspicions {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Rejects a request as another entry does.
+    /// Records a quarantine set by another entry or loaded from the store.
     pub fn record_term(&self, request: Fingerprint, term: Term) {
         let now = self.clock.now();
         if self.quarantine.borrow_mut().record_term(now, request, term) {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// What this entry saw lately.
+    /// Recent observations of this entry.
     fn suspicions(&self) -> Vec<Suspicion> {
         let now = self.clock.now();
         let quarantine = self.quarantine.borrow();
         let since = now.saturating_sub(REPORT_PERIOD);
         let mut requests: Vec<(Fingerprint, &Record)> = quarantine.observed_since(since).collect();
-        // Those with most crashes first: a mass of them doesn't fit.
+        // Requests with most crashes come first, as the message size is limited.
         requests.sort_by_key(|(_, record)| std::cmp::Reverse(record.crashes.len()));
         requests.truncate(suspicion::MAX_SUSPICIONS);
         let reports = requests.into_iter();
@@ -112,7 +112,7 @@
     }
 }
 
-/// What peers are told of a request.
+/// The report to peers about a request.
 fn suspicion(now: Duration, request: Fingerprint, record: &Record) -> Suspicion {
     let latest = record.crashes.iter().rev().take(suspicion::MAX_CRASHES);
     let crashes = latest.map(|crash| suspicion::Crash {
@@ -132,17 +132,17 @@
     }
 }
 
-/// The time so many milliseconds ago.
+/// The time `age_ms` milliseconds before `now`.
 fn ms_before(now: Duration, age_ms: u32) -> Duration {
     now.saturating_sub(Duration::from_millis(age_ms.into()))
 }
 
-/// A time in whole milliseconds.
+/// A duration in milliseconds, saturating.
 fn ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Reports what this entry sees to peers at once, and again for a while, for as long as the process runs.
+/// Reports observations to peers, both immediately and repeatedly for [`REPORT_PERIOD`].
 pub async fn report(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         let suspicions = gateway.suspicions();
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -1,11 +1,11 @@
-//! Reservations: an entry asks the agent beside an upstream before it sends there.
+//! Reservation of slots with the agents of upstreams.
 //!
-//! Load: tens of entries that place requests on hundreds of upstreams, of which each knows only
-//! what it heard. An agent that keeps a slot makes sure that no two entries take it;
-//! one that has none says so within a millisecond or two, instead of a queue of
-//! streams at a full upstream. An agent that is silent isn't waited for: its instance may
-//! be frozen, so another upstream is asked, and where that one's agent is silent as well
-//! the request is sent without asking.
+//! Tens of entries place requests on hundreds of upstreams, and each knows the load of the
+//! others only from reports. Before an entry sends a request, it reserves a slot with the
+//! upstream's agent, so that no two entries use the same one. If no slot is free, the agent
+//! denies the reservation within a millisecond or two, and no stream has to queue at a full
+//! upstream. If an agent doesn't answer, its instance may be frozen, and another upstream is
+//! tried. If that one's agent doesn't answer either, the request is sent without a reservation.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,34 +30,35 @@
     queue::{Permit, ServiceQueue},
 };
 
-/// How long an agent has to answer. It does so within a millisecond, and there and
-/// back between zones takes two; one that decides on a map takes some ten more.
+/// Timeout of a reservation. An agent answers within 1 ms, the round trip between zones takes
+/// 2 ms, and an agent that is computing an expert map takes about 10 ms longer.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Silent agents after which a request is sent without asking: where those of
-/// two upstreams are, they were stopped rather than frozen with their instances.
+/// Number of unanswered reservations after which a request is sent without one. If two agents
+/// don't answer, they were probably stopped, rather than frozen with their instances.
 const MAX_UNRESPONSIVE_AGENTS: u32 = 2;
 
-/// What came of asking an agent.
+/// The result of a reservation.
 enum Outcome {
-    /// A slot is kept.
+    /// The agent keeps a slot for the request.
     Granted(Answer),
-    /// None is free, or the upstream runs nothing.
+    /// No slot is free, or the upstream's group isn't running.
     Denied(Answer),
     /// The agent didn't answer.
     NoAnswer,
-    /// There is no agent to be asked.
+    /// The upstream has no agent that has to be asked.
     NotRequired,
 }
 
-/// Asks that wait for an answer.
+/// Reservations waiting for an answer.
 pub struct Reservations {
     socket: RefCell<Option<Rc<UdpSocket>>>,
     last_ticket: Cell<u64>,
+    /// The agent and the receiver of its answer, by ticket.
     pending: RefCell<HashMap<u64, (IpAddr, oneshot::Sender<Answer>)>>,
 }
 
-/// An ask that waits; forgotten with the value.
+/// A reservation waiting for an answer; dropping it removes it from the list.
 struct PendingReservation<'a> {
     reservations: &'a Reservations,
     ticket: u64,
@@ -70,8 +71,8 @@
 }
 
 impl Reservations {
-    /// No ask yet. Tickets begin anywhere, so that an answer to an earlier process in
-    /// this one's stead isn't taken for one to this.
+    /// Creates an empty list. The first ticket is random, so that answers to an earlier process
+    /// with the same address aren't mistaken for answers to this one.
     pub fn new() -> Self {
         Self {
             socket: RefCell::default(),
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Asks go by this socket from here on.
+    /// Sets the socket that reservations are sent from.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.socket.replace(Some(socket));
     }
 
-    /// Takes an answer in; one that nobody waits for, or that comes from elsewhere than
-    /// from whom was asked, is dropped.
+    /// Handles an answer. Returns whether it was accepted: answers with an unknown ticket or
+    /// from another address than the request was sent to are ignored.
     pub fn handle_answer(&self, from: IpAddr, answer: Answer) -> bool {
         let mut pending = self.pending.borrow_mut();
         let request = pending.get(&answer.ticket);
@@ -97,7 +98,7 @@
         sender.is_some_and(|(_, sender)| sender.send(answer).is_ok())
     }
 
-    /// Asks the agent at an address for a slot.
+    /// Requests a slot from an agent; returns nothing if it doesn't answer in time.
     async fn request(&self, agent: SocketAddr, slots: u32) -> Option<Answer> {
         let socket = self.socket.borrow().clone()?;
         let ticket = self.last_ticket.get().wrapping_add(1);
@@ -110,7 +111,7 @@
             ticket,
         };
         let message = Message::Ask(reservation::Ask { ticket, slots });
-        // An ask that is lost is as good as an agent that is silent.
+        // A send error is handled like a missing answer, by the timeout.
         let _ = socket.send_to(message.encode(), agent).await;
         monoio::time::timeout(RESERVATION_TIMEOUT, answer)
             .await
@@ -120,11 +121,10 @@
 }
 
 impl Gateway {
-    /// Waits for a permit at an upstream, with the consent of the agent beside it where
-    /// there is one.
+    /// Waits for a permit at an upstream and reserves a slot with its agent, if it has one.
     ///
     /// # Errors
-    /// There is no room, nor will there be in time.
+    /// No upstream will have capacity in time.
     pub async fn admit(
         &self,
         queue: &Rc<ServiceQueue>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Has the agent beside an upstream keep a slot.
+    /// Reserves a slot with the agent of an upstream.
     async fn reserve(&self, permit: &Permit) -> Outcome {
         let replica = self.replica(&permit.upstream);
         let Some(replica) = replica.filter(|_| permit.needs_reservation()) else {
@@ -163,14 +163,14 @@
             Some(answer) if answer.granted => Outcome::Granted(answer),
             Some(answer) => Outcome::Denied(answer),
             None => {
-                debug!(self.log, "Entry: An agent doesn't answer.";
+                debug!(self.log, "agent does not answer";
                     "agent" => agent.to_string(), "upstream" => &*permit.upstream);
                 Outcome::NoAnswer
             }
         }
     }
 
-    /// Where the agent beside an upstream is.
+    /// The address of an upstream's agent.
     fn agent_address(&self, replica: &Replica) -> SocketAddr {
         let port = self.settings.borrow().peer_port;
         SocketAddr::new(replica.address.ip(), port)
--- a/verbenaspool/src/direct/reserve/tests.rs
+++ b/verbenaspool/src/direct/reserve/tests.rs
@@ -1,4 +1,4 @@
-//! Which answers of agents are taken.
+//! Tests of which reservation answers are accepted.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// Whoever can send a datagram may claim that a slot is kept. Only the agent that was
-/// asked is believed, once, and only while the entry waits.
+/// Guards against forged answers, which anyone who can send a datagram could inject: only an
+/// answer from the address that was asked is accepted, once, and only while it is awaited.
 #[test]
-fn only_the_agent_that_was_asked_is_believed() {
+fn only_answers_from_the_requested_agent_are_accepted() {
     let reservations = Reservations::new();
     let (sender, mut received) = oneshot::channel();
     reservations
