--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -1,4 +1,4 @@
-//! One service's queue: where requests wait for an upstream.
+//! The queue of a service, in which requests wait for an upstream.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,7 +19,7 @@
 };
 use verbenaspool_transport::clock::Clock;
 
-/// One service at this entry.
+/// The dispatcher of one service at this entry, and the requests that wait for its verdicts.
 #[derive(Debug)]
 pub struct ServiceQueue {
     /// The service's name.
@@ -30,11 +30,12 @@
     retry_budget: RefCell<RetryBudget>,
     retry_detector: RefCell<RetryDetector>,
     customer_rates: RefCell<CustomerRates>,
+    /// Sends verdicts to waiting requests.
     verdict_senders: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     last_ticket: Cell<Ticket>,
 }
 
-/// A request's permit at an upstream; gone with the value.
+/// Permission to send a request to an upstream, released on drop.
 #[derive(Debug)]
 pub struct Permit {
     queue: Rc<ServiceQueue>,
@@ -42,17 +43,18 @@
     pub upstream: Rc<str>,
     granted_at: Duration,
     outcome: Cell<AttemptOutcome>,
-    /// Whether its agent is being asked for a slot.
+    /// Whether a slot is still to be reserved with the upstream's agent.
     reservation_pending: Cell<bool>,
 }
 
 impl Permit {
-    /// Says how the sending ended; without it, nothing is learnt.
+    /// Releases the permit with the outcome of the attempt. A permit that is dropped without it
+    /// counts as [`AttemptOutcome::Unknown`].
     pub fn release(self, outcome: AttemptOutcome) {
         self.outcome.set(outcome);
     }
 
-    /// Whether the agent beside the upstream is to be asked before a request is sent.
+    /// Whether a slot must be reserved with the upstream's agent before the request is sent.
     pub fn needs_reservation(&self) -> bool {
         let now = self.queue.clock.now();
         self.queue
@@ -61,8 +63,8 @@
             .needs_reservation(now, &self.upstream)
     }
 
-    /// Says that the request is on its way: the agent beside the upstream kept a slot
-    /// for it, or wasn't asked.
+    /// Ends the reservation: the upstream's agent kept a slot for the request, denied it, or
+    /// wasn't asked.
     pub fn finish_reservation(&self) {
         self.reservation_pending.set(false);
         self.queue
@@ -71,24 +73,25 @@
             .finish_reservation(&self.upstream);
     }
 
-    /// Says that the agent beside the upstream didn't answer.
+    /// Records that the upstream's agent didn't answer a reservation.
     pub fn record_agent_timeout(&self) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
         dispatcher.record_agent_timeout(now, &self.upstream);
     }
 
-    /// Says that the upstream has begun to answer.
+    /// Records that the upstream accepted the request, which may close its group's circuit
+    /// breaker.
     pub fn on_response_started(&self) {
         let record_accepted =
             |dispatcher: &mut Dispatcher, _| dispatcher.record_accepted(&self.upstream);
         if self.queue.with(record_accepted) {
-            info!(self.queue.log, "Entry: A group takes requests again.";
+            info!(self.queue.log, "circuit breaker closed";
                 "service" => &*self.queue.service, "upstream" => &*self.upstream);
         }
     }
 
-    /// An event of a stream came, behind a pause where another one came before.
+    /// Records an event of a stream, and the pause since the previous event if there was one.
     pub fn record_event(&self, pause: Option<Duration>) {
         let now = self.queue.clock.now();
         let mut dispatcher = self.queue.dispatcher.borrow_mut();
@@ -98,20 +101,20 @@
         }
     }
 
-    /// Whether the upstream is slow beside others, so that its streams should leave it.
+    /// Whether the upstream is so much slower than others that its streams should move.
     pub fn is_slow(&self) -> bool {
         let now = self.queue.clock.now();
         self.queue.dispatcher.borrow().is_slow(now, &self.upstream)
     }
 
-    /// What it means that a stream here has been silent since some time.
+    /// Tells whether a stream without an event since `since` is stalled alone or with its group.
     pub fn classify_stall(&self, since: Duration) -> StallScope {
         let now = self.queue.clock.now();
         let dispatcher = self.queue.dispatcher.borrow();
         dispatcher.classify_stall(now, &self.upstream, since)
     }
 
-    /// The upstreams of the same group.
+    /// All upstreams of the same group, including this one.
     pub fn group_members(&self) -> Vec<Rc<str>> {
         self.queue.dispatcher.borrow().group_members(&self.upstream)
     }
@@ -134,7 +137,7 @@
     }
 }
 
-/// A request in line; it leaves the line with the value.
+/// A queued request; dropping it removes it from the queue.
 struct Waiter<'a> {
     queue: &'a Rc<ServiceQueue>,
     ticket: Ticket,
@@ -145,7 +148,7 @@
     fn drop(&mut self) {
         self.queue.dispatcher.borrow_mut().cancel(self.ticket);
         self.queue.verdict_senders.borrow_mut().remove(&self.ticket);
-        // A caller may leave just as its turn has come; its permit must come free.
+        // The caller may leave just after the request was placed; then its place is released.
         self.verdict.close();
         if let Ok(Verdict::Send(upstream)) = self.verdict.try_recv() {
             self.queue
@@ -159,7 +162,7 @@
 }
 
 impl ServiceQueue {
-    /// A queue without upstreams.
+    /// Creates a queue without upstreams.
     #[must_use]
     pub fn new(
         service: Rc<str>,
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Changes or asks the dispatcher, then serves those who wait.
+    /// Calls `change` with the dispatcher and the current time, then processes the queue.
     pub fn with<R>(&self, change: impl FnOnce(&mut Dispatcher, Duration) -> R) -> R {
         let now = self.clock.now();
         let result = change(&mut self.dispatcher.borrow_mut(), now);
@@ -189,8 +192,8 @@
         result
     }
 
-    /// Serves those who wait, as far as there is room, and refuses the others
-    /// whose time is over.
+    /// Places waiting requests as far as there is capacity, and rejects those whose wait has
+    /// ended.
     pub fn process_queue(&self) {
         let now = self.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -214,7 +217,7 @@
     /// Waits for a permit at an upstream.
     ///
     /// # Errors
-    /// There is no room, nor will there be in time.
+    /// No upstream will have capacity in time.
     pub async fn admit(self: &Rc<Self>, request: PlacementRequest) -> Result<Permit, Rejection> {
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
@@ -245,36 +248,36 @@
         }
     }
 
-    /// Gives a permit at an upstream back.
+    /// Records the end of an attempt, which may open the circuit breaker of the upstream's group.
     fn finish_attempt(&self, upstream: &str, outcome: AttemptOutcome) {
         if self.with(|dispatcher, now| dispatcher.finish_attempt(now, upstream, outcome)) {
-            info!(self.log, "Entry: A group takes no requests; one now and then will look.";
+            info!(self.log, "circuit breaker opened; sending occasional probes";
                 "service" => &*self.service, "upstream" => upstream,
                 "because" => format!("{outcome:?}"));
         }
     }
 
-    /// Counts a request.
+    /// Counts a request for the retry budget.
     pub fn record_request(&self, limits: &RetryLimits) {
         let now = self.clock.now();
         self.retry_budget.borrow_mut().record_request(now, limits);
     }
 
-    /// How much of its time a caller had spent before it sent a request that says that
-    /// it waits so long.
+    /// How long a caller has probably waited before this request, judged by the remaining wait
+    /// that the request announces.
     pub fn prior_wait(&self, wait: Duration) -> Duration {
         let now = self.clock.now();
         self.retry_detector.borrow_mut().observe(now, wait)
     }
 
-    /// The times that many callers of the service give at first, in milliseconds.
+    /// The common initial waits of the service's callers, in milliseconds.
     pub fn common_waits(&self) -> Vec<u32> {
         let retry_detector = self.retry_detector.borrow();
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         retry_detector.common_waits().map(ms).collect()
     }
 
-    /// Takes in the times that many callers give at first, as another entry reports.
+    /// Sets the common initial waits as reported by another entry.
     pub fn set_wait_hints(&self, waits_ms: &[u32]) {
         let waits = waits_ms
             .iter()
@@ -282,14 +285,13 @@
         self.retry_detector.borrow_mut().set_hints(waits);
     }
 
-    /// Takes in a request of a customer; tells whether it is beyond what the customer
-    /// usually sends.
+    /// Records a request of a customer. Returns whether it exceeds the customer's usual rate.
     pub fn observe_customer(&self, customer: &Rc<str>) -> bool {
         let now = self.clock.now();
         self.customer_rates.borrow_mut().observe(now, customer)
     }
 
-    /// Whether a request may be sent once more, as things are now.
+    /// Whether the retry budget currently allows a retry. Doesn't count one.
     pub fn allows_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
         self.retry_budget
@@ -297,7 +299,7 @@
             .allows_retry(now, limits, entries)
     }
 
-    /// Whether a request may be sent once more; counts it if so.
+    /// Counts a retry against the retry budget. Returns whether the budget allows it.
     pub fn try_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
         let now = self.clock.now();
         self.retry_budget
@@ -305,31 +307,30 @@
             .try_retry(now, limits, entries)
     }
 
-    /// An upstream crashed.
+    /// Records a crash of an upstream.
     pub fn record_crash(&self, upstream: &str) {
         self.with(|dispatcher, now| dispatcher.record_crash(now, upstream));
     }
 
-    /// Whether the service goes on if one more upstream crashes.
+    /// Whether the service stays available if one more upstream crashes.
     pub fn can_lose_one(&self) -> bool {
         let now = self.clock.now();
         self.dispatcher.borrow().can_lose_one(now)
     }
 
-    /// What is known of the service now.
+    /// The current state of the service, for the log.
     pub fn diagnostics(&self) -> ServiceDiagnostics {
         let now = self.clock.now();
         self.dispatcher.borrow().diagnostics(now)
     }
 
-    /// How long a pass of an upstream's group takes now, where that is known.
+    /// The current pass time of an upstream's group, if known.
     pub fn pass_time(&self, upstream: &str) -> Option<Duration> {
         let now = self.clock.now();
         self.dispatcher.borrow().pass_time(now, upstream)
     }
 
-    /// When the caller of a request should come back that was turned away, if it waits
-    /// so much longer.
+    /// The Retry-After of a rejected request whose caller waits for `caller_time_left` more.
     pub fn retry_after(&self, caller_time_left: Duration) -> Duration {
         let now = self.clock.now();
         let retry_after = self
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of each request: one line when it ends.
+//! The log line and the metrics of each request, written when it ends.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -8,34 +8,36 @@
 
 use super::gateway::Gateway;
 
-/// The summary of one request, told in its line.
+/// The contents of a request's log line.
 #[derive(Debug, Default)]
 struct Summary {
     route: Option<Rc<str>>,
     service: Option<Rc<str>>,
     table_version: u64,
-    /// How long the caller waits, and what it had spent of its time before.
+    /// How long the caller waits.
     caller_wait: Duration,
+    /// How long the caller has probably waited before this request.
     prior_wait: Duration,
-    /// Whether it was beyond what its customer usually sends.
+    /// Whether it exceeds its customer's usual rate.
     over_usual_rate: bool,
     fingerprint: Option<Fingerprint>,
-    /// What was known of the service when the request was placed or refused, or had its
-    /// longest pause.
+    /// The state of the service when the request was placed or rejected, or when its stream
+    /// had its longest pause.
     diagnostics: ServiceDiagnostics,
-    /// Each upstream that it was sent to, and how that ended.
+    /// Each upstream that it was sent to, and with what result.
     attempts: Vec<String>,
-    /// When the first byte of the answer was passed on.
+    /// When the first event was forwarded.
     first_event_at: Option<Duration>,
     events: u64,
-    /// When the last event was passed on, and the longest pause between two.
+    /// When the last event was forwarded.
     last_event_at: Option<Duration>,
+    /// The longest pause between two events.
     longest_pause: Duration,
-    /// The status and what decided it.
+    /// The status that the caller got, and the reason for it.
     result: Option<(u16, &'static str)>,
 }
 
-/// One request's record; its line is written when the value goes.
+/// The record of a request. Dropping it writes the log line and counts the request.
 pub struct Record {
     gateway: Rc<Gateway>,
     id: String,
@@ -44,7 +46,7 @@
 }
 
 impl Record {
-    /// A record that begins now.
+    /// Creates the record of a request received now.
     pub fn new(gateway: Rc<Gateway>, id: &str) -> Rc<Self> {
         Rc::new(Self {
             received_at: gateway.clock.now(),
@@ -54,12 +56,12 @@
         })
     }
 
-    /// The id that the caller gave the request.
+    /// The request's id as given by the caller.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Where the request goes, by which version of the configuration.
+    /// Sets the route and service of the request, and the version of the routing table.
     pub fn set_route(&self, route: &Rc<str>, service: &Rc<str>, table_version: u64) {
         let mut summary = self.summary.borrow_mut();
         summary.route = Some(route.clone());
@@ -67,13 +69,13 @@
         summary.table_version = table_version;
     }
 
-    /// What identifies the request's content.
+    /// Sets the fingerprint of the request's content.
     pub fn set_fingerprint(&self, fingerprint: Fingerprint) {
         self.summary.borrow_mut().fingerprint = Some(fingerprint);
     }
 
-    /// How long the caller waits, what it had spent of its time before, and whether the
-    /// request is beyond what its customer usually sends.
+    /// Sets how long the caller waits, how long it has waited before this request, and whether
+    /// the request exceeds its customer's usual rate.
     pub fn set_caller_state(
         &self,
         caller_wait: Duration,
@@ -86,24 +88,24 @@
         summary.over_usual_rate = over_usual_rate;
     }
 
-    /// What is known of the service as the request is placed or refused.
+    /// Sets the state of the service at this point of the request.
     pub fn set_diagnostics(&self, diagnostics: ServiceDiagnostics) {
         self.summary.borrow_mut().diagnostics = diagnostics;
     }
 
-    /// Whether a pause between two events is the longest so far.
+    /// Whether a pause between two events is the longest one of the stream so far.
     pub fn is_longest_pause(&self, pause: Duration) -> bool {
         pause > self.summary.borrow().longest_pause
     }
 
-    /// How a sending to an upstream went on.
+    /// Appends a step of an attempt at an upstream, such as its status or its failure.
     pub fn record_attempt(&self, upstream: &str, result: &str) {
         let elapsed = self.gateway.clock.now().saturating_sub(self.received_at);
         let attempt = format!("{upstream} {result} at {} ms", elapsed.as_millis());
         self.summary.borrow_mut().attempts.push(attempt);
     }
 
-    /// Events were passed on.
+    /// Counts events that are forwarded now.
     pub fn record_events(&self, count: u64) {
         let now = self.gateway.clock.now();
         let mut summary = self.summary.borrow_mut();
@@ -114,7 +116,7 @@
         summary.events += count;
     }
 
-    /// How the request ended: the status that the caller got, and why.
+    /// Sets the status that the caller gets, and the reason for it.
     pub fn set_result(&self, status: u16, reason: &'static str) {
         self.summary.borrow_mut().result = Some((status, reason));
     }
@@ -163,24 +165,24 @@
             "events" => summary.events, "pause_ms" => pause_ms, "first_ms" => first_ms,
             "took_ms" => took_ms,
         ));
-        // Lines of requests that failed are kept before those of the others.
+        // Failures have a higher level, as they are kept when log lines are dropped.
         if is_failure(status, reason) {
-            warn!(log, "Entry: A request ended.");
+            warn!(log, "request ended");
         } else {
-            info!(log, "Entry: A request ended.");
+            info!(log, "request ended");
         }
     }
 }
 
-/// Whether a request counts as failed. What no configuration allows doesn't: whoever
-/// asks for it may do so as often as it likes.
+/// Whether a request counts as failed. Client errors (status 4xx) don't: callers can cause any
+/// number of them, which would displace the log lines of real failures.
 fn is_failure(status: u16, reason: &str) -> bool {
     let complete = matches!(reason, "whole" | "answered");
     !matches!(status, 400..500) && (status >= 500 || !complete)
 }
 
 impl Gateway {
-    /// Brings gauges up to date before they are told.
+    /// Updates the gauges before they are exported.
     pub fn update_gauges(&self) {
         let gauge = |name, help, value| self.metrics.gauge(name, help, &[]).set(value);
         #[allow(clippy::cast_precision_loss)] // Versions stay far below 2^52.
--- a/verbenaspool/src/operate/explain/tests.rs
+++ b/verbenaspool/src/operate/explain/tests.rs
@@ -7,9 +7,9 @@
 /// Two lines of a request, from two processes, and some of others.
 const LOG: &str = r#"{"msg":"Entry: Started.","ts":"2026-02-04T08:36:28.0Z"}
 not a line
-  4.2 frontend-1 {"msg":"Entry: A request ended.","ts":"2026-02-04T08:36:31.5Z","request":"a1","status":200,"why":"broken-off","sent":"i-1 200 at 40 ms; i-1 broken-off at 800 ms; i-2 turned-away at 810 ms","events":9}
-{"msg":"Entry: A request ended.","ts":"2026-02-04T08:36:30.0Z","request":"a1","status":503,"why":"full"}
-{"msg":"Entry: A request ended.","ts":"2026-02-04T08:36:30.1Z","request":"b2","status":200,"why":"whole"}
+  4.2 frontend-1 {"msg":"request ended","ts":"2026-02-04T08:36:31.5Z","request":"a1","status":200,"why":"broken-off","sent":"i-1 200 at 40 ms; i-1 broken-off at 800 ms; i-2 turned-away at 810 ms","events":9}
+{"msg":"request ended","ts":"2026-02-04T08:36:30.0Z","request":"a1","status":503,"why":"full"}
+{"msg":"request ended","ts":"2026-02-04T08:36:30.1Z","request":"b2","status":200,"why":"whole"}
 "#;
 
 /// A caller complains of a stream that broke off, with its request's id alone.
@@ -53,8 +53,8 @@
 fn all_attempts_of_a_request_are_found_by_its_fingerprint() {
     let log = r#"{"ts":"2","msg":"upstream crashed","request":"a1","fingerprint":"77","upstream":"i-1","ran_ms":null}
 {"ts":"1","msg":"upstream crashed","request":"b2","fingerprint":"77","upstream":"i-2","ran_ms":80.0}
-{"ts":"3","msg":"Entry: A request ended.","request":"c3","fingerprint":"77","status":503,"why":"quarantined"}
-{"ts":"3","msg":"Entry: A request ended.","request":"d4","fingerprint":"78","status":200,"why":"whole"}
+{"ts":"3","msg":"request ended","request":"c3","fingerprint":"77","status":503,"why":"quarantined"}
+{"ts":"3","msg":"request ended","request":"d4","fingerprint":"78","status":200,"why":"whole"}
 "#;
     let mut found = Vec::new();
     read("77", "log", Cursor::new(log), &mut found).expect("memory can be read");
