--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one upstream, and what is known behind it.
+//! Sends a request to one upstream and classifies the outcome.
 
 use std::{cell::Cell, future::Future, pin::pin, rc::Rc, time::Duration};
 
@@ -21,29 +21,29 @@
     relay,
 };
 
-/// Time to the first event, as a multiple of the target, after which a request that may
-/// be repeated is sent to another upstream.
+/// Time to the first event, as a multiple of the target, after which a repeatable request is
+/// sent to another upstream.
 const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Passes that an upstream may take before it begins to answer, where they are long: it
-/// reads the prompt in one or two, and a second upstream of the same group would take
-/// as many again.
+/// Number of passes that an upstream may take until the first event, if passes are long. It
+/// processes the prompt in one or two, and another upstream of the same group would need as
+/// many again.
 const FIRST_EVENT_PASSES: u32 = 4;
 
-/// The longest silence before an answer begins, in times of its target: callers leave
-/// after four times, or two seconds.
+/// Limit of the time to the first event if passes are long, as a multiple of the target.
+/// Callers leave after 4 times the target, or 2 s.
 const MAX_FIRST_EVENT_TIMEOUT_FACTOR: f64 = 3.6;
 
-/// The least time that is worth sending a request with.
+/// A request with less time left isn't sent.
 const MIN_SEND_TIME: Duration = Duration::from_millis(30);
 
-/// Upstreams that can't be connected to before a request is given up.
+/// Number of failed connections to upstreams after which a request fails.
 const MAX_CONNECT_FAILURES: u32 = 4;
 
-/// Why nothing is known of a sending: its connection broke before the answer.
+/// Reason of an unknown outcome: the connection broke before the response.
 const BROKEN_REASON: &str = "broken";
 
-/// A caller's request, ready to be sent.
+/// A validated request of a caller, with the state of its attempts.
 pub struct PendingRequest {
     pub gateway: Rc<Gateway>,
     pub record: Rc<Record>,
@@ -54,71 +54,70 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     pub fingerprint: Fingerprint,
-    /// What the request says of itself.
+    /// The request's id, wait and API key, from the caller's headers.
     pub caller_headers: header::Request,
     pub priority: u8,
-    /// Whether it is beyond what its customer usually sends.
+    /// Whether it exceeds its customer's usual rate.
     pub over_usual_rate: bool,
-    /// When its answer must begin to be in time.
+    /// When its response must start to be on time.
     pub target: Duration,
-    /// When it gets its final answer, whatever that is.
+    /// When the caller gets a response at the latest.
     pub deadline: Duration,
-    /// When it came.
+    /// When it was received.
     pub received_at: Duration,
-    /// When the present upstream began to answer.
+    /// When the current upstream started to respond.
     pub response_started_at: Cell<Option<Duration>>,
-    /// Sendings that may have reached an upstream.
+    /// Number of attempts that may have reached an upstream.
     pub attempts: Cell<u32>,
-    /// Upstreams that couldn't be connected to.
+    /// Number of failed connections to upstreams.
     pub connect_failures: Cell<u32>,
-    /// Whether a sending may have run of which nothing is known.
+    /// Whether it may have run in an attempt whose outcome is unknown.
     pub may_have_run: Cell<bool>,
-    /// Upstreams that are not to be sent to again.
+    /// Upstreams that must not be tried again.
     pub tried: std::cell::RefCell<Vec<Rc<str>>>,
 }
 
-/// What is known behind a sending.
+/// The outcome of sending a request to an upstream.
 pub enum SendOutcome {
-    /// The upstream answered, and the answer belongs to the request.
+    /// The upstream responded to this request.
     Answered(Response<Body>, Permit),
-    /// The request didn't run there and won't.
+    /// The request did not run on the upstream and will not.
     NotRun(&'static str),
-    /// The request may have run there, or may still.
+    /// The request may have run on the upstream, or may still be running.
     Unknown(&'static str),
-    /// It wasn't sent, as upstreams crashed under it.
+    /// The request wasn't sent, because upstreams crashed while processing it.
     Blocked,
 }
 
-/// What came of waiting for an answer.
+/// The result of waiting for a response.
 enum WaitResult {
-    /// An answer, or an error instead.
+    /// A response or an error.
     Answered(Result<Response<Body>, Error>),
-    /// Nothing in time.
+    /// No response in time.
     Silent,
-    /// Nothing yet, from an upstream that turned slow.
+    /// No response yet from an upstream that has become slow.
     Slow,
 }
 
 impl PendingRequest {
-    /// The time that is left.
+    /// The time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.gateway.clock.now())
     }
 
-    /// Until when the request must be placed, for its first event to come before its
-    /// caller leaves.
+    /// The latest placement with which the first event arrives before the caller leaves.
     fn place_by(&self) -> Duration {
         self.caller_leaves_at(self.received_at)
             .saturating_sub(self.route.target)
     }
 
-    /// When the caller leaves that has had no event since some time.
+    /// When the caller leaves if it gets no event after `since`.
     pub fn caller_leaves_at(&self, since: Duration) -> Duration {
         let silence = self.route.silence.map(|silence| since + silence);
         silence.unwrap_or(self.deadline).min(self.deadline)
     }
 
-    /// How long the caller still waits, which may be longer than the route's time.
+    /// How much longer the caller waits, which may be longer than the route's timeout allows.
     pub fn caller_time_left(&self) -> Duration {
         let until = self
             .caller_headers
@@ -127,7 +126,7 @@
         until.saturating_sub(self.gateway.clock.now())
     }
 
-    /// What the request asks of its service's queue.
+    /// The placement request for the service's queue.
     pub fn placement_request(&self) -> PlacementRequest {
         let is_stream = self.route.kind == Kind::Streaming;
         PlacementRequest {
@@ -146,13 +145,13 @@
     /// Waits for a permit at an upstream.
     ///
     /// # Errors
-    /// There is no room, nor will there be in time.
+    /// No upstream will have capacity in time.
     pub async fn admit(&self, placement: PlacementRequest) -> Result<Permit, Rejection> {
         self.gateway.admit(&self.queue, placement).await
     }
 
-    /// Whether the request may be sent once more, as things are now. It counts only
-    /// when it is sent: one that then finds no upstream has cost nobody anything.
+    /// Whether a retry is currently allowed. It is counted only when it is sent, as a retry
+    /// that finds no upstream causes no load.
     pub fn may_retry(&self) -> bool {
         if self.attempts.get() >= self.route.attempts || self.time_left() < MIN_SEND_TIME {
             return false;
@@ -161,20 +160,20 @@
         self.queue.allows_retry(&limits, entries)
     }
 
-    /// What bounds repeats, and how many entries share it.
+    /// The limits of the retry budget, and the number of entries that share it.
     fn retry_limits(&self) -> (RetryLimits, usize) {
         let now = self.gateway.clock.now();
         let limits = self.gateway.settings.borrow().bounds.retries();
         (limits, self.gateway.sharers(now))
     }
 
-    /// Whether another upstream may be tried after one that can't be reached.
+    /// Whether another upstream may be tried after a failed connection.
     pub fn may_retry_connect(&self) -> bool {
         self.connect_failures.get() < MAX_CONNECT_FAILURES && self.time_left() >= MIN_SEND_TIME
     }
 
-    /// How long the upstream may be silent before the request is sent elsewhere, where
-    /// it may be.
+    /// How long to wait for the upstream's response before the request is sent to another one.
+    /// If that isn't possible, the time until the deadline.
     fn response_timeout(&self, upstream: &str) -> Duration {
         let left = self.time_left();
         let is_last = self.attempts.get() >= self.route.attempts;
@@ -187,11 +186,10 @@
         timeout.max(passes.min(max)).min(left)
     }
 
-    /// Sends the request to an upstream, behind an event of the caller's where
-    /// there is one.
+    /// Sends the request to an upstream. A stream is resumed after `last_event`, if given.
     pub async fn send(&self, permit: Permit, last_event: Option<u64>) -> SendOutcome {
         let id = permit.upstream.clone();
-        // It may have waited for its permit.
+        // The block may have been set while the request waited for its permit.
         if self.block_reason().is_some() {
             permit.release(AttemptOutcome::Unknown);
             return SendOutcome::Blocked;
@@ -237,16 +235,16 @@
             }
             SendOutcome::Blocked => {}
             SendOutcome::Answered(response, _) => {
-                self.record.record_attempt(&id, response.status().as_str())
+                self.record.record_attempt(&id, response.status().as_str());
             }
         }
         outcome
     }
 
-    /// Waits for an answer, as long as the upstream may be silent.
+    /// Waits for a response, up to the response timeout.
     ///
-    /// A request whose prompt a slow rank has still to read holds back the rank's whole
-    /// group like a stream, so it goes elsewhere as well, where it may.
+    /// A request whose prompt a slow rank hasn't processed yet delays the rank's whole group,
+    /// like a stream does. It is therefore sent to another upstream too, if possible.
     async fn await_response(
         &self,
         response: impl Future<Output = Result<Response<Body>, Error>>,
@@ -271,11 +269,11 @@
         }
     }
 
-    /// How long a request stays for the time being at an upstream that is silent, because
-    /// it can't be sent elsewhere.
+    /// How much longer to wait for an upstream that hasn't responded in time, if the request
+    /// can't be sent to another one now.
     ///
-    /// Without this a caller who would wait for seconds more got a 502 as soon as the
-    /// budget of repeats was spent, though nothing was known to have failed.
+    /// Without this wait, callers with seconds left got a 502 as soon as the retry budget was
+    /// used up, although no failure was known.
     fn extra_wait(&self, now: Duration) -> Duration {
         let left = self.deadline.saturating_sub(now);
         if self.route.is_repeatable() && self.may_retry() {
@@ -285,7 +283,7 @@
         }
     }
 
-    /// The request as the upstream gets it.
+    /// The HTTP request for an upstream.
     fn upstream_request(
         &self,
         id: &str,
@@ -304,9 +302,9 @@
         Ok(request)
     }
 
-    /// What silence tells of the upstream. A route may allow less time than its
-    /// requests take: that the time is over then says nothing, and an upstream
-    /// that was left alone for it would be missed by all other requests.
+    /// The outcome of an attempt without a response. A route's timeout may be shorter than its
+    /// requests take. A timeout then says nothing about the upstream, and ejecting it would
+    /// take its capacity from all other requests.
     fn silence_outcome(&self, waited: Duration) -> AttemptOutcome {
         if waited >= self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR) {
             AttemptOutcome::Silent
@@ -315,7 +313,8 @@
         }
     }
 
-    /// What an answer, or the want of one, tells.
+    /// Releases the permit with the outcome for the upstream, and determines the outcome for the
+    /// request.
     fn classify_response(
         &self,
         result: WaitResult,
@@ -347,8 +346,8 @@
         let status = response.status();
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let nameless = misdirected && header::is_nameless(response.headers());
-        // A late or doubled answer to another request may come where this one's
-        // is due. Its connection goes with it.
+        // A late or duplicate response to another request may arrive in place of this one's.
+        // Its connection is closed.
         if !nameless && !header::belongs(response.headers(), self.caller_headers.id.as_ref()) {
             permit.release(AttemptOutcome::Bad);
             return SendOutcome::Unknown("not-its-answer");
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -1,8 +1,7 @@
-//! A stream on its way from an upstream to the caller, event by event.
+//! Relays a stream of events from an upstream to the caller.
 //!
-//! Where the upstream breaks off or falls silent and the route may be resumed,
-//! the stream goes on at another upstream after the last whole event, inside
-//! the same answer.
+//! If the upstream fails, stalls or becomes slow and the route is resumable, the stream is
+//! resumed on another upstream after the last complete event, within the same response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,68 +25,70 @@
     queue::Permit,
 };
 
-/// How long a stream may be silent before it is moved: several passes, and well
-/// below the two seconds after which callers leave.
+/// How long a stream may be without an event before it is moved: several passes, and well
+/// below the 2 s after which callers leave.
 const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The same where its whole group is silent and no other one runs: an engine cuts off
-/// what can't go on by then, and whatever goes on sooner comes from this upstream.
+/// The stall timeout if the whole group is stalled and no other group runs. By then engines
+/// have aborted the streams that they can't continue; a stream that continues earlier does so
+/// on its current upstream.
 const GROUP_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often it is looked whether a silent stream should be moved.
+/// Interval of checks whether a stream or request should move to another upstream.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a stream leaves an upstream: its connection broke.
+/// Reason to leave an upstream: the connection broke.
 const BROKEN_REASON: &str = "broken-off";
 
-/// Why a stream leaves an upstream: it ended inside an event.
+/// Reason to leave an upstream: the stream ended inside an event.
 const TRUNCATED_REASON: &str = "cut-off";
 
-/// Why a stream leaves an upstream: nothing came for too long.
+/// Reason to leave an upstream: the stream stalled.
 const STALL_REASON: &str = "fell-silent";
 
-/// Why a stream leaves an upstream: it holds back its whole group.
+/// Reason to leave an upstream: it is slow and delays its whole group.
 pub const SLOW_REASON: &str = "slow";
 
-/// A stream that ends before its last event.
+/// A stream that was aborted before its last event.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off: {0}")]
+#[error("stream aborted: {0}")]
 struct Broken(&'static str);
 
-/// A stream on its way.
+/// The state of a relayed stream.
 struct Relay {
     request: Rc<PendingRequest>,
     permit: Option<Permit>,
-    /// What the present upstream sends; none while there is no upstream. An empty
-    /// body instead would look like a stream that ended whole.
+    /// The body of the current upstream's response, if there is an upstream. An empty body
+    /// instead would look like a stream that ended normally.
     body: Option<Body>,
     splitter: Splitter,
-    /// When the last event came, or the answer began.
+    /// When the last event arrived, or the response started.
     last_event_at: Duration,
-    /// Whether an event has come from the present upstream.
+    /// Whether the current upstream has sent an event.
     has_event: bool,
-    /// Until when a silent stream isn't tried to be moved.
+    /// The earliest time to try to move a stalled or slow stream.
     next_move_at: Duration,
+    /// Whether the stream was aborted.
     done: bool,
 }
 
-/// What came of waiting for more of a stream.
+/// The result of waiting for data of a stream.
 enum Next {
-    /// Bytes.
+    /// Bytes were received.
     Data(Bytes),
     /// The upstream ended the stream.
     End,
-    /// The upstream broke off.
+    /// The connection broke, for this reason.
     Broken(&'static str),
-    /// Nothing came for too long.
+    /// No event was received for too long.
     Stalled,
-    /// The upstream is slow, and holds back its whole group.
+    /// The upstream is slow and delays its whole group.
     Slow,
-    /// The request's time is over.
+    /// The request's deadline has passed.
     TimedOut,
 }
 
-/// The answer whose body is relayed.
+/// Converts an upstream's response to one whose body is relayed.
 pub fn relay(
     request: Rc<PendingRequest>,
     response: Response<Body>,
@@ -117,7 +118,7 @@
 }
 
 impl Relay {
-    /// The next whole events.
+    /// Waits for the next complete events. Moves the stream to other upstreams as needed.
     async fn next_events(mut self) -> Option<(Result<Frame<Bytes>, body::Error>, Self)> {
         loop {
             match self.wait_for_data().await {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Waits for more.
+    /// Waits for data from the current upstream, or for a reason to leave it.
     async fn wait_for_data(&mut self) -> Next {
         loop {
             let now = self.request.gateway.clock.now();
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Why the stream should go on at another upstream, if it should.
+    /// Why the stream should move to another upstream now, if it should.
     fn move_reason(&self, now: Duration) -> Option<Next> {
         let permit = self.permit.as_ref()?;
         if now < self.next_move_at {
@@ -200,7 +201,7 @@
         (!wait).then_some(Next::Stalled)
     }
 
-    /// Takes bytes in and returns the whole events among them.
+    /// Processes received bytes and returns the events that are now complete.
     fn accept_bytes(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, &'static str> {
         let (events, count) = self.splitter.push(bytes).map_err(|_| "out-of-order")?;
         if count == 0 {
@@ -223,8 +224,8 @@
         Ok(Some(events))
     }
 
-    /// What the stream asks for to go on elsewhere, until its caller leaves: an engine
-    /// cuts off what stalls 1.5 s after the last event, half a second before that.
+    /// The placement request for resuming the stream, which waits until the caller leaves. An
+    /// engine aborts a stalled stream 1.5 s after its last event, half a second before that.
     fn placement_request(&self, reason: &'static str) -> PlacementRequest {
         PlacementRequest {
             place_by: self.request.caller_leaves_at(self.last_event_at),
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Goes on at another upstream, after the last whole event.
+    /// Leaves the current upstream and resumes the stream on another one.
     async fn fail_over(
         &mut self,
         reason: &'static str,
@@ -272,16 +273,16 @@
         }
     }
 
-    /// Looks for another upstream while the present one is silent or slow; where it
-    /// goes on first, nothing is lost.
+    /// Requests a permit at another upstream while the current one is stalled or slow. If the
+    /// current one sends data first, the stream stays there.
     async fn try_move(&mut self, reason: &'static str) -> Result<(), &'static str> {
         self.next_move_at = self.request.gateway.clock.now() + STALL_TIMEOUT;
         if !self.request.route.resumable || self.request.block_reason().is_some() {
             return Ok(());
         }
         if !self.request.may_retry() {
-            // A stream that stays on a slow rank holds back the streams of all others. Its
-            // caller resumes it after the last whole event.
+            // A stream that stays on a slow rank delays the streams of all other ranks. It is
+            // aborted, and its caller resumes it after the last complete event.
             return if reason == SLOW_REASON {
                 Err(reason)
             } else {
@@ -319,7 +320,7 @@
         let upstream = self.permit.as_ref().map(|permit| permit.upstream.clone());
         let upstream = upstream.as_deref().unwrap_or("-");
         self.request.record.record_attempt(upstream, reason);
-        // A slow upstream is known to be so by the report of its agent.
+        // Slowness is known from the agent's reports and isn't counted as a failure.
         let outcome = if reason == SLOW_REASON {
             AttemptOutcome::Unknown
         } else {
@@ -332,7 +333,7 @@
         self.fail_over(reason, outcome).await
     }
 
-    /// Puts back what came while another upstream was looked for.
+    /// Puts back a frame that arrived while another upstream was being requested.
     fn push_back(&mut self, frame: Option<Result<Frame<Bytes>, body::Error>>) {
         let rest = self.body.take().unwrap_or_else(Body::empty);
         let first = stream::iter(frame);
@@ -344,7 +345,7 @@
         self.body = Some(Body::wrap(StreamBody::new(Box::pin(whole))));
     }
 
-    /// Resumes the stream at an upstream.
+    /// Resumes the stream on an upstream. Returns whether it succeeded.
     async fn resume(&mut self, permit: Permit) -> bool {
         self.splitter.discard_partial();
         let last = self.splitter.last_id();
@@ -360,7 +361,8 @@
         }
     }
 
-    /// Gives the permit at the present upstream back, and closes its connection.
+    /// Releases the permit at the current upstream, and closes its connection unless the stream
+    /// ended normally.
     fn release_upstream(&mut self, outcome: AttemptOutcome) {
         if let Some(permit) = self.permit.take() {
             permit.release(outcome);
@@ -370,7 +372,7 @@
         }
     }
 
-    /// Breaks the answer off, so that it can't look whole.
+    /// Ends the response with an error, so that it doesn't look complete.
     fn abort(mut self, reason: &'static str) -> (Result<Frame<Bytes>, body::Error>, Self) {
         self.release_upstream(AttemptOutcome::Unknown);
         self.request.record.set_result(200, reason);
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -1,4 +1,4 @@
-//! One request: checked, placed, sent, answered.
+//! Handles a request: validates it, sends it to upstreams and returns the response.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -31,18 +31,17 @@
     relay,
 };
 
-/// The largest answer that is read whole before it is passed on, so that one
-/// that breaks off can be replaced. Those of plain services have some kilobytes.
+/// The largest response that is buffered before it is forwarded, so that the request can be
+/// retried if the connection breaks. Responses that aren't streams have a few kilobytes.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// When a caller should come back to an entry that knows no configuration yet.
+/// Retry-After of an entry that hasn't loaded a configuration yet.
 const UNREADY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When a caller should come back whose request found no entry to take it: at
-/// once, to another entry.
+/// Retry-After of an entry that is stopping. Another entry can take the request immediately.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// A wait beyond all others, for callers that name none.
+/// The wait of callers that don't announce one, longer than any that is announced.
 const MAX_CALLER_WAIT: Duration = Duration::from_hours(1);
 
 impl Handler for Gateway {
@@ -51,7 +50,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let caller_headers = header::read(&parts.headers);
@@ -68,7 +67,7 @@
     failure.into_response()
 }
 
-/// Checks a request and reads its body.
+/// Validates a request and reads its body.
 async fn prepare(
     gateway: &Rc<Gateway>,
     record: &Rc<Record>,
@@ -77,7 +76,7 @@
     caller_headers: header::Request,
 ) -> Result<PendingRequest, Failure> {
     if gateway.closed.get() {
-        // What comes this late into a stop couldn't be finished within it.
+        // A request that arrives this late couldn't finish before the process stops.
         return Err(Failure {
             close: true,
             ..Failure::unavailable("stopping", STOPPING_RETRY_AFTER)
@@ -142,14 +141,14 @@
     })
 }
 
-/// The host that a request names, without its port.
+/// The request's host, without the port.
 fn host(parts: &Parts) -> Option<&str> {
     let named = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = parts.uri.host().or(named)?;
     Some(host.split_once(':').map_or(host, |(host, _)| host))
 }
 
-/// The customer whose key a request bears.
+/// Identifies the customer by the request's API key.
 fn authenticate<'a>(
     table: &'a Table,
     caller_headers: &header::Request,
@@ -165,7 +164,7 @@
     Ok(found.map(|customer| &**customer))
 }
 
-/// Reads a body whole.
+/// Reads a complete request body.
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Failure> {
     match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -180,18 +179,18 @@
     }
 }
 
-/// The path and query by themselves.
+/// The path and query of a URI, without scheme and authority.
 fn path_and_query(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// Takes out of an answer's headers what concerns the upstream's connection.
+/// Removes the headers of a response that apply only to the connection to the upstream.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     hop::strip(headers);
 }
 
-/// Serves a request within its time.
+/// Serves a request, up to its deadline.
 async fn serve(request: Rc<PendingRequest>) -> Result<Response<Body>, Failure> {
     let response = run_attempts(&request);
     match monoio::time::timeout(request.time_left(), response).await {
@@ -204,7 +203,7 @@
     }
 }
 
-/// Sends a request to one upstream after another, as far as it may be.
+/// Sends a request to one upstream after another until one succeeds or no retry is allowed.
 async fn run_attempts(request: &Rc<PendingRequest>) -> Result<Response<Body>, Failure> {
     let mut failed = None;
     loop {
@@ -264,18 +263,18 @@
     }
 }
 
-/// What came of an upstream's answer.
+/// The result of receiving an upstream's response.
 enum Received {
-    /// It can be passed on.
+    /// It can be forwarded.
     Complete(Response<Body>),
-    /// It can be passed on, but tells a failure.
+    /// It reports a server error, and is forwarded if no retry is possible.
     Failed(Response<Body>),
-    /// It broke off.
+    /// It is incomplete, or its status must not be forwarded.
     Unusable,
 }
 
-/// Takes an upstream's answer in: streams are passed on as they come, others are
-/// read whole first.
+/// Receives an upstream's response. Streams are relayed as they arrive, other responses are
+/// buffered.
 async fn receive(
     request: &Rc<PendingRequest>,
     response: Response<Body>,
@@ -297,15 +296,15 @@
     let response = Response::from_parts(parts, Body::full(body.to_bytes()));
     request.record.set_result(status.as_u16(), "answered");
     if status.is_server_error() {
-        // The time that the request had was over; the upstream may be well.
+        // The request's deadline has passed, which says nothing about the upstream's health.
         let timed_out = status == StatusCode::GATEWAY_TIMEOUT;
         permit.release(if timed_out {
             AttemptOutcome::Unknown
         } else {
             AttemptOutcome::Bad
         });
-        // These statuses promise that the request didn't run, which this
-        // upstream didn't say.
+        // To callers this status guarantees that the request didn't run. The upstream didn't
+        // confirm that.
         if status == StatusCode::SERVICE_UNAVAILABLE {
             return Received::Unusable;
         }
@@ -313,6 +312,7 @@
     }
     permit.release(AttemptOutcome::Good);
     request.gateway.on_success(request.fingerprint);
+    // The same guarantee goes with these statuses.
     let not_run_statuses = [StatusCode::TOO_MANY_REQUESTS, StatusCode::REQUEST_TIMEOUT];
     if not_run_statuses.contains(&status) {
         return Received::Unusable;
