--- a/verbenaspool_protocol/src/attempt.rs
+++ b/verbenaspool_protocol/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The id that tells one attempt at a request from every other.
+//! Unique ids of attempts at requests.
 
 use std::fmt;
 
@@ -6,16 +6,16 @@
 
 use verbenaspool_coordination::attempt::Key;
 
-/// The id of an attempt. A repeat of the same request is another attempt.
+/// The id of an attempt. A retry of the same request is another attempt.
 ///
-/// The incarnation is drawn at random when an entry process starts, so that the
-/// ids of a process and of its successor never meet.
+/// The incarnation is chosen at random when an entry process starts, so that a
+/// restarted process doesn't reuse the ids of its predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Id {
-    /// The entry process that made the attempt.
+    /// The entry process that sent the attempt.
     pub incarnation: u64,
-    /// Counts the attempts of that process from 1.
+    /// Sequence number of the attempt in that process, starting at 1.
     pub counter: u64,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// The text is no attempt id.
+/// The text is not an attempt id.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an attempt id is 16 hex digits, a dash and a number")]
 pub struct Error;
--- a/verbenaspool_protocol/src/digest.rs
+++ b/verbenaspool_protocol/src/digest.rs
@@ -1,50 +1,51 @@
-//! What entries tell each other many times a second.
+//! State that entries exchange many times a second.
 
 use std::net::Ipv4Addr;
 
 use serde::{Deserialize, Serialize};
 
-/// One entry's message about itself.
+/// The state of one entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Tells the entry's processes apart; a later one has a higher number.
+    /// Identifies the entry process; a restarted one has a higher number.
     pub incarnation: u64,
-    /// Counts the entry's digests: datagrams may overtake each other.
+    /// Sequence number of the digest, since datagrams can be reordered.
     pub number: u64,
-    /// The version of the routing table that it has in force.
+    /// The version of the routing table in use.
     pub table: u64,
-    /// The revision of the registry of upstreams that it works with.
+    /// The revision of the upstream registry in use.
     pub registry: u64,
-    /// Whether it is about to stop.
+    /// Whether the entry is shutting down.
     pub leaving: bool,
-    /// The upstreams that work for it now.
+    /// The upstreams that process requests of this entry, with the number of them.
     pub flights: Vec<Flight>,
-    /// Other entries that it hears of.
+    /// Some of the other entries known to this one.
     pub peers: Vec<Ipv4Addr>,
 }
 
-/// How long callers of a service wait at first.
+/// Common waits that callers of a service announce with an initial request. Entries
+/// that have seen too few requests use them to detect retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// The service, by [`hash`].
     pub service: u32,
-    /// The times that many callers give, in milliseconds.
+    /// The waits, in milliseconds.
     pub times_ms: Vec<u32>,
 }
 
-/// The most services whose callers' times one message tells.
+/// Maximum number of services in one message.
 pub const MAX_BUDGETS: usize = 4;
 
-/// An entry's requests at one upstream.
+/// Number of an entry's requests in flight at one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flight {
     /// The upstream, by [`hash`].
     pub upstream: u32,
-    /// How many requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// The short name of an upstream in digests.
+/// Hashes the id of an upstream, or the name of a service, to a short one for messages.
 ///
 /// ```
 /// use verbenaspool_protocol::digest::hash;
@@ -53,12 +54,11 @@
 /// ```
 #[must_use]
 pub fn hash(id: &str) -> u32 {
-    #[allow(clippy::cast_possible_truncation)] // Half of the bits are enough.
+    #[allow(clippy::cast_possible_truncation)] // Half of the hash is enough.
     let short = xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32;
     short
 }
 
-/// The most upstreams that a digest names: each takes up to seven bytes, and the
-/// whole fits in one Ethernet frame. An entry with more requests in flight than
-/// that tells those of the first ones only.
+/// Maximum number of upstreams in a digest. Each takes up to seven bytes, and the digest
+/// has to fit in one Ethernet frame. Entries that use more upstreams omit the rest.
 pub const MAX_FLIGHTS: usize = 150;
--- a/verbenaspool_protocol/src/engine.rs
+++ b/verbenaspool_protocol/src/engine.rs
@@ -1,41 +1,41 @@
-//! What a model engine tells its agent, as far as verbenaspool reads it.
+//! The API of model engines towards their agents, as far as verbenaspool uses it.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::report::Event;
 
-/// The path of the engine's state; `?since=` names the last event heard.
+/// The path of the engine's state; `?since=` takes the number of the last event received.
 pub const STATE: &str = "/state";
 
-/// The engine's state. Engines tell more than this; the rest is not read.
+/// The engine's state. Additional fields that engines send are ignored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests that wait for a place in the batch.
+    /// Number of requests that wait for a place in the batch.
     pub queued: u32,
-    /// Tokens that are still to be computed.
+    /// Number of tokens still to be processed.
     pub tokens: u64,
     /// The number of the last cache event.
     pub last: u64,
-    /// The cache events after the one asked for that the engine still has.
+    /// The cache events after the requested one, as far as the engine still has them.
     pub events: Vec<Event>,
 }
 
-/// The data of the event that ends a streamed answer.
+/// Data of the final event of a streamed answer.
 pub const END_MARK: &str = "[DONE]";
 
-/// The path of the engine's orders.
+/// The path that accepts orders.
 pub const ORDER: &str = "/order";
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The sender's fencing number.
+    /// The sender's fencing token.
     pub fence: u64,
-    /// What to do, in the engine's own words.
+    /// The action, in the engine's own format.
     pub action: Value,
 }
--- a/verbenaspool_protocol/src/group.rs
+++ b/verbenaspool_protocol/src/group.rs
@@ -1,10 +1,9 @@
 //! Messages between the agents of a group of ranks, and between an agent and
 //! the rank's engine.
 //!
-//! A message between agents may be lost: the sender says it again until it sees
-//! the effect, so the call's answer carries nothing. The messages themselves
-//! belong to the state machines and are found in
-//! [`verbenaspool_coordination::group::message`].
+//! Messages between agents may be lost. The sender repeats them until it sees their
+//! effect, so the response of the call is empty. The messages themselves are
+//! defined with the state machines in [`verbenaspool_coordination::group::message`].
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_coordination::group::{
@@ -19,8 +18,8 @@
 
 /// A message between two agents of a group.
 ///
-/// The group and the seat are named, so that an agent whose address another
-/// instance has taken over doesn't take in what is meant for its forerunner.
+/// It contains the group and the seat, so that an agent whose address was reused
+/// from another instance rejects messages to that instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
@@ -28,63 +27,63 @@
     pub firm: Name,
     /// The group.
     pub group: Name,
-    /// The seat that the message is for.
+    /// The recipient's seat, which is its rank in the group.
     pub to: u16,
     /// The message.
     pub message: Message,
 }
 
-/// The JSON-RPC method that tells a [`Status`].
+/// The JSON-RPC method that returns a [`Status`].
 pub const STATUS: &str = "group_status";
 
-/// What an agent knows of its group.
+/// The state of a group as known to one of its agents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The group.
     pub group: Name,
-    /// The agent's seat.
+    /// The agent's seat, which is its rank in the group.
     pub seat: u16,
-    /// Whether the agent leads and has heard from all ranks.
+    /// Whether the agent is the lead and has received reports of all ranks.
     pub leads: bool,
-    /// Whether the agent knows where its rank stands.
+    /// Whether the agent knows the state of its rank.
     pub ready: bool,
-    /// The highest fence heard of.
+    /// The highest known fencing token.
     pub fence: u64,
-    /// The last step that the rank has run.
+    /// The last step that the rank executed.
     pub step: u64,
     /// The epoch of that step.
     pub epoch: Option<u64>,
-    /// The epoch of the change under way, at the lead.
+    /// The epoch of the map change in progress; only known to the lead.
     pub changing: Option<u64>,
-    /// The skew that recent samples give the map, where there are some.
+    /// The skew of rank loads under the current map, if there are recent samples.
     pub skew: Option<f64>,
-    /// The changes that took effect, as far as this agent led them.
+    /// Number of map changes completed by this agent as the lead.
     pub changes: u64,
-    /// Those that were given up.
+    /// Number of map changes abandoned by this agent as the lead.
     pub aborts: u64,
-    /// Steps that an engine had from someone else.
+    /// Number of steps that an engine received from another sender.
     pub diverged: u64,
-    /// The experts that changes loaded.
+    /// Number of experts loaded by map changes.
     pub moves: u64,
-    /// The bytes of their weights.
+    /// Size of their weights in bytes.
     pub bytes_moved: u64,
-    /// The samples that were ignored.
+    /// Number of ignored samples.
     pub samples_ignored: u64,
-    /// The part by which the last change's loading slowed steps.
+    /// The fraction by which loading experts slowed down steps in the last map change.
     pub slowdown: f64,
 }
 
-/// The path where a rank's engine tells its [`State`].
+/// The path of a rank engine's [`State`].
 pub const ENGINE: &str = "/rank";
 
-/// What a rank's engine tells. Events and samples are told once.
+/// The state of a rank's engine. Each event and sample is sent once.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// Where the engine stands.
+    /// The progress of the engine.
     pub snapshot: Snapshot,
-    /// What happened since it was last asked.
+    /// Events since the last request.
     pub events: Vec<Event>,
-    /// The tokens of each expert over steps of the group.
+    /// Number of tokens per expert over some steps of the group.
     pub samples: Vec<Sample>,
 }
--- a/verbenaspool_protocol/src/header.rs
+++ b/verbenaspool_protocol/src/header.rs
@@ -1,29 +1,29 @@
-//! Names of the HTTP headers that verbenaspool reads and writes.
+//! Names of HTTP headers.
 
-/// The id of the attempt, from entry to agent and echoed with the answer.
+/// The id of the attempt, sent by the entry and repeated in the agent's answer.
 pub const ATTEMPT: &str = "x-verbenaspool-attempt";
-/// The agent process that the entry means to reach; another refuses.
+/// The intended agent process; any other rejects the request.
 pub const AGENT: &str = "x-verbenaspool-agent";
-/// The instance that the entry means to reach, as `firm/instance`; an agent
-/// beside another refuses.
+/// The intended instance, as `firm/instance`; the agent of any other rejects the
+/// request.
 pub const INSTANCE: &str = "x-verbenaspool-instance";
-/// What became of the request: `ran`, `not-run` or `unknown`.
+/// Whether the request was executed: `ran`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "x-verbenaspool-outcome";
-/// The request's fingerprint, where the entry has its whole body.
+/// The request's fingerprint, if the entry has received the whole body.
 pub const FINGERPRINT: &str = "x-verbenaspool-fingerprint";
-/// How long the caller waits for the whole answer, in milliseconds.
+/// How long the caller waits for the complete answer, in milliseconds.
 pub const DEADLINE: &str = "x-verbenaspool-deadline-ms";
 /// The caller's priority: `high`, `normal` or `low`.
 pub const PRIORITY: &str = "x-verbenaspool-priority";
-/// The agent's load with each of its answers, as JSON of [`crate::load::Load`].
+/// The load of the agent's upstream in each answer, as JSON of [`crate::load::Load`].
 pub const LOAD: &str = "x-verbenaspool-load";
-/// The customer whose request it is, as the entry found by the credential.
+/// The customer that sent the request, as identified by its credential.
 pub const CUSTOMER: &str = "x-verbenaspool-customer";
-/// The caller's key that makes a write run at most once.
+/// A key chosen by the caller; requests with the same key are executed at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The W3C trace context.
 pub const TRACEPARENT: &str = "traceparent";
-/// How many tokens of a broken stream the entry holds; the answer goes on
-/// behind them. Without the engine's word for it in the answer's own copy of
-/// this header, the answer starts at the first token.
+/// Number of tokens of an interrupted stream that the entry has received. An engine
+/// that resumes after them repeats this header in its answer; without it, the answer
+/// starts at the first token.
 pub const RESUME: &str = "x-verbenaspool-resume";
--- a/verbenaspool_protocol/src/lib.rs
+++ b/verbenaspool_protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages, headers and codecs between the processes of verbenaspool, and
-//! towards its callers.
+//! Messages, headers and codecs for communication among the processes of verbenaspool
+//! and with its callers.
 
 pub mod attempt;
 pub mod digest;
--- a/verbenaspool_protocol/src/load.rs
+++ b/verbenaspool_protocol/src/load.rs
@@ -1,21 +1,22 @@
-//! The load that an agent tells entries, on answers and on heartbeats.
+//! Load of an upstream, which its agent reports to entries with answers and heartbeats.
 
 use serde::{Deserialize, Serialize};
 
-/// An agent's load at one moment.
+/// The current load of an agent's upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The agent process, drawn at random at its start.
+    /// Identifies the agent process; chosen at random when it starts.
     pub agent: u64,
-    /// Counts the agent's words; a lower one than seen before is late.
+    /// Sequence number of the load report; one that is lower than a previous one is
+    /// outdated.
     pub sequence: u64,
-    /// Requests that run on the upstream.
+    /// Number of requests that the upstream processes.
     pub running: u32,
-    /// Requests that the upstream holds back.
+    /// Number of requests that wait at the upstream.
     pub queued: u32,
-    /// Tokens of work that the upstream has yet to do.
+    /// Number of tokens that the upstream has still to process.
     pub tokens: u64,
-    /// Whether the instance is leaving and takes nothing new.
+    /// Whether the instance is leaving and accepts no new requests.
     pub leaving: bool,
 }
--- a/verbenaspool_protocol/src/member.rs
+++ b/verbenaspool_protocol/src/member.rs
@@ -1,104 +1,107 @@
-//! What the agents beside the ranks of a group tell each other, and entries.
+//! Messages of the agents of a group's ranks, to each other and to entries.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_coordination::switch::{self, Report};
 
-/// How a rank stands.
+/// The state of a rank, for the agents of its group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Counts the sender's messages, above those of its earlier processes.
+    /// Sequence number of the message; those of a restarted sender continue above the
+    /// previous ones.
     pub number: u64,
-    /// The group's short name.
+    /// Hash of the group's name, see [`crate::digest::hash`].
     pub group: u32,
-    /// The rank's member.
+    /// The rank's index in the group.
     pub rank: u16,
-    /// How many seats there are.
+    /// Number of ranks in the group.
     pub size: u16,
-    /// The upstream itself.
+    /// Address of the upstream.
     pub upstream: SocketAddr,
-    /// What the rank says, and its agent of orders to it.
+    /// The rank's report, with the orders that its agent passed on or rejects.
     pub report: Report,
-    /// How many times longer than usual the rank takes for its work.
+    /// Ratio of the rank's pass time to the usual one.
     pub pace: f32,
-    /// The short name of the availability zone that it is in.
+    /// Hash of the availability zone's name, see [`crate::digest::hash`].
     pub zone: u32,
 }
 
-/// What the requests of a rank, or of several whose choices it summed, chose lately.
+/// How often the requests of a rank recently chose each expert. May be the sum over
+/// several ranks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choices {
-    /// The group's short name.
+    /// Hash of the group's name, see [`crate::digest::hash`].
     pub group: u32,
     /// The group's epoch.
     pub epoch: u64,
-    /// The rank's member.
+    /// The rank's index in the group.
     pub rank: u16,
-    /// Which of the rank's messages these counts belong to; later ones have higher numbers.
+    /// The round of the rank's counts that this message is a part of; it increases.
     pub round: u64,
-    /// The number of the first count among those of all sets.
+    /// Offset of the first count among those of all sets of layers.
     pub from: u32,
-    /// How often each expert was chosen.
+    /// Number of times that each expert was chosen.
     pub counts: Vec<u32>,
 }
 
-/// An order for the receiver's rank.
+/// An order of the lead for the receiver's rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The group's epoch; in another one the order is void.
+    /// The group's epoch; in any other one the order is ignored.
     pub epoch: u64,
-    /// What to do.
+    /// The action.
     pub what: What,
 }
 
-/// What to do.
+/// The action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
-    /// A step of a change of map. Maps to prepare come as messages of their own.
+    /// Execute a step of a map change. The map to prepare is sent separately.
     Change(switch::Order),
-    /// Nothing but to say how the rank stands now.
+    /// Only report the rank's current state.
     Look,
 }
 
-/// A part of a map to prepare: the experts of some sets.
+/// A part of a complete map to prepare: the experts of some sets of layers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Map {
-    /// The group's epoch; in another one the map is void.
+    /// The group's epoch; in any other one the map is ignored.
     pub epoch: u64,
     /// The map's version.
     pub version: u64,
-    /// How many sets the whole map has.
+    /// Number of sets in the complete map.
     pub sets: u16,
-    /// The number of the first set here.
+    /// Index of the first set in this message.
     pub from: u16,
-    /// The experts by set and rank.
+    /// The experts of each rank, by set.
     pub places: Vec<Vec<Vec<u16>>>,
 }
 
-/// A map to prepare, or a part of it, as what differs from one before. A whole map for
-/// each of many ranks fills the lead's link, and some of its datagrams are lost then.
+/// A map to prepare, or a part of it, as the differences from a previous map. Sending
+/// complete maps to many ranks saturates the lead's link, and datagrams are lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The group's epoch; in another one the map is void.
+    /// The group's epoch; in any other one the map is ignored.
     pub epoch: u64,
     /// The map's version.
     pub version: u64,
-    /// The version that it differs from.
+    /// The version that the differences apply to.
     pub base: u64,
-    /// The places that change, as far as they are told in this part.
+    /// The differences in this part.
     pub moves: Vec<Move>,
-    /// The [`places_hash`] of the map that all parts lead to.
+    /// The [`places_hash`] of the map after all parts are applied.
     pub hash: u32,
-    /// The number of this part.
+    /// Index of this part.
     pub part: u16,
-    /// How many parts there are.
+    /// Number of parts.
     pub parts: u16,
-    /// The ranks that the receiver passes this on to.
+    /// The ranks to which the receiver relays the message.
     pub beyond: Vec<u16>,
 }
 
-/// Tells maps apart that should be the same.
+/// Hash of a map's placement, by which an agent verifies a map that it assembled from
+/// differences.
 ///
 /// ```
 /// use verbenaspool_protocol::member::places_hash;
@@ -114,64 +117,65 @@
         for expert in rank {
             bytes.extend(expert.to_le_bytes());
         }
-        // No expert has this number, so that none can seem to be on another rank.
+        // Terminates the rank's experts; no expert has this number.
         bytes.extend(u16::MAX.to_le_bytes());
     }
-    #[allow(clippy::cast_possible_truncation)] // Half of the bits are enough.
+    #[allow(clippy::cast_possible_truncation)] // Half of the hash is enough.
     let short = xxhash_rust::xxh3::xxh3_64(&bytes) as u32;
     short
 }
 
-/// One place that changes.
+/// A changed slot of a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Move {
-    /// The set.
+    /// The set of layers.
     pub set: u16,
     /// The rank.
     pub rank: u16,
-    /// The expert that leaves the rank, if one does.
+    /// The expert removed from the rank, if any.
     pub out: Option<u16>,
-    /// The expert that comes, if one does.
+    /// The expert added to the rank, if any.
     pub new: Option<u16>,
 }
 
-/// An agent lacks the map that a difference is based on.
+/// Requests a complete map, from an agent that lacks the base of a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lack {
     /// The group's epoch.
     pub epoch: u64,
-    /// The version that it needs whole.
+    /// The requested version.
     pub version: u64,
 }
 
-/// What a rank holds under the map in use.
+/// The experts of a rank under the map in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// The group's short name.
+    /// Hash of the group's name, see [`crate::digest::hash`].
     pub group: u32,
     /// The group's epoch.
     pub epoch: u64,
-    /// The rank's member.
+    /// The rank's index in the group.
     pub rank: u16,
     /// The map's version.
     pub version: u64,
-    /// The experts by set.
+    /// The experts, by set of layers.
     pub experts: Vec<Vec<u16>>,
 }
 
-/// How a rank stands, for entries.
+/// The state of a rank, for entries.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Counts the sender's messages, above those of its earlier processes.
+    /// Sequence number of the message; those of a restarted sender continue above the
+    /// previous ones.
     pub number: u64,
-    /// The upstream itself.
+    /// Address of the upstream.
     pub upstream: SocketAddr,
-    /// The group's short name; 0 where it isn't known.
+    /// Hash of the group's name; 0 if it is unknown.
     pub group: u32,
-    /// Whether all ranks of its group are there; otherwise it runs nothing.
+    /// Whether its group is complete; otherwise the rank executes no requests.
     pub open: bool,
-    /// How many times longer than usual the rank takes for its work.
+    /// Ratio of the rank's pass time to the usual one.
     pub pace: f32,
-    /// Requests that it has, those included that are on their way.
+    /// Number of its requests, including those still in transit to it.
     pub requests: u32,
 }
--- a/verbenaspool_protocol/src/message.rs
+++ b/verbenaspool_protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between our processes.
+//! Datagrams between the processes of verbenaspool.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,48 +9,49 @@
     suspicion::Suspicion,
 };
 
-/// The largest datagram: one Ethernet frame, so that no part can be lost alone.
+/// The largest datagram. It fits in one Ethernet frame, since the loss of one fragment
+/// would lose the whole datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// What one datagram says.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// An entry, to the other entries: what it has.
+    /// Entry to other entries: its state.
     Digest(Digest),
-    /// An entry, to an agent: it wants to hear how the rank stands.
+    /// Entry to agent: subscribes to the rank's status.
     Subscribe(Subscription),
-    /// An agent, to an entry: it asks what the store says of its service.
+    /// Agent to entry: requests the store's data about its service.
     Lookup,
-    /// An entry, to an agent that asked.
+    /// Entry to agent: the answer to [`Self::Lookup`].
     Members(Members),
-    /// An agent, to an entry: how its rank stands.
+    /// Agent to entry: the status of its rank.
     Status(Status),
-    /// An entry, to an agent: it asks for one of its rank's slots.
+    /// Entry to agent: requests one of the rank's slots.
     Ask(Ask),
-    /// An agent, to the entry that asked: whether a slot is kept.
+    /// Agent to entry: whether the slot is reserved.
     Answer(Answer),
-    /// An agent, to the others: how its rank stands.
+    /// Agent to the other agents of its group: the state of its rank.
     State(State),
-    /// An agent, to the lead: what the requests of its rank chose lately.
+    /// Agent to lead: the experts chosen by recent requests of its rank.
     Choices(Choices),
-    /// The lead, to an agent: an order for its rank.
+    /// Lead to agent: an order for its rank.
     Order(Order),
-    /// The lead, to an agent: the map that its rank is to prepare, by what differs.
+    /// Lead to agent: differences of the map that its rank has to prepare.
     Difference(Difference),
-    /// An agent, to the lead: it needs the map whole.
+    /// Agent to lead: requests a complete map.
     Lack(Lack),
-    /// The lead, to an agent: a part of the whole map that its rank is to prepare.
+    /// Lead to agent: a part of the complete map that its rank has to prepare.
     Map(Map),
-    /// An agent, to the lead: what its rank holds.
+    /// Agent to lead: the experts of its rank.
     Held(Held),
-    /// An entry, to the other entries: how long callers of its services wait at first.
+    /// Entry to other entries: common initial waits of the services' callers.
     Budgets(Vec<Budget>),
-    /// An entry, to the other entries: requests that upstreams crashed under.
+    /// Entry to other entries: requests during which upstreams crashed.
     Suspicions(Vec<Suspicion>),
 }
 
 impl Message {
-    /// The message as a datagram.
+    /// Encodes the message as a datagram.
     ///
     /// ```
     /// use verbenaspool_protocol::{
@@ -66,7 +67,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a datagram; none where it is no message.
+    /// Decodes a datagram; returns `None` if it is invalid.
     ///
     /// ```
     /// assert_eq!(verbenaspool_protocol::message::Message::decode(&[255]), None);
--- a/verbenaspool_protocol/src/order.rs
+++ b/verbenaspool_protocol/src/order.rs
@@ -1,12 +1,12 @@
-//! Orders to an engine by way of its agent. The order itself and what comes of
-//! it belong to the gate's machine, [`verbenaspool_coordination::group::order`].
+//! Orders to an engine through its agent. Orders and their outcomes are defined in
+//! [`verbenaspool_coordination::group::order`].
 
 /// The JSON-RPC method that takes an
-/// [`Order`](verbenaspool_coordination::group::order::Order) and answers with its
-/// [`Outcome`](verbenaspool_coordination::group::order::Outcome). A call that
-/// gets no answer is made again with the same order.
+/// [`Order`](verbenaspool_coordination::group::order::Order) and returns its
+/// [`Outcome`](verbenaspool_coordination::group::order::Outcome). A call without a
+/// response is retried with the same order.
 pub const METHOD: &str = "engine_order";
 
-/// The path where an engine tells its
+/// The path of an engine's
 /// [`State`](verbenaspool_coordination::group::order::State).
 pub const HELD: &str = "/held";
--- a/verbenaspool_protocol/src/outcome.rs
+++ b/verbenaspool_protocol/src/outcome.rs
@@ -1,23 +1,23 @@
-//! What became of a request, as far as it can be known.
+//! Whether a request was executed, as far as it is known.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a request.
+/// Whether a request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request ran, and the answer is its own and whole.
+    /// The request was executed, and its answer is complete.
     Ran,
-    /// The request did not run and never will; it is safe to repeat.
+    /// The request was not executed and never will be, so it is safe to retry.
     NotRun,
-    /// The request may have run.
+    /// The request may have been executed.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as its header says it.
+    /// The value of the outcome header.
     ///
     /// ```
     /// use verbenaspool_protocol::outcome::Outcome;
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Reads the header's text; anything else is [`Outcome::Unknown`], since
-    /// only a plain word may promise that a request did not run.
+    /// Parses the value of the outcome header. A missing or unexpected value is
+    /// [`Outcome::Unknown`], since only an explicit `not-run` guarantees that a retry is safe.
     ///
     /// ```
     /// use verbenaspool_protocol::outcome::Outcome;
--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between the entry instances of a zone, as JSON-RPC methods.
+//! JSON-RPC methods between the entry instances of a zone.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_coordination::{
@@ -8,26 +8,27 @@
 };
 use verbenaspool_state::version::Version;
 
-/// The method that takes a [`Beat`] and answers with an [`Echo`].
+/// The method that takes a [`Beat`] and returns an [`Echo`].
 pub const BEAT: &str = "peer.beat";
-/// The method that takes an [`Offer`] and answers with a [`Holding`].
+/// The method that takes an [`Offer`] and returns a [`Holding`].
 pub const OFFER: &str = "peer.offer";
-/// The method that takes a [`Fetch`] and answers with a [`Fetched`].
+/// The method that takes a [`Fetch`] and returns a [`Fetched`].
 pub const FETCH: &str = "peer.fetch";
 
-/// The most pieces asked for in one [`Fetch`]; their hashes take 16 KB.
+/// Maximum number of pieces requested in one [`Fetch`]; their hashes take 16 KB.
 pub const PIECES: usize = 512;
-/// The most bytes of pieces in one [`Fetched`], well within a frame's bound.
+/// Size in bytes at which no further piece is added to a [`Fetched`], well below the frame
+/// limit.
 pub const BYTES: usize = 1_000_000;
 
 /// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Beat {
-    /// What the sender says of itself.
+    /// The sender's status.
     #[serde(rename = "word")]
     pub message: PeerStatus,
-    /// The sender's table, after an answer that told of a different one.
+    /// The sender's member table, after a response that showed that the tables differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
 }
@@ -36,35 +37,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Echo {
-    /// What the answerer says of itself.
+    /// The responder's status.
     #[serde(rename = "word")]
     pub message: PeerStatus,
-    /// The answerer's table, where the digests differ.
+    /// The responder's member table, if the digests differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
-    /// The head that the answerer holds, where it is above the sender's.
+    /// The responder's head, if it is newer than the sender's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head: Option<Head>,
 }
 
-/// A head that the sender holds whole.
+/// Announces a head of which the sender has all pieces.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
-    /// The sender, which missing pieces can be fetched from.
+    /// The sender, from which missing pieces can be fetched.
     pub from: Member,
     /// The head.
     pub head: Head,
-    /// What differs from the version before.
+    /// The differences from the previous version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
 }
 
-/// What the receiver of an offer holds now.
+/// The version that the receiver of an offer has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Holding {
-    /// The highest version whose pieces it holds.
+    /// The highest version of which it has all pieces.
     pub version: Version,
 }
 
@@ -72,33 +73,34 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fetch {
-    /// The root that the sender holds already, from which differences may be told.
+    /// The root that the sender already has, as a base for differences.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub have: Option<Hash>,
-    /// The root that the sender wants to hold.
+    /// The root that the sender wants to fetch.
     pub root: Hash,
-    /// The pieces that it knows to be missing, [`PIECES`] at most.
+    /// The pieces known to be missing, at most [`PIECES`].
     pub missing: Vec<Hash>,
 }
 
-/// Pieces, or differences in place of them. What isn't here isn't held.
+/// Pieces, or differences in place of them. The responder doesn't have a requested piece
+/// that is in neither, unless [`BYTES`] was exceeded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fetched {
-    /// The differences from the root that the asker holds.
+    /// The differences from the root that the requester has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// The pieces asked for, up to [`BYTES`].
+    /// The requested pieces, until their size exceeds [`BYTES`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pieces: Vec<Piece>,
 }
 
-/// A piece with its name.
+/// A piece of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Piece {
-    /// The hash that names it.
+    /// The hash that identifies it.
     pub hash: Hash,
-    /// Its content, which is JSON.
+    /// Its content as JSON.
     pub text: String,
 }
--- a/verbenaspool_protocol/src/prefix.rs
+++ b/verbenaspool_protocol/src/prefix.rs
@@ -1,17 +1,17 @@
-//! Hashes of a prompt's prefixes, by which entries find the engine that has a
-//! prompt's beginning in its cache.
+//! Hashes of a prompt's prefixes, by which entries find the engine whose cache contains
+//! the start of a prompt.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The bytes that one more prefix adds; about 64 tokens.
+/// Number of bytes by which each prefix is longer than the previous one; about 64 tokens.
 pub const BLOCK: usize = 256;
 
-/// The most prefixes of a prompt. Longer ones tell engines no further apart:
-/// what callers share is the head of the prompt.
+/// Maximum number of prefixes of a prompt. Longer ones hardly help to choose an engine,
+/// since callers share only the start of their prompts.
 pub const MOST: usize = 16;
 
-/// The hashes of a prompt's prefixes, shortest first. Only whole blocks count,
-/// as engines cache in whole blocks.
+/// The hashes of a prompt's prefixes, shortest first. Only complete blocks count, since
+/// engines cache complete blocks.
 ///
 /// ```
 /// use verbenaspool_protocol::prefix::{self, BLOCK};
--- a/verbenaspool_protocol/src/problem.rs
+++ b/verbenaspool_protocol/src/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as callers get them: JSON with a stable code and a sentence.
+//! Errors that callers receive, as JSON with a stable code and a message.
 
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -9,43 +9,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
-    /// The request is not well formed.
+    /// The request is malformed.
     BadRequest,
-    /// The credential is missing or stands for nobody.
+    /// The credential is missing or unknown.
     Unauthorized,
     /// The customer may not use the service.
     Forbidden,
-    /// No service has the path.
+    /// No service is configured for the path.
     UnknownService,
     /// The request's body is too large.
     TooLarge,
-    /// The request's body came too slowly.
+    /// The request's body was received too slowly.
     SlowSender,
     /// The deadline can't be met.
     Deadline,
-    /// There is no capacity for the request now.
+    /// There is currently no capacity for the request.
     Overloaded,
-    /// No upstream can serve the request now.
+    /// No upstream can currently serve the request.
     NoUpstream,
     /// The instance is leaving.
     Leaving,
-    /// The attempt was refused before, or by another process than was meant.
+    /// The attempt was rejected before, or reached another process than the intended one.
     StaleAttempt,
     /// The instance has no configuration yet.
     NotReady,
-    /// The same idempotency key came with another request, or its first
-    /// request is still open.
+    /// The idempotency key was used with another request, or its first request is still
+    /// in progress.
     KeyConflict,
-    /// The platform can't be reached, and the request needs it.
+    /// The platform, which the request needs, is unreachable.
     Platform,
-    /// The upstream broke off or the answer was lost.
+    /// The upstream interrupted its answer, or the answer was lost.
     Upstream,
-    /// Upstreams crash under the request.
+    /// Upstreams crashed during earlier attempts at the request.
     Quarantined,
 }
 
 impl Code {
-    /// The HTTP status that goes with the code.
+    /// The HTTP status of the code.
     ///
     /// ```
     /// use verbenaspool_protocol::problem::Code;
@@ -75,22 +75,22 @@
     }
 }
 
-/// The body of an error.
+/// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// The stable code.
     pub code: Code,
-    /// What became of the request.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// What went wrong, in a sentence.
+    /// What went wrong, as a sentence.
     pub message: String,
-    /// When a repeat makes sense, in milliseconds from now.
+    /// After how many milliseconds to retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A problem of a request that did not run.
+    /// A problem with a request that was not executed.
     ///
     /// ```
     /// use verbenaspool_protocol::{outcome::Outcome, problem::{Code, Problem}};
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A problem of a request that may have run.
+    /// A problem with a request that may have been executed.
     ///
     /// ```
     /// use verbenaspool_protocol::{outcome::Outcome, problem::{Code, Problem}};
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The same problem with a time after which a repeat makes sense.
+    /// Sets the time after which to retry.
     ///
     /// ```
     /// use std::time::Duration;
--- a/verbenaspool_protocol/src/report.rs
+++ b/verbenaspool_protocol/src/report.rs
@@ -1,5 +1,5 @@
-//! What an agent tells entries when they ask: its load, and what changed in its
-//! engine's prefix cache.
+//! Reports that entries request from agents: the load, changes of the engine's prefix
+//! cache, and crashes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
 
 use crate::load::Load;
 
-/// The JSON-RPC method that asks for a report.
+/// The JSON-RPC method that takes a [`Question`] and returns a [`Report`].
 pub const METHOD: &str = "agent_report";
 
 /// The JSON-RPC method that makes the instance leave; its parameter is null.
 pub const LEAVE: &str = "agent_leave";
 
-/// What the entry already knows.
+/// A request for a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Question {
-    /// The instance that the entry means to ask; an agent beside another refuses.
+    /// The intended instance; the agent of any other rejects the request.
     pub instance: Identity,
-    /// The number of the last cache event that the entry heard; 0 for none.
+    /// The number of the last cache event that the entry received; 0 for none.
     pub since: u64,
 }
 
@@ -27,51 +27,50 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The load now.
+    /// The current load.
     pub load: Load,
-    /// What changed in the prefix cache.
+    /// The changes of the prefix cache.
     pub cache: Cache,
-    /// Requests that the upstream had as it crashed, lately.
+    /// Requests that the upstream had in progress when it recently crashed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Crash>,
 }
 
-/// A request that the upstream had as it crashed.
+/// A request that the upstream had in progress when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Crash {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// How long ago that was, in milliseconds.
+    /// How long ago the upstream crashed, in milliseconds.
     pub age_ms: u64,
-    /// How long the upstream had been answering the request, in milliseconds; none if it
-    /// hadn't begun.
+    /// How long the upstream had been answering the request, in milliseconds; `None` if it
+    /// hadn't started to.
     pub ran_ms: Option<u64>,
 }
 
-/// Changes of the prefix cache since the number that was asked for.
+/// Changes of the prefix cache since the requested event.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cache {
-    /// Whether the entry must start afresh: its number is too old, or the
-    /// engine was started again.
+    /// Whether the entry has to discard what it knows of the cache, since its last event is
+    /// too old or the engine was restarted.
     pub reset: bool,
-    /// The number of the last event told, to ask from next time. There may be
-    /// more behind it.
+    /// The number of the last event in the report, from which the next request continues.
+    /// There may be further events.
     pub last: u64,
     /// The events, oldest first.
     pub events: Vec<Event>,
 }
 
-/// One change of the prefix cache.
+/// A change of the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// Counts the engine's events up; a step of more than one is a gap, whose
-    /// events are lost.
+    /// Sequence number of the engine's event. Events whose numbers are skipped are lost.
     pub number: u64,
     /// The hash of the prefix.
     pub prefix: u64,
-    /// Whether the prefix is held now, or was dropped.
+    /// Whether the prefix was added to the cache; otherwise it was evicted.
     pub held: bool,
 }
--- a/verbenaspool_protocol/src/reservation.rs
+++ b/verbenaspool_protocol/src/reservation.rs
@@ -1,8 +1,8 @@
 //! Reservations of an upstream's slots, which its agent grants.
 //!
-//! With many entries none knows in time what the others have just sent to an
-//! upstream. The agent beside it does: it reads its report and hears of every
-//! request beforehand.
+//! With many entries, none of them learns in time which requests the others have just
+//! sent to an upstream. Its agent knows: it reads the upstream's report, and entries
+//! announce each request to it before they send it.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -11,48 +11,47 @@
 
 use crate::member::Status;
 
-/// An entry asks for one of an upstream's slots.
+/// An entry's request for one of an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Tells the entry's asks apart.
+    /// Identifies the request among those of the entry.
     pub ticket: u64,
-    /// Requests that the upstream processes at once, as the entry knows it.
+    /// Number of requests that the upstream processes concurrently, as known to the entry.
     pub slots: u32,
 }
 
-/// What the agent says to that.
+/// The agent's answer to a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Which ask it answers.
+    /// The ticket of the request.
     pub ticket: u64,
-    /// Whether a slot is kept for the request, which is to be sent at once.
+    /// Whether a slot is reserved, in which case the entry has to send the request at once.
     pub granted: bool,
-    /// How the upstream stands, this request included if it was granted.
+    /// The upstream's status, including this request if it was granted.
     pub status: Status,
 }
 
-/// What an entry tells an agent that asks: what the store says of its service. Agents
-/// make no calls to the store themselves, which are paid for.
+/// The store's data about a service, which an agent requests from an entry. Agents don't
+/// read the store themselves, since calls to it are charged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Members {
-    /// The instances of the service's upstreams, or some of them where there are more
-    /// than fit.
+    /// The instances of the service's upstreams; some of them if not all fit.
     pub instances: Vec<IpAddr>,
-    /// Requests that the agent's upstream processes at once.
+    /// Number of requests that the agent's upstream processes concurrently.
     pub slots: u32,
-    /// The experts of the service's engines.
+    /// The experts of the service's engines, if its upstreams are ranks of groups.
     pub experts: Option<Experts>,
-    /// The least time that a pass of them takes.
+    /// The minimum duration of a pass of the engines.
     pub pass: Duration,
 }
 
-/// The most instances that one message names: each takes up to six bytes.
+/// Maximum number of instances in one message; each takes up to six bytes.
 pub const MAX_INSTANCES: usize = 200;
 
-/// An entry wants to hear how an upstream stands.
+/// An entry's subscription to an upstream's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscription {
-    /// Whether the entry is in the upstream's availability zone, and so wants to hear
-    /// of each request more or less.
+    /// Whether the entry is in the upstream's availability zone. Such an entry is also
+    /// notified of changes of the number of requests.
     pub near: bool,
 }
--- a/verbenaspool_protocol/src/settle.rs
+++ b/verbenaspool_protocol/src/settle.rs
@@ -1,5 +1,5 @@
-//! Settling an attempt whose answer was lost: the entry asks the agent what
-//! became of it.
+//! Settling an attempt whose answer was lost: the entry asks the agent whether it was
+//! executed.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,13 +10,13 @@
 /// The JSON-RPC method.
 pub const METHOD: &str = "attempt_settle";
 
-/// The question: what became of this attempt?
+/// Asks whether an attempt was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Question {
     /// The attempt.
     pub attempt: attempt::Id,
-    /// The agent process it was sent to.
+    /// The agent process to which it was sent.
     pub agent: u64,
 }
 
@@ -24,13 +24,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It was not admitted and, by a tombstone left now, never will be.
+    /// It was not admitted, and never will be, because the agent has recorded a tombstone
+    /// for it.
     Refused,
-    /// It is running.
+    /// It is in progress.
     Running,
-    /// It ran to its end.
+    /// It is finished.
     Ended,
-    /// Another agent process took it or did not; this one can't tell.
+    /// It was sent to another agent process, so this one doesn't know.
     Unknown,
 }
 
--- a/verbenaspool_protocol/src/suspicion.rs
+++ b/verbenaspool_protocol/src/suspicion.rs
@@ -1,41 +1,41 @@
-//! What entries tell each other of requests that upstreams crashed under.
+//! Messages between entries about requests during which upstreams crashed.
 //!
-//! Times are relative to when the message is sent, as processes share no clock.
+//! Times are relative to the sending of the message, since processes share no clock.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::fingerprint::Fingerprint;
 
-/// The most requests in one message, which must fit in a datagram.
+/// Maximum number of requests in one message, which has to fit in a datagram.
 pub const MAX_SUSPICIONS: usize = 16;
 
-/// The most crashes that are told of one request.
+/// Maximum number of crashes reported for one request.
 pub const MAX_CRASHES: usize = 4;
 
-/// A request, and what its sender knows of it.
+/// A request that may have crashed upstreams, as known to the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Crashes that count, the latest ones where there are more than fit.
+    /// The crashes that count; only the latest ones if there are more than [`MAX_CRASHES`].
     pub crashes: Vec<Crash>,
-    /// How long ago it succeeded, in milliseconds.
+    /// How long ago the request succeeded, in milliseconds.
     pub succeeded_ms: Option<u32>,
-    /// When it is rejected, if it is.
+    /// The period in which the request is rejected, if any.
     pub term: Option<Term>,
 }
 
-/// A crash of an upstream that had the request.
+/// A crash of an upstream that was processing the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The upstream's incarnation, by [`crate::digest::hash`].
+    /// The [`crate::digest::hash`] of the upstream's incarnation.
     pub upstream: u32,
     /// How long ago it crashed, in milliseconds.
     pub age_ms: u32,
-    /// Whether it had just begun with the request, or hadn't yet.
+    /// Whether it had just started to process the request, or hadn't yet.
     pub early: bool,
 }
 
-/// A time in which the request is rejected.
+/// A period in which a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Term {
     /// How long ago it began, in milliseconds.
--- a/verbenaspool_protocol/src/suspicion/tests.rs
+++ b/verbenaspool_protocol/src/suspicion/tests.rs
@@ -1,11 +1,12 @@
-//! The size of reports.
+//! The size of messages.
 
 use verbenaspool_state::fingerprint::Fingerprint;
 
 use super::{Crash, MAX_CRASHES, MAX_SUSPICIONS, Suspicion, Term};
 use crate::message::{MAX_DATAGRAM_BYTES, Message};
 
-/// Guards against reports of many crashes that no datagram holds, so that none arrives.
+/// Guards against messages about many crashes that exceed the size of a datagram and are
+/// never delivered.
 #[test]
 fn the_largest_report_fits_in_a_datagram() {
     let crash = Crash {
