--- a/examples/demo/traffic.rs
+++ b/examples/demo/traffic.rs
@@ -205,7 +205,7 @@
             Err(_) => (Outcome::Unknown, false),
             Ok(response) => {
                 let told = response.headers().get(header::OUTCOME);
-                let outcome = Outcome::read(told.and_then(|value| value.to_str().ok()));
+                let outcome = Outcome::from_header(told.and_then(|value| value.to_str().ok()));
                 match response.into_body().collect().await {
                     Err(_) => (Outcome::Unknown, false),
                     Ok(body) => (outcome, outcome == Outcome::Ran && !own(&body.to_bytes())),
--- a/verbenaspool/benches/capacity/agent.rs
+++ b/verbenaspool/benches/capacity/agent.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_protocol::{
     load::Load,
-    report::{Cache, Event, Question, Report},
+    report::{Cache, Event, Report, Request},
 };
 use verbenaspool_state::upstream::Identity;
 
@@ -32,7 +32,7 @@
             },
             crashes: Vec::new(),
         };
-        let question = Question {
+        let question = Request {
             instance: Identity {
                 firm: "tidewater".parse().expect("a name"),
                 instance: "loft-assistant-12000".parse().expect("a name"),
--- a/verbenaspool/benches/capacity/members.rs
+++ b/verbenaspool/benches/capacity/members.rs
@@ -6,7 +6,7 @@
 };
 
 use verbenaspool_coordination::membership::{Member, MemberState, Membership, Settings};
-use verbenaspool_protocol::peer::{Beat, Echo};
+use verbenaspool_protocol::peer::{Heartbeat, HeartbeatAnswer};
 use verbenaspool_state::version::Version;
 
 use super::{Output, wire};
@@ -99,27 +99,27 @@
     fn exchange(&mut self, number: u16, other: u16) {
         let (version, now) = (Version(79_000), self.now);
         let one = &self.members[&number];
-        let beat = Beat {
-            message: one.own_status(now, version, version, true),
+        let beat = Heartbeat {
+            status: one.own_status(now, version, version, true),
             table: Vec::new(),
         };
         let sent: Vec<Member> = one.table().cloned().collect();
         let two = self.members.get_mut(&other).expect("a member");
-        let differs = two.digest_differs(&beat.message);
+        let differs = two.digest_differs(&beat.status);
         if differs {
             two.merge(&sent);
         }
-        two.receive(now, beat.message.clone());
+        two.receive(now, beat.status.clone());
         let table: Vec<Member> = two.table().cloned().collect();
-        let echo = Echo {
-            message: two.own_status(now, version, version, true),
+        let echo = HeartbeatAnswer {
+            status: two.own_status(now, version, version, true),
             table: if differs { table } else { Vec::new() },
             head: None,
         };
         let bytes = wire(&beat, &echo);
         let one = self.members.get_mut(&number).expect("a member");
         one.merge(&echo.table);
-        one.receive(now, echo.message);
+        one.receive(now, echo.status);
         for end in [number, other] {
             *self.bytes.entry(end).or_default() += bytes;
         }
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -18,7 +18,7 @@
 use verbenaspool_policy::quarantine::Quarantine;
 use verbenaspool_protocol::{
     member::Status,
-    reservation::{self, Members},
+    reservation::{self, ServiceInfo},
 };
 use verbenaspool_state::{replica::Replica, route::Table};
 use verbenaspool_transport::{clock::Clock, http::client::Client, metrics, rpc};
@@ -243,7 +243,7 @@
 
     /// What the agent on an instance needs to know of its upstream's service; none where
     /// no upstream of a group runs there.
-    pub fn members(&self, instance: IpAddr) -> Option<Members> {
+    pub fn members(&self, instance: IpAddr) -> Option<ServiceInfo> {
         let table = self.table()?;
         let registry = self.registry.borrow();
         let grouped = |replica: &Replica| {
@@ -255,11 +255,11 @@
         let (own, engine) = there.find_map(|replica| Some((replica, grouped(replica)?)))?;
         let group_members = registry.iter().filter(|r| r.service == own.service);
         let group_members = group_members.map(|replica| replica.address.ip());
-        Some(Members {
+        Some(ServiceInfo {
             instances: group_members.choose_multiple(&mut rand::rng(), reservation::MAX_INSTANCES),
             slots: own.slots,
             experts: engine.experts,
-            pass: engine.pass(0.0),
+            min_pass_time: engine.pass(0.0),
         })
     }
 
@@ -272,15 +272,15 @@
         };
         drop(registry);
         let changed = self.queue(&upstream.service).with(|dispatcher, now| {
-            if !dispatcher.record_load(now, &upstream.id, status.number, status.requests) {
+            if !dispatcher.record_load(now, &upstream.id, status.sequence, status.requests) {
                 return false;
             }
-            let (group, open, pace) = (status.group, status.open, status.pace.into());
+            let (group, open, pace) = (status.group, status.group_complete, status.pace.into());
             dispatcher.record_status(now, &upstream.id, group, open, pace)
         });
         if changed {
             info!(self.log, "Entry: A rank's group changed.";
-                "upstream" => &*upstream.id, "open" => status.open);
+                "upstream" => &*upstream.id, "open" => status.group_complete);
         }
     }
 
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -21,7 +21,7 @@
 use slog::{info, warn};
 use verbenaspool_platform::store::Object;
 use verbenaspool_protocol::{
-    digest::{self, Budget, Digest, Flight},
+    digest::{self, Digest, Hint, InFlight},
     message::{self, Message},
     reservation::Subscription,
 };
@@ -183,7 +183,7 @@
         let Some(peer) = self.known.get_mut(&from) else {
             return false;
         };
-        let order = |digest: &Digest| (digest.incarnation, digest.number);
+        let order = |digest: &Digest| (digest.incarnation, digest.sequence);
         // Behind a silence anything is believed: a process that was started again
         // may have a lower number than its forerunner where the time of day was
         // put back.
@@ -222,7 +222,7 @@
     fn flights(&self, now: Duration) -> HashMap<u32, u32> {
         let mut sums = HashMap::new();
         for (_, peer) in self.live(now) {
-            for flight in &peer.digest.flights {
+            for flight in &peer.digest.in_flight {
                 *sums.entry(flight.upstream).or_default() += flight.requests;
             }
         }
@@ -231,8 +231,9 @@
 
     /// The peers that have something newer than this.
     fn ahead(&self, now: Duration, have: Have) -> Vec<Ipv4Addr> {
-        let ahead =
-            |peer: &Peer| peer.digest.table > have.table || peer.digest.registry > have.registry;
+        let ahead = |peer: &Peer| {
+            peer.digest.table_version > have.table || peer.digest.registry_revision > have.registry
+        };
         let ahead = self.live(now).filter(|(_, peer)| ahead(peer));
         ahead.map(|(address, _)| *address).collect()
     }
@@ -276,7 +277,7 @@
         let mut flights = Vec::new();
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
-                flights.extend(dispatcher.in_flight(now).map(|(id, requests)| Flight {
+                flights.extend(dispatcher.in_flight(now).map(|(id, requests)| InFlight {
                     upstream: digest::hash(id),
                     requests,
                 }));
@@ -289,12 +290,12 @@
         let named = named.choose_multiple(&mut rand::rng(), most);
         Digest {
             incarnation,
-            number: peers.number,
-            table: have.table,
-            registry: have.registry,
+            sequence: peers.number,
+            table_version: have.table,
+            registry_revision: have.registry,
             leaving: self.leaving.get(),
-            flights: {
-                flights.truncate(digest::MAX_FLIGHTS);
+            in_flight: {
+                flights.truncate(digest::MAX_UPSTREAMS);
                 flights
             },
             peers: named,
@@ -302,22 +303,22 @@
     }
 
     /// How long callers of each service wait at first.
-    fn budgets(&self) -> Vec<Budget> {
-        let budgets = self.queues().into_iter().map(|queue| Budget {
+    fn budgets(&self) -> Vec<Hint> {
+        let budgets = self.queues().into_iter().map(|queue| Hint {
             service: digest::hash(&queue.service),
-            times_ms: queue.common_times(),
+            waits_ms: queue.common_times(),
         });
-        let known = budgets.filter(|budget| !budget.times_ms.is_empty());
-        known.take(digest::MAX_BUDGETS).collect()
+        let known = budgets.filter(|budget| !budget.waits_ms.is_empty());
+        known.take(digest::MAX_HINTS).collect()
     }
 
     /// Takes over how long callers wait at first, as far as this entry doesn't know.
-    fn learn_budgets(&self, budgets: &[Budget]) {
+    fn learn_budgets(&self, budgets: &[Hint]) {
         for queue in self.queues() {
             let service = digest::hash(&queue.service);
             let budget = budgets.iter().find(|budget| budget.service == service);
             if let Some(budget) = budget {
-                queue.hint_times(&budget.times_ms);
+                queue.hint_times(&budget.waits_ms);
             }
         }
     }
@@ -418,7 +419,7 @@
                     gateway.share();
                 }
             }
-            Some(Message::Budgets(budgets)) if is_peer(&gateway, from) => {
+            Some(Message::WaitHints(budgets)) if is_peer(&gateway, from) => {
                 gateway.learn_budgets(&budgets);
             }
             Some(Message::Suspicions(suspicions)) if is_peer(&gateway, from) => {
@@ -431,12 +432,12 @@
             Some(Message::Lookup) => {
                 if let Some(members) = gateway.members(from) {
                     let port = gateway.settings.borrow().peer_port;
-                    let message = Message::Members(members).encode();
+                    let message = Message::ServiceInfo(members).encode();
                     // An agent that doesn't hear this asks again.
                     let _ = socket.send_to(message, SocketAddr::new(from, port)).await;
                 }
             }
-            Some(Message::Answer(answer)) if answer.status.upstream.ip() == from => {
+            Some(Message::ReservationAnswer(answer)) if answer.status.upstream.ip() == from => {
                 gateway.reservations.answered(from, answer);
             }
             _ => {}
@@ -455,7 +456,7 @@
             reported = now;
             let budgets = gateway.budgets();
             if !budgets.is_empty() {
-                broadcast(&gateway, &socket, &Message::Budgets(budgets)).await;
+                broadcast(&gateway, &socket, &Message::WaitHints(budgets)).await;
             }
         }
         gateway.clock.sleep(pause(peers)).await;
@@ -498,7 +499,7 @@
         for (upstream, near) in ranks {
             // An agent that missed this hears the next one.
             if near || round % SUBSCRIBE_FAR == 0 {
-                let message = Message::Subscribe(Subscription { near }).encode();
+                let message = Message::Subscribe(Subscription { same_zone: near }).encode();
                 let agent = SocketAddr::new(upstream.ip(), port);
                 let _ = socket.send_to(message, agent).await;
             }
--- a/verbenaspool/src/direct/peers/tests.rs
+++ b/verbenaspool/src/direct/peers/tests.rs
@@ -23,7 +23,7 @@
 
 fn digest(number: u64) -> Digest {
     Digest {
-        number,
+        sequence: number,
         ..Digest::default()
     }
 }
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -109,7 +109,7 @@
             reservations: self,
             ticket,
         };
-        let message = Message::Ask(reservation::Ask { ticket, slots });
+        let message = Message::ReservationRequest(reservation::Request { ticket, slots });
         // An ask that is lost is as good as an agent that is silent.
         let _ = socket.send_to(message.encode(), agent).await;
         monoio::time::timeout(RESERVATION_TIMEOUT, answer)
--- a/verbenaspool/src/direct/reserve/tests.rs
+++ b/verbenaspool/src/direct/reserve/tests.rs
@@ -16,10 +16,10 @@
         ticket,
         granted: true,
         status: Status {
-            number: 1,
+            sequence: 1,
             upstream: SocketAddr::new(agent(1), 80),
             group: 7,
-            open: true,
+            group_complete: true,
             pace: 1.0,
             requests: 3,
         },
--- a/verbenaspool/src/entry/claim.rs
+++ b/verbenaspool/src/entry/claim.rs
@@ -130,7 +130,7 @@
         Some(settle::Answer::Refused) => Ok(()),
         Some(settle::Answer::Running) => {
             let message = "A request with this key is running.";
-            Err(Problem::unknown(Code::KeyConflict, message).after(RUNNING))
+            Err(Problem::unknown(Code::KeyConflict, message).with_retry_after(RUNNING))
         }
         Some(settle::Answer::Ended) => {
             let message = "A request with this key came before and ran; its answer is not kept.";
@@ -183,5 +183,5 @@
         Code::Platform,
         "The platform can't be reached, and a write with a key needs it.",
     )
-    .after(Duration::from_secs(1))
+    .with_retry_after(Duration::from_secs(1))
 }
--- a/verbenaspool/src/entry/events.rs
+++ b/verbenaspool/src/entry/events.rs
@@ -1,13 +1,13 @@
 //! Server-sent events as they pass: counted, and cut at their ends.
 
-use verbenaspool_protocol::engine::END_MARK;
+use verbenaspool_protocol::engine::END_OF_STREAM;
 
 /// What a line that carries data begins with.
 const DATA: &[u8] = b"data:";
 
 /// How much of a line is kept to recognise it, in bytes: the longest form of the end mark's
 /// line, and a byte that tells a longer line from it.
-const MAX_LINE_BYTES: usize = DATA.len() + 1 + END_MARK.len() + 1;
+const MAX_LINE_BYTES: usize = DATA.len() + 1 + END_OF_STREAM.len() + 1;
 
 /// What the lines of an event carried so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -84,7 +84,7 @@
     fn end_line(&mut self) {
         if let Some(value) = self.line.strip_prefix(DATA) {
             let value = value.strip_prefix(b" ").unwrap_or(value);
-            let marks_end = self.content == Content::Empty && value == END_MARK.as_bytes();
+            let marks_end = self.content == Content::Empty && value == END_OF_STREAM.as_bytes();
             self.content = if marks_end {
                 Content::EndMark
             } else {
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -230,7 +230,7 @@
     if read(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
         return Verdict::Foreign;
     }
-    match Outcome::read(read(headers, header::OUTCOME)) {
+    match Outcome::from_header(read(headers, header::OUTCOME)) {
         Outcome::Ran => Verdict::Answered,
         Outcome::NotRun => Verdict::Refused,
         Outcome::Unknown => Verdict::Unknown,
@@ -263,7 +263,7 @@
     control: SocketAddr,
     agent: u64,
 ) -> Option<settle::Answer> {
-    let question = settle::Question { attempt, agent };
+    let question = settle::Request { attempt, agent };
     let wait = SETTLE.min(forward.left());
     let rpc = &forward.entry.rpc;
     rpc.call(control, settle::METHOD, &question, wait)
--- a/verbenaspool/src/entry/forward.rs
+++ b/verbenaspool/src/entry/forward.rs
@@ -106,7 +106,7 @@
     async fn attempts(self: &Rc<Self>) -> Result<Response<Body>, Problem> {
         if let Some(left) = self.quarantined() {
             let message = "Upstreams crash under the request.";
-            return Err(Problem::not_run(Code::Quarantined, message).after(left));
+            return Err(Problem::not_run(Code::Quarantined, message).with_retry_after(left));
         }
         let attempt = self.admit().await?;
         let mut claimed = self.claim(&attempt).await?;
@@ -232,7 +232,7 @@
             return Err(failure.problem);
         }
         let retried = self.queue.retry(&self.work(), failure.ending, tried).await;
-        retried.map_err(|refusal| failure.problem.after(refusal.retry_after))
+        retried.map_err(|refusal| failure.problem.with_retry_after(refusal.retry_after))
     }
 
     /// What the caller's own body did wrong; it was the cause of the failure then.
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -511,7 +511,7 @@
 /// The entry has no configuration yet.
 fn not_ready() -> Problem {
     Problem::not_run(Code::NotReady, "The instance has no configuration yet.")
-        .after(Duration::from_secs(1))
+        .with_retry_after(Duration::from_secs(1))
 }
 
 /// A body that was faulty before any of it was passed on.
--- a/verbenaspool/src/entry/reply.rs
+++ b/verbenaspool/src/entry/reply.rs
@@ -86,5 +86,5 @@
             "The request did not run; repeat it later.",
         ),
     };
-    Problem::not_run(code, message).after(refusal.retry_after)
+    Problem::not_run(code, message).with_retry_after(refusal.retry_after)
 }
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -49,7 +49,7 @@
         let Some((address, since)) = self.upstreams.asked(name, now) else {
             return;
         };
-        let question = report::Question {
+        let question = report::Request {
             instance: Identity {
                 firm: self.firm().clone(),
                 instance: name.clone(),
--- a/verbenaspool/tests/entry/agent.rs
+++ b/verbenaspool/tests/entry/agent.rs
@@ -78,7 +78,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut module = Module::default();
-        module.on(report::METHOD, |_: report::Question| async {
+        module.on(report::METHOD, |_: report::Request| async {
             let load = Load {
                 agent: NUMBER,
                 ..Load::default()
@@ -91,7 +91,7 @@
             })
         });
         let agent = self.clone();
-        module.on(settle::METHOD, move |_: settle::Question| {
+        module.on(settle::METHOD, move |_: settle::Request| {
             let answer = agent.settles.get();
             async move { Ok::<_, String>(answer) }
         });
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -230,7 +230,7 @@
         assert_eq!(repeat, answer(200, "ran", "/bookings one booking"));
         // The dead entry's attempt arrives after all.
         let agent = firm.jobs.unwrap();
-        let late = settle::Question {
+        let late = settle::Request {
             attempt: record.attempt.parse().unwrap(),
             agent: agent.process,
         };
--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -189,7 +189,7 @@
             Ok(Err(_)) | Err(_) => return lost(Outcome::Unknown),
         };
         let told = response.headers().get(header::OUTCOME);
-        let outcome = Outcome::read(told.and_then(|value| value.to_str().ok()));
+        let outcome = Outcome::from_header(told.and_then(|value| value.to_str().ok()));
         match response.into_body().collect().await {
             Ok(body) => Reply {
                 outcome,
--- a/verbenaspool_agent/benches/agent.rs
+++ b/verbenaspool_agent/benches/agent.rs
@@ -233,7 +233,7 @@
 #[allow(clippy::cast_precision_loss)] // Counts are far below 2^53.
 async fn reports(agent: &Agent) -> Value {
     let client = rpc::Client::default();
-    let question = report::Question {
+    let question = report::Request {
         instance: Identity {
             firm: "tidewater".parse().expect("a name"),
             instance: "bench".parse().expect("a name"),
--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -168,7 +168,7 @@
             return false;
         };
         let now = self.clock.now();
-        self.membership.borrow().iter(now).count() >= usize::from(state.size)
+        self.membership.borrow().iter(now).count() >= usize::from(state.group_size)
     }
 
     /// Reads the own rank's report; none where it can't be had.
@@ -198,10 +198,10 @@
             self.sums.take();
         }
         let state = State {
-            number: self.number.get(),
+            sequence: self.number.get(),
             group,
             rank: member.rank,
-            size: member.size,
+            group_size: member.size,
             upstream: self.settings.upstream,
             report: switch::Report {
                 epoch: member.epoch,
@@ -217,11 +217,18 @@
             zone: digest::hash(&self.settings.zone),
         };
         let before = self.state.replace(Some(state.clone()));
-        let place = |state: &State| (state.group, state.report.epoch, state.rank, state.size);
+        let place = |state: &State| {
+            (
+                state.group,
+                state.report.epoch,
+                state.rank,
+                state.group_size,
+            )
+        };
         if before.as_ref().map(place) != Some(place(&state)) {
             info!(self.log, "Agent: The rank sits in a group."; "group" => &member.group,
-                "epoch" => member.epoch, "rank" => state.rank, "size" => state.size);
-            let mut lead = (state.rank == 0).then(|| Lead::new(state.size.into()));
+                "epoch" => member.epoch, "rank" => state.rank, "size" => state.group_size);
+            let mut lead = (state.rank == 0).then(|| Lead::new(state.group_size.into()));
             let before = self.lead.take();
             if let (Some(lead), Some(before)) = (&mut lead, before) {
                 lead.inherit(before, state.report.epoch);
@@ -305,16 +312,16 @@
         match message {
             Message::Subscribe(subscription) => {
                 let now = self.clock.now();
-                let near = subscription.near;
+                let near = subscription.same_zone;
                 self.listeners.borrow_mut().subscribe(now, agent, near);
                 self.look_up(agent, near).await;
                 return;
             }
-            Message::Members(members) => {
+            Message::ServiceInfo(members) => {
                 self.learn(agent, &members);
                 return;
             }
-            Message::Ask(ask) => {
+            Message::ReservationRequest(ask) => {
                 self.grant(agent, ask).await;
                 return;
             }
@@ -323,7 +330,7 @@
                 self.hear_choices(&choices);
                 return;
             }
-            Message::Held(held) if own == Some((held.group, held.epoch)) => {
+            Message::RankExperts(held) if own == Some((held.group, held.epoch)) => {
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
                     lead.held(held);
                 }
@@ -334,7 +341,7 @@
             Message::Difference(difference) if own.map(|own| own.1) == Some(difference.epoch) => {
                 self.differ(difference).await;
             }
-            Message::Lack(lack) if own.map(|own| own.1) == Some(lack.epoch) => {
+            Message::MapRequest(lack) if own.map(|own| own.1) == Some(lack.epoch) => {
                 self.complete(agent, lack);
             }
             Message::Map(map) if own.map(|own| own.1) == Some(map.epoch) => {
--- a/verbenaspool_agent/src/direct/agent_state/tests.rs
+++ b/verbenaspool_agent/src/direct/agent_state/tests.rs
@@ -4,7 +4,7 @@
 use slog::{Discard, Logger, o};
 use verbenaspool_coordination::switch;
 use verbenaspool_platform::report::{Member, Report};
-use verbenaspool_protocol::{member::State, reservation::Members};
+use verbenaspool_protocol::{member::State, reservation::ServiceInfo};
 use verbenaspool_transport::{clock::Monotonic, http::client::Client, runtime};
 
 use super::{super::settings::Settings, AgentState};
@@ -44,10 +44,10 @@
         let shared = shared();
         shared.observe(&report("g", 1, true));
         let other = State {
-            number: 1,
+            sequence: 1,
             group: shared.group.get(),
             rank: 1,
-            size: 2,
+            group_size: 2,
             upstream: "127.0.0.2:9".parse().expect("an address"),
             report: switch::Report::default(),
             pace: 1.0,
@@ -67,12 +67,12 @@
 }
 
 /// What an entry says of the service, as one that lies would.
-fn members(slots: u32) -> Members {
-    Members {
+fn members(slots: u32) -> ServiceInfo {
+    ServiceInfo {
         instances: vec!["127.0.0.2".parse().expect("an address")],
         slots,
         experts: None,
-        pass: std::time::Duration::from_millis(40),
+        min_pass_time: std::time::Duration::from_millis(40),
     }
 }
 
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -116,7 +116,7 @@
         if since >= self.choices_every().max(MIN_SAMPLE_INTERVAL)
             && let Some(counts) = self.newly(born, state.report.epoch).await
         {
-            self.tell_choices(&state, 0, state.number, &counts).await;
+            self.tell_choices(&state, 0, state.sequence, &counts).await;
         }
     }
 
@@ -156,7 +156,7 @@
                 epoch: state.report.epoch,
                 rank: state.rank,
                 round,
-                from: u32::try_from(number * COUNTS_PER_DATAGRAM).unwrap_or(u32::MAX),
+                offset: u32::try_from(number * COUNTS_PER_DATAGRAM).unwrap_or(u32::MAX),
                 counts: counts.to_vec(),
             };
             if to == state.rank {
@@ -188,7 +188,7 @@
         };
         let part = PartialCounts {
             rank: choices.rank,
-            offset: usize::try_from(choices.from).unwrap_or(usize::MAX),
+            offset: usize::try_from(choices.offset).unwrap_or(usize::MAX),
             counts: &choices.counts,
         };
         let apart = state.report.step.abs_diff(round.number) / self.passes();
@@ -226,7 +226,7 @@
         if dropped == 0 {
             warn!(self.log, "Agent: A message about choices came twice, too late or doesn't fit; such messages are dropped.";
                 "rank" => choices.rank, "epoch" => choices.epoch, "round" => choices.round,
-                "from" => choices.from, "counts" => choices.counts.len());
+                "from" => choices.offset, "counts" => choices.counts.len());
         }
     }
 
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use verbenaspool_coordination::switch::Switch;
 use verbenaspool_policy::rebalancer::incremental::{self, ChangeLimits, PlacementChange};
-use verbenaspool_protocol::member::{Choices, Difference, Held, Map, Move, places_hash};
+use verbenaspool_protocol::member::{Choices, Difference, Map, Move, RankExperts, placement_hash};
 use verbenaspool_state::{engine::Experts, expert_map::Layer};
 
 use super::partial::{FIRST_VERSION, first, moves};
@@ -174,12 +174,12 @@
     ///
     /// A message that came twice would count double.
     pub fn choices(&mut self, now: Duration, choices: &Choices, counts: usize) -> bool {
-        let from = choices.from as usize;
+        let from = choices.offset as usize;
         let end = from.saturating_add(choices.counts.len());
         let twice = |(round, at): &(u64, Duration)| {
             choices.round <= *round && now.saturating_sub(*at) < REORDER_WINDOW
         };
-        let part = (choices.rank, choices.from);
+        let part = (choices.rank, choices.offset);
         if end > counts || self.heard.get(&part).is_some_and(twice) {
             return false;
         }
@@ -196,7 +196,7 @@
     }
 
     /// Takes in what a rank holds.
-    pub fn held(&mut self, held: Held) {
+    pub fn held(&mut self, held: RankExperts) {
         if held.epoch > self.epoch {
             self.epoch = held.epoch;
             self.held.clear();
@@ -311,7 +311,7 @@
             version,
             base,
             moves: moves(&before, &after),
-            hash: places_hash(&after),
+            hash: placement_hash(&after),
             places: after,
         });
         let longest = u32::try_from(relief.max_rank_copies).unwrap_or(u32::MAX);
@@ -335,8 +335,8 @@
             moves: moves.to_vec(),
             hash: plan.hash,
             part: number,
-            parts,
-            beyond: Vec::new(),
+            part_count: parts,
+            descendants: Vec::new(),
         };
         (0..).zip(&chunks).map(part).collect()
     }
@@ -362,9 +362,9 @@
             .map(|(number, places)| Map {
                 epoch,
                 version,
-                sets: count(sets),
-                from: count(number * each),
-                places: places.to_vec(),
+                set_count: count(sets),
+                first_set: count(number * each),
+                placement: places.to_vec(),
             })
             .collect()
     }
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use verbenaspool_coordination::switch::Report;
-use verbenaspool_protocol::member::{Choices, Held};
+use verbenaspool_protocol::member::{Choices, RankExperts};
 use verbenaspool_state::{engine::Experts, expert_map::Layer};
 
 use super::Lead;
@@ -27,7 +27,7 @@
             ..Report::default()
         };
         lead.switch.report(NOW, rank.into(), report);
-        lead.held(Held {
+        lead.held(RankExperts {
             group: 7,
             epoch,
             rank,
@@ -45,7 +45,7 @@
         epoch: 1,
         rank: 0,
         round: 1,
-        from: 0,
+        offset: 0,
         counts: vec![8_000, 100, 100, 100],
     }
 }
--- a/verbenaspool_agent/src/direct/lookup.rs
+++ b/verbenaspool_agent/src/direct/lookup.rs
@@ -8,7 +8,7 @@
 use std::{net::IpAddr, time::Duration};
 
 use slog::info;
-use verbenaspool_protocol::{message::Message, reservation::Members};
+use verbenaspool_protocol::{message::Message, reservation::ServiceInfo};
 
 use super::agent_state::AgentState;
 
@@ -38,7 +38,7 @@
     }
 
     /// Takes in what an entry says that was asked.
-    pub(super) fn learn(&self, entry: IpAddr, members: &Members) {
+    pub(super) fn learn(&self, entry: IpAddr, members: &ServiceInfo) {
         let now = self.clock.now();
         let expected = |(asked, at): (IpAddr, Duration)| {
             asked == entry && now.saturating_sub(at) < LOOKUP_TIMEOUT
@@ -49,7 +49,7 @@
         self.instances
             .replace(members.instances.iter().copied().collect());
         self.limit.set(Some(members.slots));
-        self.pass.set(members.pass);
+        self.pass.set(members.min_pass_time);
         if self.experts.replace(members.experts) != members.experts {
             info!(self.log, "Agent: The experts of the service are known.";
                 "experts" => format!("{:?}", members.experts), "from" => entry.to_string());
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -39,7 +39,7 @@
     pub fn hear(&mut self, now: Duration, agent: IpAddr, state: State) -> bool {
         if let Some(known) = self.0.get(&state.rank) {
             let lately = now.saturating_sub(known.heard) < REORDER_WINDOW;
-            let place = |state: &State| (state.report.epoch, state.number);
+            let place = |state: &State| (state.report.epoch, state.sequence);
             let older = place(&state) <= place(&known.state);
             if known.agent == agent && lately && older {
                 return false;
--- a/verbenaspool_agent/src/direct/membership/tests.rs
+++ b/verbenaspool_agent/src/direct/membership/tests.rs
@@ -13,10 +13,10 @@
     let mut membership = Membership::default();
     for rank in 0..size {
         let state = State {
-            number: 1,
+            sequence: 1,
             group: 7,
             rank,
-            size,
+            group_size: size,
             upstream: "10.1.0.1:80".parse().expect("an address"),
             report: Report::default(),
             pace: 1.0,
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -7,7 +7,7 @@
 use verbenaspool_coordination::switch::{Order as Change, RankOrder};
 use verbenaspool_platform::{order, report::Report};
 use verbenaspool_protocol::{
-    member::{Difference, Lack, Map, Order, State, What},
+    member::{Action, Difference, Map, MapRequest, Order, State},
     message::Message,
 };
 
@@ -64,7 +64,7 @@
 
     /// Carries out an order of the lead, and tells it how the rank stands then.
     pub(super) async fn obey(self: &Rc<Self>, agent: IpAddr, order: Order) {
-        let What::Change(change) = order.what else {
+        let Action::Change(change) = order.action else {
             self.answer(agent).await;
             return;
         };
@@ -136,14 +136,14 @@
             {
                 *partial = Some(Partial {
                     version: map.version,
-                    sets: vec![None; map.sets.into()],
+                    sets: vec![None; map.set_count.into()],
                 });
             }
             let Some(partial) = &mut *partial else {
                 return;
             };
-            for (number, set) in map.places.into_iter().enumerate() {
-                if let Some(place) = partial.sets.get_mut(usize::from(map.from) + number) {
+            for (number, set) in map.placement.into_iter().enumerate() {
+                if let Some(place) = partial.sets.get_mut(usize::from(map.first_set) + number) {
                     *place = Some(set);
                 }
             }
@@ -178,7 +178,7 @@
             (whole.base, self.state(), self.experts.get())
         {
             let mut known = self.known.borrow_mut();
-            known.add_first(epoch, state.size, &experts);
+            known.add_first(epoch, state.group_size, &experts);
         }
         let places = self.known.borrow().apply(&whole);
         if let Some(places) = places {
@@ -187,12 +187,12 @@
         }
         info!(self.log, "Agent: The map before isn't known; asking for the whole one.";
             "epoch" => epoch, "version" => version, "before" => whole.base);
-        self.send(lead, &Message::Lack(Lack { epoch, version }))
+        self.send(lead, &Message::MapRequest(MapRequest { epoch, version }))
             .await;
     }
 
     /// Sends the whole map to an agent that lacks it, as the lead.
-    pub(super) fn complete(self: &Rc<Self>, agent: IpAddr, lack: Lack) {
+    pub(super) fn complete(self: &Rc<Self>, agent: IpAddr, lack: MapRequest) {
         let parts = match &*self.lead.borrow() {
             Some(lead) => lead.parts(lack.version, lack.epoch),
             None => return,
@@ -237,9 +237,15 @@
             });
             return;
         }
-        let what = What::Change(send.order);
-        self.send(member.agent, &Message::Order(Order { epoch, what }))
-            .await;
+        let what = Action::Change(send.order);
+        self.send(
+            member.agent,
+            &Message::Order(Order {
+                epoch,
+                action: what,
+            }),
+        )
+        .await;
     }
 
     /// An order as a rank takes it.
@@ -301,7 +307,7 @@
         if let Some(agent) = agent {
             let look = Order {
                 epoch,
-                what: What::Look,
+                action: Action::ReportState,
             };
             self.send(agent, &Message::Order(look)).await;
         }
--- a/verbenaspool_agent/src/direct/partial.rs
+++ b/verbenaspool_agent/src/direct/partial.rs
@@ -1,6 +1,6 @@
 //! Maps that come in several datagrams, or as what differs from one before.
 
-use verbenaspool_protocol::member::{Difference, Move, places_hash};
+use verbenaspool_protocol::member::{Difference, Move, placement_hash};
 use verbenaspool_state::engine::Experts;
 
 /// A map of which some parts have come.
@@ -47,12 +47,12 @@
     pub fn of(known: Option<Self>, part: &Difference) -> Self {
         let same = |known: &Self| {
             (known.epoch, known.version) == (part.epoch, part.version)
-                && known.moves.len() == usize::from(part.parts)
+                && known.moves.len() == usize::from(part.part_count)
         };
         known.filter(same).unwrap_or_else(|| Self {
             epoch: part.epoch,
             version: part.version,
-            moves: vec![None; part.parts.into()],
+            moves: vec![None; part.part_count.into()],
         })
     }
 
@@ -65,7 +65,7 @@
         let moves = self.moves.iter().cloned().collect::<Option<Vec<_>>>()?;
         Some(Difference {
             moves: moves.concat(),
-            beyond: Vec::new(),
+            descendants: Vec::new(),
             ..part.clone()
         })
     }
@@ -112,15 +112,15 @@
         for change in &difference.moves {
             let set = places.get_mut(usize::from(change.set))?;
             let rank = set.get_mut(usize::from(change.rank))?;
-            if let Some(out) = change.out {
+            if let Some(out) = change.removed {
                 rank.retain(|expert| *expert != out);
             }
-            rank.extend(change.new);
+            rank.extend(change.added);
         }
         for rank in places.iter_mut().flatten() {
             rank.sort_unstable();
         }
-        (places_hash(&places) == difference.hash).then_some(places)
+        (placement_hash(&places) == difference.hash).then_some(places)
     }
 }
 
@@ -139,8 +139,8 @@
                 moves.push(Move {
                     set,
                     rank,
-                    out,
-                    new,
+                    removed: out,
+                    added: new,
                 });
             }
         }
--- a/verbenaspool_agent/src/direct/partial/tests.rs
+++ b/verbenaspool_agent/src/direct/partial/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use verbenaspool_protocol::member::{Difference, Move, places_hash};
+use verbenaspool_protocol::member::{Difference, Move, placement_hash};
 use verbenaspool_state::engine::Experts;
 
 use super::{FIRST_VERSION, Known, Parts, moves};
@@ -19,20 +19,20 @@
             Move {
                 set: 0,
                 rank: 0,
-                out: Some(1),
-                new: Some(2),
+                removed: Some(1),
+                added: Some(2),
             },
             Move {
                 set: 0,
                 rank: 1,
-                out: None,
-                new: Some(1),
+                removed: None,
+                added: Some(1),
             },
         ],
-        hash: places_hash(&[vec![vec![0, 2], vec![1, 2]]]),
+        hash: placement_hash(&[vec![vec![0, 2], vec![1, 2]]]),
         part: 0,
-        parts: 1,
-        beyond: Vec::new(),
+        part_count: 1,
+        descendants: Vec::new(),
     };
     let places = known.apply(&difference).expect("the base is known");
     assert_eq!(places, [[vec![0, 2], vec![1, 2]]]);
@@ -59,10 +59,10 @@
         version: 8,
         base: 7,
         moves: Vec::new(),
-        hash: places_hash(&[vec![vec![0]]]),
+        hash: placement_hash(&[vec![vec![0]]]),
         part: 0,
-        parts: 1,
-        beyond: Vec::new(),
+        part_count: 1,
+        descendants: Vec::new(),
     };
     assert_eq!(known.apply(&old), None);
 }
@@ -81,10 +81,10 @@
         version: 8,
         base: 7,
         moves: moves(&before, &after),
-        hash: places_hash(&after),
+        hash: placement_hash(&after),
         part: 0,
-        parts: 1,
-        beyond: Vec::new(),
+        part_count: 1,
+        descendants: Vec::new(),
     };
     assert_eq!(known.apply(&difference), Some(after));
 }
@@ -105,10 +105,10 @@
         version: 8,
         base: 7,
         moves: moves(&theirs, &after),
-        hash: places_hash(&after),
+        hash: placement_hash(&after),
         part: 0,
-        parts: 1,
-        beyond: Vec::new(),
+        part_count: 1,
+        descendants: Vec::new(),
     };
     assert_eq!(known.apply(&difference), None);
 }
@@ -122,13 +122,13 @@
         moves: vec![Move {
             set: part,
             rank: 0,
-            out: None,
-            new: Some(9),
+            removed: None,
+            added: Some(9),
         }],
         hash: 0,
         part,
-        parts,
-        beyond: vec![4],
+        part_count: parts,
+        descendants: vec![4],
     }
 }
 
@@ -165,7 +165,7 @@
     let first = vec![vec![0, 2, 4], vec![1, 3]];
     let change = Difference {
         moves: Vec::new(),
-        hash: places_hash(&[first.clone(), first.clone()]),
+        hash: placement_hash(&[first.clone(), first.clone()]),
         ..part(8, 0, 1)
     };
     assert_eq!(known.apply(&change), Some(vec![first.clone(), first]));
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -128,7 +128,9 @@
 
 /// How often all agents of the group hear of each other.
 fn hello_every(shared: &AgentState) -> Duration {
-    let size = shared.state().map_or(0, |state| u32::from(state.size));
+    let size = shared
+        .state()
+        .map_or(0, |state| u32::from(state.group_size));
     if shared.is_complete() {
         HELLO_INTERVAL * size.max(HELLO_RANKS) / HELLO_RANKS
     } else {
--- a/verbenaspool_agent/src/direct/spread.rs
+++ b/verbenaspool_agent/src/direct/spread.rs
@@ -62,7 +62,7 @@
 
     /// Passes a message of the lead on to the ranks that it names.
     pub(super) fn relay(self: &Rc<Self>, difference: &Difference) {
-        self.pass_on(difference, &difference.beyond);
+        self.pass_on(difference, &difference.descendants);
     }
 
     /// Sends a message to some ranks, which pass it on to the others.
@@ -77,7 +77,7 @@
                 continue;
             };
             let message = Message::Difference(Difference {
-                beyond: branch.descendants,
+                descendants: branch.descendants,
                 ..difference.clone()
             });
             self.send_paced(agent, &message);
@@ -120,7 +120,9 @@
     /// How often choices are told, so that those of all ranks fit in their part of the
     /// lead's link, which is taken to be like this one.
     pub(super) fn choices_every(&self) -> Duration {
-        let size = self.state().map_or(0, |state| usize::from(state.size));
+        let size = self
+            .state()
+            .map_or(0, |state| usize::from(state.group_size));
         self.time_of_choices(size, EXPERT_COUNTS_LINK_RATIO)
     }
 
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -53,7 +53,7 @@
         if self.lead.borrow().is_none() {
             warn!(self.log, "Agent: The group stands still and its lead is silent; standing in.";
                 "rank" => state.rank, "step" => state.report.step, "for_ms" => stood.as_secs_f64() * 1e3);
-            let mut lead = Lead::new(state.size.into());
+            let mut lead = Lead::new(state.group_size.into());
             lead.stands_in = true;
             self.lead.replace(Some(lead));
         }
--- a/verbenaspool_agent/src/direct/tell.rs
+++ b/verbenaspool_agent/src/direct/tell.rs
@@ -4,9 +4,9 @@
 
 use verbenaspool_coordination::switch::{HOLDER_RANK, Report};
 use verbenaspool_protocol::{
-    member::{Held, Status},
+    member::{RankExperts, Status},
     message::Message,
-    reservation::{Answer, Ask},
+    reservation::{Answer, Request},
 };
 
 use super::{agent_state::AgentState, listeners::Standing};
@@ -77,10 +77,10 @@
         self.statuses.set(self.statuses.get() + 1);
         let pace = self.running_pace();
         Status {
-            number: self.statuses.get(),
+            sequence: self.statuses.get(),
             upstream: self.settings.upstream,
             group: self.group.get(),
-            open: pace.is_some(),
+            group_complete: pace.is_some(),
             pace: pace.unwrap_or(1.0),
             requests: self.slots.borrow().requests(),
         }
@@ -90,7 +90,7 @@
     ///
     /// The registry's message on how many there are goes before the entry's: one that
     /// asked for more could fill the rank's line.
-    pub(super) async fn grant(&self, entry: IpAddr, ask: Ask) {
+    pub(super) async fn grant(&self, entry: IpAddr, ask: Request) {
         let slots = self.limit.get().unwrap_or(ask.slots);
         let granted = self.is_running() && self.slots.borrow_mut().grant(self.clock.now(), slots);
         let answer = Answer {
@@ -98,7 +98,7 @@
             granted,
             status: self.status(),
         };
-        self.send(entry, &Message::Answer(answer)).await;
+        self.send(entry, &Message::ReservationAnswer(answer)).await;
     }
 
     /// The agent of the group's lead.
@@ -126,14 +126,14 @@
             return;
         };
         self.told.set((now_epoch, held.version, now));
-        let held = Held {
+        let held = RankExperts {
             group: state.group,
             epoch: now_epoch,
             rank: state.rank,
             version: held.version,
             experts: held.experts,
         };
-        self.to_lead(Message::Held(held)).await;
+        self.to_lead(Message::RankExperts(held)).await;
     }
 
     /// Gives the lead a message, who may be this agent itself.
@@ -145,7 +145,7 @@
             self.send(agent, &message).await;
             return;
         }
-        if let (Message::Held(held), Some(lead)) = (message, &mut *self.lead.borrow_mut()) {
+        if let (Message::RankExperts(held), Some(lead)) = (message, &mut *self.lead.borrow_mut()) {
             lead.held(held);
         }
     }
--- a/verbenaspool_agent/src/executor.rs
+++ b/verbenaspool_agent/src/executor.rs
@@ -10,7 +10,7 @@
 use verbenaspool_coordination::group::order::{Effect, Order, OrderTracker, Outcome, State};
 use verbenaspool_protocol::{
     engine,
-    order::{HELD, METHOD},
+    order::{METHOD, STATE_PATH},
 };
 use verbenaspool_transport::{
     clock::Clock,
@@ -131,7 +131,7 @@
 
     /// What the engine is.
     async fn held(&self) -> Result<State, String> {
-        let request = Request::get(HELD)
+        let request = Request::get(STATE_PATH)
             .header(http::header::HOST, self.engine.to_string())
             .body(Body::empty())
             .map_err(|error| error.to_string())?;
--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -22,7 +22,7 @@
 use verbenaspool_policy::rebalancer::Rebalancer;
 use verbenaspool_protocol::{
     engine::Order,
-    group::{ENGINE, Envelope, METHOD, STATUS, State, Status},
+    group::{ENGINE_STATE_PATH, Envelope, METHOD, STATUS_METHOD, State, Status},
 };
 use verbenaspool_state::{
     expert_map::{Map, Shape},
@@ -151,7 +151,7 @@
             async move { taken }
         });
         let driver = self.clone();
-        module.on(STATUS, move |(): ()| {
+        module.on(STATUS_METHOD, move |(): ()| {
             let status = driver.status();
             async move { Ok::<_, String>(status) }
         });
@@ -254,7 +254,7 @@
 
     /// Reads where the engine stands and what it has to tell.
     async fn read(&self) -> Result<State, String> {
-        let request = Request::get(ENGINE)
+        let request = Request::get(ENGINE_STATE_PATH)
             .header(http::header::HOST, self.settings.engine.to_string())
             .body(Body::empty())
             .map_err(|error| error.to_string())?;
--- a/verbenaspool_agent/src/orders.rs
+++ b/verbenaspool_agent/src/orders.rs
@@ -19,7 +19,7 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::sync::Mutex;
 
-use verbenaspool_protocol::engine::{ORDER, Order};
+use verbenaspool_protocol::engine::{ORDER_PATH, Order};
 use verbenaspool_transport::{
     clock::Clock,
     http::{
@@ -109,7 +109,7 @@
 
     async fn exchange(&self, order: &Order) -> Result<Bytes, Error> {
         let text = serde_json::to_vec(order).map_err(|error| Error::NotSent(error.to_string()))?;
-        let request = Request::post(ORDER)
+        let request = Request::post(ORDER_PATH)
             .header(HOST, self.engine.to_string())
             .body(Body::full(text))
             .map_err(|error| Error::NotSent(error.to_string()))?;
--- a/verbenaspool_agent/src/proxy.rs
+++ b/verbenaspool_agent/src/proxy.rs
@@ -147,7 +147,7 @@
             warn!(shared.log, "Proxy: The upstream can't be reached."; "reason" => why);
             flight.end(Ending::NotRun);
             let message = "The upstream can't be reached.";
-            Err(Problem::not_run(Code::NoUpstream, message).after(DOWN_RETRY))
+            Err(Problem::not_run(Code::NoUpstream, message).with_retry_after(DOWN_RETRY))
         }
         Either::Left((Err(client::Error::Broken(why)), _)) => {
             warn!(shared.log, "Proxy: The upstream broke off before its answer."; "reason" => why);
@@ -204,7 +204,7 @@
         Rejection::Leaving => Problem::not_run(Code::Leaving, "The instance is leaving."),
         Rejection::Full => {
             let message = "The instance runs as many requests as it may.";
-            Problem::not_run(Code::Overloaded, message).after(FULL_RETRY)
+            Problem::not_run(Code::Overloaded, message).with_retry_after(FULL_RETRY)
         }
         Rejection::Tombstone => {
             Problem::not_run(Code::StaleAttempt, "The attempt was refused before.")
--- a/verbenaspool_agent/src/settings.rs
+++ b/verbenaspool_agent/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use verbenaspool_protocol::engine::STATE;
+use verbenaspool_protocol::engine::STATE_PATH;
 use verbenaspool_state::{name::Name, upstream::Identity};
 use verbenaspool_transport::{log, settings, trace};
 
@@ -66,7 +66,7 @@
     /// What the upstream is.
     pub kind: Kind,
     /// The path where the upstream tells its state; none to ask for nothing.
-    /// An engine tells it at [`STATE`] if not told otherwise.
+    /// An engine tells it at [`STATE_PATH`] if not told otherwise.
     #[serde(default)]
     pub state: Option<String>,
     /// How often the state is asked for, in milliseconds.
@@ -101,7 +101,7 @@
         if self.kind == Kind::Plain {
             return;
         }
-        self.state.get_or_insert_with(|| STATE.to_owned());
+        self.state.get_or_insert_with(|| STATE_PATH.to_owned());
         if self.paths.is_empty() {
             self.paths.push("/v1/".to_owned());
         }
--- a/verbenaspool_agent/tests/agent/group.rs
+++ b/verbenaspool_agent/tests/agent/group.rs
@@ -15,7 +15,7 @@
 use http_body_util::BodyExt;
 use monoio::net::{ListenerOpts, TcpListener};
 
-use verbenaspool_protocol::group::{STATUS, Status};
+use verbenaspool_protocol::group::{STATUS_METHOD, Status};
 use verbenaspool_standin::{
     address,
     history::steps,
@@ -168,7 +168,10 @@
     async fn status(&self, seat: u16) -> Option<Status> {
         let address = self.controls[usize::from(seat)];
         let timeout = Duration::from_secs(1);
-        self.rpc.call(address, STATUS, &(), timeout).await.ok()
+        self.rpc
+            .call(address, STATUS_METHOD, &(), timeout)
+            .await
+            .ok()
     }
 
     /// The metrics of the agent at a seat.
--- a/verbenaspool_agent/tests/agent/report.rs
+++ b/verbenaspool_agent/tests/agent/report.rs
@@ -8,7 +8,7 @@
 use verbenaspool_protocol::{
     engine::Order,
     header,
-    prefix::{self, BLOCK},
+    prefix::{self, BLOCK_BYTES},
 };
 use verbenaspool_standin::engine::{Config, text};
 use verbenaspool_transport::clock::{Clock, Monotonic};
@@ -58,7 +58,7 @@
             ..Config::default()
         });
         let rig = Rig::start(settings(address, "engine"));
-        let prompt = "a".repeat(2 * BLOCK);
+        let prompt = "a".repeat(2 * BLOCK_BYTES);
         rig.complete(&prompt, 1).await.unwrap();
         while rig.report(0).await.cache.last < 2 {
             rig.clock.sleep(Duration::from_millis(2)).await;
@@ -67,7 +67,7 @@
         let held: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
         assert_eq!((held, cache.reset), (prefix::hashes(&prompt), false));
         assert!(rig.report(2).await.cache.events.is_empty());
-        let other = "b".repeat(2 * BLOCK);
+        let other = "b".repeat(2 * BLOCK_BYTES);
         rig.complete(&other, 1).await.unwrap();
         while rig.report(2).await.cache.last < 4 {
             rig.clock.sleep(Duration::from_millis(2)).await;
--- a/verbenaspool_agent/tests/agent/rig.rs
+++ b/verbenaspool_agent/tests/agent/rig.rs
@@ -17,7 +17,7 @@
     outcome::Outcome,
     problem::{Code, Problem},
     report,
-    settle::{self, Answer, Question},
+    settle::{self, Answer},
 };
 use verbenaspool_standin::{
     engine::{Config, Engine, Parts, text},
@@ -99,8 +99,8 @@
 }
 
 /// What an entry asks an instance's agent.
-pub fn question(instance: &str, since: u64) -> report::Question {
-    report::Question {
+pub fn question(instance: &str, since: u64) -> report::Request {
+    report::Request {
         instance: Identity {
             firm: "tidewater".parse().expect("a name"),
             instance: instance.parse().expect("a name"),
@@ -192,7 +192,7 @@
         let read = |name| parts.headers.get(name)?.to_str().ok();
         Ok(Reply {
             status: parts.status,
-            outcome: Outcome::read(read(header::OUTCOME)),
+            outcome: Outcome::from_header(read(header::OUTCOME)),
             attempt: read(header::ATTEMPT).and_then(|text| text.parse().ok()),
             load: read(header::LOAD).and_then(|text| serde_json::from_str(text).ok()),
             resumed: read(header::RESUME).and_then(|text| text.parse().ok()),
@@ -211,7 +211,7 @@
     }
 
     pub async fn settle(&self, attempt: attempt::Id) -> Answer {
-        let question = Question {
+        let question = settle::Request {
             attempt,
             agent: self.agent,
         };
@@ -225,14 +225,14 @@
     }
 
     /// Asks for a report, and may be refused.
-    pub async fn ask(&self, question: &report::Question) -> Result<report::Report, rpc::Error> {
+    pub async fn ask(&self, question: &report::Request) -> Result<report::Report, rpc::Error> {
         self.rpc
             .call(self.control, report::METHOD, question, CALL)
             .await
     }
 
     pub async fn leave(&self) {
-        self.call::<(), ()>(report::LEAVE, &()).await;
+        self.call::<(), ()>(report::LEAVE_METHOD, &()).await;
     }
 
     async fn call<P: serde::Serialize, R: serde::de::DeserializeOwned>(
--- a/verbenaspool_protocol/src/digest.rs
+++ b/verbenaspool_protocol/src/digest.rs
@@ -10,15 +10,15 @@
     /// Identifies the entry process; a restarted one has a higher number.
     pub incarnation: u64,
     /// Sequence number of the digest, since datagrams can be reordered.
-    pub number: u64,
+    pub sequence: u64,
     /// The version of the routing table in use.
-    pub table: u64,
+    pub table_version: u64,
     /// The revision of the upstream registry in use.
-    pub registry: u64,
+    pub registry_revision: u64,
     /// Whether the entry is shutting down.
     pub leaving: bool,
     /// The upstreams that process requests of this entry, with the number of them.
-    pub flights: Vec<Flight>,
+    pub in_flight: Vec<InFlight>,
     /// Some of the other entries known to this one.
     pub peers: Vec<Ipv4Addr>,
 }
@@ -26,19 +26,19 @@
 /// Common waits that callers of a service announce with an initial request. Entries
 /// that have seen too few requests use them to detect retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Budget {
+pub struct Hint {
     /// The service, by [`hash`].
     pub service: u32,
     /// The waits, in milliseconds.
-    pub times_ms: Vec<u32>,
+    pub waits_ms: Vec<u32>,
 }
 
 /// Maximum number of services in one message.
-pub const MAX_BUDGETS: usize = 4;
+pub const MAX_HINTS: usize = 4;
 
 /// Number of an entry's requests in flight at one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flight {
+pub struct InFlight {
     /// The upstream, by [`hash`].
     pub upstream: u32,
     /// Number of requests.
@@ -61,4 +61,4 @@
 
 /// Maximum number of upstreams in a digest. Each takes up to seven bytes, and the digest
 /// has to fit in one Ethernet frame. Entries that use more upstreams omit the rest.
-pub const MAX_FLIGHTS: usize = 150;
+pub const MAX_UPSTREAMS: usize = 150;
--- a/verbenaspool_protocol/src/engine.rs
+++ b/verbenaspool_protocol/src/engine.rs
@@ -6,7 +6,7 @@
 use crate::report::Event;
 
 /// The path of the engine's state; `?since=` takes the number of the last event received.
-pub const STATE: &str = "/state";
+pub const STATE_PATH: &str = "/state";
 
 /// The engine's state. Additional fields that engines send are ignored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,10 +25,10 @@
 }
 
 /// Data of the final event of a streamed answer.
-pub const END_MARK: &str = "[DONE]";
+pub const END_OF_STREAM: &str = "[DONE]";
 
 /// The path that accepts orders.
-pub const ORDER: &str = "/order";
+pub const ORDER_PATH: &str = "/order";
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/verbenaspool_protocol/src/group.rs
+++ b/verbenaspool_protocol/src/group.rs
@@ -34,7 +34,7 @@
 }
 
 /// The JSON-RPC method that returns a [`Status`].
-pub const STATUS: &str = "group_status";
+pub const STATUS_METHOD: &str = "group_status";
 
 /// The state of a group as known to one of its agents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
 }
 
 /// The path of a rank engine's [`State`].
-pub const ENGINE: &str = "/rank";
+pub const ENGINE_STATE_PATH: &str = "/rank";
 
 /// The state of a rank's engine. Each event and sample is sent once.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
--- a/verbenaspool_protocol/src/member.rs
+++ b/verbenaspool_protocol/src/member.rs
@@ -10,13 +10,13 @@
 pub struct State {
     /// Sequence number of the message; those of a restarted sender continue above the
     /// previous ones.
-    pub number: u64,
+    pub sequence: u64,
     /// Hash of the group's name, see [`crate::digest::hash`].
     pub group: u32,
     /// The rank's index in the group.
     pub rank: u16,
     /// Number of ranks in the group.
-    pub size: u16,
+    pub group_size: u16,
     /// Address of the upstream.
     pub upstream: SocketAddr,
     /// The rank's report, with the orders that its agent passed on or rejects.
@@ -40,7 +40,7 @@
     /// The round of the rank's counts that this message is a part of; it increases.
     pub round: u64,
     /// Offset of the first count among those of all sets of layers.
-    pub from: u32,
+    pub offset: u32,
     /// Number of times that each expert was chosen.
     pub counts: Vec<u32>,
 }
@@ -51,16 +51,16 @@
     /// The group's epoch; in any other one the order is ignored.
     pub epoch: u64,
     /// The action.
-    pub what: What,
+    pub action: Action,
 }
 
 /// The action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Action {
     /// Execute a step of a map change. The map to prepare is sent separately.
     Change(switch::Order),
     /// Only report the rank's current state.
-    Look,
+    ReportState,
 }
 
 /// A part of a complete map to prepare: the experts of some sets of layers.
@@ -71,11 +71,11 @@
     /// The map's version.
     pub version: u64,
     /// Number of sets in the complete map.
-    pub sets: u16,
+    pub set_count: u16,
     /// Index of the first set in this message.
-    pub from: u16,
+    pub first_set: u16,
     /// The experts of each rank, by set.
-    pub places: Vec<Vec<Vec<u16>>>,
+    pub placement: Vec<Vec<Vec<u16>>>,
 }
 
 /// A map to prepare, or a part of it, as the differences from a previous map. Sending
@@ -90,30 +90,30 @@
     pub base: u64,
     /// The differences in this part.
     pub moves: Vec<Move>,
-    /// The [`places_hash`] of the map after all parts are applied.
+    /// The [`placement_hash`] of the map after all parts are applied.
     pub hash: u32,
     /// Index of this part.
     pub part: u16,
     /// Number of parts.
-    pub parts: u16,
+    pub part_count: u16,
     /// The ranks to which the receiver relays the message.
-    pub beyond: Vec<u16>,
+    pub descendants: Vec<u16>,
 }
 
 /// Hash of a map's placement, by which an agent verifies a map that it assembled from
 /// differences.
 ///
 /// ```
-/// use verbenaspool_protocol::member::places_hash;
+/// use verbenaspool_protocol::member::placement_hash;
 ///
 /// let before = [vec![vec![0, 1], vec![2]]];
 /// let after = [vec![vec![0], vec![1, 2]]];
-/// assert_ne!(places_hash(&before), places_hash(&after));
+/// assert_ne!(placement_hash(&before), placement_hash(&after));
 /// ```
 #[must_use]
-pub fn places_hash(places: &[Vec<Vec<u16>>]) -> u32 {
+pub fn placement_hash(placement: &[Vec<Vec<u16>>]) -> u32 {
     let mut bytes = Vec::new();
-    for rank in places.iter().flatten() {
+    for rank in placement.iter().flatten() {
         for expert in rank {
             bytes.extend(expert.to_le_bytes());
         }
@@ -133,14 +133,14 @@
     /// The rank.
     pub rank: u16,
     /// The expert removed from the rank, if any.
-    pub out: Option<u16>,
+    pub removed: Option<u16>,
     /// The expert added to the rank, if any.
-    pub new: Option<u16>,
+    pub added: Option<u16>,
 }
 
 /// Requests a complete map, from an agent that lacks the base of a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lack {
+pub struct MapRequest {
     /// The group's epoch.
     pub epoch: u64,
     /// The requested version.
@@ -149,7 +149,7 @@
 
 /// The experts of a rank under the map in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct RankExperts {
     /// Hash of the group's name, see [`crate::digest::hash`].
     pub group: u32,
     /// The group's epoch.
@@ -167,13 +167,13 @@
 pub struct Status {
     /// Sequence number of the message; those of a restarted sender continue above the
     /// previous ones.
-    pub number: u64,
+    pub sequence: u64,
     /// Address of the upstream.
     pub upstream: SocketAddr,
     /// Hash of the group's name; 0 if it is unknown.
     pub group: u32,
     /// Whether its group is complete; otherwise the rank executes no requests.
-    pub open: bool,
+    pub group_complete: bool,
     /// Ratio of the rank's pass time to the usual one.
     pub pace: f32,
     /// Number of its requests, including those still in transit to it.
--- a/verbenaspool_protocol/src/message.rs
+++ b/verbenaspool_protocol/src/message.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    digest::{Budget, Digest},
-    member::{Choices, Difference, Held, Lack, Map, Order, State, Status},
-    reservation::{Answer, Ask, Members, Subscription},
+    digest::{Digest, Hint},
+    member::{Choices, Difference, Map, MapRequest, Order, RankExperts, State, Status},
+    reservation::{self, ServiceInfo, Subscription},
     suspicion::Suspicion,
 };
 
@@ -23,13 +23,13 @@
     /// Agent to entry: requests the store's data about its service.
     Lookup,
     /// Entry to agent: the answer to [`Self::Lookup`].
-    Members(Members),
+    ServiceInfo(ServiceInfo),
     /// Agent to entry: the status of its rank.
     Status(Status),
     /// Entry to agent: requests one of the rank's slots.
-    Ask(Ask),
+    ReservationRequest(reservation::Request),
     /// Agent to entry: whether the slot is reserved.
-    Answer(Answer),
+    ReservationAnswer(reservation::Answer),
     /// Agent to the other agents of its group: the state of its rank.
     State(State),
     /// Agent to lead: the experts chosen by recent requests of its rank.
@@ -39,13 +39,13 @@
     /// Lead to agent: differences of the map that its rank has to prepare.
     Difference(Difference),
     /// Agent to lead: requests a complete map.
-    Lack(Lack),
+    MapRequest(MapRequest),
     /// Lead to agent: a part of the complete map that its rank has to prepare.
     Map(Map),
     /// Agent to lead: the experts of its rank.
-    Held(Held),
+    RankExperts(RankExperts),
     /// Entry to other entries: common initial waits of the services' callers.
-    Budgets(Vec<Budget>),
+    WaitHints(Vec<Hint>),
     /// Entry to other entries: requests during which upstreams crashed.
     Suspicions(Vec<Suspicion>),
 }
@@ -55,11 +55,11 @@
     ///
     /// ```
     /// use verbenaspool_protocol::{
-    ///     member::{Order, What},
+    ///     member::{Action, Order},
     ///     message::Message,
     /// };
     ///
-    /// let message = Message::Order(Order { epoch: 1, what: What::Look });
+    /// let message = Message::Order(Order { epoch: 1, action: Action::ReportState });
     /// assert_eq!(Message::decode(&message.encode()), Some(message));
     /// ```
     #[must_use]
--- a/verbenaspool_protocol/src/order.rs
+++ b/verbenaspool_protocol/src/order.rs
@@ -9,4 +9,4 @@
 
 /// The path of an engine's
 /// [`State`](verbenaspool_coordination::group::order::State).
-pub const HELD: &str = "/held";
+pub const STATE_PATH: &str = "/held";
--- a/verbenaspool_protocol/src/outcome.rs
+++ b/verbenaspool_protocol/src/outcome.rs
@@ -39,11 +39,11 @@
     /// ```
     /// use verbenaspool_protocol::outcome::Outcome;
     ///
-    /// assert_eq!(Outcome::read(Some("ran")), Outcome::Ran);
-    /// assert_eq!(Outcome::read(None), Outcome::Unknown);
+    /// assert_eq!(Outcome::from_header(Some("ran")), Outcome::Ran);
+    /// assert_eq!(Outcome::from_header(None), Outcome::Unknown);
     /// ```
     #[must_use]
-    pub fn read(text: Option<&str>) -> Self {
+    pub fn from_header(text: Option<&str>) -> Self {
         match text {
             Some("ran") => Self::Ran,
             Some("not-run") => Self::NotRun,
--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -8,26 +8,26 @@
 };
 use verbenaspool_state::version::Version;
 
-/// The method that takes a [`Beat`] and returns an [`Echo`].
-pub const BEAT: &str = "peer.beat";
+/// The method that takes a [`Heartbeat`] and returns a [`HeartbeatAnswer`].
+pub const HEARTBEAT: &str = "peer.beat";
 /// The method that takes an [`Offer`] and returns a [`Holding`].
 pub const OFFER: &str = "peer.offer";
 /// The method that takes a [`Fetch`] and returns a [`Fetched`].
 pub const FETCH: &str = "peer.fetch";
 
 /// Maximum number of pieces requested in one [`Fetch`]; their hashes take 16 KB.
-pub const PIECES: usize = 512;
+pub const MAX_PIECES: usize = 512;
 /// Size in bytes at which no further piece is added to a [`Fetched`], well below the frame
 /// limit.
-pub const BYTES: usize = 1_000_000;
+pub const MAX_PIECE_BYTES: usize = 1_000_000;
 
 /// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's status.
     #[serde(rename = "word")]
-    pub message: PeerStatus,
+    pub status: PeerStatus,
     /// The sender's member table, after a response that showed that the tables differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
@@ -36,10 +36,10 @@
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Echo {
+pub struct HeartbeatAnswer {
     /// The responder's status.
     #[serde(rename = "word")]
-    pub message: PeerStatus,
+    pub status: PeerStatus,
     /// The responder's member table, if the digests differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
@@ -78,19 +78,19 @@
     pub have: Option<Hash>,
     /// The root that the sender wants to fetch.
     pub root: Hash,
-    /// The pieces known to be missing, at most [`PIECES`].
+    /// The pieces known to be missing, at most [`MAX_PIECES`].
     pub missing: Vec<Hash>,
 }
 
 /// Pieces, or differences in place of them. The responder doesn't have a requested piece
-/// that is in neither, unless [`BYTES`] was exceeded.
+/// that is in neither, unless [`MAX_PIECE_BYTES`] was exceeded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fetched {
     /// The differences from the root that the requester has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// The requested pieces, until their size exceeds [`BYTES`].
+    /// The requested pieces, until their size exceeds [`MAX_PIECE_BYTES`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pieces: Vec<Piece>,
 }
--- a/verbenaspool_protocol/src/problem.rs
+++ b/verbenaspool_protocol/src/problem.rs
@@ -134,11 +134,11 @@
     /// use verbenaspool_protocol::problem::{Code, Problem};
     ///
     /// let problem = Problem::not_run(Code::Overloaded, "No capacity is free.")
-    ///     .after(Duration::from_millis(250));
+    ///     .with_retry_after(Duration::from_millis(250));
     /// assert_eq!(problem.retry_after_ms, Some(250));
     /// ```
     #[must_use]
-    pub fn after(mut self, wait: std::time::Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: std::time::Duration) -> Self {
         self.retry_after_ms = u64::try_from(wait.as_millis()).ok();
         self
     }
--- a/verbenaspool_protocol/src/report.rs
+++ b/verbenaspool_protocol/src/report.rs
@@ -7,16 +7,16 @@
 
 use crate::load::Load;
 
-/// The JSON-RPC method that takes a [`Question`] and returns a [`Report`].
+/// The JSON-RPC method that takes a [`Request`] and returns a [`Report`].
 pub const METHOD: &str = "agent_report";
 
 /// The JSON-RPC method that makes the instance leave; its parameter is null.
-pub const LEAVE: &str = "agent_leave";
+pub const LEAVE_METHOD: &str = "agent_leave";
 
 /// A request for a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Question {
+pub struct Request {
     /// The intended instance; the agent of any other rejects the request.
     pub instance: Identity,
     /// The number of the last cache event that the entry received; 0 for none.
--- a/verbenaspool_protocol/src/reservation.rs
+++ b/verbenaspool_protocol/src/reservation.rs
@@ -13,7 +13,7 @@
 
 /// An entry's request for one of an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Identifies the request among those of the entry.
     pub ticket: u64,
     /// Number of requests that the upstream processes concurrently, as known to the entry.
@@ -34,7 +34,7 @@
 /// The store's data about a service, which an agent requests from an entry. Agents don't
 /// read the store themselves, since calls to it are charged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Members {
+pub struct ServiceInfo {
     /// The instances of the service's upstreams; some of them if not all fit.
     pub instances: Vec<IpAddr>,
     /// Number of requests that the agent's upstream processes concurrently.
@@ -42,7 +42,7 @@
     /// The experts of the service's engines, if its upstreams are ranks of groups.
     pub experts: Option<Experts>,
     /// The minimum duration of a pass of the engines.
-    pub pass: Duration,
+    pub min_pass_time: Duration,
 }
 
 /// Maximum number of instances in one message; each takes up to six bytes.
@@ -53,5 +53,5 @@
 pub struct Subscription {
     /// Whether the entry is in the upstream's availability zone. Such an entry is also
     /// notified of changes of the number of requests.
-    pub near: bool,
+    pub same_zone: bool,
 }
--- a/verbenaspool_protocol/src/settle.rs
+++ b/verbenaspool_protocol/src/settle.rs
@@ -13,7 +13,7 @@
 /// Asks whether an attempt was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Question {
+pub struct Request {
     /// The attempt.
     pub attempt: attempt::Id,
     /// The agent process to which it was sent.
--- a/verbenaspool_standin/src/engine.rs
+++ b/verbenaspool_standin/src/engine.rs
@@ -11,9 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use verbenaspool_protocol::{
-    engine::{ORDER, STATE},
-    header,
-    order::HELD,
+    engine::{ORDER_PATH, STATE_PATH},
+    header, order,
 };
 use verbenaspool_transport::{
     clock::Clock,
@@ -175,9 +174,9 @@
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
                 (&Method::POST, "/v1/completions") => self.complete(request).await,
-                (&Method::GET, STATE) => self.state(request.uri().query()),
-                (&Method::POST, ORDER) => self.order(request).await,
-                (&Method::GET, HELD) => json(&self.orders.held()),
+                (&Method::GET, STATE_PATH) => self.state(request.uri().query()),
+                (&Method::POST, ORDER_PATH) => self.order(request).await,
+                (&Method::GET, order::STATE_PATH) => json(&self.orders.held()),
                 _ => error(StatusCode::NOT_FOUND, "no such path"),
             }
         })
--- a/verbenaspool_standin/src/engine/cache.rs
+++ b/verbenaspool_standin/src/engine/cache.rs
@@ -8,7 +8,7 @@
 };
 
 use verbenaspool_protocol::{
-    prefix::{self, BLOCK},
+    prefix::{self, BLOCK_BYTES},
     report::Event,
 };
 use verbenaspool_transport::clock::Clock;
@@ -65,7 +65,7 @@
             }
         }
         self.hits.set(self.hits.get() + cached as u64);
-        let computed = prompt.len().saturating_sub(cached * BLOCK) / TOKEN;
+        let computed = prompt.len().saturating_sub(cached * BLOCK_BYTES) / TOKEN;
         u32::try_from(computed).unwrap_or(u32::MAX)
     }
 
--- a/verbenaspool_standin/src/seat.rs
+++ b/verbenaspool_standin/src/seat.rs
@@ -9,8 +9,8 @@
 
 use verbenaspool_coordination::group::engine::Action;
 use verbenaspool_protocol::{
-    engine::{ORDER, Order},
-    group::{ENGINE, State},
+    engine::{ORDER_PATH, Order},
+    group::{ENGINE_STATE_PATH, State},
 };
 use verbenaspool_transport::{
     clock::Clock,
@@ -95,8 +95,8 @@
     ) -> server::Answer {
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
-                (&Method::GET, ENGINE) => self.state(),
-                (&Method::POST, ORDER) => {
+                (&Method::GET, ENGINE_STATE_PATH) => self.state(),
+                (&Method::POST, ORDER_PATH) => {
                     let body = request.into_body().collect().await;
                     let order = body.ok().map(http_body_util::Collected::to_bytes);
                     match order.and_then(|body| serde_json::from_slice(&body).ok()) {
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use monoio::net::{ListenerOpts, TcpListener};
 
-use verbenaspool_protocol::engine::{STATE, State};
+use verbenaspool_protocol::engine::{STATE_PATH, State};
 use verbenaspool_transport::{
     clock::Clock,
     http::{
@@ -147,7 +147,7 @@
         Box::pin(async move {
             let write = !matches!(*request.method(), Method::GET | Method::HEAD);
             let path = request.uri().path().to_owned();
-            if path == STATE {
+            if path == STATE_PATH {
                 return self.state();
             }
             let _running = Running::enter(&self.running);
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -9,7 +9,8 @@
     piece::Hash,
 };
 use verbenaspool_protocol::peer::{
-    self, BEAT, Beat, Echo, FETCH, Fetch, Fetched, Holding, OFFER, Offer, Piece,
+    self, FETCH, Fetch, Fetched, HEARTBEAT, Heartbeat, HeartbeatAnswer, Holding, OFFER, Offer,
+    Piece,
 };
 use verbenaspool_state::version::Version;
 
@@ -30,7 +31,7 @@
 /// Adds the methods that peers call to a module.
 pub(super) fn methods(source: &Rc<Source>, module: &mut rpc::Module) {
     let own = Rc::clone(source);
-    module.on(BEAT, move |beat: Beat| {
+    module.on(HEARTBEAT, move |beat: Heartbeat| {
         let echo = answer_beat(&own, beat);
         async move { Ok::<_, String>(echo) }
     });
@@ -116,16 +117,17 @@
         return;
     }
     let told = !members.is_empty();
-    let beat = Beat {
-        message: message(&source),
+    let beat = Heartbeat {
+        status: message(&source),
         table: members,
     };
     // Silence is noticed by the membership.
-    let Ok(echo) = call::<_, Echo>(&source, address, BEAT, &beat, BEAT_TIME).await else {
+    let Ok(echo) = call::<_, HeartbeatAnswer>(&source, address, HEARTBEAT, &beat, BEAT_TIME).await
+    else {
         return;
     };
-    let from = echo.message.from.clone();
-    let heard = take_in(&source, &echo.table, echo.message);
+    let from = echo.status.from.clone();
+    let heard = take_in(&source, &echo.table, echo.status);
     if let Some(head) = echo.head {
         pull(&source, &from, head).await;
     }
@@ -165,10 +167,10 @@
 }
 
 /// Answers a heartbeat.
-fn answer_beat(source: &Rc<Source>, beat: Beat) -> Echo {
-    let theirs = beat.message.held;
-    let told = beat.message.clone();
-    take_in(source, &beat.table, beat.message);
+fn answer_beat(source: &Rc<Source>, beat: Heartbeat) -> HeartbeatAnswer {
+    let theirs = beat.status.held;
+    let told = beat.status.clone();
+    take_in(source, &beat.table, beat.status);
     let differs = source.membership.borrow().digest_differs(&told);
     let held = source.adoption.borrow().complete_head().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
@@ -176,8 +178,8 @@
         // Its head comes with the answer to a heartbeat of ours.
         monoio::spawn(self::beat(Rc::clone(source), told.from.address, Vec::new()));
     }
-    Echo {
-        message: message(source),
+    HeartbeatAnswer {
+        status: message(source),
         table: if differs { table(source) } else { Vec::new() },
         head: held.filter(|head| head.version > theirs),
     }
@@ -220,7 +222,7 @@
         let request = Fetch {
             have: have.take(),
             root,
-            missing: missing.iter().copied().take(peer::PIECES).collect(),
+            missing: missing.iter().copied().take(peer::MAX_PIECES).collect(),
         };
         let fetched = call::<_, Fetched>(source, address, FETCH, &request, FETCH_TIME).await;
         // What doesn't come from here comes with the next heartbeat, or from the
@@ -285,8 +287,8 @@
     let delta = fetch.have.and_then(|have| adoption.delta(have, fetch.root));
     let mut pieces = Vec::new();
     let mut bytes = 0;
-    for hash in fetch.missing.iter().take(peer::PIECES) {
-        if delta.is_some() || bytes > peer::BYTES {
+    for hash in fetch.missing.iter().take(peer::MAX_PIECES) {
+        if delta.is_some() || bytes > peer::MAX_PIECE_BYTES {
             break;
         }
         let content = adoption
