--- a/verbenaspool_state/src/check.rs
+++ b/verbenaspool_state/src/check.rs
@@ -1,8 +1,8 @@
-//! Reading a file and finding everything that is wrong with it.
+//! Parses a file and finds all problems in it.
 //!
-//! A file is accepted as a whole, so an operator who is told one problem at a
-//! time has to apply as often as there are problems. Entries are therefore read
-//! one by one, and every entry that can be read is checked against the others.
+//! A file is only accepted as a whole. If only its first problem were reported, an
+//! operator would have to apply it once per problem. Entries are therefore parsed one by
+//! one, and all that can be parsed are checked against each other.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,28 +28,28 @@
 #[cfg(test)]
 mod tests;
 
-/// The most customers that a firm's file may name.
+/// Maximum number of customers in a file.
 pub const CUSTOMERS: usize = 200_000;
-/// The most services that a firm's file may name.
+/// Maximum number of services in a file.
 pub const SERVICES: usize = 256;
-/// The most places that a firm's file may name.
+/// Maximum number of places in a file.
 pub const PLACES: usize = 64;
-/// The largest share of a customer.
+/// Maximum share of a customer.
 pub const SHARE: u32 = 10_000;
-/// The largest file, in bytes; it bounds what reading one can cost.
+/// Maximum size of a file in bytes, which bounds the cost of parsing it.
 pub const BYTES: usize = 64 << 20;
 
-/// The sections of a file, in the order they are documented in.
+/// The sections of a file, in the order of the documentation.
 const SECTIONS: [&str; 4] = ["firm", "places", "services", "customers"];
 
-/// One thing wrong with a file.
+/// A problem in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Where it stands, such as `services[2].zones`; empty for the whole file.
+    /// Path of the invalid value, such as `services[2].zones`; empty for the whole file.
     pub path: String,
-    /// The line it stands on, from 1, where one could be told.
+    /// Line number from 1, if known.
     pub line: Option<usize>,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what is allowed.
     pub text: String,
 }
 
@@ -66,10 +66,11 @@
 }
 
 impl File {
-    /// Reads a file from YAML and checks it.
+    /// Parses a file from YAML and checks it.
     ///
     /// # Errors
-    /// Every problem that was found, in the order of the file's sections.
+    /// Returns all problems found: first those of single sections and entries that can't be
+    /// parsed, then those of checks of the others.
     ///
     /// ```
     /// use verbenaspool_state::file::File;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Checks a file that is held already, as one is that came from the store.
+    /// Checks a file that is already parsed, such as one read from the store.
     ///
     /// ```
     /// # use verbenaspool_state::file::File;
@@ -124,20 +125,20 @@
     }
 }
 
-/// Entries with their places in the section.
+/// Entries with their indexes in the section.
 type Numbered<T> = Vec<(usize, T)>;
 
-/// Numbers entries.
+/// Adds indexes to entries.
 fn number<T>(entries: Vec<T>) -> Numbered<T> {
     entries.into_iter().enumerate().collect()
 }
 
-/// The entries of a file that could be read.
+/// The entries of a file that could be parsed.
 struct Parts {
-    /// Whether every place could be read, so that a zone which isn't among them
-    /// is one that doesn't exist.
+    /// Whether all places could be parsed. Otherwise an unknown zone isn't reported, since
+    /// its place may be one that is itself reported as invalid.
     all_places: bool,
-    /// Whether every service could be read, likewise.
+    /// Whether all services could be parsed, likewise.
     all_services: bool,
     firm: Option<Name>,
     places: Numbered<Place>,
@@ -146,7 +147,7 @@
 }
 
 impl Parts {
-    /// The file, all of whose entries could be read.
+    /// Converts to a file; all entries must have been parsed.
     fn whole(self) -> File {
         fn entries<T>(entries: Numbered<T>) -> Vec<T> {
             entries.into_iter().map(|(_, entry)| entry).collect()
@@ -160,16 +161,16 @@
     }
 }
 
-/// A check under way.
+/// A check in progress.
 struct Check<'a> {
-    /// Where entries stand.
+    /// Line numbers of the entries.
     lines: &'a Lines,
-    /// What was found so far.
+    /// The problems found so far.
     problems: Vec<Problem>,
 }
 
 impl Check<'_> {
-    /// Notes a problem.
+    /// Reports a problem.
     fn note(&mut self, path: impl Into<String>, text: impl fmt::Display) {
         let path = path.into();
         self.problems.push(Problem {
@@ -179,14 +180,14 @@
         });
     }
 
-    /// Notes a problem unless `held`.
+    /// Reports a problem unless the condition holds.
     fn hold(&mut self, held: bool, path: impl Into<String>, text: impl fmt::Display) {
         if !held {
             self.note(path, text);
         }
     }
 
-    /// Reads the sections, entry by entry.
+    /// Parses the sections entry by entry.
     fn parse(&mut self, yaml: &str) -> Option<Parts> {
         if yaml.len() > BYTES {
             self.note("", format!("the file is over {BYTES} bytes"));
@@ -231,7 +232,7 @@
         Some(parts)
     }
 
-    /// Reads the firm's name.
+    /// Parses the firm's name.
     fn firm(&mut self, sections: &mut Mapping) -> Option<Name> {
         let Some(value) = sections.remove("firm") else {
             self.note("firm", "the section is missing");
@@ -240,7 +241,7 @@
         self.entry("firm", value)
     }
 
-    /// Reads a section's entries.
+    /// Parses a section's entries.
     fn section<T: DeserializeOwned>(
         &mut self,
         sections: &mut Mapping,
@@ -263,7 +264,7 @@
             .collect()
     }
 
-    /// Reads one entry.
+    /// Parses one entry.
     fn entry<T: DeserializeOwned>(&mut self, path: &str, value: Value) -> Option<T> {
         match serde_norway::from_value(value) {
             Ok(entry) => Some(entry),
@@ -281,7 +282,7 @@
         self.customers(parts);
     }
 
-    /// Notes names that stand twice in a section.
+    /// Reports names that occur more than once in a section.
     fn unique<'a>(&mut self, section: &str, names: impl Iterator<Item = (usize, &'a Name)>) {
         let mut first = BTreeMap::new();
         for (i, name) in names {
@@ -292,7 +293,6 @@
         }
     }
 
-    /// Checks the places.
     fn places(&mut self, parts: &Parts) {
         let count = parts.places.len();
         let fits = (1..=PLACES).contains(&count);
@@ -305,7 +305,6 @@
         self.unique("places", zones);
     }
 
-    /// Checks the services.
     fn services(&mut self, parts: &Parts) {
         let count = parts.services.len();
         let fits = (1..=SERVICES).contains(&count);
@@ -332,7 +331,6 @@
         }
     }
 
-    /// Checks one service.
     fn service(&mut self, at: &str, service: &Service, zones: Option<&BTreeSet<&Name>>) {
         let path = &service.path;
         let text = "a path starts and ends with '/', has neither '//' nor '..', and is ASCII \
@@ -358,7 +356,8 @@
         }
     }
 
-    /// Checks a list of names, each of which must be among `known`.
+    /// Checks that each name in a list is unique and among the known ones. `None` skips the
+    /// latter check.
     fn listed(&mut self, path: &str, names: &[Name], known: Option<&BTreeSet<&Name>>, what: &str) {
         let mut seen = BTreeSet::new();
         for name in names {
@@ -368,11 +367,11 @@
         }
     }
 
-    /// Checks a plain service's prefixes.
+    /// Checks the path prefixes of a plain service's idempotent calls.
     ///
-    /// Failure guarded against: a prefix that covers more than its writer meant.
-    /// `/` would let every booking be repeated, and a prefix that repeats the
-    /// service's path would cover nothing, since paths are read below it.
+    /// Rejects prefixes that don't do what their author intended: `/` would allow retries of
+    /// all calls, including those that aren't idempotent, and a prefix that contains the
+    /// service's path would match nothing, since prefixes are relative to it.
     fn plain(&mut self, path: &str, service: &str, plain: &Plain) {
         for prefix in &plain.idempotent {
             let trimmed = prefix.trim_end_matches('/');
@@ -385,7 +384,7 @@
         }
     }
 
-    /// Checks the layout of experts.
+    /// Checks the expert-parallel layout of a model.
     fn experts(&mut self, at: &str, experts: &Experts) {
         let ranges = [
             ("ranks", experts.ranks, 1..=1024),
@@ -422,7 +421,6 @@
         self.hold(experts.expert_bytes > 0, format!("{at}.expert_bytes"), text);
     }
 
-    /// Checks the customers.
     fn customers(&mut self, parts: &Parts) {
         let count = parts.customers.len();
         let text = format!("at most {CUSTOMERS} are allowed, not {count}");
@@ -458,12 +456,12 @@
     }
 }
 
-/// Whether a text is a path prefix that requests can be matched by.
+/// Whether a text is a valid path prefix of a service.
 fn prefix(path: &str) -> bool {
     path.starts_with('/') && path.ends_with('/') && clean(path)
 }
 
-/// Whether a path can be compared with requests' paths as it stands.
+/// Whether a path can be compared with the paths of requests without normalization.
 fn clean(path: &str) -> bool {
     let plain = |c: char| c.is_ascii_graphic() && c != '?' && c != '#';
     path.chars().all(plain)
--- a/verbenaspool_state/src/check/lines.rs
+++ b/verbenaspool_state/src/check/lines.rs
@@ -1,13 +1,12 @@
-//! The lines that a file's sections and entries stand on.
+//! Line numbers of a file's sections and entries.
 
 use std::collections::BTreeMap;
 
 /// Line numbers by path, for files in block style.
 ///
-/// The YAML library tells lines of syntax errors only. A section starts on a
-/// line without indentation, and its entries on lines that start with a dash at
-/// the indentation of its first one; that holds for every file in block style.
-/// Entries in flow style get their section's line.
+/// The YAML library reports line numbers only for syntax errors. In a file in block style, a
+/// section starts on a line without indentation, and its entries start on lines with a dash
+/// at the indentation of the first entry. Entries in flow style get the line of their section.
 #[derive(Debug, Default)]
 pub struct Lines {
     /// Line numbers from 1, by `section` and `section[entry]`.
@@ -15,7 +14,7 @@
 }
 
 impl Lines {
-    /// Finds the sections and entries of a file.
+    /// Finds the lines of a file's sections and entries.
     ///
     /// ```
     /// use verbenaspool_state::check::Lines;
@@ -49,7 +48,7 @@
         Self { by_path }
     }
 
-    /// The line of a path, or of the nearest thing around it.
+    /// The line of the entry that contains a path, or else of its section.
     ///
     /// ```
     /// # use verbenaspool_state::check::Lines;
--- a/verbenaspool_state/src/check/tests.rs
+++ b/verbenaspool_state/src/check/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Digest, File};
 
-/// A file without problems, to which the cases do one thing each.
+/// A valid file, which the test cases modify.
 const SOUND: &str = "\
 firm: quetzal
 places:
@@ -23,7 +23,7 @@
     credentials: ['sha256:0000000000000000000000000000000000000000000000000000000000000001']
 ";
 
-/// The problems of a file, one a line.
+/// The problems of a file, one per line.
 fn problems(yaml: &str) -> String {
     let problems = File::read(yaml).err().unwrap_or_default();
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
@@ -128,8 +128,8 @@
     }
 }
 
-// A service that can't be read must not make every customer who names it a
-// problem as well: the operator would look for faults that aren't there.
+// Guards against follow-up problems: when a service can't be parsed, customers that refer
+// to it must not be reported as well, since nothing is wrong with them.
 #[test]
 fn one_fault_is_told_once() {
     let yaml = SOUND.replace("path: /records/\n", "path: /records/\n    colour: red\n");
--- a/verbenaspool_state/src/credential.rs
+++ b/verbenaspool_state/src/credential.rs
@@ -1,24 +1,24 @@
-//! Credentials: customers', which the file holds only as digests, and those of
-//! our processes towards the platform.
+//! Credentials of customers, which the file contains only as digests, and of the processes
+//! of verbenaspool for access to the platform.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// What a digest's text starts with.
+/// Prefix of a digest's text form.
 const PREFIX: &str = "sha256:";
 
 /// The SHA-256 digest of a credential, written `sha256:` and 64 hex digits.
 ///
-/// A plain digest suffices because credentials are long random tokens: there is
-/// no dictionary to try, as there would be with passwords.
+/// An unsalted digest suffices because credentials are long random tokens, which can't be
+/// found by a dictionary attack as passwords can.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of a credential as the caller presents it.
+    /// Computes the digest of a credential as callers send it.
     ///
     /// ```
     /// use verbenaspool_state::credential::Digest;
@@ -69,17 +69,16 @@
     }
 }
 
-/// A token that opens the platform to a process.
+/// A token that authorizes a process to access the platform.
 ///
-/// Settings end up in logs and panics by their `Debug` form, and a token there
-/// would let whoever reads the log change the firm's configuration. So it shows
-/// itself only when asked for.
+/// Its `Debug` form hides the token. Logs and panic messages contain the `Debug` form of
+/// settings, and with the token, anyone who reads them could change the firm's configuration.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Token(String);
 
 impl Token {
-    /// The token itself.
+    /// The token as text.
     ///
     /// ```
     /// use verbenaspool_state::credential::Token;
@@ -106,7 +105,7 @@
     }
 }
 
-/// The text is no digest.
+/// The text is not a digest.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a credential is kept as 'sha256:' and 64 hex digits, never as itself")]
 pub struct Error;
--- a/verbenaspool_state/src/decisions.rs
+++ b/verbenaspool_state/src/decisions.rs
@@ -1,30 +1,31 @@
-//! Settings of the decisions under load, which a service carries in the file.
+//! A service's settings for admission, queueing and load balancing.
 
 use serde::{Deserialize, Serialize};
 
-/// A service's settings for what is let in, what waits and where work goes.
+/// A service's settings for admission, queueing and load balancing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Decisions {
-    /// The deadline of a request that names none, in milliseconds.
+    /// The deadline of requests that specify none, in milliseconds.
     pub deadline_ms: u64,
-    /// How many requests of one customer may wait at one entry instance.
+    /// Maximum number of requests of one customer that wait at one entry instance.
     pub queue: u32,
-    /// The work of one prompt token, as a part of the work of one generated token.
+    /// The work for a prompt token, relative to that for a generated token.
     pub prefill_weight: f64,
-    /// How many attempts one entry instance starts with at an upstream it knows nothing about.
+    /// Initial limit on an entry instance's concurrent attempts at an upstream.
     pub initial_limit: u32,
-    /// The most attempts one entry instance ever has in flight at one upstream.
+    /// Maximum of the limit on an entry instance's concurrent attempts at an upstream.
     pub max_limit: u32,
-    /// How many upstreams one entry instance works with.
+    /// Number of upstreams that one entry instance uses.
     pub subset: u32,
-    /// How far above its limit a cached prefix may load its upstream; 2 is twice the limit.
+    /// Maximum load to which an upstream is preferred because of a cached prefix, relative to
+    /// its limit.
     pub affinity_bound: f64,
-    /// How many times slower than its peers an upstream must be to be ejected.
+    /// How many times slower than its peers an upstream has to be for ejection.
     pub ejection_factor: f64,
-    /// The largest share of the upstreams that may be ejected at once.
+    /// Maximum fraction of the upstreams that are ejected at the same time.
     pub ejection_share: f64,
-    /// Retries allowed as a part of the requests that were let in.
+    /// Number of allowed retries, relative to the admitted requests.
     pub retry_ratio: f64,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl Decisions {
-    /// Every setting that is out of its range; none means that the settings hold.
+    /// Finds all settings that are out of range.
     ///
     /// ```
     /// use verbenaspool_state::decisions::Decisions;
@@ -82,7 +83,7 @@
     }
 }
 
-/// A setting's value as the file gives it.
+/// The value of a setting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Number {
     /// A count or a time.
@@ -92,7 +93,7 @@
 }
 
 impl Number {
-    /// The value for comparison with a range.
+    /// The value, for comparison with a range.
     #[allow(clippy::cast_precision_loss)] // Ranges end far below 2^53.
     fn value(self) -> f64 {
         match self {
@@ -102,35 +103,35 @@
     }
 }
 
-/// A setting that can't be taken, and why.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct Problem {
     /// The setting's key in the file.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: Reason,
 }
 
-/// What is wrong with a setting.
+/// Why a setting's value is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// The value is below or above what the setting takes.
+    /// The value is out of range.
     #[error("must lie from {least} to {most}")]
     Range {
-        /// The given value.
+        /// The value.
         value: Number,
-        /// The least value.
+        /// The minimum.
         least: f64,
-        /// The greatest value.
+        /// The maximum.
         most: f64,
     },
-    /// The value is no finite number.
+    /// The value is not a finite number.
     #[error("must be a finite number")]
     NotFinite,
 }
 
-/// The problem with a value, where it lies outside `least` to `most`.
+/// Checks that a value is in a range.
 fn range(key: &'static str, value: Number, least: f64, most: f64) -> Option<Problem> {
     let number = value.value();
     let reason = if !number.is_finite() {
--- a/verbenaspool_state/src/engine.rs
+++ b/verbenaspool_state/src/engine.rs
@@ -1,45 +1,45 @@
-//! What a model service says of its engines: how long a pass takes, and how the
-//! ranks of a group share the experts.
+//! Properties of a model service's engines: how long a pass takes, and how the experts are
+//! distributed over the ranks of a group.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The engine of a service, as its configuration tells it.
+/// A service's engine, as configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one upstream processes at once.
+    /// Number of requests that one upstream processes concurrently.
     pub slots: u32,
-    /// Token steps that a pass with writers executes, each of which gives every
-    /// writer a token.
+    /// Number of token steps in a pass with decoding requests. Each step generates one token
+    /// for each of them.
     pub stride: u32,
-    /// What a token step takes by itself.
+    /// Base duration of a token step.
     pub step: Duration,
-    /// What each request that writes adds to a token step.
+    /// Additional duration of a token step per decoding request.
     pub step_per_request: Duration,
-    /// The experts of its groups, where its upstreams are ranks of groups.
+    /// The experts of its groups, if its upstreams are ranks of groups.
     pub experts: Option<Experts>,
 }
 
-/// The experts that the ranks of a group share.
+/// The experts that are distributed over the ranks of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Experts {
-    /// Sets of layers, each with experts of its own.
+    /// Number of sets of layers, each with its own experts.
     pub layers: u16,
-    /// Experts of a set.
+    /// Number of experts of a set.
     pub count: u16,
-    /// Experts of one set that a rank holds at most.
+    /// Maximum number of experts of one set on a rank.
     pub places: u16,
-    /// Experts of one set that may be new to a rank in one change of map.
+    /// Maximum number of experts of one set that a map change adds to a rank.
     pub spare: u16,
-    /// The part of the work for tokens that experts do, 0 to 1.
+    /// The fraction of the work for a token that is done by experts, 0 to 1.
     pub share: f64,
     /// How long a rank takes to copy one expert.
     pub copy: Duration,
 }
 
 impl Experts {
-    /// Whether so many ranks have a place for each expert of a set.
+    /// Whether the given number of ranks has a slot for each expert of a set.
     ///
     /// ```
     /// use std::time::Duration;
@@ -59,7 +59,8 @@
 }
 
 impl Engine {
-    /// How long a pass takes on even ranks when each has so many writers.
+    /// The duration of a pass on evenly loaded ranks with the given number of decoding requests
+    /// on each.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,8 +82,8 @@
         step * self.stride.max(1)
     }
 
-    /// How many writers each rank may have for a pass on even ranks to take so long at
-    /// most; none where it takes longer with no writer.
+    /// The number of decoding requests on each rank with which a pass on evenly loaded ranks
+    /// takes the given time; 0 if the pass takes longer even without any.
     ///
     /// ```
     /// use std::time::Duration;
--- a/verbenaspool_state/src/expert_map.rs
+++ b/verbenaspool_state/src/expert_map.rs
@@ -1,16 +1,16 @@
-//! Expert maps: which rank of a group holds which experts.
+//! Expert maps: the placement of experts on the ranks of a group.
 
 use serde::{Deserialize, Serialize};
 
 use crate::service::Experts;
 
-/// The placement of experts on the ranks of a group, under one epoch.
+/// The placement of experts on the ranks of a group in one epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Map {
-    /// Counts up with each map of the group; never used twice.
+    /// Increases with each map of the group and is never reused.
     pub epoch: u64,
-    /// One placement a layer.
+    /// The placement of each layer's experts.
     pub layers: Vec<Layer>,
 }
 
@@ -18,21 +18,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layer {
-    /// The experts in the slots of each rank. An expert may stand on several
-    /// ranks, and its tokens are spread evenly over them.
+    /// The experts in the slots of each rank. The tokens of an expert that is on several
+    /// ranks are spread evenly over them.
     pub ranks: Vec<Vec<u16>>,
 }
 
-/// The layout that every map of a group has to fit.
+/// The dimensions that all maps of a group have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shape {
-    /// How many ranks the group has.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// How many experts a layer has.
+    /// Number of experts per layer.
     pub experts: u16,
-    /// How many layers carry experts.
+    /// Number of layers with experts.
     pub layers: u16,
-    /// How many experts a rank holds of one layer.
+    /// Maximum number of experts per layer on a rank.
     pub slots: u16,
 }
 
@@ -48,8 +48,8 @@
 }
 
 impl Map {
-    /// The map that spreads experts over ranks in order of their numbers, the
-    /// slots that are left over holding a second round of them.
+    /// The map that places experts on ranks round-robin, in order of their numbers. Spare slots
+    /// are filled with replicas, again starting from expert 0.
     ///
     /// ```
     /// use verbenaspool_state::expert_map::{Map, Shape};
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Whether the map fits the group's layout and counts above the epoch in force.
+    /// Checks that the map fits the group and that its epoch is greater than `above`, the
+    /// highest epoch used so far.
     ///
     /// ```
     /// use verbenaspool_state::expert_map::{Map, Problem, Shape};
@@ -94,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// The first [`Problem`] found.
+    /// Returns the first [`Problem`] found.
     pub fn check(&self, shape: Shape, above: u64) -> Result<(), Problem> {
         if self.epoch <= above {
             let epoch = self.epoch;
@@ -110,8 +111,8 @@
         layers.try_for_each(|(number, layer)| layer.check(number, shape))
     }
 
-    /// The experts that a rank has to hold under this map and doesn't hold
-    /// under `before`, as pairs of layer and expert.
+    /// The experts that are on a rank under this map but not under `before`, as pairs of layer
+    /// and expert.
     ///
     /// ```
     /// use verbenaspool_state::expert_map::{Map, Shape};
@@ -133,7 +134,7 @@
         added
     }
 
-    /// The experts that a rank holds of a layer; none where the map lacks either.
+    /// A layer's experts on a rank; empty if the map doesn't have the layer or the rank.
     ///
     /// ```
     /// use verbenaspool_state::expert_map::{Map, Shape};
@@ -149,12 +150,12 @@
 }
 
 impl Layer {
-    /// The experts on a rank.
+    /// The layer's experts on a rank.
     fn on(&self, rank: u16) -> &[u16] {
         self.ranks.get(usize::from(rank)).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether the layer, which is the one of this number, fits the layout.
+    /// Checks that the layer, which has the given index, fits the group.
     fn check(&self, layer: usize, shape: Shape) -> Result<(), Problem> {
         if self.ranks.len() != usize::from(shape.ranks) {
             return Err(Problem::Ranks {
@@ -196,11 +197,11 @@
     }
 }
 
-/// Why a map can't be put in force.
+/// Why a map is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Problem {
-    /// The epoch was used before.
+    /// The epoch is not greater than the highest one used so far.
     #[error("epoch {epoch} is stale: the next one is above {above}")]
     Stale {
         /// The map's epoch.
@@ -208,47 +209,47 @@
         /// The highest epoch used so far.
         above: u64,
     },
-    /// The map has another number of layers than the group.
+    /// The map and the group have different numbers of layers.
     #[error("the map has {found} layers, the group {expected}")]
     Layers {
-        /// The map's layers.
+        /// Number of layers in the map.
         found: usize,
-        /// The group's layers.
+        /// Number of layers in the group.
         expected: u16,
     },
-    /// A layer is laid out for another number of ranks.
+    /// A layer and the group have different numbers of ranks.
     #[error("layer {layer} places experts on {found} ranks, the group has {expected}")]
     Ranks {
         /// The layer.
         layer: usize,
-        /// The ranks it names.
+        /// Number of ranks in the layer.
         found: usize,
-        /// The group's ranks.
+        /// Number of ranks in the group.
         expected: u16,
     },
-    /// A rank would hold more experts than it has slots.
+    /// A rank has more experts than slots.
     #[error("layer {layer} gives rank {rank} {found} experts, it has {slots} slots")]
     Slots {
         /// The layer.
         layer: usize,
         /// The rank.
         rank: usize,
-        /// The experts placed on it.
+        /// Number of experts placed on it.
         found: usize,
-        /// Its slots.
+        /// Number of its slots.
         slots: u16,
     },
-    /// An expert's number is beyond the layer's experts.
+    /// The layer has no expert with this number.
     #[error("layer {layer} places the unknown expert {expert} on rank {rank}")]
     Unknown {
         /// The layer.
         layer: usize,
         /// The rank.
         rank: usize,
-        /// The number.
+        /// The number of the expert.
         expert: u16,
     },
-    /// An expert stands twice on one rank.
+    /// An expert occurs twice on one rank.
     #[error("layer {layer} places expert {expert} twice on rank {rank}")]
     Twice {
         /// The layer.
@@ -258,7 +259,7 @@
         /// The expert.
         expert: u16,
     },
-    /// An expert stands on no rank.
+    /// An expert is on no rank.
     #[error("layer {layer} places expert {expert} on no rank")]
     Missing {
         /// The layer.
--- a/verbenaspool_state/src/file.rs
+++ b/verbenaspool_state/src/file.rs
@@ -1,19 +1,19 @@
-//! The declarative file of one firm.
+//! The declarative configuration file of a firm.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{customer::Customer, name::Name, place::Place, service::Service};
 
-/// Everything that one firm configures, applied as a whole.
+/// The configuration of a firm, which is applied as a whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// The firm that the file belongs to.
+    /// The firm's name.
     pub firm: Name,
-    /// The availability zones the firm runs in.
+    /// The availability zones in which the firm runs.
     pub places: Vec<Place>,
-    /// The services on offer.
+    /// The firm's services.
     pub services: Vec<Service>,
-    /// The customers who may use them.
+    /// The firm's customers.
     pub customers: Vec<Customer>,
 }
--- a/verbenaspool_state/src/fingerprint.rs
+++ b/verbenaspool_state/src/fingerprint.rs
@@ -1,32 +1,32 @@
-//! Identifies a request by its content, across attempts, callers' retries and entries.
+//! Identifies a request by its content across attempts, callers' retries and entries.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a fingerprint: enough that nobody can make two requests share one.
+/// Length of a fingerprint, sufficient for collision resistance.
 const LENGTH_BYTES: usize = 16;
 
-/// A digest of what a customer asked for: the same for each attempt, whatever its id.
+/// A digest of a request's content, which is the same for all attempts at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; LENGTH_BYTES]);
 
-/// A text that is no fingerprint.
+/// Why a text is not a fingerprint.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It has another length.
+    /// It has the wrong length.
     #[error("a fingerprint has {expected} hexadecimal digits, not {length}", expected = 2 * LENGTH_BYTES)]
     Length {
         /// Its length in bytes.
         length: usize,
     },
-    /// It has other characters than hexadecimal digits.
+    /// It contains characters other than hexadecimal digits.
     #[error("a fingerprint consists of hexadecimal digits")]
     Digit,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request by its customer, path with query, and body.
+    /// Computes the fingerprint of a request from its customer, path with query, and body.
     ///
     /// ```
     /// use verbenaspool_state::fingerprint::Fingerprint;
@@ -39,7 +39,7 @@
     pub fn of(customer: Option<&str>, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [customer.unwrap_or_default().as_bytes(), path.as_bytes()] {
-            // Lengths keep the parts apart.
+            // The lengths make the concatenation unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -61,7 +61,7 @@
 impl FromStr for Fingerprint {
     type Err = Error;
 
-    /// Reads the form that [`fmt::Display`] writes.
+    /// Parses the form that [`fmt::Display`] writes.
     ///
     /// ```
     /// use verbenaspool_state::fingerprint::Fingerprint;
--- a/verbenaspool_state/src/lib.rs
+++ b/verbenaspool_state/src/lib.rs
@@ -1,5 +1,5 @@
-//! Domain types of verbenaspool: what an operator's file says and what the
-//! processes agree on. Nothing here does I/O.
+//! Domain types of verbenaspool: the operator's configuration and types that its processes
+//! have in common. This crate does no I/O.
 
 pub mod check;
 pub mod credential;
--- a/verbenaspool_state/src/name.rs
+++ b/verbenaspool_state/src/name.rs
@@ -1,10 +1,10 @@
-//! The checked name that firms, zones, customers, services and upstreams carry.
+//! Validated names of firms, zones, customers, services and upstreams.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes; it keeps keys and headers short.
+/// Maximum length of a name in bytes, which keeps keys and headers short.
 pub const LONGEST: usize = 63;
 
 /// A name of lowercase letters, digits and inner dashes, at most [`LONGEST`]
@@ -23,7 +23,6 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The name as text.
     ///
     /// ```
     /// # use verbenaspool_state::name::Name;
@@ -79,7 +78,7 @@
     }
 }
 
-/// Why a text is no name.
+/// Why a text is not a name.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is empty.
@@ -94,12 +93,12 @@
     /// The text starts or ends with a dash.
     #[error("the name '{0}' starts or ends with a dash")]
     Dash(String),
-    /// The text holds a character that names don't have.
+    /// The text contains a character that isn't allowed in names.
     #[error("the name '{name}' holds '{character}'; use lowercase letters, digits and dashes")]
     Character {
-        /// The refused text.
+        /// The invalid text.
         name: String,
-        /// Its first refused character.
+        /// Its first invalid character.
         character: char,
     },
 }
--- a/verbenaspool_state/src/place.rs
+++ b/verbenaspool_state/src/place.rs
@@ -1,15 +1,15 @@
-//! Places: the availability zones of a firm and the regions they lie in.
+//! Places: the availability zones of a firm and their regions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::Name;
 
-/// An availability zone that the firm runs in.
+/// An availability zone in which the firm runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
     /// The availability zone.
     pub zone: Name,
-    /// The region the zone lies in.
+    /// The region of the zone.
     pub region: Name,
 }
--- a/verbenaspool_state/src/rebalancing.rs
+++ b/verbenaspool_state/src/rebalancing.rs
@@ -1,36 +1,37 @@
-//! How a service weighs even ranks against the cost of moving experts.
+//! A service's settings for the trade-off between evenly loaded ranks and the cost of moving
+//! experts.
 
 use serde::{Deserialize, Serialize};
 
-/// The largest weight; beyond it the other weight no longer counts.
+/// Maximum weight. The effect of the other weight would be negligible beyond it.
 const HEAVIEST: f64 = 1_000.0;
 
-/// The largest share of a step's time that may be lost to a move.
+/// Maximum fraction of a step's time that may be lost to a move: all of it.
 const WHOLE: f64 = 1.0;
 
-/// The rebalancer's settings for one service.
+/// A service's settings for the rebalancer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rebalancing {
-    /// The weight of step-time skew.
+    /// Weight of the skew of rank loads.
     pub skew: f64,
-    /// The weight of the work lost or delayed while experts move.
+    /// Weight of the work that is lost or delayed while experts move.
     pub cost: f64,
-    /// The most experts that one change of map may move, over all layers and ranks.
+    /// Maximum number of experts moved by one map change, over all layers and ranks.
     pub most_moves: u32,
-    /// The most bytes a second that a rank may load while it serves.
+    /// Maximum rate in bytes per second at which a rank loads experts while it serves requests.
     pub bytes_a_second: u64,
-    /// The least time between two changes of map, in seconds.
+    /// Minimum time between two map changes, in seconds.
     pub pause_s: u64,
-    /// The largest part of a step's time by which loading may slow the group,
-    /// 0 to 1. Zero forbids any move that would delay a request.
+    /// Maximum slowdown of the group by loading, as a fraction of a step's time, 0 to 1. Zero
+    /// prevents all moves that would delay requests.
     pub most_delay: f64,
 }
 
 impl Default for Rebalancing {
-    /// Even weights. A change moves at most 2048 experts, no oftener than each
-    /// 10 s, and a rank loads 256 MB a second, a small part of what an
-    /// accelerator's host link carries; loading may take 5% of a step.
+    /// Equal weights. A map change moves at most 2048 experts, and there is at most one every
+    /// 10 s. A rank loads 256 MiB per second, a small fraction of the bandwidth of an
+    /// accelerator's host link, and loading may take 5% of a step.
     fn default() -> Self {
         Self {
             skew: 1.0,
@@ -44,7 +45,7 @@
 }
 
 impl Rebalancing {
-    /// Every setting that can't be put in force.
+    /// Finds all settings with invalid values.
     ///
     /// ```
     /// use verbenaspool_state::rebalancing::Rebalancing;
@@ -73,26 +74,26 @@
     }
 }
 
-/// A setting that can't be put in force.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct Problem {
     /// The setting's key in the file.
     pub key: &'static str,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub reason: Reason,
 }
 
-/// What is wrong with a value.
+/// Why a setting's value is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// A weight is out of range or no number.
+    /// A weight is out of range or not a number.
     #[error("{0} is no weight between 0 and {HEAVIEST}")]
     Weight(f64),
-    /// The value has to be above zero.
+    /// The value must be positive.
     #[error("has to be above 0")]
     Zero,
-    /// A part is out of range or no number.
+    /// A fraction is out of range or not a number.
     #[error("{0} is no part between 0 and {WHOLE}")]
     Part(f64),
 }
--- a/verbenaspool_state/src/replica.rs
+++ b/verbenaspool_state/src/replica.rs
@@ -1,29 +1,29 @@
-//! An upstream that is addressed directly, as the platform's registry lists it.
+//! Upstreams that entries address directly, as listed in the platform's registry.
 
 use std::{net::SocketAddr, rc::Rc};
 
-/// One running upstream.
+/// A running upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
-    /// Its identity: addresses are used again by others, identities aren't.
+    /// Its unique id. Unlike addresses, ids are never reused.
     pub id: Rc<str>,
-    /// The service it runs.
+    /// The service that it runs.
     pub service: Rc<str>,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// Its availability zone.
     pub zone: Rc<str>,
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: State,
 }
 
-/// What a replica says of itself.
+/// The state that a replica reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It is about to leave and takes no new ones.
+    /// It is about to leave and accepts no new requests.
     Draining,
 }
--- a/verbenaspool_state/src/route.rs
+++ b/verbenaspool_state/src/route.rs
@@ -1,105 +1,105 @@
-//! The routing table: which requests go to which service, and on which terms.
+//! The routing table: which requests go to which service, with which deadlines and limits.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use crate::engine::Engine;
 
-/// One version of the routing table. It never changes; a newer one replaces it.
+/// An immutable version of the routing table.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
-    /// Goes up with each change, by any step.
+    /// Increases with each change, not necessarily by one.
     pub version: u64,
-    /// The routes of each host, those with longer prefixes first.
+    /// The routes of each host, sorted by descending length of prefix.
     hosts: HashMap<String, Vec<Rc<Route>>>,
     /// The services by name.
     services: HashMap<Rc<str>, Rc<Service>>,
-    /// Who holds each API key.
+    /// The customer of each API key.
     holders: HashMap<String, Rc<Customer>>,
-    /// Whether requests need an API key at all.
+    /// Whether requests need an API key.
     keyed: bool,
-    /// Bounds on what callers may send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
 
-/// Requests of one host below one path.
+/// A route for requests to a host with a path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: Rc<str>,
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: String,
-    /// What paths begin with, from slash to slash.
+    /// The prefix of the requests' paths, which starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: Kind,
-    /// Whether a broken stream may be resumed after the last event.
+    /// Whether an interrupted stream may be resumed after the last received event.
     pub resumable: bool,
-    /// The longest time that a request may be kept without its final answer.
+    /// Maximum time until the complete answer of a request.
     pub timeout: Duration,
-    /// The time within which an answer (of a stream, the first event) has its full worth.
+    /// Target latency of the answer, or of the first event of a stream.
     pub target: Duration,
-    /// The longest pause between events of a stream that has its full worth.
+    /// Target for the maximum pause between events of a stream.
     pub gap: Option<Duration>,
-    /// How long callers of a stream bear its silence, also before its first event.
+    /// How long callers of a stream wait without receiving an event, including the first one.
     pub silence: Option<Duration>,
-    /// How urgent it is; 0 comes first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// The services that share its requests.
+    /// The services among which the requests are split.
     pub splits: Vec<Split>,
-    /// The most upstreams that one request may be sent to.
+    /// Maximum number of upstreams to which one request is sent.
     pub attempts: u32,
-    /// Whether requests need no API key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
 }
 
-/// What may be repeated.
+/// Whether requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A request may run any number of times.
+    /// Requests may be executed any number of times.
     Safe,
-    /// A request may run once.
+    /// Requests may be executed at most once.
     Unsafe,
-    /// The answer is a stream of events.
+    /// Answers are streams of events.
     Streaming,
 }
 
-/// A service's part of a route.
+/// A service's share of the requests of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Split {
     /// The service.
     pub service: Rc<str>,
-    /// Its part, against the sum of all parts.
+    /// Its weight, relative to the sum of all weights.
     pub weight: f64,
 }
 
-/// A service that routes lead to.
+/// A service to which requests are routed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: Rc<str>,
-    /// The model engine that its upstreams run, where they do.
+    /// The model engine that its upstreams run, if any.
     pub engine: Option<Engine>,
 }
 
 /// A customer of the firm.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// The name that upstreams are told.
+    /// The name that is sent to upstreams.
     pub name: Rc<str>,
-    /// How urgent its requests are, where that goes before the route's word.
+    /// The priority of its requests, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// The largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// Maximum time to receive a request head.
     pub head_time: Duration,
-    /// How long a connection may carry no request.
+    /// Maximum time that a connection may be idle.
     pub idle_time: Duration,
 }
 
@@ -115,8 +115,8 @@
 }
 
 impl Route {
-    /// Whether a request may go to a second upstream after the first may have
-    /// run it.
+    /// Whether a request may be sent to a second upstream after the first one may have
+    /// executed it.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The service that a request goes to, for a number drawn from 0 to 1.
+    /// Chooses the service for a request, given a random number from 0 to 1.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -178,7 +178,7 @@
 }
 
 impl Table {
-    /// A table of these parts; without customers, requests need no key.
+    /// Creates a table. Requests need no API key if `customers` is `None`.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -233,7 +233,7 @@
         }
     }
 
-    /// The route of a request; the host comes without its port.
+    /// The route of a request, given its host without the port.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = match self.hosts.get(host) {
@@ -243,7 +243,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by its name.
+    /// Finds a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Rc<Service>> {
         self.services.get(name)
@@ -254,25 +254,25 @@
         self.services.values()
     }
 
-    /// Who holds an API key.
+    /// Finds a customer by API key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Rc<Customer>> {
         self.holders.get(key)
     }
 
-    /// Whether requests need an API key at all.
+    /// Whether requests need an API key, except on public routes.
     #[must_use]
     pub fn is_keyed(&self) -> bool {
         self.keyed
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
--- a/verbenaspool_state/src/service.rs
+++ b/verbenaspool_state/src/service.rs
@@ -4,41 +4,41 @@
 
 use crate::{decisions::Decisions, expert_map::Layer, name::Name, rebalancing::Rebalancing};
 
-/// A service: a model or a plain one, found by its path prefix.
+/// A model or plain service, to which requests are routed by path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The service's name, unique within the firm.
     pub name: Name,
-    /// What runs behind it.
+    /// Whether it is a model or a plain service, with the settings of that kind.
     pub kind: Kind,
-    /// Requests whose path starts with this go to the service, for example `/loft/`.
+    /// The path prefix of requests to the service, for example `/loft/`.
     pub path: String,
-    /// The zones the service runs in; empty means all of the firm's.
+    /// The zones in which the service runs; empty means all zones of the firm.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<Name>,
-    /// Settings of the decisions under load.
+    /// Settings for admission, queueing and load balancing.
     #[serde(default)]
     pub decisions: Decisions,
 }
 
-/// What runs behind a service.
+/// The kind of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Kind {
-    /// A model engine, whose calls may be repeated.
+    /// A model service, whose calls may be retried.
     Model(Model),
-    /// A plain service, some of whose calls may not be repeated.
+    /// A plain service, some of whose calls may not be retried.
     Plain(Plain),
 }
 
-/// How a service's model engines behave.
+/// Properties of a model service's engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Whether the engines refuse an order with an old fencing number.
+    /// Whether the engines reject orders with an outdated fencing token.
     pub fences: Fences,
-    /// Whether the engines can resume a broken stream.
+    /// Whether the engines can resume an interrupted stream.
     #[serde(default)]
     pub resume: bool,
     /// The experts and groups, for an expert-parallel model.
@@ -46,13 +46,13 @@
     pub experts: Option<Experts>,
 }
 
-/// What engines do with an order that carries an old fencing number.
+/// How engines treat orders with an outdated fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fences {
-    /// They refuse it.
+    /// They reject such orders.
     Checked,
-    /// They carry it out.
+    /// They execute such orders.
     Ignored,
 }
 
@@ -60,33 +60,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experts {
-    /// How many ranks a group has, 1 to 1024.
+    /// Number of ranks in a group, 1 to 1024.
     pub ranks: u16,
-    /// How many experts a layer has, 1 to 4096.
+    /// Number of experts per layer, 1 to 4096.
     pub experts: u16,
-    /// How many layers carry experts, 1 to 256.
+    /// Number of layers with experts, 1 to 256.
     pub layers: u16,
-    /// How many experts a rank holds of one layer; ranks times slots is at
-    /// least the number of experts, and what is over holds replicas.
+    /// Maximum number of experts per layer on a rank. There must be a slot for each expert,
+    /// and spare slots hold replicas.
     pub slots: u16,
-    /// The size of one expert's weights in bytes.
+    /// Size of an expert's weights in bytes.
     pub expert_bytes: u64,
-    /// When experts move.
+    /// Settings for moving experts between ranks.
     #[serde(default)]
     pub rebalancing: Rebalancing,
-    /// The expert map that a group starts with, one placement a layer; empty to
-    /// spread experts in order of their numbers. Kept and checked; agents don't
-    /// read it yet.
+    /// The initial expert map of a group, as the placement of each layer's experts. If empty,
+    /// experts are spread in order of their numbers. It is stored and checked, but not yet
+    /// used by agents.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub placement: Vec<Layer>,
 }
 
-/// How a plain service's calls behave.
+/// Properties of a plain service's calls.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plain {
-    /// Path prefixes, read below the service's own path, whose calls may be
-    /// repeated whatever their method: `/search` covers `/jobs/search` of a
-    /// service at `/jobs/`. GET, HEAD and OPTIONS always may.
+    /// Path prefixes of calls that may be retried regardless of their method. They are
+    /// relative to the service's path: `/search` matches `/jobs/search` of a service at
+    /// `/jobs/`. GET, HEAD and OPTIONS may always be retried.
     pub idempotent: Vec<String>,
 }
--- a/verbenaspool_state/src/upstream.rs
+++ b/verbenaspool_state/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstream instances as the platform's list and the agents name them.
+//! Upstream instances, as listed by the platform and identified by agents.
 
 use std::{fmt, net::SocketAddr};
 
@@ -6,30 +6,30 @@
 
 use crate::name::Name;
 
-/// One upstream instance with the agent beside it.
+/// An upstream instance and its agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
     /// The instance's name, unique within the firm.
     pub name: Name,
-    /// The service the instance runs.
+    /// The service that the instance runs.
     pub service: Name,
-    /// The availability zone the instance stands in.
+    /// The availability zone of the instance.
     pub zone: Name,
-    /// Where its agent takes requests.
+    /// The address at which its agent accepts requests.
     pub agent: SocketAddr,
-    /// Where its agent takes control calls.
+    /// The address at which its agent accepts control calls.
     pub control: SocketAddr,
     /// Whether the instance is live or leaving.
     pub state: State,
-    /// Counts the starts of an instance under this name; a higher one replaces a lower.
+    /// Number of starts of an instance with this name; a higher one replaces a lower one.
     pub incarnation: u64,
-    /// The group of ranks the instance belongs to, where it is part of one.
+    /// The instance's rank, if it is part of a group of ranks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<Rank>,
 }
 
-/// An instance among those of all firms, written `firm/instance`.
+/// The globally unique id of an instance, written `firm/instance`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
@@ -45,24 +45,24 @@
     }
 }
 
-/// An instance's seat in a group of ranks.
+/// The rank of an instance in a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rank {
     /// The group's name.
     pub group: Name,
-    /// The seat, from 0; seat 0 leads.
+    /// Index of the rank, from 0. Rank 0 is the lead.
     pub index: u16,
-    /// How many ranks the group has.
+    /// Number of ranks in the group.
     pub of: u16,
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// The instance takes work.
+    /// The instance accepts requests.
     Live,
-    /// The instance finishes what it has and takes nothing new.
+    /// The instance finishes its requests and accepts no new ones.
     Leaving,
 }
--- a/verbenaspool_state/src/version.rs
+++ b/verbenaspool_state/src/version.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A firm's configuration version. Versions count up by one with each accepted
-/// file and are never used twice; zero means that nothing was accepted yet.
+/// The version of a firm's configuration. It increases by one with each accepted file and is
+/// never reused; 0 means that no file has been accepted yet.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,7 +13,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// The version that the next accepted file gets.
+    /// The version of the next accepted file.
     ///
     /// ```
     /// use verbenaspool_state::version::Version;
--- a/verbenaspool_state/tests/expert_map.rs
+++ b/verbenaspool_state/tests/expert_map.rs
@@ -1,4 +1,4 @@
-//! Expert maps and rebalancing settings that are refused, and why.
+//! Rejection of invalid expert maps and rebalancing settings.
 
 use verbenaspool_state::{
     expert_map::{Layer, Map, Problem, Shape},
@@ -18,8 +18,9 @@
     map
 }
 
-/// An operator's or another version's map that doesn't fit the group is refused
-/// for the first thing that is wrong, and the group goes on with its own.
+/// Guards against using a map that doesn't fit the group, such as one from an operator or
+/// another software version. It is rejected with its first problem, and the group keeps
+/// its current map.
 #[test]
 fn unfit_maps_are_refused() {
     let cases = [
@@ -79,15 +80,14 @@
     assert_eq!(map(|_| ()).check(SHAPE, 7), Ok(()));
 }
 
-/// Ranks may hold fewer experts than they have slots, as long as all stand
-/// somewhere.
+/// Ranks may have fewer experts than slots, as long as each expert is on some rank.
 #[test]
 fn uneven_slots_are_fine() {
     let uneven = map(|layers| layers[0].ranks = vec![vec![0], vec![1, 2, 3]]);
     assert_eq!(uneven.check(SHAPE, 0), Ok(()));
 }
 
-/// Every wrong setting is named with its key, so that a file is put right in one go.
+/// Each invalid setting is reported with its key, so that a file can be corrected at once.
 #[test]
 fn settings_out_of_range_are_named() {
     let settings = Rebalancing {
