--- a/verbenaspool/benches/capacity/instances.rs
+++ b/verbenaspool/benches/capacity/instances.rs
@@ -43,7 +43,7 @@
         rank: Some(Rank {
             group: format!("group-{}", number / 128).parse().expect("a name"),
             index: u16::try_from(number % 128).unwrap_or_default(),
-            of: 128,
+            group_size: 128,
         }),
     }
 }
--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -108,12 +108,13 @@
     /// Until when the request must be placed, for its first event to come before its
     /// caller leaves.
     fn place_by(&self) -> Duration {
-        self.leaves(self.began).saturating_sub(self.route.target)
+        self.leaves(self.began)
+            .saturating_sub(self.route.target_latency)
     }
 
     /// When the caller leaves that has had no event since some time.
     pub fn leaves(&self, since: Duration) -> Duration {
-        let silence = self.route.silence.map(|silence| since + silence);
+        let silence = self.route.silence_timeout.map(|silence| since + silence);
         silence.unwrap_or(self.deadline).min(self.deadline)
     }
 
@@ -137,7 +138,7 @@
             place_by: self.place_by(),
             resumption: Resumption::None,
             over_usual_rate: self.beyond,
-            max_gap: self.route.gap.filter(|_| streams),
+            max_gap: self.route.target_gap.filter(|_| streams),
             excluded: self.tried.borrow().clone(),
         }
     }
@@ -153,7 +154,7 @@
     /// Whether the request may be sent once more, as things are now. It counts only
     /// when it is sent: one that then finds no upstream has cost nobody anything.
     pub fn may_repeat(&self) -> bool {
-        if self.sendings.get() >= self.route.attempts || self.left() < MIN_SEND_TIME {
+        if self.sendings.get() >= self.route.max_attempts || self.left() < MIN_SEND_TIME {
             return false;
         }
         let (bound, entries) = self.budget();
@@ -176,13 +177,16 @@
     /// it may be.
     fn patience(&self, upstream: &str) -> Duration {
         let left = self.left();
-        let last = self.sendings.get() >= self.route.attempts;
-        if last || !self.route.is_repeatable() {
+        let last = self.sendings.get() >= self.route.max_attempts;
+        if last || !self.route.is_retryable() {
             return left;
         }
-        let usual = self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
+        let usual = self
+            .route
+            .target_latency
+            .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
         let passes = self.queue.pass(upstream).unwrap_or_default() * FIRST_EVENT_PASSES;
-        let most = self.route.target.mul_f64(MOST_PATIENCE);
+        let most = self.route.target_latency.mul_f64(MOST_PATIENCE);
         usual.max(passes.min(most)).min(left)
     }
 
@@ -213,7 +217,7 @@
         let before = self.exposed.replace(true);
         let client = &self.gateway.client;
         let answer = async {
-            if self.route.is_repeatable() {
+            if self.route.is_retryable() {
                 client.send(replica.address, request).await
             } else {
                 client.send_fresh(replica.address, request).await
@@ -262,7 +266,7 @@
             {
                 return Waited::Answered(answer);
             }
-            if self.route.is_repeatable() && permit.is_slow() && self.may_repeat() {
+            if self.route.is_retryable() && permit.is_slow() && self.may_repeat() {
                 return Waited::Slow;
             }
         }
@@ -275,7 +279,7 @@
     /// budget of repeats was spent, though nothing was known to have failed.
     fn stays(&self, now: Duration) -> Duration {
         let left = self.deadline.saturating_sub(now);
-        if self.route.is_repeatable() && self.may_repeat() {
+        if self.route.is_retryable() && self.may_repeat() {
             Duration::ZERO
         } else {
             left.min(relay::POLL_INTERVAL)
@@ -301,7 +305,12 @@
     /// requests take: that the time is over then says nothing, and an upstream
     /// that was left alone for it would be missed by all other requests.
     fn silence(&self, waited: Duration) -> AttemptOutcome {
-        if waited >= self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR) {
+        if waited
+            >= self
+                .route
+                .target_latency
+                .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
+        {
             AttemptOutcome::Silent
         } else {
             AttemptOutcome::Unknown
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -259,7 +259,7 @@
             instances: group_members.choose_multiple(&mut rand::rng(), reservation::MAX_INSTANCES),
             slots: own.slots,
             experts: engine.experts,
-            min_pass_time: engine.pass(0.0),
+            min_pass_time: engine.pass_time(0.0),
         })
     }
 
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -206,7 +206,7 @@
         if let Some(permit) = &self.permit {
             let pause = now.saturating_sub(self.since);
             permit.event((self.flows && count == 1).then_some(pause));
-            let late = self.work.route.gap.is_some_and(|gap| pause > gap);
+            let late = self.work.route.target_gap.is_some_and(|gap| pause > gap);
             if late && self.work.record.is_longest(pause) {
                 self.work.record.known(self.work.queue.known());
             }
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -126,7 +126,7 @@
         fingerprint,
         priority: priority.unwrap_or(route.priority),
         beyond,
-        target: (began + route.target).saturating_sub(spent),
+        target: (began + route.target_latency).saturating_sub(spent),
         deadline: began + wait.min(route.timeout),
         began,
         said,
@@ -153,7 +153,7 @@
     public: bool,
 ) -> Result<Option<&'a Customer>, Refused> {
     let found = said.key.as_deref().and_then(|key| table.customer(key));
-    if found.is_none() && table.is_keyed() && !public {
+    if found.is_none() && table.requires_api_key() && !public {
         return Err(Refused::new(StatusCode::UNAUTHORIZED, "unknown-key"));
     }
     Ok(found.map(|customer| &**customer))
@@ -222,18 +222,18 @@
         };
         let again = match work.send(permit, None).await {
             Sent::Answered(response, permit) => match take(work, response, permit).await {
-                Taken::Failed(response) if work.route.is_repeatable() => {
+                Taken::Failed(response) if work.route.is_retryable() => {
                     work.exposed.set(false);
                     failed = Some(response);
                     work.may_repeat()
                 }
                 Taken::Whole(response) | Taken::Failed(response) => return Ok(response),
-                Taken::Broken => work.route.is_repeatable() && work.may_repeat(),
+                Taken::Broken => work.route.is_retryable() && work.may_repeat(),
             },
             Sent::NotRun("unreached") => work.may_reconnect(),
             Sent::Barred => true,
             Sent::NotRun(_) => work.may_repeat(),
-            Sent::Unknown(_) => work.route.is_repeatable() && work.may_repeat(),
+            Sent::Unknown(_) => work.route.is_retryable() && work.may_repeat(),
         };
         if again {
             continue;
--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -383,7 +383,7 @@
                 let fits = lead.fits(&experts);
                 if self.fits.replace(fits) && !fits {
                     warn!(self.log, "Agent: The ranks have no place for all experts; no map is changed.";
-                        "experts" => experts.count, "places" => experts.places);
+                        "experts" => experts.count, "places" => experts.max_slots_per_rank);
                 }
                 lead.decide(now, &experts)
             }
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -137,7 +137,7 @@
     /// Whether each expert has a place on the group's ranks. Where not, no map is one
     /// that engines take, and none is ordered.
     pub fn fits(&self, experts: &Experts) -> bool {
-        experts.fit(self.ranks)
+        experts.fits(self.ranks)
     }
 
     /// Takes in how slow a rank is.
@@ -281,10 +281,10 @@
         let (base, layers) = self.layers(experts)?;
         #[allow(clippy::cast_precision_loss)] // Groups are small.
         let bound = ChangeLimits {
-            max_slots_per_rank: experts.places.into(),
-            max_new_per_layer: experts.spare.into(),
-            max_copies_per_rank: copies(self.copying(now, &layers, base), experts.copy),
-            min_gain_per_copy: MIN_GAIN_PER_COPY_SECOND * experts.copy.as_secs_f64()
+            max_slots_per_rank: experts.max_slots_per_rank.into(),
+            max_new_per_layer: experts.max_new_per_layer.into(),
+            max_copies_per_rank: copies(self.copying(now, &layers, base), experts.copy_time),
+            min_gain_per_copy: MIN_GAIN_PER_COPY_SECOND * experts.copy_time.as_secs_f64()
                 / self.ranks.max(1) as f64,
         };
         let relief = incremental::plan_change(&layers, &self.loads(experts)?, &self.paces, &bound)?;
@@ -315,7 +315,7 @@
             places: after,
         });
         let longest = u32::try_from(relief.max_rank_copies).unwrap_or(u32::MAX);
-        self.switch.start(now, version, experts.copy * longest);
+        self.switch.start(now, version, experts.copy_time * longest);
         Some(relief)
     }
 
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -11,10 +11,10 @@
 const EXPERTS: Experts = Experts {
     layers: 1,
     count: 4,
-    places: 4,
-    spare: 2,
-    share: 0.85,
-    copy: Duration::from_millis(100),
+    max_slots_per_rank: 4,
+    max_new_per_layer: 2,
+    work_share: 0.85,
+    copy_time: Duration::from_millis(100),
 };
 
 /// The lead of two ranks that have just formed a group, on its first map.
@@ -102,7 +102,7 @@
     let mut lead = formed(1);
     let (_, layers) = lead.layers(&EXPERTS).expect("both ranks said it");
     let copies = |lead: &Lead, layers: &[Layer], version| {
-        super::copies(lead.copying(NOW, layers, version), EXPERTS.copy)
+        super::copies(lead.copying(NOW, layers, version), EXPERTS.copy_time)
     };
     assert_eq!(copies(&lead, &layers, 0), 3, "the first map");
     assert_eq!(copies(&lead, &layers, 9), 1, "a map that was searched");
@@ -121,7 +121,7 @@
     let mut lead = formed(1);
     lead.choices(NOW, &choices(), 4);
     let narrow = Experts {
-        places: 1,
+        max_slots_per_rank: 1,
         ..EXPERTS
     };
     assert!(!lead.fits(&narrow) && lead.fits(&EXPERTS));
--- a/verbenaspool_agent/src/direct/partial/tests.rs
+++ b/verbenaspool_agent/src/direct/partial/tests.rs
@@ -155,10 +155,10 @@
     let experts = Experts {
         layers: 2,
         count: 5,
-        places: 3,
-        spare: 1,
-        share: 0.8,
-        copy: Duration::from_millis(40),
+        max_slots_per_rank: 3,
+        max_new_per_layer: 1,
+        work_share: 0.8,
+        copy_time: Duration::from_millis(40),
     };
     let mut known = Known::default();
     known.add_first(1, 2, &experts);
--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -50,9 +50,9 @@
 ///
 /// let engine = Engine {
 ///     slots: 6,
-///     stride: 9,
-///     step: Duration::from_micros(4_840),
-///     step_per_request: Duration::from_micros(797),
+///     steps_per_pass: 9,
+///     step_time: Duration::from_micros(4_840),
+///     step_time_per_request: Duration::from_micros(797),
 ///     experts: None,
 /// };
 /// assert!(tolerates_shift(&engine, 1.7, 0.15, 4.0));
@@ -64,11 +64,11 @@
     if peak_pace <= 0.0 {
         return true;
     }
-    let max_requests = engine.writers(Duration::from_secs_f64(
+    let max_requests = engine.decoding_requests(Duration::from_secs_f64(
         max_gap * PEAK_PASS_RATIO / peak_pace,
     ));
     let slots = f64::from(engine.slots);
-    let throughput = |requests: f64| requests / engine.pass(requests).as_secs_f64().max(1e-6);
+    let throughput = |requests: f64| requests / engine.pass_time(requests).as_secs_f64().max(1e-6);
     requests <= max_requests || throughput(max_requests) < MIN_THROUGHPUT_RATIO * throughput(slots)
 }
 
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -327,7 +327,7 @@
         let pace = self.group_paces.get(&upstream.group)?.pace(now, 1.0);
         Some(
             engine
-                .pass(self.mean_requests(upstream.group))
+                .pass_time(self.mean_requests(upstream.group))
                 .mul_f64(pace),
         )
     }
@@ -338,7 +338,7 @@
             return;
         };
         let group = upstream.group;
-        let configured = engine.pass(self.mean_requests(group));
+        let configured = engine.pass_time(self.mean_requests(group));
         let ratio = pause.as_secs_f64() / configured.as_secs_f64().max(1e-6);
         self.group_paces
             .entry(group)
--- a/verbenaspool_policy/src/dispatch/placement.rs
+++ b/verbenaspool_policy/src/dispatch/placement.rs
@@ -148,7 +148,7 @@
             .mean_requests(group)
             .max(self.fair_share(recovering_since, group));
         let max_pass = max_gap * PASS_HEADROOM_RATIO;
-        let pass_ratio = |requests: f64| engine.pass(requests).as_secs_f64() * pace / max_pass;
+        let pass_ratio = |requests: f64| engine.pass_time(requests).as_secs_f64() * pace / max_pass;
         let shortage = self
             .last_shortage
             .is_some_and(|at| now < at + SHORTAGE_HOLD_TIME);
--- a/verbenaspool_policy/tests/decisions/input.rs
+++ b/verbenaspool_policy/tests/decisions/input.rs
@@ -291,9 +291,9 @@
     );
     assert_eq!(problems[1].reason, SettingReason::NotFinite);
     let range = SettingReason::Range {
-        value: Number::Part(1.0),
-        least: 0.0,
-        most: 0.9,
+        value: Number::Fraction(1.0),
+        min: 0.0,
+        max: 0.9,
     };
     assert_eq!(problems[3].reason, range);
     assert_eq!(
--- a/verbenaspool_policy/tests/dispatch/caller_retries.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -209,7 +209,7 @@
     assert_eq!(sent(&dispatcher.process_queue(ms(2_303))), 4);
     // Once passes are known to be short, more retries are placed, as far as there are
     // slots.
-    dispatcher.record_pause(ms(2_400), "u0", engine().pass(3.0));
+    dispatcher.record_pause(ms(2_400), "u0", engine().pass_time(3.0));
     let later = sent(&dispatcher.process_queue(ms(2_401)));
     assert!(placed + 4 + later > 4 * 12 / 2, "{placed}, {later}");
     // The remaining retries are rejected before their callers leave.
@@ -223,7 +223,7 @@
 fn a_moved_stream_may_use_more_than_half_of_the_slots() {
     let mut dispatcher = group(2);
     report_status(&mut dispatcher, 0, 2, true);
-    dispatcher.record_pause(ms(1), "u0", engine().pass(0.0));
+    dispatcher.record_pause(ms(1), "u0", engine().pass_time(0.0));
     for ticket in 0..14 {
         dispatcher.submit(ms(1), ticket, stream(1));
     }
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -87,9 +87,9 @@
 fn engine() -> Engine {
     Engine {
         slots: SLOTS_PER_UPSTREAM,
-        stride: 9,
-        step: std::time::Duration::from_micros(4_840),
-        step_per_request: std::time::Duration::from_micros(797),
+        steps_per_pass: 9,
+        step_time: std::time::Duration::from_micros(4_840),
+        step_time_per_request: std::time::Duration::from_micros(797),
         experts: None,
     }
 }
@@ -296,7 +296,7 @@
     fn process_queues(&mut self) {
         let now = ms(self.now);
         let running: u32 = self.running.iter().sum();
-        let pass = engine().pass(f64::from(running) / f64::from(UPSTREAMS));
+        let pass = engine().pass_time(f64::from(running) / f64::from(UPSTREAMS));
         for entry in 0..ENTRIES {
             self.entries[entry].record_pause(now, &self.replicas[0].id, pass);
             if self.entries[entry].waiting_count() > 0 {
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -17,9 +17,9 @@
 fn load_sensitive_engine() -> Engine {
     Engine {
         slots: 10,
-        stride: 5,
-        step: Duration::from_micros(4_550),
-        step_per_request: Duration::from_micros(1_090),
+        steps_per_pass: 5,
+        step_time: Duration::from_micros(4_550),
+        step_time_per_request: Duration::from_micros(1_090),
         ..engine()
     }
 }
@@ -81,7 +81,9 @@
             placed += sent_count(&entry.process_queue(ms(10_501)));
         }
         let mean = f64::from(placed) / f64::from(ranks);
-        let pass = load_sensitive_engine().pass(mean).mul_f64(INITIAL_PACE);
+        let pass = load_sensitive_engine()
+            .pass_time(mean)
+            .mul_f64(INITIAL_PACE);
         assert!(placed > 0, "{count} entries, {ranks} ranks");
         assert!(
             pass <= MAX_GAP,
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -16,8 +16,8 @@
 fn capacity_is_left_for_the_next_shift() {
     let load_sensitive = Engine {
         slots: 6,
-        stride: 6,
-        step_per_request: Duration::from_micros(1_200),
+        steps_per_pass: 6,
+        step_time_per_request: Duration::from_micros(1_200),
         ..engine()
     };
     let mut world = World::with_engine(&load_sensitive, 4, 12);
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -25,9 +25,9 @@
 pub fn engine() -> Engine {
     Engine {
         slots: 12,
-        stride: 6,
-        step: Duration::from_micros(4_840),
-        step_per_request: Duration::from_micros(362),
+        steps_per_pass: 6,
+        step_time: Duration::from_micros(4_840),
+        step_time_per_request: Duration::from_micros(362),
         experts: None,
     }
 }
@@ -373,7 +373,7 @@
                 self.record_outcome(stream.ticket, |sum| sum.on_time += 1);
             }
         }
-        let mut pass = self.engine.pass(0.0).mul_f64(self.pace);
+        let mut pass = self.engine.pass_time(0.0).mul_f64(self.pace);
         #[allow(clippy::cast_precision_loss)]
         let mean = self.running.len() as f64 / self.ids.len() as f64;
         for (number, id) in self.ids.iter().enumerate() {
@@ -385,7 +385,10 @@
                 #[allow(clippy::cast_precision_loss)]
                 let own =
                     mean * self.shared_load_ratio + streams as f64 * (1.0 - self.shared_load_ratio);
-                let own = self.engine.pass(own).mul_f64(self.pace * upstream_pace);
+                let own = self
+                    .engine
+                    .pass_time(own)
+                    .mul_f64(self.pace * upstream_pace);
                 pass = pass.max(own);
             }
         }
--- a/verbenaspool_state/src/check.rs
+++ b/verbenaspool_state/src/check.rs
@@ -29,15 +29,15 @@
 mod tests;
 
 /// Maximum number of customers in a file.
-pub const CUSTOMERS: usize = 200_000;
+pub const MAX_CUSTOMERS: usize = 200_000;
 /// Maximum number of services in a file.
-pub const SERVICES: usize = 256;
+pub const MAX_SERVICES: usize = 256;
 /// Maximum number of places in a file.
-pub const PLACES: usize = 64;
+pub const MAX_PLACES: usize = 64;
 /// Maximum share of a customer.
-pub const SHARE: u32 = 10_000;
+pub const MAX_SHARE: u32 = 10_000;
 /// Maximum size of a file in bytes, which bounds the cost of parsing it.
-pub const BYTES: usize = 64 << 20;
+pub const MAX_FILE_BYTES: usize = 64 << 20;
 
 /// The sections of a file, in the order of the documentation.
 const SECTIONS: [&str; 4] = ["firm", "places", "services", "customers"];
@@ -84,12 +84,12 @@
             lines: &lines,
             problems: Vec::new(),
         };
-        let file = check.parse(yaml);
+        let file = check.parse_file(yaml);
         if let Some(file) = &file {
-            check.cross(file);
+            check.check_entries(file);
         }
         match file {
-            Some(file) if check.problems.is_empty() => Ok(file.whole()),
+            Some(file) if check.problems.is_empty() => Ok(file.into_file()),
             _ => Err(check.problems),
         }
     }
@@ -113,43 +113,43 @@
             lines: &lines,
             problems: Vec::new(),
         };
-        check.cross(&Parts {
-            all_places: true,
-            all_services: true,
+        check.check_entries(&ParsedFile {
+            all_places_parsed: true,
+            all_services_parsed: true,
             firm: Some(self.firm.clone()),
-            places: number(self.places.clone()),
-            services: number(self.services.clone()),
-            customers: number(self.customers.clone()),
+            places: with_indexes(self.places.clone()),
+            services: with_indexes(self.services.clone()),
+            customers: with_indexes(self.customers.clone()),
         });
         check.problems
     }
 }
 
 /// Entries with their indexes in the section.
-type Numbered<T> = Vec<(usize, T)>;
+type Indexed<T> = Vec<(usize, T)>;
 
 /// Adds indexes to entries.
-fn number<T>(entries: Vec<T>) -> Numbered<T> {
+fn with_indexes<T>(entries: Vec<T>) -> Indexed<T> {
     entries.into_iter().enumerate().collect()
 }
 
 /// The entries of a file that could be parsed.
-struct Parts {
+struct ParsedFile {
     /// Whether all places could be parsed. Otherwise an unknown zone isn't reported, since
     /// its place may be one that is itself reported as invalid.
-    all_places: bool,
+    all_places_parsed: bool,
     /// Whether all services could be parsed, likewise.
-    all_services: bool,
+    all_services_parsed: bool,
     firm: Option<Name>,
-    places: Numbered<Place>,
-    services: Numbered<Service>,
-    customers: Numbered<Customer>,
+    places: Indexed<Place>,
+    services: Indexed<Service>,
+    customers: Indexed<Customer>,
 }
 
-impl Parts {
+impl ParsedFile {
     /// Converts to a file; all entries must have been parsed.
-    fn whole(self) -> File {
-        fn entries<T>(entries: Numbered<T>) -> Vec<T> {
+    fn into_file(self) -> File {
+        fn entries<T>(entries: Indexed<T>) -> Vec<T> {
             entries.into_iter().map(|(_, entry)| entry).collect()
         }
         File {
@@ -171,26 +171,26 @@
 
 impl Check<'_> {
     /// Reports a problem.
-    fn note(&mut self, path: impl Into<String>, text: impl fmt::Display) {
+    fn report(&mut self, path: impl Into<String>, text: impl fmt::Display) {
         let path = path.into();
         self.problems.push(Problem {
-            line: self.lines.of(&path),
+            line: self.lines.line_of(&path),
             path,
             text: text.to_string(),
         });
     }
 
     /// Reports a problem unless the condition holds.
-    fn hold(&mut self, held: bool, path: impl Into<String>, text: impl fmt::Display) {
-        if !held {
-            self.note(path, text);
+    fn require(&mut self, condition: bool, path: impl Into<String>, text: impl fmt::Display) {
+        if !condition {
+            self.report(path, text);
         }
     }
 
     /// Parses the sections entry by entry.
-    fn parse(&mut self, yaml: &str) -> Option<Parts> {
-        if yaml.len() > BYTES {
-            self.note("", format!("the file is over {BYTES} bytes"));
+    fn parse_file(&mut self, yaml: &str) -> Option<ParsedFile> {
+        if yaml.len() > MAX_FILE_BYTES {
+            self.report("", format!("the file is over {MAX_FILE_BYTES} bytes"));
             return None;
         }
         let value: Value = match serde_norway::from_str(yaml) {
@@ -205,165 +205,180 @@
             }
         };
         let Value::Mapping(mut sections) = value else {
-            self.note(
+            self.report(
                 "",
                 "the file must hold firm, places, services and customers",
             );
             return None;
         };
-        let firm = self.firm(&mut sections);
+        let firm = self.parse_firm(&mut sections);
         let start = self.problems.len();
-        let places = self.section(&mut sections, "places");
-        let between = self.problems.len();
-        let services = self.section(&mut sections, "services");
-        let parts = Parts {
-            all_places: start == between,
-            all_services: between == self.problems.len(),
+        let places = self.parse_section(&mut sections, "places");
+        let after_places = self.problems.len();
+        let services = self.parse_section(&mut sections, "services");
+        let parsed = ParsedFile {
+            all_places_parsed: start == after_places,
+            all_services_parsed: after_places == self.problems.len(),
             firm,
             places,
             services,
-            customers: self.section(&mut sections, "customers"),
+            customers: self.parse_section(&mut sections, "customers"),
         };
         for key in sections.keys() {
             let key = key.as_str().unwrap_or("?");
             let known = SECTIONS.join(", ");
-            self.note(key, format!("there is no such section; known are {known}"));
+            self.report(key, format!("there is no such section; known are {known}"));
         }
-        Some(parts)
+        Some(parsed)
     }
 
     /// Parses the firm's name.
-    fn firm(&mut self, sections: &mut Mapping) -> Option<Name> {
+    fn parse_firm(&mut self, sections: &mut Mapping) -> Option<Name> {
         let Some(value) = sections.remove("firm") else {
-            self.note("firm", "the section is missing");
+            self.report("firm", "the section is missing");
             return None;
         };
-        self.entry("firm", value)
+        self.parse_entry("firm", value)
     }
 
     /// Parses a section's entries.
-    fn section<T: DeserializeOwned>(
+    fn parse_section<T: DeserializeOwned>(
         &mut self,
         sections: &mut Mapping,
         section: &str,
-    ) -> Numbered<T> {
+    ) -> Indexed<T> {
         let entries = match sections.remove(section) {
             Some(Value::Sequence(entries)) => entries,
             Some(_) => {
-                self.note(section, "the section must be a list");
+                self.report(section, "the section must be a list");
                 return Vec::new();
             }
             None => {
-                self.note(section, "the section is missing");
+                self.report(section, "the section is missing");
                 return Vec::new();
             }
         };
         let entries = entries.into_iter().enumerate();
         entries
-            .filter_map(|(i, value)| Some((i, self.entry(&format!("{section}[{i}]"), value)?)))
+            .filter_map(|(i, value)| {
+                Some((i, self.parse_entry(&format!("{section}[{i}]"), value)?))
+            })
             .collect()
     }
 
     /// Parses one entry.
-    fn entry<T: DeserializeOwned>(&mut self, path: &str, value: Value) -> Option<T> {
+    fn parse_entry<T: DeserializeOwned>(&mut self, path: &str, value: Value) -> Option<T> {
         match serde_norway::from_value(value) {
             Ok(entry) => Some(entry),
             Err(e) => {
-                self.note(path, e);
+                self.report(path, e);
                 None
             }
         }
     }
 
     /// Checks the entries against each other.
-    fn cross(&mut self, parts: &Parts) {
-        self.places(parts);
-        self.services(parts);
-        self.customers(parts);
+    fn check_entries(&mut self, parsed: &ParsedFile) {
+        self.check_places(parsed);
+        self.check_services(parsed);
+        self.check_customers(parsed);
     }
 
     /// Reports names that occur more than once in a section.
-    fn unique<'a>(&mut self, section: &str, names: impl Iterator<Item = (usize, &'a Name)>) {
+    fn check_unique<'a>(&mut self, section: &str, names: impl Iterator<Item = (usize, &'a Name)>) {
         let mut first = BTreeMap::new();
         for (i, name) in names {
-            if let Some(before) = first.insert(name, i) {
+            if let Some(earlier) = first.insert(name, i) {
                 let path = format!("{section}[{i}]");
-                self.note(path, format!("'{name}' is {section}[{before}] already"));
+                self.report(path, format!("'{name}' is {section}[{earlier}] already"));
             }
         }
     }
 
-    fn places(&mut self, parts: &Parts) {
-        let count = parts.places.len();
-        let fits = (1..=PLACES).contains(&count);
-        self.hold(
-            fits,
+    fn check_places(&mut self, parsed: &ParsedFile) {
+        let count = parsed.places.len();
+        let in_range = (1..=MAX_PLACES).contains(&count);
+        self.require(
+            in_range,
             "places",
-            format!("1 to {PLACES} are allowed, not {count}"),
+            format!("1 to {MAX_PLACES} are allowed, not {count}"),
         );
-        let zones = parts.places.iter().map(|(i, place)| (*i, &place.zone));
-        self.unique("places", zones);
+        let zones = parsed.places.iter().map(|(i, place)| (*i, &place.zone));
+        self.check_unique("places", zones);
     }
 
-    fn services(&mut self, parts: &Parts) {
-        let count = parts.services.len();
-        let fits = (1..=SERVICES).contains(&count);
-        self.hold(
-            fits,
+    fn check_services(&mut self, parsed: &ParsedFile) {
+        let count = parsed.services.len();
+        let in_range = (1..=MAX_SERVICES).contains(&count);
+        self.require(
+            in_range,
             "services",
-            format!("1 to {SERVICES} are allowed, not {count}"),
+            format!("1 to {MAX_SERVICES} are allowed, not {count}"),
         );
-        let names = parts
+        let names = parsed
             .services
             .iter()
             .map(|(i, service)| (*i, &service.name));
-        self.unique("services", names);
-        let zones = parts.places.iter().map(|(_, place)| &place.zone);
-        let zones = parts.all_places.then(|| zones.collect());
+        self.check_unique("services", names);
+        let zones = parsed.places.iter().map(|(_, place)| &place.zone);
+        let zones = parsed.all_places_parsed.then(|| zones.collect());
         let mut paths = BTreeMap::new();
-        for (i, service) in &parts.services {
-            let at = format!("services[{i}]");
-            if let Some(before) = paths.insert(service.path.as_str(), i) {
-                let text = format!("services[{before}] has the same path");
-                self.note(format!("{at}.path"), text);
+        for (i, service) in &parsed.services {
+            let entry_path = format!("services[{i}]");
+            if let Some(earlier) = paths.insert(service.path.as_str(), i) {
+                let text = format!("services[{earlier}] has the same path");
+                self.report(format!("{entry_path}.path"), text);
             }
-            self.service(&at, service, zones.as_ref());
+            self.check_service(&entry_path, service, zones.as_ref());
         }
     }
 
-    fn service(&mut self, at: &str, service: &Service, zones: Option<&BTreeSet<&Name>>) {
+    fn check_service(
+        &mut self,
+        entry_path: &str,
+        service: &Service,
+        zones: Option<&BTreeSet<&Name>>,
+    ) {
         let path = &service.path;
         let text = "a path starts and ends with '/', has neither '//' nor '..', and is ASCII \
                     without blanks, '?' or '#'";
-        self.hold(prefix(path), format!("{at}.path"), text);
-        self.listed(
-            &format!("{at}.zones"),
+        self.require(is_path_prefix(path), format!("{entry_path}.path"), text);
+        self.check_names(
+            &format!("{entry_path}.zones"),
             &service.zones,
             zones,
             "zone of the firm",
         );
         for problem in service.decisions.check() {
-            let path = format!("{at}.decisions.{}", problem.key);
-            self.note(path, problem.reason);
+            let path = format!("{entry_path}.decisions.{}", problem.key);
+            self.report(path, problem.reason);
         }
         match &service.kind {
             Kind::Model(model) => {
                 if let Some(experts) = &model.experts {
-                    self.experts(&format!("{at}.kind.experts"), experts);
+                    self.check_experts(&format!("{entry_path}.kind.experts"), experts);
                 }
             }
-            Kind::Plain(plain) => self.plain(&format!("{at}.kind.idempotent"), path, plain),
+            Kind::Plain(plain) => {
+                self.check_idempotent(&format!("{entry_path}.kind.idempotent"), path, plain)
+            }
         }
     }
 
     /// Checks that each name in a list is unique and among the known ones. `None` skips the
     /// latter check.
-    fn listed(&mut self, path: &str, names: &[Name], known: Option<&BTreeSet<&Name>>, what: &str) {
-        let mut seen = BTreeSet::new();
+    fn check_names(
+        &mut self,
+        path: &str,
+        names: &[Name],
+        known: Option<&BTreeSet<&Name>>,
+        what: &str,
+    ) {
+        let mut listed = BTreeSet::new();
         for name in names {
             let exists = known.is_none_or(|known| known.contains(name));
-            self.hold(exists, path, format!("'{name}' is no {what}"));
-            self.hold(seen.insert(name), path, format!("'{name}' stands twice"));
+            self.require(exists, path, format!("'{name}' is no {what}"));
+            self.require(listed.insert(name), path, format!("'{name}' stands twice"));
         }
     }
 
@@ -372,20 +387,20 @@
     /// Rejects prefixes that don't do what their author intended: `/` would allow retries of
     /// all calls, including those that aren't idempotent, and a prefix that contains the
     /// service's path would match nothing, since prefixes are relative to it.
-    fn plain(&mut self, path: &str, service: &str, plain: &Plain) {
+    fn check_idempotent(&mut self, path: &str, service: &str, plain: &Plain) {
         for prefix in &plain.idempotent {
             let trimmed = prefix.trim_end_matches('/');
-            let sound = trimmed.starts_with('/') && clean(prefix);
+            let is_path = trimmed.starts_with('/') && is_normalized(prefix);
             let text = format!("'{prefix}' must start with '/' and name something below it");
-            self.hold(sound, path, text);
-            let within = !prefix.starts_with(service) || service == "/";
+            self.require(is_path, path, text);
+            let is_relative = !prefix.starts_with(service) || service == "/";
             let text = format!("'{prefix}' is read below '{service}': leave that part out");
-            self.hold(within, path, text);
+            self.require(is_relative, path, text);
         }
     }
 
     /// Checks the expert-parallel layout of a model.
-    fn experts(&mut self, at: &str, experts: &Experts) {
+    fn check_experts(&mut self, entry_path: &str, experts: &Experts) {
         let ranges = [
             ("ranks", experts.ranks, 1..=1024),
             ("experts", experts.experts, 1..=4096),
@@ -398,58 +413,75 @@
                 range.start(),
                 range.end()
             );
-            self.hold(range.contains(&value), format!("{at}.{field}"), text);
+            self.require(
+                range.contains(&value),
+                format!("{entry_path}.{field}"),
+                text,
+            );
         }
-        let room = u32::from(experts.ranks) * u32::from(experts.slots);
+        let slots = u32::from(experts.ranks) * u32::from(experts.slots);
         let text = format!(
-            "{} ranks of {} slots hold {room} experts, too few for {}",
+            "{} ranks of {} slots hold {slots} experts, too few for {}",
             experts.ranks, experts.slots, experts.experts
         );
-        self.hold(room >= experts.experts.into(), format!("{at}.slots"), text);
+        self.require(
+            slots >= experts.experts.into(),
+            format!("{entry_path}.slots"),
+            text,
+        );
         for problem in experts.rebalancing.check() {
-            let path = format!("{at}.rebalancing.{}", problem.key);
-            self.note(path, problem.reason);
+            let path = format!("{entry_path}.rebalancing.{}", problem.key);
+            self.report(path, problem.reason);
         }
         if !experts.placement.is_empty() {
             let layers = experts.placement.clone();
             let map = Map { epoch: 1, layers };
             if let Err(problem) = map.check(experts.into(), 0) {
-                self.note(format!("{at}.placement"), problem);
+                self.report(format!("{entry_path}.placement"), problem);
             }
         }
         let text = "an expert has at least one byte";
-        self.hold(experts.expert_bytes > 0, format!("{at}.expert_bytes"), text);
+        self.require(
+            experts.expert_bytes > 0,
+            format!("{entry_path}.expert_bytes"),
+            text,
+        );
     }
 
-    fn customers(&mut self, parts: &Parts) {
-        let count = parts.customers.len();
-        let text = format!("at most {CUSTOMERS} are allowed, not {count}");
-        self.hold(count <= CUSTOMERS, "customers", text);
-        let names = parts
+    fn check_customers(&mut self, parsed: &ParsedFile) {
+        let count = parsed.customers.len();
+        let text = format!("at most {MAX_CUSTOMERS} are allowed, not {count}");
+        self.require(count <= MAX_CUSTOMERS, "customers", text);
+        let names = parsed
             .customers
             .iter()
             .map(|(i, customer)| (*i, &customer.name));
-        self.unique("customers", names);
-        let services = parts.services.iter().map(|(_, service)| &service.name);
-        let services: Option<BTreeSet<&Name>> = parts.all_services.then(|| services.collect());
-        let mut holders: BTreeMap<Digest, &Name> = BTreeMap::new();
-        for (i, customer) in &parts.customers {
-            let at = format!("customers[{i}]");
-            let text = format!("0 to {SHARE} parts are allowed, not {}", customer.share);
-            self.hold(customer.share <= SHARE, format!("{at}.share"), text);
-            let path = format!("{at}.services");
-            self.listed(
+        self.check_unique("customers", names);
+        let services = parsed.services.iter().map(|(_, service)| &service.name);
+        let services: Option<BTreeSet<&Name>> =
+            parsed.all_services_parsed.then(|| services.collect());
+        let mut credential_owners: BTreeMap<Digest, &Name> = BTreeMap::new();
+        for (i, customer) in &parsed.customers {
+            let entry_path = format!("customers[{i}]");
+            let text = format!("0 to {MAX_SHARE} parts are allowed, not {}", customer.share);
+            self.require(
+                customer.share <= MAX_SHARE,
+                format!("{entry_path}.share"),
+                text,
+            );
+            let path = format!("{entry_path}.services");
+            self.check_names(
                 &path,
                 &customer.services,
                 services.as_ref(),
                 "service of the firm",
             );
-            let path = format!("{at}.credentials");
+            let path = format!("{entry_path}.credentials");
             let text = "without a credential the customer can't be told from others";
-            self.hold(!customer.credentials.is_empty(), path.as_str(), text);
+            self.require(!customer.credentials.is_empty(), path.as_str(), text);
             for digest in &customer.credentials {
-                if let Some(other) = holders.insert(*digest, &customer.name) {
-                    self.note(path.as_str(), format!("'{other}' has the same credential"));
+                if let Some(other) = credential_owners.insert(*digest, &customer.name) {
+                    self.report(path.as_str(), format!("'{other}' has the same credential"));
                 }
             }
         }
@@ -457,12 +489,12 @@
 }
 
 /// Whether a text is a valid path prefix of a service.
-fn prefix(path: &str) -> bool {
-    path.starts_with('/') && path.ends_with('/') && clean(path)
+fn is_path_prefix(path: &str) -> bool {
+    path.starts_with('/') && path.ends_with('/') && is_normalized(path)
 }
 
 /// Whether a path can be compared with the paths of requests without normalization.
-fn clean(path: &str) -> bool {
+fn is_normalized(path: &str) -> bool {
     let plain = |c: char| c.is_ascii_graphic() && c != '?' && c != '#';
     path.chars().all(plain)
         && !path.contains("//")
--- a/verbenaspool_state/src/check/lines.rs
+++ b/verbenaspool_state/src/check/lines.rs
@@ -20,19 +20,19 @@
     /// use verbenaspool_state::check::Lines;
     ///
     /// let lines = Lines::scan("firm: quetzal\nplaces:\n  - zone: antigua\n");
-    /// assert_eq!(lines.of("places[0].zone"), Some(3));
+    /// assert_eq!(lines.line_of("places[0].zone"), Some(3));
     /// ```
     #[must_use]
     pub fn scan(yaml: &str) -> Self {
         let mut by_path = BTreeMap::new();
         let mut section = "";
         let mut entries = 0;
-        let mut dash = None;
+        let mut entry_indent = None;
         for (number, line) in (1..).zip(yaml.lines()) {
             let text = line.trim_start();
             let indent = line.len() - text.len();
             let entry = text.starts_with("- ") || text == "-";
-            if entry && !section.is_empty() && *dash.get_or_insert(indent) == indent {
+            if entry && !section.is_empty() && *entry_indent.get_or_insert(indent) == indent {
                 by_path.insert(format!("{section}[{entries}]"), number);
                 entries += 1;
             } else if indent == 0
@@ -41,7 +41,7 @@
             {
                 section = key;
                 entries = 0;
-                dash = None;
+                entry_indent = None;
                 by_path.insert(section.to_owned(), number);
             }
         }
@@ -52,10 +52,10 @@
     ///
     /// ```
     /// # use verbenaspool_state::check::Lines;
-    /// assert_eq!(Lines::default().of("places[0].zone"), None);
+    /// assert_eq!(Lines::default().line_of("places[0].zone"), None);
     /// ```
     #[must_use]
-    pub fn of(&self, path: &str) -> Option<usize> {
+    pub fn line_of(&self, path: &str) -> Option<usize> {
         let entry = path.split('.').next().unwrap_or_default();
         let section = entry.split('[').next().unwrap_or_default();
         let found = self.by_path.get(entry).or(self.by_path.get(section));
--- a/verbenaspool_state/src/decisions.rs
+++ b/verbenaspool_state/src/decisions.rs
@@ -58,24 +58,29 @@
     /// ```
     #[must_use]
     pub fn check(&self) -> Vec<Problem> {
-        let whole = |value: u64| Number::Whole(value);
-        let part = |value: f64| Number::Part(value);
+        let integer = |value: u64| Number::Integer(value);
+        let fraction = |value: f64| Number::Fraction(value);
         [
-            range("deadline_ms", whole(self.deadline_ms), 1.0, 3_600_000.0),
-            range("queue", whole(self.queue.into()), 1.0, 4_096.0),
-            range("prefill_weight", part(self.prefill_weight), 0.0, 10.0),
+            range("deadline_ms", integer(self.deadline_ms), 1.0, 3_600_000.0),
+            range("queue", integer(self.queue.into()), 1.0, 4_096.0),
+            range("prefill_weight", fraction(self.prefill_weight), 0.0, 10.0),
             range(
                 "initial_limit",
-                whole(self.initial_limit.into()),
+                integer(self.initial_limit.into()),
                 1.0,
                 f64::from(self.max_limit.max(1)),
             ),
-            range("max_limit", whole(self.max_limit.into()), 1.0, 65_536.0),
-            range("subset", whole(self.subset.into()), 1.0, 4_096.0),
-            range("affinity_bound", part(self.affinity_bound), 1.0, 10.0),
-            range("ejection_factor", part(self.ejection_factor), 1.5, 100.0),
-            range("ejection_share", part(self.ejection_share), 0.0, 0.9),
-            range("retry_ratio", part(self.retry_ratio), 0.0, 1.0),
+            range("max_limit", integer(self.max_limit.into()), 1.0, 65_536.0),
+            range("subset", integer(self.subset.into()), 1.0, 4_096.0),
+            range("affinity_bound", fraction(self.affinity_bound), 1.0, 10.0),
+            range(
+                "ejection_factor",
+                fraction(self.ejection_factor),
+                1.5,
+                100.0,
+            ),
+            range("ejection_share", fraction(self.ejection_share), 0.0, 0.9),
+            range("retry_ratio", fraction(self.retry_ratio), 0.0, 1.0),
         ]
         .into_iter()
         .flatten()
@@ -87,9 +92,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Number {
     /// A count or a time.
-    Whole(u64),
+    Integer(u64),
     /// A ratio.
-    Part(f64),
+    Fraction(f64),
 }
 
 impl Number {
@@ -97,8 +102,8 @@
     #[allow(clippy::cast_precision_loss)] // Ranges end far below 2^53.
     fn value(self) -> f64 {
         match self {
-            Self::Whole(value) => value as f64,
-            Self::Part(value) => value,
+            Self::Integer(value) => value as f64,
+            Self::Fraction(value) => value,
         }
     }
 }
@@ -117,14 +122,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Reason {
     /// The value is out of range.
-    #[error("must lie from {least} to {most}")]
+    #[error("must lie from {min} to {max}")]
     Range {
         /// The value.
         value: Number,
         /// The minimum.
-        least: f64,
+        min: f64,
         /// The maximum.
-        most: f64,
+        max: f64,
     },
     /// The value is not a finite number.
     #[error("must be a finite number")]
@@ -132,14 +137,14 @@
 }
 
 /// Checks that a value is in a range.
-fn range(key: &'static str, value: Number, least: f64, most: f64) -> Option<Problem> {
+fn range(key: &'static str, value: Number, min: f64, max: f64) -> Option<Problem> {
     let number = value.value();
     let reason = if !number.is_finite() {
         Reason::NotFinite
-    } else if (least..=most).contains(&number) {
+    } else if (min..=max).contains(&number) {
         return None;
     } else {
-        Reason::Range { value, least, most }
+        Reason::Range { value, min, max }
     };
     Some(Problem { key, reason })
 }
--- a/verbenaspool_state/src/engine.rs
+++ b/verbenaspool_state/src/engine.rs
@@ -12,11 +12,11 @@
     pub slots: u32,
     /// Number of token steps in a pass with decoding requests. Each step generates one token
     /// for each of them.
-    pub stride: u32,
+    pub steps_per_pass: u32,
     /// Base duration of a token step.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Additional duration of a token step per decoding request.
-    pub step_per_request: Duration,
+    pub step_time_per_request: Duration,
     /// The experts of its groups, if its upstreams are ranks of groups.
     pub experts: Option<Experts>,
 }
@@ -29,13 +29,13 @@
     /// Number of experts of a set.
     pub count: u16,
     /// Maximum number of experts of one set on a rank.
-    pub places: u16,
+    pub max_slots_per_rank: u16,
     /// Maximum number of experts of one set that a map change adds to a rank.
-    pub spare: u16,
+    pub max_new_per_layer: u16,
     /// The fraction of the work for a token that is done by experts, 0 to 1.
-    pub share: f64,
+    pub work_share: f64,
     /// How long a rank takes to copy one expert.
-    pub copy: Duration,
+    pub copy_time: Duration,
 }
 
 impl Experts {
@@ -47,14 +47,14 @@
     /// use verbenaspool_state::engine::Experts;
     ///
     /// let experts = Experts {
-    ///     layers: 4, count: 72, places: 8, spare: 3, share: 0.85, copy: Duration::ZERO,
+    ///     layers: 4, count: 72, max_slots_per_rank: 8, max_new_per_layer: 3, work_share: 0.85, copy_time: Duration::ZERO,
     /// };
-    /// assert!(experts.fit(9));
-    /// assert!(!experts.fit(8));
+    /// assert!(experts.fits(9));
+    /// assert!(!experts.fits(8));
     /// ```
     #[must_use]
-    pub fn fit(&self, ranks: usize) -> bool {
-        usize::from(self.count) <= usize::from(self.places) * ranks
+    pub fn fits(&self, ranks: usize) -> bool {
+        usize::from(self.count) <= usize::from(self.max_slots_per_rank) * ranks
     }
 }
 
@@ -69,17 +69,20 @@
     ///
     /// let engine = Engine {
     ///     slots: 12,
-    ///     stride: 6,
-    ///     step: Duration::from_millis(5),
-    ///     step_per_request: Duration::from_millis(1),
+    ///     steps_per_pass: 6,
+    ///     step_time: Duration::from_millis(5),
+    ///     step_time_per_request: Duration::from_millis(1),
     ///     experts: None,
     /// };
-    /// assert_eq!(engine.pass(5.0), Duration::from_millis(60));
+    /// assert_eq!(engine.pass_time(5.0), Duration::from_millis(60));
     /// ```
     #[must_use]
-    pub fn pass(&self, writers: f64) -> Duration {
-        let step = self.step + self.step_per_request.mul_f64(writers.max(0.0));
-        step * self.stride.max(1)
+    pub fn pass_time(&self, decoding_requests: f64) -> Duration {
+        let step = self.step_time
+            + self
+                .step_time_per_request
+                .mul_f64(decoding_requests.max(0.0));
+        step * self.steps_per_pass.max(1)
     }
 
     /// The number of decoding requests on each rank with which a pass on evenly loaded ranks
@@ -92,18 +95,18 @@
     ///
     /// let engine = Engine {
     ///     slots: 12,
-    ///     stride: 6,
-    ///     step: Duration::from_millis(5),
-    ///     step_per_request: Duration::from_millis(1),
+    ///     steps_per_pass: 6,
+    ///     step_time: Duration::from_millis(5),
+    ///     step_time_per_request: Duration::from_millis(1),
     ///     experts: None,
     /// };
-    /// assert_eq!(engine.writers(Duration::from_millis(60)), 5.0);
-    /// assert_eq!(engine.writers(Duration::from_millis(20)), 0.0);
+    /// assert_eq!(engine.decoding_requests(Duration::from_millis(60)), 5.0);
+    /// assert_eq!(engine.decoding_requests(Duration::from_millis(20)), 0.0);
     /// ```
     #[must_use]
-    pub fn writers(&self, pass: Duration) -> f64 {
-        let step = pass / self.stride.max(1);
-        let free = step.saturating_sub(self.step).as_secs_f64();
-        free / self.step_per_request.as_secs_f64().max(1e-9)
+    pub fn decoding_requests(&self, pass: Duration) -> f64 {
+        let step = pass / self.steps_per_pass.max(1);
+        let free = step.saturating_sub(self.step_time).as_secs_f64();
+        free / self.step_time_per_request.as_secs_f64().max(1e-9)
     }
 }
--- a/verbenaspool_state/src/expert_map.rs
+++ b/verbenaspool_state/src/expert_map.rs
@@ -127,8 +127,11 @@
     pub fn added(&self, before: Option<&Self>, rank: u16) -> Vec<(u16, u16)> {
         let mut added = Vec::new();
         for (number, layer) in (0..).zip(&self.layers) {
-            let held = before.map_or(&[][..], |map| map.on(number, rank));
-            let new = layer.on(rank).iter().filter(|e| !held.contains(e));
+            let previous = before.map_or(&[][..], |map| map.experts_on(number, rank));
+            let new = layer
+                .experts_on(rank)
+                .iter()
+                .filter(|e| !previous.contains(e));
             added.extend(new.map(|&expert| (number, expert)));
         }
         added
@@ -140,18 +143,18 @@
     /// use verbenaspool_state::expert_map::{Map, Shape};
     ///
     /// let shape = Shape { ranks: 2, experts: 4, layers: 1, slots: 2 };
-    /// assert_eq!(Map::spread(1, shape).on(0, 1), [1, 3]);
+    /// assert_eq!(Map::spread(1, shape).experts_on(0, 1), [1, 3]);
     /// ```
     #[must_use]
-    pub fn on(&self, layer: u16, rank: u16) -> &[u16] {
+    pub fn experts_on(&self, layer: u16, rank: u16) -> &[u16] {
         let layer = self.layers.get(usize::from(layer));
-        layer.map_or(&[], |layer| layer.on(rank))
+        layer.map_or(&[], |layer| layer.experts_on(rank))
     }
 }
 
 impl Layer {
     /// The layer's experts on a rank.
-    fn on(&self, rank: u16) -> &[u16] {
+    fn experts_on(&self, rank: u16) -> &[u16] {
         self.ranks.get(usize::from(rank)).map_or(&[], Vec::as_slice)
     }
 
@@ -175,7 +178,7 @@
                 });
             }
             for (slot, &expert) in experts.iter().enumerate() {
-                let Some(seen) = placed.get_mut(usize::from(expert)) else {
+                let Some(is_placed) = placed.get_mut(usize::from(expert)) else {
                     return Err(Problem::Unknown {
                         layer,
                         rank,
@@ -189,7 +192,7 @@
                         expert,
                     });
                 }
-                *seen = true;
+                *is_placed = true;
             }
         }
         let missing = (0..shape.experts).find(|&expert| !placed[usize::from(expert)]);
--- a/verbenaspool_state/src/name.rs
+++ b/verbenaspool_state/src/name.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a name in bytes, which keeps keys and headers short.
-pub const LONGEST: usize = 63;
+pub const MAX_BYTES: usize = 63;
 
-/// A name of lowercase letters, digits and inner dashes, at most [`LONGEST`]
+/// A name of lowercase letters, digits and inner dashes, at most [`MAX_BYTES`]
 /// bytes, cheap to clone.
 ///
 /// ```
@@ -41,8 +41,8 @@
         if text.is_empty() {
             return Err(Error::Empty);
         }
-        if text.len() > LONGEST {
-            return Err(Error::Long { bytes: text.len() });
+        if text.len() > MAX_BYTES {
+            return Err(Error::TooLong { bytes: text.len() });
         }
         if text.starts_with('-') || text.ends_with('-') {
             return Err(Error::Dash(text.to_owned()));
@@ -84,9 +84,9 @@
     /// The text is empty.
     #[error("a name can't be empty")]
     Empty,
-    /// The text is over [`LONGEST`] bytes.
-    #[error("a name has at most {LONGEST} bytes, this one has {bytes}")]
-    Long {
+    /// The text is over [`MAX_BYTES`] bytes.
+    #[error("a name has at most {MAX_BYTES} bytes, this one has {bytes}")]
+    TooLong {
         /// The text's length in bytes.
         bytes: usize,
     },
--- a/verbenaspool_state/src/rebalancing.rs
+++ b/verbenaspool_state/src/rebalancing.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum weight. The effect of the other weight would be negligible beyond it.
-const HEAVIEST: f64 = 1_000.0;
+const MAX_WEIGHT: f64 = 1_000.0;
 
 /// Maximum fraction of a step's time that may be lost to a move: all of it.
-const WHOLE: f64 = 1.0;
+const MAX_DELAY_FRACTION: f64 = 1.0;
 
 /// A service's settings for the rebalancer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -58,18 +58,18 @@
     #[must_use]
     pub fn check(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
-        let mut check = |key, held: bool, reason| {
-            if !held {
+        let mut check = |key, valid: bool, reason| {
+            if !valid {
                 problems.push(Problem { key, reason });
             }
         };
-        let weight = |weight: f64| (0.0..=HEAVIEST).contains(&weight);
+        let weight = |weight: f64| (0.0..=MAX_WEIGHT).contains(&weight);
         check("skew", weight(self.skew), Reason::Weight(self.skew));
         check("cost", weight(self.cost), Reason::Weight(self.cost));
         check("bytes_a_second", self.bytes_a_second > 0, Reason::Zero);
         check("pause_s", self.pause_s > 0, Reason::Zero);
-        let part = (0.0..=WHOLE).contains(&self.most_delay);
-        check("most_delay", part, Reason::Part(self.most_delay));
+        let in_range = (0.0..=MAX_DELAY_FRACTION).contains(&self.most_delay);
+        check("most_delay", in_range, Reason::Fraction(self.most_delay));
         problems
     }
 }
@@ -88,12 +88,12 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Reason {
     /// A weight is out of range or not a number.
-    #[error("{0} is no weight between 0 and {HEAVIEST}")]
+    #[error("{0} is no weight between 0 and {MAX_WEIGHT}")]
     Weight(f64),
     /// The value must be positive.
     #[error("has to be above 0")]
     Zero,
     /// A fraction is out of range or not a number.
-    #[error("{0} is no part between 0 and {WHOLE}")]
-    Part(f64),
+    #[error("{0} is no part between 0 and {MAX_DELAY_FRACTION}")]
+    Fraction(f64),
 }
--- a/verbenaspool_state/src/route.rs
+++ b/verbenaspool_state/src/route.rs
@@ -14,9 +14,9 @@
     /// The services by name.
     services: HashMap<Rc<str>, Rc<Service>>,
     /// The customer of each API key.
-    holders: HashMap<String, Rc<Customer>>,
+    customers_by_key: HashMap<String, Rc<Customer>>,
     /// Whether requests need an API key.
-    keyed: bool,
+    requires_api_key: bool,
     /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
@@ -37,17 +37,17 @@
     /// Maximum time until the complete answer of a request.
     pub timeout: Duration,
     /// Target latency of the answer, or of the first event of a stream.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Target for the maximum pause between events of a stream.
-    pub gap: Option<Duration>,
+    pub target_gap: Option<Duration>,
     /// How long callers of a stream wait without receiving an event, including the first one.
-    pub silence: Option<Duration>,
+    pub silence_timeout: Option<Duration>,
     /// The priority; 0 is the highest.
     pub priority: u8,
     /// The services among which the requests are split.
     pub splits: Vec<Split>,
     /// Maximum number of upstreams to which one request is sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests are accepted without an API key.
     pub public: bool,
 }
@@ -123,19 +123,19 @@
     /// # use verbenaspool_state::route::{Kind, Route, Split};
     /// # let route = |kind, resumable| Route {
     /// #     name: "r".into(), host: "a.example".into(), prefix: "/a/".into(), kind, resumable,
-    /// #     timeout: Duration::from_secs(1), target: Duration::from_millis(300), gap: None, silence: None, priority: 1,
+    /// #     timeout: Duration::from_secs(1), target_latency: Duration::from_millis(300), target_gap: None, silence_timeout: None, priority: 1,
     /// #     splits: vec![
     /// #         Split { service: "old".into(), weight: 90.0 },
     /// #         Split { service: "new".into(), weight: 10.0 },
     /// #     ],
-    /// #     attempts: 2, public: false,
+    /// #     max_attempts: 2, public: false,
     /// # };
-    /// assert!(route(Kind::Safe, false).is_repeatable());
-    /// assert!(!route(Kind::Streaming, false).is_repeatable());
-    /// assert!(route(Kind::Streaming, true).is_repeatable());
+    /// assert!(route(Kind::Safe, false).is_retryable());
+    /// assert!(!route(Kind::Streaming, false).is_retryable());
+    /// assert!(route(Kind::Streaming, true).is_retryable());
     /// ```
     #[must_use]
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             Kind::Safe => true,
             Kind::Unsafe => false,
@@ -150,12 +150,12 @@
     /// # use verbenaspool_state::route::{Kind, Route, Split};
     /// # let route = |kind, resumable| Route {
     /// #     name: "r".into(), host: "a.example".into(), prefix: "/a/".into(), kind, resumable,
-    /// #     timeout: Duration::from_secs(1), target: Duration::from_millis(300), gap: None, silence: None, priority: 1,
+    /// #     timeout: Duration::from_secs(1), target_latency: Duration::from_millis(300), target_gap: None, silence_timeout: None, priority: 1,
     /// #     splits: vec![
     /// #         Split { service: "old".into(), weight: 90.0 },
     /// #         Split { service: "new".into(), weight: 10.0 },
     /// #     ],
-    /// #     attempts: 2, public: false,
+    /// #     max_attempts: 2, public: false,
     /// # };
     /// let route = route(Kind::Safe, false);
     /// assert_eq!(route.service(0.5).map(|name| &**name), Some("old"));
@@ -164,10 +164,10 @@
     #[must_use]
     pub fn service(&self, draw: f64) -> Option<&Rc<str>> {
         let sum: f64 = self.splits.iter().map(|split| split.weight).sum();
-        let mut left = draw.clamp(0.0, 1.0) * sum;
+        let mut remaining = draw.clamp(0.0, 1.0) * sum;
         for split in &self.splits {
-            left -= split.weight;
-            if left < 0.0 {
+            remaining -= split.weight;
+            if remaining < 0.0 {
                 return Some(&split.service);
             }
         }
@@ -185,19 +185,19 @@
     /// # use verbenaspool_state::route::{Kind, Route, Split};
     /// # let route = |kind, resumable| Route {
     /// #     name: "r".into(), host: "a.example".into(), prefix: "/a/".into(), kind, resumable,
-    /// #     timeout: Duration::from_secs(1), target: Duration::from_millis(300), gap: None, silence: None, priority: 1,
+    /// #     timeout: Duration::from_secs(1), target_latency: Duration::from_millis(300), target_gap: None, silence_timeout: None, priority: 1,
     /// #     splits: vec![
     /// #         Split { service: "old".into(), weight: 90.0 },
     /// #         Split { service: "new".into(), weight: 10.0 },
     /// #     ],
-    /// #     attempts: 2, public: false,
+    /// #     max_attempts: 2, public: false,
     /// # };
     /// # use verbenaspool_state::route::{Limits, Table};
     /// let routes = vec![route(Kind::Safe, false)];
     /// let table = Table::new(7, routes, Vec::new(), None, Limits::default());
     /// assert!(table.route("A.example", "/a/b").is_some());
     /// assert!(table.route("a.example", "/b/").is_none());
-    /// assert!(!table.is_keyed());
+    /// assert!(!table.requires_api_key());
     /// ```
     #[must_use]
     pub fn new(
@@ -217,18 +217,18 @@
         }
         let services = services.into_iter();
         let services = services.map(|service| (service.name.clone(), Rc::new(service)));
-        let keyed = customers.is_some();
-        let mut holders = HashMap::new();
+        let requires_api_key = customers.is_some();
+        let mut customers_by_key = HashMap::new();
         for (customer, keys) in customers.into_iter().flatten() {
             let customer = Rc::new(customer);
-            holders.extend(keys.into_iter().map(|key| (key, customer.clone())));
+            customers_by_key.extend(keys.into_iter().map(|key| (key, customer.clone())));
         }
         Self {
             version,
             hosts,
             services: services.collect(),
-            holders,
-            keyed,
+            customers_by_key,
+            requires_api_key,
             limits,
         }
     }
@@ -257,13 +257,13 @@
     /// Finds a customer by API key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Rc<Customer>> {
-        self.holders.get(key)
+        self.customers_by_key.get(key)
     }
 
     /// Whether requests need an API key, except on public routes.
     #[must_use]
-    pub fn is_keyed(&self) -> bool {
-        self.keyed
+    pub fn requires_api_key(&self) -> bool {
+        self.requires_api_key
     }
 
     /// Number of routes.
--- a/verbenaspool_state/src/upstream.rs
+++ b/verbenaspool_state/src/upstream.rs
@@ -54,7 +54,8 @@
     /// Index of the rank, from 0. Rank 0 is the lead.
     pub index: u16,
     /// Number of ranks in the group.
-    pub of: u16,
+    #[serde(rename = "of")]
+    pub group_size: u16,
 }
 
 /// Whether an instance accepts new requests.
