--- a/verbenaspool_state/src/check.rs
+++ b/verbenaspool_state/src/check.rs
@@ -190,7 +190,7 @@
     /// Parses the sections entry by entry.
     fn parse_file(&mut self, yaml: &str) -> Option<ParsedFile> {
         if yaml.len() > MAX_FILE_BYTES {
-            self.report("", format!("the file is over {MAX_FILE_BYTES} bytes"));
+            self.report("", format!("the file exceeds {MAX_FILE_BYTES} bytes"));
             return None;
         }
         let value: Value = match serde_norway::from_str(yaml) {
@@ -207,7 +207,7 @@
         let Value::Mapping(mut sections) = value else {
             self.report(
                 "",
-                "the file must hold firm, places, services and customers",
+                "the file must contain the sections firm, places, services and customers",
             );
             return None;
         };
@@ -227,7 +227,7 @@
         for key in sections.keys() {
             let key = key.as_str().unwrap_or("?");
             let known = SECTIONS.join(", ");
-            self.report(key, format!("there is no such section; known are {known}"));
+            self.report(key, format!("unknown section; expected one of {known}"));
         }
         Some(parsed)
     }
@@ -290,7 +290,10 @@
         for (i, name) in names {
             if let Some(earlier) = first.insert(name, i) {
                 let path = format!("{section}[{i}]");
-                self.report(path, format!("'{name}' is {section}[{earlier}] already"));
+                self.report(
+                    path,
+                    format!("'{name}' is already used by {section}[{earlier}]"),
+                );
             }
         }
     }
@@ -301,7 +304,7 @@
         self.require(
             in_range,
             "places",
-            format!("1 to {MAX_PLACES} are allowed, not {count}"),
+            format!("must have 1 to {MAX_PLACES} entries, not {count}"),
         );
         let zones = parsed.places.iter().map(|(i, place)| (*i, &place.zone));
         self.check_unique("places", zones);
@@ -313,7 +316,7 @@
         self.require(
             in_range,
             "services",
-            format!("1 to {MAX_SERVICES} are allowed, not {count}"),
+            format!("must have 1 to {MAX_SERVICES} entries, not {count}"),
         );
         let names = parsed
             .services
@@ -340,8 +343,8 @@
         zones: Option<&BTreeSet<&Name>>,
     ) {
         let path = &service.path;
-        let text = "a path starts and ends with '/', has neither '//' nor '..', and is ASCII \
-                    without blanks, '?' or '#'";
+        let text = "must start and end with '/', contain neither '//' nor '.' or '..' segments, and \
+                    consist of printable ASCII characters other than spaces, '?' and '#'";
         self.require(is_path_prefix(path), format!("{entry_path}.path"), text);
         self.check_names(
             &format!("{entry_path}.zones"),
@@ -377,8 +380,12 @@
         let mut listed = BTreeSet::new();
         for name in names {
             let exists = known.is_none_or(|known| known.contains(name));
-            self.require(exists, path, format!("'{name}' is no {what}"));
-            self.require(listed.insert(name), path, format!("'{name}' stands twice"));
+            self.require(exists, path, format!("'{name}' is not a {what}"));
+            self.require(
+                listed.insert(name),
+                path,
+                format!("'{name}' is listed twice"),
+            );
         }
     }
 
@@ -391,10 +398,12 @@
         for prefix in &plain.idempotent {
             let trimmed = prefix.trim_end_matches('/');
             let is_path = trimmed.starts_with('/') && is_normalized(prefix);
-            let text = format!("'{prefix}' must start with '/' and name something below it");
+            let text = format!(
+                "'{prefix}' must start with '/' and be a valid path with at least one segment"
+            );
             self.require(is_path, path, text);
             let is_relative = !prefix.starts_with(service) || service == "/";
-            let text = format!("'{prefix}' is read below '{service}': leave that part out");
+            let text = format!("'{prefix}' must be relative to the service's path '{service}'");
             self.require(is_relative, path, text);
         }
     }
@@ -409,7 +418,7 @@
         ];
         for (field, value, range) in ranges {
             let text = format!(
-                "{} to {} are allowed, not {value}",
+                "must be from {} to {}, not {value}",
                 range.start(),
                 range.end()
             );
@@ -421,7 +430,7 @@
         }
         let slots = u32::from(experts.ranks) * u32::from(experts.slots);
         let text = format!(
-            "{} ranks of {} slots hold {slots} experts, too few for {}",
+            "{} ranks with {} slots each have {slots} slots, too few for {} experts",
             experts.ranks, experts.slots, experts.experts
         );
         self.require(
@@ -440,7 +449,7 @@
                 self.report(format!("{entry_path}.placement"), problem);
             }
         }
-        let text = "an expert has at least one byte";
+        let text = "must be above 0";
         self.require(
             experts.expert_bytes > 0,
             format!("{entry_path}.expert_bytes"),
@@ -450,7 +459,7 @@
 
     fn check_customers(&mut self, parsed: &ParsedFile) {
         let count = parsed.customers.len();
-        let text = format!("at most {MAX_CUSTOMERS} are allowed, not {count}");
+        let text = format!("must have at most {MAX_CUSTOMERS} entries, not {count}");
         self.require(count <= MAX_CUSTOMERS, "customers", text);
         let names = parsed
             .customers
@@ -463,7 +472,7 @@
         let mut credential_owners: BTreeMap<Digest, &Name> = BTreeMap::new();
         for (i, customer) in &parsed.customers {
             let entry_path = format!("customers[{i}]");
-            let text = format!("0 to {MAX_SHARE} parts are allowed, not {}", customer.share);
+            let text = format!("must be from 0 to {MAX_SHARE}, not {}", customer.share);
             self.require(
                 customer.share <= MAX_SHARE,
                 format!("{entry_path}.share"),
@@ -477,11 +486,14 @@
                 "service of the firm",
             );
             let path = format!("{entry_path}.credentials");
-            let text = "without a credential the customer can't be told from others";
+            let text = "at least one credential is required to identify the customer";
             self.require(!customer.credentials.is_empty(), path.as_str(), text);
             for digest in &customer.credentials {
                 if let Some(other) = credential_owners.insert(*digest, &customer.name) {
-                    self.report(path.as_str(), format!("'{other}' has the same credential"));
+                    self.report(
+                        path.as_str(),
+                        format!("customer '{other}' has the same credential"),
+                    );
                 }
             }
         }
--- a/verbenaspool_state/src/credential.rs
+++ b/verbenaspool_state/src/credential.rs
@@ -107,5 +107,5 @@
 
 /// The text is not a digest.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a credential is kept as 'sha256:' and 64 hex digits, never as itself")]
+#[error("a credential must be given as 'sha256:' and 64 hex digits, never in plain text")]
 pub struct Error;
--- a/verbenaspool_state/src/decisions.rs
+++ b/verbenaspool_state/src/decisions.rs
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Reason {
     /// The value is out of range.
-    #[error("must lie from {min} to {max}")]
+    #[error("must be from {min} to {max}")]
     Range {
         /// The value.
         value: Number,
--- a/verbenaspool_state/src/expert_map.rs
+++ b/verbenaspool_state/src/expert_map.rs
@@ -205,7 +205,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Problem {
     /// The epoch is not greater than the highest one used so far.
-    #[error("epoch {epoch} is stale: the next one is above {above}")]
+    #[error("epoch {epoch} is stale, it must be above {above}")]
     Stale {
         /// The map's epoch.
         epoch: u64,
@@ -213,7 +213,7 @@
         above: u64,
     },
     /// The map and the group have different numbers of layers.
-    #[error("the map has {found} layers, the group {expected}")]
+    #[error("the map has {found} layers, the group has {expected}")]
     Layers {
         /// Number of layers in the map.
         found: usize,
@@ -231,7 +231,7 @@
         expected: u16,
     },
     /// A rank has more experts than slots.
-    #[error("layer {layer} gives rank {rank} {found} experts, it has {slots} slots")]
+    #[error("layer {layer} places {found} experts on rank {rank}, which has {slots} slots")]
     Slots {
         /// The layer.
         layer: usize,
--- a/verbenaspool_state/src/name.rs
+++ b/verbenaspool_state/src/name.rs
@@ -82,19 +82,19 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is empty.
-    #[error("a name can't be empty")]
+    #[error("a name must not be empty")]
     Empty,
     /// The text is over [`MAX_BYTES`] bytes.
-    #[error("a name has at most {MAX_BYTES} bytes, this one has {bytes}")]
+    #[error("a name must have at most {MAX_BYTES} bytes, not {bytes}")]
     TooLong {
         /// The text's length in bytes.
         bytes: usize,
     },
     /// The text starts or ends with a dash.
-    #[error("the name '{0}' starts or ends with a dash")]
+    #[error("the name '{0}' must not start or end with a dash")]
     Dash(String),
     /// The text contains a character that isn't allowed in names.
-    #[error("the name '{name}' holds '{character}'; use lowercase letters, digits and dashes")]
+    #[error("the name '{name}' contains '{character}'; use lowercase letters, digits and dashes")]
     Character {
         /// The invalid text.
         name: String,
--- a/verbenaspool_state/src/rebalancing.rs
+++ b/verbenaspool_state/src/rebalancing.rs
@@ -88,12 +88,12 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Reason {
     /// A weight is out of range or not a number.
-    #[error("{0} is no weight between 0 and {MAX_WEIGHT}")]
+    #[error("must be from 0 to {MAX_WEIGHT}, not {0}")]
     Weight(f64),
     /// The value must be positive.
-    #[error("has to be above 0")]
+    #[error("must be above 0")]
     Zero,
     /// A fraction is out of range or not a number.
-    #[error("{0} is no part between 0 and {MAX_DELAY_FRACTION}")]
+    #[error("must be from 0 to {MAX_DELAY_FRACTION}, not {0}")]
     Fraction(f64),
 }
