--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -13,7 +13,7 @@
     membership::{Member, MemberState},
     piece,
 };
-use verbenaspool_protocol::peer::{Holding, Offer};
+use verbenaspool_protocol::peer::{Offer, OfferAnswer};
 use verbenaspool_state::{credential::Digest, customer::Customer, file::File, version::Version};
 use verbenaspool_transport::{clock::Monotonic, http::server::Limits, runtime};
 
@@ -178,7 +178,7 @@
             head: head.clone(),
             delta: delta.clone(),
         };
-        let holding = Holding {
+        let holding = OfferAnswer {
             version: head.version,
         };
         cost.offer += wire(&offer, &holding);
--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -10,14 +10,14 @@
 
 /// The method that takes a [`Heartbeat`] and returns a [`HeartbeatAnswer`].
 pub const HEARTBEAT: &str = "peer.beat";
-/// The method that takes an [`Offer`] and returns a [`Holding`].
+/// The method that takes an [`Offer`] and returns an [`OfferAnswer`].
 pub const OFFER: &str = "peer.offer";
-/// The method that takes a [`Fetch`] and returns a [`Fetched`].
+/// The method that takes a [`Fetch`] and returns a [`FetchAnswer`].
 pub const FETCH: &str = "peer.fetch";
 
 /// Maximum number of pieces requested in one [`Fetch`]; their hashes take 16 KB.
 pub const MAX_PIECES: usize = 512;
-/// Size in bytes at which no further piece is added to a [`Fetched`], well below the frame
+/// Size in bytes at which no further piece is added to a [`FetchAnswer`], well below the frame
 /// limit.
 pub const MAX_PIECE_BYTES: usize = 1_000_000;
 
@@ -64,7 +64,7 @@
 /// The version that the receiver of an offer has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Holding {
+pub struct OfferAnswer {
     /// The highest version of which it has all pieces.
     pub version: Version,
 }
@@ -86,7 +86,7 @@
 /// that is in neither, unless [`MAX_PIECE_BYTES`] was exceeded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fetched {
+pub struct FetchAnswer {
     /// The differences from the root that the requester has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
--- a/verbenaspool_protocol/src/suspicion/tests.rs
+++ b/verbenaspool_protocol/src/suspicion/tests.rs
@@ -8,7 +8,7 @@
 /// Guards against messages about many crashes that exceed the size of a datagram and are
 /// never delivered.
 #[test]
-fn the_largest_report_fits_in_a_datagram() {
+fn the_largest_message_fits_in_a_datagram() {
     let crash = Crash {
         upstream: u32::MAX,
         age_ms: u32::MAX,
--- a/verbenaspool_state/src/check/tests.rs
+++ b/verbenaspool_state/src/check/tests.rs
@@ -3,7 +3,7 @@
 use super::{Digest, File};
 
 /// A valid file, which the test cases modify.
-const SOUND: &str = "\
+const VALID: &str = "\
 firm: quetzal
 places:
   - { zone: antigua, region: guatemala }
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn sound_file() {
-    assert_eq!(problems(SOUND), "");
-    let file = File::read(SOUND).unwrap();
+fn valid_file() {
+    assert_eq!(problems(VALID), "");
+    let file = File::read(VALID).unwrap();
     assert_eq!(file.check(), []);
 }
 
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn examples_are_sound() {
+fn examples_are_valid() {
     let examples = [
         include_str!("../../../examples/tidewater.yaml"),
         include_str!("../../../examples/quetzal.yaml"),
@@ -131,8 +131,8 @@
 // Guards against follow-up problems: when a service can't be parsed, customers that refer
 // to it must not be reported as well, since nothing is wrong with them.
 #[test]
-fn one_fault_is_told_once() {
-    let yaml = SOUND.replace("path: /records/\n", "path: /records/\n    colour: red\n");
+fn one_fault_is_reported_once() {
+    let yaml = VALID.replace("path: /records/\n", "path: /records/\n    colour: red\n");
     let yaml = format!("{yaml}    services: [records]\n");
     assert_eq!(problems(&yaml).lines().count(), 1, "{}", problems(&yaml));
 }
@@ -150,13 +150,13 @@
     ];
     for (placement, part) in cases {
         let with = format!("expert_bytes: 1000, placement: {placement} }}");
-        let found = problems(&SOUND.replace("expert_bytes: 1000 }", &with));
+        let found = problems(&VALID.replace("expert_bytes: 1000 }", &with));
         assert!(
             found.contains(part) && found.is_empty() == part.is_empty(),
             "{found}"
         );
     }
-    let skewed = SOUND.replace(
+    let skewed = VALID.replace(
         "expert_bytes: 1000 }",
         "expert_bytes: 1, rebalancing: { skew: -1 } }",
     );
--- a/verbenaspool_state/tests/expert_map.rs
+++ b/verbenaspool_state/tests/expert_map.rs
@@ -22,7 +22,7 @@
 /// another software version. It is rejected with its first problem, and the group keeps
 /// its current map.
 #[test]
-fn unfit_maps_are_refused() {
+fn invalid_maps_are_rejected() {
     let cases = [
         (
             map(|layers| layers.truncate(1)),
@@ -82,14 +82,14 @@
 
 /// Ranks may have fewer experts than slots, as long as each expert is on some rank.
 #[test]
-fn uneven_slots_are_fine() {
+fn slots_may_be_empty() {
     let uneven = map(|layers| layers[0].ranks = vec![vec![0], vec![1, 2, 3]]);
     assert_eq!(uneven.check(SHAPE, 0), Ok(()));
 }
 
 /// Each invalid setting is reported with its key, so that a file can be corrected at once.
 #[test]
-fn settings_out_of_range_are_named() {
+fn all_invalid_settings_are_reported() {
     let settings = Rebalancing {
         skew: -1.0,
         cost: f64::INFINITY,
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -9,8 +9,8 @@
     piece::Hash,
 };
 use verbenaspool_protocol::peer::{
-    self, FETCH, Fetch, Fetched, HEARTBEAT, Heartbeat, HeartbeatAnswer, Holding, OFFER, Offer,
-    Piece,
+    self, FETCH, Fetch, FetchAnswer, HEARTBEAT, Heartbeat, HeartbeatAnswer, OFFER, Offer,
+    OfferAnswer, Piece,
 };
 use verbenaspool_state::version::Version;
 
@@ -224,7 +224,7 @@
             root,
             missing: missing.iter().copied().take(peer::MAX_PIECES).collect(),
         };
-        let fetched = call::<_, Fetched>(source, address, FETCH, &request, FETCH_TIME).await;
+        let fetched = call::<_, FetchAnswer>(source, address, FETCH, &request, FETCH_TIME).await;
         // What doesn't come from here comes with the next heartbeat, or from the
         // platform.
         let Ok(fetched) = fetched else {
@@ -237,7 +237,7 @@
 }
 
 /// Takes fetched pieces in; whether any was of use.
-fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &Fetched) -> bool {
+fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &FetchAnswer) -> bool {
     let mut adoption = source.adoption.borrow_mut();
     let delta = fetched.delta.as_ref();
     let mut used = delta.is_some_and(|delta| adoption.apply_delta(delta).is_ok());
@@ -255,7 +255,7 @@
 }
 
 /// Answers an offer once the head is held, or isn't to be had.
-async fn answer_offer(source: &Rc<Source>, offer: Offer) -> Holding {
+async fn answer_offer(source: &Rc<Source>, offer: Offer) -> OfferAnswer {
     let Offer { from, head, delta } = offer;
     let verdict = source.offer(head.clone());
     if matches!(verdict, Verdict::New | Verdict::Known) {
@@ -276,13 +276,13 @@
     }
     let adoption = source.adoption.borrow();
     let held = adoption.complete_head().map(|head| head.version);
-    Holding {
+    OfferAnswer {
         version: held.unwrap_or_default(),
     }
 }
 
 /// Answers a request for pieces.
-fn answer_fetch(source: &Source, fetch: &Fetch) -> Fetched {
+fn answer_fetch(source: &Source, fetch: &Fetch) -> FetchAnswer {
     let adoption = source.adoption.borrow();
     let delta = fetch.have.and_then(|have| adoption.delta(have, fetch.root));
     let mut pieces = Vec::new();
@@ -303,7 +303,7 @@
             text: text.to_owned(),
         });
     }
-    Fetched { delta, pieces }
+    FetchAnswer { delta, pieces }
 }
 
 /// Offers the held head to all neighbours but the one that it came from.
@@ -335,9 +335,9 @@
 /// Offers a head to one peer. If it doesn't answer, its children are offered it:
 /// a process that is dead and not yet missed must not cut off those below it.
 async fn hand(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
-    let held = call::<_, Holding>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
+    let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
     match held {
-        Ok(Holding { version }) => {
+        Ok(OfferAnswer { version }) => {
             source
                 .adoption
                 .borrow_mut()
