--- a/verbenaspool_protocol/src/digest.rs
+++ b/verbenaspool_protocol/src/digest.rs
@@ -17,7 +17,7 @@
     pub registry_revision: u64,
     /// Whether the entry is shutting down.
     pub leaving: bool,
-    /// The upstreams that process requests of this entry, with the number of them.
+    /// Numbers of this entry's requests in flight, by upstream.
     pub in_flight: Vec<InFlight>,
     /// Some of the other entries known to this one.
     pub peers: Vec<Ipv4Addr>,
--- a/verbenaspool_state/src/check.rs
+++ b/verbenaspool_state/src/check.rs
@@ -363,7 +363,7 @@
                 }
             }
             Kind::Plain(plain) => {
-                self.check_idempotent(&format!("{entry_path}.kind.idempotent"), path, plain)
+                self.check_idempotent(&format!("{entry_path}.kind.idempotent"), path, plain);
             }
         }
     }
--- a/verbenaspool_state/src/engine.rs
+++ b/verbenaspool_state/src/engine.rs
@@ -47,7 +47,12 @@
     /// use verbenaspool_state::engine::Experts;
     ///
     /// let experts = Experts {
-    ///     layers: 4, count: 72, max_slots_per_rank: 8, max_new_per_layer: 3, work_share: 0.85, copy_time: Duration::ZERO,
+    ///     layers: 4,
+    ///     count: 72,
+    ///     max_slots_per_rank: 8,
+    ///     max_new_per_layer: 3,
+    ///     work_share: 0.85,
+    ///     copy_time: Duration::ZERO,
     /// };
     /// assert!(experts.fits(9));
     /// assert!(!experts.fits(8));
