--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -108,12 +108,12 @@
     /// The latest placement with which the first event arrives before the caller leaves.
     fn place_by(&self) -> Duration {
         self.caller_leaves_at(self.received_at)
-            .saturating_sub(self.route.target)
+            .saturating_sub(self.route.target_latency)
     }
 
     /// When the caller leaves if it gets no event after `since`.
     pub fn caller_leaves_at(&self, since: Duration) -> Duration {
-        let silence = self.route.silence.map(|silence| since + silence);
+        let silence = self.route.silence_timeout.map(|silence| since + silence);
         silence.unwrap_or(self.deadline).min(self.deadline)
     }
 
@@ -137,7 +137,7 @@
             place_by: self.place_by(),
             resumption: Resumption::None,
             over_usual_rate: self.over_usual_rate,
-            max_gap: self.route.gap.filter(|_| is_stream),
+            max_gap: self.route.target_gap.filter(|_| is_stream),
             excluded: self.tried.borrow().clone(),
         }
     }
@@ -153,7 +153,7 @@
     /// Whether a retry is currently allowed. It is counted only when it is sent, as a retry
     /// that finds no upstream causes no load.
     pub fn may_retry(&self) -> bool {
-        if self.attempts.get() >= self.route.attempts || self.time_left() < MIN_SEND_TIME {
+        if self.attempts.get() >= self.route.max_attempts || self.time_left() < MIN_SEND_TIME {
             return false;
         }
         let (limits, entries) = self.retry_limits();
@@ -176,13 +176,19 @@
     /// If that isn't possible, the time until the deadline.
     fn response_timeout(&self, upstream: &str) -> Duration {
         let left = self.time_left();
-        let is_last = self.attempts.get() >= self.route.attempts;
-        if is_last || !self.route.is_repeatable() {
+        let is_last = self.attempts.get() >= self.route.max_attempts;
+        if is_last || !self.route.is_retryable() {
             return left;
         }
-        let timeout = self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
+        let timeout = self
+            .route
+            .target_latency
+            .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR);
         let passes = self.queue.pass_time(upstream).unwrap_or_default() * FIRST_EVENT_PASSES;
-        let max = self.route.target.mul_f64(MAX_FIRST_EVENT_TIMEOUT_FACTOR);
+        let max = self
+            .route
+            .target_latency
+            .mul_f64(MAX_FIRST_EVENT_TIMEOUT_FACTOR);
         timeout.max(passes.min(max)).min(left)
     }
 
@@ -212,7 +218,7 @@
         let may_have_run_before = self.may_have_run.replace(true);
         let client = &self.gateway.client;
         let response = async {
-            if self.route.is_repeatable() {
+            if self.route.is_retryable() {
                 client.send(replica.address, request).await
             } else {
                 client.send_fresh(replica.address, request).await
@@ -263,7 +269,7 @@
             {
                 return WaitResult::Answered(result);
             }
-            if self.route.is_repeatable() && permit.is_slow() && self.may_retry() {
+            if self.route.is_retryable() && permit.is_slow() && self.may_retry() {
                 return WaitResult::Slow;
             }
         }
@@ -276,7 +282,7 @@
     /// used up, although no failure was known.
     fn extra_wait(&self, now: Duration) -> Duration {
         let left = self.deadline.saturating_sub(now);
-        if self.route.is_repeatable() && self.may_retry() {
+        if self.route.is_retryable() && self.may_retry() {
             Duration::ZERO
         } else {
             left.min(relay::POLL_INTERVAL)
@@ -306,7 +312,12 @@
     /// requests take. A timeout then says nothing about the upstream, and ejecting it would
     /// take its capacity from all other requests.
     fn silence_outcome(&self, waited: Duration) -> AttemptOutcome {
-        if waited >= self.route.target.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR) {
+        if waited
+            >= self
+                .route
+                .target_latency
+                .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
+        {
             AttemptOutcome::Silent
         } else {
             AttemptOutcome::Unknown
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -211,7 +211,7 @@
         if let Some(permit) = &self.permit {
             let pause = now.saturating_sub(self.last_event_at);
             permit.record_event((self.has_event && count == 1).then_some(pause));
-            let late = self.request.route.gap.is_some_and(|gap| pause > gap);
+            let late = self.request.route.target_gap.is_some_and(|gap| pause > gap);
             if late && self.request.record.is_longest_pause(pause) {
                 self.request
                     .record
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -128,7 +128,7 @@
         fingerprint,
         priority: priority.unwrap_or(route.priority),
         over_usual_rate,
-        target: (received_at + route.target).saturating_sub(prior_wait),
+        target: (received_at + route.target_latency).saturating_sub(prior_wait),
         deadline: received_at + wait.min(route.timeout),
         received_at,
         caller_headers,
@@ -158,7 +158,7 @@
         .key
         .as_deref()
         .and_then(|key| table.customer(key));
-    if found.is_none() && table.is_keyed() && !public {
+    if found.is_none() && table.requires_api_key() && !public {
         return Err(Failure::new(StatusCode::UNAUTHORIZED, "unknown-key"));
     }
     Ok(found.map(|customer| &**customer))
@@ -229,18 +229,18 @@
             SendOutcome::Answered(response, permit) => match receive(request, response, permit)
                 .await
             {
-                Received::Failed(response) if request.route.is_repeatable() => {
+                Received::Failed(response) if request.route.is_retryable() => {
                     request.may_have_run.set(false);
                     failed = Some(response);
                     request.may_retry()
                 }
                 Received::Complete(response) | Received::Failed(response) => return Ok(response),
-                Received::Unusable => request.route.is_repeatable() && request.may_retry(),
+                Received::Unusable => request.route.is_retryable() && request.may_retry(),
             },
             SendOutcome::NotRun("unreached") => request.may_retry_connect(),
             SendOutcome::Blocked => true,
             SendOutcome::NotRun(_) => request.may_retry(),
-            SendOutcome::Unknown(_) => request.route.is_repeatable() && request.may_retry(),
+            SendOutcome::Unknown(_) => request.route.is_retryable() && request.may_retry(),
         };
         if retry {
             continue;
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -110,7 +110,7 @@
             reservations: self,
             ticket,
         };
-        let message = Message::Ask(reservation::Ask { ticket, slots });
+        let message = Message::ReservationRequest(reservation::Request { ticket, slots });
         // A send error is handled like a missing answer, by the timeout.
         let _ = socket.send_to(message.encode(), agent).await;
         monoio::time::timeout(RESERVATION_TIMEOUT, answer)
--- a/verbenaspool_state/src/decisions.rs
+++ b/verbenaspool_state/src/decisions.rs
@@ -1,30 +1,31 @@
-//! Settings of the decisions under load, which a service carries in the file.
+//! A service's settings for admission, queueing and load balancing.
 
 use serde::{Deserialize, Serialize};
 
-/// A service's settings for what is let in, what waits and where work goes.
+/// A service's settings for admission, queueing and load balancing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Decisions {
-    /// The deadline of a request that names none, in milliseconds.
+    /// The deadline of requests that specify none, in milliseconds.
     pub deadline_ms: u64,
-    /// How many requests of one customer may wait at one entry instance.
+    /// Maximum number of requests of one customer that wait at one entry instance.
     pub queue: u32,
-    /// The work of one prompt token, as a part of the work of one generated token.
+    /// The work for a prompt token, relative to that for a generated token.
     pub prefill_weight: f64,
-    /// How many attempts one entry instance starts with at an upstream it knows nothing about.
+    /// Initial limit on an entry instance's concurrent attempts at an upstream.
     pub initial_limit: u32,
-    /// The most attempts one entry instance ever has in flight at one upstream.
+    /// Maximum of the limit on an entry instance's concurrent attempts at an upstream.
     pub max_limit: u32,
-    /// How many upstreams one entry instance works with.
+    /// Number of upstreams that one entry instance uses.
     pub subset: u32,
-    /// How far above its limit a cached prefix may load its upstream; 2 is twice the limit.
+    /// Maximum load to which an upstream is preferred because of a cached prefix, relative to
+    /// its limit.
     pub affinity_bound: f64,
-    /// How many times slower than its peers an upstream must be to be ejected.
+    /// How many times slower than its peers an upstream has to be for ejection.
     pub ejection_factor: f64,
-    /// The largest share of the upstreams that may be ejected at once.
+    /// Maximum fraction of the upstreams that are ejected at the same time.
     pub ejection_share: f64,
-    /// Retries allowed as a part of the requests that were let in.
+    /// Number of allowed retries, relative to the admitted requests.
     pub retry_ratio: f64,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl Decisions {
-    /// Every setting that is out of its range; none means that the settings hold.
+    /// Finds all settings that are out of range.
     ///
     /// ```
     /// use verbenaspool_state::decisions::Decisions;
@@ -57,24 +58,29 @@
     /// ```
     #[must_use]
     pub fn check(&self) -> Vec<Problem> {
-        let whole = |value: u64| Number::Whole(value);
-        let part = |value: f64| Number::Part(value);
+        let integer = |value: u64| Number::Integer(value);
+        let fraction = |value: f64| Number::Fraction(value);
         [
-            range("deadline_ms", whole(self.deadline_ms), 1.0, 3_600_000.0),
-            range("queue", whole(self.queue.into()), 1.0, 4_096.0),
-            range("prefill_weight", part(self.prefill_weight), 0.0, 10.0),
+            range("deadline_ms", integer(self.deadline_ms), 1.0, 3_600_000.0),
+            range("queue", integer(self.queue.into()), 1.0, 4_096.0),
+            range("prefill_weight", fraction(self.prefill_weight), 0.0, 10.0),
             range(
                 "initial_limit",
-                whole(self.initial_limit.into()),
+                integer(self.initial_limit.into()),
                 1.0,
                 f64::from(self.max_limit.max(1)),
             ),
-            range("max_limit", whole(self.max_limit.into()), 1.0, 65_536.0),
-            range("subset", whole(self.subset.into()), 1.0, 4_096.0),
-            range("affinity_bound", part(self.affinity_bound), 1.0, 10.0),
-            range("ejection_factor", part(self.ejection_factor), 1.5, 100.0),
-            range("ejection_share", part(self.ejection_share), 0.0, 0.9),
-            range("retry_ratio", part(self.retry_ratio), 0.0, 1.0),
+            range("max_limit", integer(self.max_limit.into()), 1.0, 65_536.0),
+            range("subset", integer(self.subset.into()), 1.0, 4_096.0),
+            range("affinity_bound", fraction(self.affinity_bound), 1.0, 10.0),
+            range(
+                "ejection_factor",
+                fraction(self.ejection_factor),
+                1.5,
+                100.0,
+            ),
+            range("ejection_share", fraction(self.ejection_share), 0.0, 0.9),
+            range("retry_ratio", fraction(self.retry_ratio), 0.0, 1.0),
         ]
         .into_iter()
         .flatten()
@@ -82,63 +88,63 @@
     }
 }
 
-/// A setting's value as the file gives it.
+/// The value of a setting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Number {
     /// A count or a time.
-    Whole(u64),
+    Integer(u64),
     /// A ratio.
-    Part(f64),
+    Fraction(f64),
 }
 
 impl Number {
-    /// The value for comparison with a range.
+    /// The value, for comparison with a range.
     #[allow(clippy::cast_precision_loss)] // Ranges end far below 2^53.
     fn value(self) -> f64 {
         match self {
-            Self::Whole(value) => value as f64,
-            Self::Part(value) => value,
+            Self::Integer(value) => value as f64,
+            Self::Fraction(value) => value,
         }
     }
 }
 
-/// A setting that can't be taken, and why.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct Problem {
     /// The setting's key in the file.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: Reason,
 }
 
-/// What is wrong with a setting.
+/// Why a setting's value is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// The value is below or above what the setting takes.
-    #[error("must lie from {least} to {most}")]
+    /// The value is out of range.
+    #[error("must be from {min} to {max}")]
     Range {
-        /// The given value.
+        /// The value.
         value: Number,
-        /// The least value.
-        least: f64,
-        /// The greatest value.
-        most: f64,
+        /// The minimum.
+        min: f64,
+        /// The maximum.
+        max: f64,
     },
-    /// The value is no finite number.
+    /// The value is not a finite number.
     #[error("must be a finite number")]
     NotFinite,
 }
 
-/// The problem with a value, where it lies outside `least` to `most`.
-fn range(key: &'static str, value: Number, least: f64, most: f64) -> Option<Problem> {
+/// Checks that a value is in a range.
+fn range(key: &'static str, value: Number, min: f64, max: f64) -> Option<Problem> {
     let number = value.value();
     let reason = if !number.is_finite() {
         Reason::NotFinite
-    } else if (least..=most).contains(&number) {
+    } else if (min..=max).contains(&number) {
         return None;
     } else {
-        Reason::Range { value, least, most }
+        Reason::Range { value, min, max }
     };
     Some(Problem { key, reason })
 }
--- a/verbenaspool_state/src/engine.rs
+++ b/verbenaspool_state/src/engine.rs
@@ -1,45 +1,45 @@
-//! What a model service says of its engines: how long a pass takes, and how the
-//! ranks of a group share the experts.
+//! Properties of a model service's engines: how long a pass takes, and how the experts are
+//! distributed over the ranks of a group.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The engine of a service, as its configuration tells it.
+/// A service's engine, as configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one upstream processes at once.
+    /// Number of requests that one upstream processes concurrently.
     pub slots: u32,
-    /// Token steps that a pass with writers executes, each of which gives every
-    /// writer a token.
-    pub stride: u32,
-    /// What a token step takes by itself.
-    pub step: Duration,
-    /// What each request that writes adds to a token step.
-    pub step_per_request: Duration,
-    /// The experts of its groups, where its upstreams are ranks of groups.
+    /// Number of token steps in a pass with decoding requests. Each step generates one token
+    /// for each of them.
+    pub steps_per_pass: u32,
+    /// Base duration of a token step.
+    pub step_time: Duration,
+    /// Additional duration of a token step per decoding request.
+    pub step_time_per_request: Duration,
+    /// The experts of its groups, if its upstreams are ranks of groups.
     pub experts: Option<Experts>,
 }
 
-/// The experts that the ranks of a group share.
+/// The experts that are distributed over the ranks of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Experts {
-    /// Sets of layers, each with experts of its own.
+    /// Number of sets of layers, each with its own experts.
     pub layers: u16,
-    /// Experts of a set.
+    /// Number of experts of a set.
     pub count: u16,
-    /// Experts of one set that a rank holds at most.
-    pub places: u16,
-    /// Experts of one set that may be new to a rank in one change of map.
-    pub spare: u16,
-    /// The part of the work for tokens that experts do, 0 to 1.
-    pub share: f64,
+    /// Maximum number of experts of one set on a rank.
+    pub max_slots_per_rank: u16,
+    /// Maximum number of experts of one set that a map change adds to a rank.
+    pub max_new_per_layer: u16,
+    /// The fraction of the work for a token that is done by experts, 0 to 1.
+    pub work_share: f64,
     /// How long a rank takes to copy one expert.
-    pub copy: Duration,
+    pub copy_time: Duration,
 }
 
 impl Experts {
-    /// Whether so many ranks have a place for each expert of a set.
+    /// Whether the given number of ranks has a slot for each expert of a set.
     ///
     /// ```
     /// use std::time::Duration;
@@ -47,19 +47,25 @@
     /// use verbenaspool_state::engine::Experts;
     ///
     /// let experts = Experts {
-    ///     layers: 4, count: 72, places: 8, spare: 3, share: 0.85, copy: Duration::ZERO,
+    ///     layers: 4,
+    ///     count: 72,
+    ///     max_slots_per_rank: 8,
+    ///     max_new_per_layer: 3,
+    ///     work_share: 0.85,
+    ///     copy_time: Duration::ZERO,
     /// };
-    /// assert!(experts.fit(9));
-    /// assert!(!experts.fit(8));
+    /// assert!(experts.fits(9));
+    /// assert!(!experts.fits(8));
     /// ```
     #[must_use]
-    pub fn fit(&self, ranks: usize) -> bool {
-        usize::from(self.count) <= usize::from(self.places) * ranks
+    pub fn fits(&self, ranks: usize) -> bool {
+        usize::from(self.count) <= usize::from(self.max_slots_per_rank) * ranks
     }
 }
 
 impl Engine {
-    /// How long a pass takes on even ranks when each has so many writers.
+    /// The duration of a pass on evenly loaded ranks with the given number of decoding requests
+    /// on each.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,21 +74,24 @@
     ///
     /// let engine = Engine {
     ///     slots: 12,
-    ///     stride: 6,
-    ///     step: Duration::from_millis(5),
-    ///     step_per_request: Duration::from_millis(1),
+    ///     steps_per_pass: 6,
+    ///     step_time: Duration::from_millis(5),
+    ///     step_time_per_request: Duration::from_millis(1),
     ///     experts: None,
     /// };
-    /// assert_eq!(engine.pass(5.0), Duration::from_millis(60));
+    /// assert_eq!(engine.pass_time(5.0), Duration::from_millis(60));
     /// ```
     #[must_use]
-    pub fn pass(&self, writers: f64) -> Duration {
-        let step = self.step + self.step_per_request.mul_f64(writers.max(0.0));
-        step * self.stride.max(1)
+    pub fn pass_time(&self, decoding_requests: f64) -> Duration {
+        let step = self.step_time
+            + self
+                .step_time_per_request
+                .mul_f64(decoding_requests.max(0.0));
+        step * self.steps_per_pass.max(1)
     }
 
-    /// How many writers each rank may have for a pass on even ranks to take so long at
-    /// most; none where it takes longer with no writer.
+    /// The number of decoding requests on each rank with which a pass on evenly loaded ranks
+    /// takes the given time; 0 if the pass takes longer even without any.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,18 +100,18 @@
     ///
     /// let engine = Engine {
     ///     slots: 12,
-    ///     stride: 6,
-    ///     step: Duration::from_millis(5),
-    ///     step_per_request: Duration::from_millis(1),
+    ///     steps_per_pass: 6,
+    ///     step_time: Duration::from_millis(5),
+    ///     step_time_per_request: Duration::from_millis(1),
     ///     experts: None,
     /// };
-    /// assert_eq!(engine.writers(Duration::from_millis(60)), 5.0);
-    /// assert_eq!(engine.writers(Duration::from_millis(20)), 0.0);
+    /// assert_eq!(engine.decoding_requests(Duration::from_millis(60)), 5.0);
+    /// assert_eq!(engine.decoding_requests(Duration::from_millis(20)), 0.0);
     /// ```
     #[must_use]
-    pub fn writers(&self, pass: Duration) -> f64 {
-        let step = pass / self.stride.max(1);
-        let free = step.saturating_sub(self.step).as_secs_f64();
-        free / self.step_per_request.as_secs_f64().max(1e-9)
+    pub fn decoding_requests(&self, pass: Duration) -> f64 {
+        let step = pass / self.steps_per_pass.max(1);
+        let free = step.saturating_sub(self.step_time).as_secs_f64();
+        free / self.step_time_per_request.as_secs_f64().max(1e-9)
     }
 }
--- a/verbenaspool_state/src/name.rs
+++ b/verbenaspool_state/src/name.rs
@@ -1,13 +1,13 @@
-//! The checked name that firms, zones, customers, services and upstreams carry.
+//! Validated names of firms, zones, customers, services and upstreams.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes; it keeps keys and headers short.
-pub const LONGEST: usize = 63;
+/// Maximum length of a name in bytes, which keeps keys and headers short.
+pub const MAX_BYTES: usize = 63;
 
-/// A name of lowercase letters, digits and inner dashes, at most [`LONGEST`]
+/// A name of lowercase letters, digits and inner dashes, at most [`MAX_BYTES`]
 /// bytes, cheap to clone.
 ///
 /// ```
@@ -23,7 +23,6 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The name as text.
     ///
     /// ```
     /// # use verbenaspool_state::name::Name;
@@ -42,8 +41,8 @@
         if text.is_empty() {
             return Err(Error::Empty);
         }
-        if text.len() > LONGEST {
-            return Err(Error::Long { bytes: text.len() });
+        if text.len() > MAX_BYTES {
+            return Err(Error::TooLong { bytes: text.len() });
         }
         if text.starts_with('-') || text.ends_with('-') {
             return Err(Error::Dash(text.to_owned()));
@@ -79,27 +78,27 @@
     }
 }
 
-/// Why a text is no name.
+/// Why a text is not a name.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is empty.
-    #[error("a name can't be empty")]
+    #[error("a name must not be empty")]
     Empty,
-    /// The text is over [`LONGEST`] bytes.
-    #[error("a name has at most {LONGEST} bytes, this one has {bytes}")]
-    Long {
+    /// The text is over [`MAX_BYTES`] bytes.
+    #[error("a name must have at most {MAX_BYTES} bytes, not {bytes}")]
+    TooLong {
         /// The text's length in bytes.
         bytes: usize,
     },
     /// The text starts or ends with a dash.
-    #[error("the name '{0}' starts or ends with a dash")]
+    #[error("the name '{0}' must not start or end with a dash")]
     Dash(String),
-    /// The text holds a character that names don't have.
-    #[error("the name '{name}' holds '{character}'; use lowercase letters, digits and dashes")]
+    /// The text contains a character that isn't allowed in names.
+    #[error("the name '{name}' contains '{character}'; use lowercase letters, digits and dashes")]
     Character {
-        /// The refused text.
+        /// The invalid text.
         name: String,
-        /// Its first refused character.
+        /// Its first invalid character.
         character: char,
     },
 }
--- a/verbenaspool_state/src/rebalancing.rs
+++ b/verbenaspool_state/src/rebalancing.rs
@@ -1,36 +1,37 @@
-//! How a service weighs even ranks against the cost of moving experts.
+//! A service's settings for the trade-off between evenly loaded ranks and the cost of moving
+//! experts.
 
 use serde::{Deserialize, Serialize};
 
-/// The largest weight; beyond it the other weight no longer counts.
-const HEAVIEST: f64 = 1_000.0;
+/// Maximum weight. The effect of the other weight would be negligible beyond it.
+const MAX_WEIGHT: f64 = 1_000.0;
 
-/// The largest share of a step's time that may be lost to a move.
-const WHOLE: f64 = 1.0;
+/// Maximum fraction of a step's time that may be lost to a move: all of it.
+const MAX_DELAY_FRACTION: f64 = 1.0;
 
-/// The rebalancer's settings for one service.
+/// A service's settings for the rebalancer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rebalancing {
-    /// The weight of step-time skew.
+    /// Weight of the skew of rank loads.
     pub skew: f64,
-    /// The weight of the work lost or delayed while experts move.
+    /// Weight of the work that is lost or delayed while experts move.
     pub cost: f64,
-    /// The most experts that one change of map may move, over all layers and ranks.
+    /// Maximum number of experts moved by one map change, over all layers and ranks.
     pub most_moves: u32,
-    /// The most bytes a second that a rank may load while it serves.
+    /// Maximum rate in bytes per second at which a rank loads experts while it serves requests.
     pub bytes_a_second: u64,
-    /// The least time between two changes of map, in seconds.
+    /// Minimum time between two map changes, in seconds.
     pub pause_s: u64,
-    /// The largest part of a step's time by which loading may slow the group,
-    /// 0 to 1. Zero forbids any move that would delay a request.
+    /// Maximum slowdown of the group by loading, as a fraction of a step's time, 0 to 1. Zero
+    /// prevents all moves that would delay requests.
     pub most_delay: f64,
 }
 
 impl Default for Rebalancing {
-    /// Even weights. A change moves at most 2048 experts, no oftener than each
-    /// 10 s, and a rank loads 256 MB a second, a small part of what an
-    /// accelerator's host link carries; loading may take 5% of a step.
+    /// Equal weights. A map change moves at most 2048 experts, and there is at most one every
+    /// 10 s. A rank loads 256 MiB per second, a small fraction of the bandwidth of an
+    /// accelerator's host link, and loading may take 5% of a step.
     fn default() -> Self {
         Self {
             skew: 1.0,
@@ -44,7 +45,7 @@
 }
 
 impl Rebalancing {
-    /// Every setting that can't be put in force.
+    /// Finds all settings with invalid values.
     ///
     /// ```
     /// use verbenaspool_state::rebalancing::Rebalancing;
@@ -57,42 +58,42 @@
     #[must_use]
     pub fn check(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
-        let mut check = |key, held: bool, reason| {
-            if !held {
+        let mut check = |key, valid: bool, reason| {
+            if !valid {
                 problems.push(Problem { key, reason });
             }
         };
-        let weight = |weight: f64| (0.0..=HEAVIEST).contains(&weight);
+        let weight = |weight: f64| (0.0..=MAX_WEIGHT).contains(&weight);
         check("skew", weight(self.skew), Reason::Weight(self.skew));
         check("cost", weight(self.cost), Reason::Weight(self.cost));
         check("bytes_a_second", self.bytes_a_second > 0, Reason::Zero);
         check("pause_s", self.pause_s > 0, Reason::Zero);
-        let part = (0.0..=WHOLE).contains(&self.most_delay);
-        check("most_delay", part, Reason::Part(self.most_delay));
+        let in_range = (0.0..=MAX_DELAY_FRACTION).contains(&self.most_delay);
+        check("most_delay", in_range, Reason::Fraction(self.most_delay));
         problems
     }
 }
 
-/// A setting that can't be put in force.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct Problem {
     /// The setting's key in the file.
     pub key: &'static str,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub reason: Reason,
 }
 
-/// What is wrong with a value.
+/// Why a setting's value is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// A weight is out of range or no number.
-    #[error("{0} is no weight between 0 and {HEAVIEST}")]
+    /// A weight is out of range or not a number.
+    #[error("must be from 0 to {MAX_WEIGHT}, not {0}")]
     Weight(f64),
-    /// The value has to be above zero.
-    #[error("has to be above 0")]
+    /// The value must be positive.
+    #[error("must be above 0")]
     Zero,
-    /// A part is out of range or no number.
-    #[error("{0} is no part between 0 and {WHOLE}")]
-    Part(f64),
+    /// A fraction is out of range or not a number.
+    #[error("must be from 0 to {MAX_DELAY_FRACTION}, not {0}")]
+    Fraction(f64),
 }
--- a/verbenaspool_state/tests/expert_map.rs
+++ b/verbenaspool_state/tests/expert_map.rs
@@ -1,4 +1,4 @@
-//! Expert maps and rebalancing settings that are refused, and why.
+//! Rejection of invalid expert maps and rebalancing settings.
 
 use verbenaspool_state::{
     expert_map::{Layer, Map, Problem, Shape},
@@ -18,10 +18,11 @@
     map
 }
 
-/// An operator's or another version's map that doesn't fit the group is refused
-/// for the first thing that is wrong, and the group goes on with its own.
+/// Guards against using a map that doesn't fit the group, such as one from an operator or
+/// another software version. It is rejected with its first problem, and the group keeps
+/// its current map.
 #[test]
-fn unfit_maps_are_refused() {
+fn invalid_maps_are_rejected() {
     let cases = [
         (
             map(|layers| layers.truncate(1)),
@@ -79,17 +80,16 @@
     assert_eq!(map(|_| ()).check(SHAPE, 7), Ok(()));
 }
 
-/// Ranks may hold fewer experts than they have slots, as long as all stand
-/// somewhere.
+/// Ranks may have fewer experts than slots, as long as each expert is on some rank.
 #[test]
-fn uneven_slots_are_fine() {
+fn slots_may_be_empty() {
     let uneven = map(|layers| layers[0].ranks = vec![vec![0], vec![1, 2, 3]]);
     assert_eq!(uneven.check(SHAPE, 0), Ok(()));
 }
 
-/// Every wrong setting is named with its key, so that a file is put right in one go.
+/// Each invalid setting is reported with its key, so that a file can be corrected at once.
 #[test]
-fn settings_out_of_range_are_named() {
+fn all_invalid_settings_are_reported() {
     let settings = Rebalancing {
         skew: -1.0,
         cost: f64::INFINITY,
@@ -100,11 +100,11 @@
     };
     let problems: Vec<String> = settings.check().iter().map(ToString::to_string).collect();
     let expected = [
-        "skew: -1 is no weight between 0 and 1000",
-        "cost: inf is no weight between 0 and 1000",
-        "bytes_a_second: has to be above 0",
-        "pause_s: has to be above 0",
-        "most_delay: 1.5 is no part between 0 and 1",
+        "skew: must be from 0 to 1000, not -1",
+        "cost: must be from 0 to 1000, not inf",
+        "bytes_a_second: must be above 0",
+        "pause_s: must be above 0",
+        "most_delay: must be from 0 to 1, not 1.5",
     ];
     assert_eq!(problems, expected);
 }
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -9,7 +9,8 @@
     piece::Hash,
 };
 use verbenaspool_protocol::peer::{
-    self, BEAT, Beat, Echo, FETCH, Fetch, Fetched, Holding, OFFER, Offer, Piece,
+    self, FETCH, Fetch, FetchAnswer, HEARTBEAT, Heartbeat, HeartbeatAnswer, OFFER, Offer,
+    OfferAnswer, Piece,
 };
 use verbenaspool_state::version::Version;
 
@@ -30,7 +31,7 @@
 /// Adds the methods that peers call to a module.
 pub(super) fn methods(source: &Rc<Source>, module: &mut rpc::Module) {
     let own = Rc::clone(source);
-    module.on(BEAT, move |beat: Beat| {
+    module.on(HEARTBEAT, move |beat: Heartbeat| {
         let echo = answer_beat(&own, beat);
         async move { Ok::<_, String>(echo) }
     });
@@ -116,16 +117,17 @@
         return;
     }
     let told = !members.is_empty();
-    let beat = Beat {
-        message: message(&source),
+    let beat = Heartbeat {
+        status: message(&source),
         table: members,
     };
     // Silence is noticed by the membership.
-    let Ok(echo) = call::<_, Echo>(&source, address, BEAT, &beat, BEAT_TIME).await else {
+    let Ok(echo) = call::<_, HeartbeatAnswer>(&source, address, HEARTBEAT, &beat, BEAT_TIME).await
+    else {
         return;
     };
-    let from = echo.message.from.clone();
-    let heard = take_in(&source, &echo.table, echo.message);
+    let from = echo.status.from.clone();
+    let heard = take_in(&source, &echo.table, echo.status);
     if let Some(head) = echo.head {
         pull(&source, &from, head).await;
     }
@@ -165,10 +167,10 @@
 }
 
 /// Answers a heartbeat.
-fn answer_beat(source: &Rc<Source>, beat: Beat) -> Echo {
-    let theirs = beat.message.held;
-    let told = beat.message.clone();
-    take_in(source, &beat.table, beat.message);
+fn answer_beat(source: &Rc<Source>, beat: Heartbeat) -> HeartbeatAnswer {
+    let theirs = beat.status.held;
+    let told = beat.status.clone();
+    take_in(source, &beat.table, beat.status);
     let differs = source.membership.borrow().digest_differs(&told);
     let held = source.adoption.borrow().complete_head().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
@@ -176,8 +178,8 @@
         // Its head comes with the answer to a heartbeat of ours.
         monoio::spawn(self::beat(Rc::clone(source), told.from.address, Vec::new()));
     }
-    Echo {
-        message: message(source),
+    HeartbeatAnswer {
+        status: message(source),
         table: if differs { table(source) } else { Vec::new() },
         head: held.filter(|head| head.version > theirs),
     }
@@ -220,9 +222,9 @@
         let request = Fetch {
             have: have.take(),
             root,
-            missing: missing.iter().copied().take(peer::PIECES).collect(),
+            missing: missing.iter().copied().take(peer::MAX_PIECES).collect(),
         };
-        let fetched = call::<_, Fetched>(source, address, FETCH, &request, FETCH_TIME).await;
+        let fetched = call::<_, FetchAnswer>(source, address, FETCH, &request, FETCH_TIME).await;
         // What doesn't come from here comes with the next heartbeat, or from the
         // platform.
         let Ok(fetched) = fetched else {
@@ -235,7 +237,7 @@
 }
 
 /// Takes fetched pieces in; whether any was of use.
-fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &Fetched) -> bool {
+fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &FetchAnswer) -> bool {
     let mut adoption = source.adoption.borrow_mut();
     let delta = fetched.delta.as_ref();
     let mut used = delta.is_some_and(|delta| adoption.apply_delta(delta).is_ok());
@@ -253,7 +255,7 @@
 }
 
 /// Answers an offer once the head is held, or isn't to be had.
-async fn answer_offer(source: &Rc<Source>, offer: Offer) -> Holding {
+async fn answer_offer(source: &Rc<Source>, offer: Offer) -> OfferAnswer {
     let Offer { from, head, delta } = offer;
     let verdict = source.offer(head.clone());
     if matches!(verdict, Verdict::New | Verdict::Known) {
@@ -274,19 +276,19 @@
     }
     let adoption = source.adoption.borrow();
     let held = adoption.complete_head().map(|head| head.version);
-    Holding {
+    OfferAnswer {
         version: held.unwrap_or_default(),
     }
 }
 
 /// Answers a request for pieces.
-fn answer_fetch(source: &Source, fetch: &Fetch) -> Fetched {
+fn answer_fetch(source: &Source, fetch: &Fetch) -> FetchAnswer {
     let adoption = source.adoption.borrow();
     let delta = fetch.have.and_then(|have| adoption.delta(have, fetch.root));
     let mut pieces = Vec::new();
     let mut bytes = 0;
-    for hash in fetch.missing.iter().take(peer::PIECES) {
-        if delta.is_some() || bytes > peer::BYTES {
+    for hash in fetch.missing.iter().take(peer::MAX_PIECES) {
+        if delta.is_some() || bytes > peer::MAX_PIECE_BYTES {
             break;
         }
         let content = adoption
@@ -301,7 +303,7 @@
             text: text.to_owned(),
         });
     }
-    Fetched { delta, pieces }
+    FetchAnswer { delta, pieces }
 }
 
 /// Offers the held head to all neighbours but the one that it came from.
@@ -333,9 +335,9 @@
 /// Offers a head to one peer. If it doesn't answer, its children are offered it:
 /// a process that is dead and not yet missed must not cut off those below it.
 async fn hand(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
-    let held = call::<_, Holding>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
+    let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
     match held {
-        Ok(Holding { version }) => {
+        Ok(OfferAnswer { version }) => {
             source
                 .adoption
                 .borrow_mut()
