--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -163,8 +163,8 @@
     /// What bounds repeats, and how many entries share it.
     fn budget(&self) -> (RetryLimits, usize) {
         let now = self.gateway.clock.now();
-        let bound = self.gateway.settings.borrow().bounds.retries();
-        (bound, self.gateway.sharers(now))
+        let bound = self.gateway.settings.borrow().bounds.retry_limits();
+        (bound, self.gateway.sharing_entries(now))
     }
 
     /// Whether another upstream may be tried after one that can't be reached.
--- a/verbenaspool/src/direct/follow.rs
+++ b/verbenaspool/src/direct/follow.rs
@@ -21,7 +21,7 @@
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The most that a watch waits, however many entries there are: the store's own bound.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 /// Entries that watch as if each were by itself.
 const INDEPENDENT_WATCHERS: u32 = 4;
@@ -32,10 +32,10 @@
 
 /// What each entry adds to the longest pause in a row of changes: each of them is paid
 /// for by every entry.
-const BATCH_PER_ENTRY: Duration = Duration::from_millis(10);
+const BATCH_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(10);
 
 /// The longest pause in a row of changes, however many entries there are.
-const LONGEST_BATCH: Duration = Duration::from_millis(600);
+const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(600);
 
 /// The pause after a call that failed, at first and at most. What the store
 /// refuses must be asked for again within the bound on changes, which is 2 s.
@@ -52,7 +52,7 @@
 
 impl Kind {
     /// The kind of its objects.
-    fn name(self) -> &'static str {
+    fn object_kind(self) -> &'static str {
         match self {
             Self::Configuration => configuration::KIND,
             Self::Registry => wire::KIND,
@@ -65,46 +65,51 @@
     gateway: Rc<Gateway>,
     kind: Kind,
     /// Wakes the follower to list everything anew.
-    wake: Rc<Notify>,
+    relist: Rc<Notify>,
     objects: BTreeMap<String, Object>,
     revision: u64,
     /// Since when the store answers without a break; none while it doesn't.
-    back: Option<Duration>,
+    available_since: Option<Duration>,
     /// Whether it was away since the process began.
-    was_away: bool,
-    pause: Duration,
+    had_outage: bool,
+    retry_interval: Duration,
     /// The pause after the next change.
-    batch: Duration,
+    batch_interval: Duration,
 }
 
 impl Follower {
     /// A follower that has seen nothing.
-    pub fn new(gateway: Rc<Gateway>, kind: Kind, wake: Rc<Notify>) -> Self {
+    pub fn new(gateway: Rc<Gateway>, kind: Kind, relist: Rc<Notify>) -> Self {
         Self {
             gateway,
             kind,
-            wake,
+            relist,
             objects: BTreeMap::new(),
             revision: 0,
-            back: None,
-            was_away: false,
-            pause: RETRY_INTERVALS[0],
-            batch: BATCH_INTERVAL,
+            available_since: None,
+            had_outage: false,
+            retry_interval: RETRY_INTERVALS[0],
+            batch_interval: BATCH_INTERVAL,
         }
     }
 
     /// Follows.
     pub async fn run(mut self) {
         loop {
-            match self.gateway.store.list(self.kind.name(), false).await {
+            match self
+                .gateway
+                .store
+                .list(self.kind.object_kind(), false)
+                .await
+            {
                 Ok(Listing { objects, revision }) => {
-                    self.reached();
+                    self.record_success();
                     self.objects = objects;
                     self.revision = revision;
-                    self.tell();
+                    self.publish();
                     self.watch().await;
                 }
-                Err(why) => self.failed(&why).await,
+                Err(why) => self.back_off(&why).await,
             }
         }
     }
@@ -113,36 +118,37 @@
     async fn watch(&mut self) {
         loop {
             let now = self.gateway.clock.now();
-            let entries = self.gateway.peers.borrow().entries(now);
-            let wait = wait(entries, rand::random());
-            let began = now;
+            let entries = self.gateway.peers.borrow().live_entries(now);
+            let wait = watch_wait(entries, rand::random());
+            let started = now;
             let watch = self
                 .gateway
                 .store
-                .watch(self.kind.name(), self.revision, wait);
-            let woken = self.wake.notified();
+                .watch(self.kind.object_kind(), self.revision, wait);
+            let relist = self.relist.notified();
             let watched = monoio::select! {
                 watched = watch => watched,
-                () = woken => return,
+                () = relist => return,
             };
             match watched {
                 Ok(Watched::Changes(changes, revision)) => {
-                    self.reached();
+                    self.record_success();
                     self.revision = self.revision.max(revision);
                     if !changes.is_empty() {
-                        self.change(changes);
-                        let waited = self.gateway.clock.now().saturating_sub(began);
-                        self.batch = batch(self.batch, waited, entries);
-                        self.gateway.clock.sleep(self.batch).await;
+                        self.apply(changes);
+                        let waited = self.gateway.clock.now().saturating_sub(started);
+                        self.batch_interval =
+                            next_batch_interval(self.batch_interval, waited, entries);
+                        self.gateway.clock.sleep(self.batch_interval).await;
                     }
                 }
                 Ok(Watched::Forgotten) => {
                     info!(self.gateway.log, "Entry: The store forgot its history; listing anew.";
-                        "kind" => self.kind.name(), "revision" => self.revision);
+                        "kind" => self.kind.object_kind(), "revision" => self.revision);
                     return;
                 }
                 Err(why) => {
-                    self.failed(&why).await;
+                    self.back_off(&why).await;
                     return;
                 }
             }
@@ -150,7 +156,7 @@
     }
 
     /// Takes changes over.
-    fn change(&mut self, changes: Vec<Change>) {
+    fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
                 Change::Put(object) => {
@@ -161,63 +167,69 @@
                 }
             }
         }
-        self.tell();
+        self.publish();
     }
 
     /// Tells the gateway how things are.
-    fn tell(&self) {
+    fn publish(&self) {
         match self.kind {
             Kind::Configuration => {
                 if let Some(object) = self.objects.get(configuration::NAME) {
-                    self.gateway.observe_status(object);
-                    self.gateway.adopt(object, "store");
+                    self.gateway.observe_configuration(object);
+                    self.gateway.apply_configuration(object, "store");
                 }
             }
             Kind::Registry => {
-                let back = self.back.unwrap_or_else(|| self.gateway.clock.now());
+                let available_since = self
+                    .available_since
+                    .unwrap_or_else(|| self.gateway.clock.now());
                 // Without an outage nothing has lapsed: what is missing is gone.
-                let settled = if self.was_away {
-                    registry::settled(back)
+                let retain_missing_until = if self.had_outage {
+                    registry::missing_deadline(available_since)
                 } else {
                     Duration::ZERO
                 };
-                self.gateway
-                    .enlist(settled, self.revision, &self.objects, "store");
+                self.gateway.update_registry(
+                    retain_missing_until,
+                    self.revision,
+                    &self.objects,
+                    "store",
+                );
             }
         }
     }
 
     /// The store has answered.
-    fn reached(&mut self) {
-        self.pause = RETRY_INTERVALS[0];
-        if self.back.is_none() {
-            self.back = Some(self.gateway.clock.now());
-            info!(self.gateway.log, "Entry: The store answers."; "kind" => self.kind.name());
+    fn record_success(&mut self) {
+        self.retry_interval = RETRY_INTERVALS[0];
+        if self.available_since.is_none() {
+            self.available_since = Some(self.gateway.clock.now());
+            info!(self.gateway.log, "Entry: The store answers."; "kind" => self.kind.object_kind());
         }
     }
 
     /// The store has not answered: waits before the next call.
-    async fn failed(&mut self, why: &Error) {
-        self.was_away = true;
-        if self.back.take().is_some() {
+    async fn back_off(&mut self, why: &Error) {
+        self.had_outage = true;
+        if self.available_since.take().is_some() {
             warn!(self.gateway.log, "Entry: The store doesn't answer; what is known stays in force.";
-                "kind" => self.kind.name(), "reason" => why.to_string());
+                "kind" => self.kind.object_kind(), "reason" => why.to_string());
         }
-        let pause = self.pause;
-        self.pause = (pause * 2).min(RETRY_INTERVALS[1]);
-        self.gateway.clock.sleep(pause).await;
+        let retry_interval = self.retry_interval;
+        self.retry_interval = (retry_interval * 2).min(RETRY_INTERVALS[1]);
+        self.gateway.clock.sleep(retry_interval).await;
     }
 }
 
 /// The pause behind a change that a watch waited so long for, before so many entries, if
 /// it was so long after the one before: longer while one change follows the other.
-fn batch(before: Duration, waited: Duration, entries: usize) -> Duration {
-    if waited >= before {
+fn next_batch_interval(previous: Duration, waited: Duration, entries: usize) -> Duration {
+    if waited >= previous {
         return BATCH_INTERVAL;
     }
     let entries = u32::try_from(entries).unwrap_or(u32::MAX).saturating_sub(1);
-    let most = BATCH_INTERVAL + BATCH_PER_ENTRY.saturating_mul(entries);
-    (before * 2).min(most.min(LONGEST_BATCH))
+    let max = BATCH_INTERVAL + BATCH_INTERVAL_PER_ENTRY.saturating_mul(entries);
+    (previous * 2).min(max.min(MAX_BATCH_INTERVAL))
 }
 
 /// How long a watch waits before so many entries, this one included; `draw` from 0 to
@@ -229,12 +241,12 @@
 /// as a few entries by themselves. Each change ends all watches in one moment, so the
 /// next ones are spread from the shortest wait on, or all connections that fell silent
 /// then would be found together, and late.
-fn wait(entries: usize, draw: f32) -> Duration {
+fn watch_wait(entries: usize, draw: f32) -> Duration {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-    let [least, usual] = [0.75, 0.875].map(|part| WATCH_TIMEOUT.mul_f32(part));
+    let [min, usual] = [0.75, 0.875].map(|factor| WATCH_TIMEOUT.mul_f32(factor));
     let mean = usual.saturating_mul(entries.max(INDEPENDENT_WATCHERS)) / INDEPENDENT_WATCHERS;
-    let most = (mean * 2).saturating_sub(least).min(LONGEST_WAIT);
-    least + most.saturating_sub(least).mul_f32(draw)
+    let max = (mean * 2).saturating_sub(min).min(MAX_WATCH_WAIT);
+    min + max.saturating_sub(min).mul_f32(draw)
 }
 
 #[cfg(test)]
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -52,7 +52,7 @@
     /// The platform's store.
     pub store: store::Client,
     /// Calls to other entries.
-    pub calls: rpc::Client,
+    pub rpc: rpc::Client,
     /// The other entries.
     pub peers: RefCell<Peers>,
     /// Slots that agents are asked for.
@@ -62,7 +62,7 @@
     /// Wakes the task that reports those to peers.
     pub suspected: Notify,
     /// The configuration's object as the store held it last.
-    pub stored: RefCell<Option<Object>>,
+    pub stored_configuration: RefCell<Option<Object>>,
     /// Wakes the task that writes the quarantine to the store.
     pub unsaved: Notify,
     /// Whether the process is about to stop.
@@ -70,10 +70,10 @@
     /// Whether it takes no request any more.
     pub closed: Cell<bool>,
     /// The object that the table was read from, for peers.
-    pub source: RefCell<Option<Object>>,
+    pub table_source: RefCell<Option<Object>>,
     table: RefCell<Option<Rc<Table>>>,
     registry: RefCell<Registry>,
-    listed: Cell<bool>,
+    registry_loaded: Cell<bool>,
     queues: RefCell<HashMap<Rc<str>, Rc<ServiceQueue>>>,
 }
 
@@ -93,19 +93,19 @@
             metrics: metrics::Registry::default(),
             client: Client::new(CONNECT_TIMEOUT).keep_for(KEEP_ALIVE_TIME),
             store,
-            calls: rpc::Client::default(),
+            rpc: rpc::Client::default(),
             peers: RefCell::new(peers),
             reservations: Reservations::new(),
             quarantine: RefCell::default(),
             suspected: Notify::new(),
-            stored: RefCell::default(),
+            stored_configuration: RefCell::default(),
             unsaved: Notify::new(),
             leaving: Cell::new(false),
             closed: Cell::new(false),
-            source: RefCell::default(),
+            table_source: RefCell::default(),
             table: RefCell::default(),
             registry: RefCell::default(),
-            listed: Cell::new(false),
+            registry_loaded: Cell::new(false),
             queues: RefCell::default(),
         })
     }
@@ -116,7 +116,7 @@
     }
 
     /// The version of the table in force; 0 without one.
-    pub fn version(&self) -> u64 {
+    pub fn table_version(&self) -> u64 {
         self.table
             .borrow()
             .as_ref()
@@ -124,12 +124,12 @@
     }
 
     /// The revision of the registry.
-    pub fn revision(&self) -> u64 {
+    pub fn registry_revision(&self) -> u64 {
         self.registry.borrow().revision
     }
 
     /// The registry's objects, for peers.
-    pub fn objects(&self) -> (u64, Vec<Object>) {
+    pub fn registry_objects(&self) -> (u64, Vec<Object>) {
         let registry = self.registry.borrow();
         (
             registry.revision,
@@ -138,12 +138,12 @@
     }
 
     /// Whether requests may come: the process knows where they go.
-    pub fn ready(&self) -> bool {
-        !self.leaving.get() && self.listed.get() && self.table.borrow().is_some()
+    pub fn is_ready(&self) -> bool {
+        !self.leaving.get() && self.registry_loaded.get() && self.table.borrow().is_some()
     }
 
     /// Puts a configuration in force, if it is newer than what is.
-    pub fn adopt(&self, object: &Object, from: &str) {
+    pub fn apply_configuration(&self, object: &Object, from: &str) {
         let table = match configuration::decode(&object.specification) {
             Ok(table) => table,
             Err(why) => {
@@ -152,26 +152,26 @@
                 return;
             }
         };
-        let before = self.version();
-        if table.version <= before && self.table.borrow().is_some() {
+        let previous = self.table_version();
+        if table.version <= previous && self.table.borrow().is_some() {
             return;
         }
         info!(self.log, "Entry: A configuration is in force.";
-            "version" => table.version, "before" => before, "from" => from, "routes" => table.len());
+            "version" => table.version, "before" => previous, "from" => from, "routes" => table.len());
         let table = Rc::new(table);
         self.table.replace(Some(table.clone()));
-        self.source.replace(Some(object.clone()));
+        self.table_source.replace(Some(object.clone()));
         for service in table.services() {
             let queue = self.queue(&service.name);
             queue.with(|dispatcher, _| dispatcher.set_engine(service.engine.as_ref()));
         }
-        self.deal();
+        self.distribute_upstreams();
     }
 
     /// Takes over the registry of upstreams.
-    pub fn enlist(
+    pub fn update_registry(
         &self,
-        settled: Duration,
+        retain_missing_until: Duration,
         revision: u64,
         objects: &BTreeMap<String, Object>,
         from: &str,
@@ -179,33 +179,33 @@
         let now = self.clock.now();
         let changed = {
             let mut registry = self.registry.borrow_mut();
-            if revision < registry.revision && self.listed.get() {
+            if revision < registry.revision && self.registry_loaded.get() {
                 return;
             }
             let changed = &registry.objects != objects;
-            registry.update(now, settled, revision, objects);
+            registry.update(now, retain_missing_until, revision, objects);
             changed
         };
-        self.listed.set(true);
+        self.registry_loaded.set(true);
         if changed {
             info!(self.log, "Entry: The list of upstreams changed.";
                 "revision" => revision, "from" => from, "upstreams" => self.registry.borrow().len());
-            self.deal();
+            self.distribute_upstreams();
         }
     }
 
     /// Drops upstreams that were missing for too long.
-    pub fn expire(&self) {
+    pub fn expire_upstreams(&self) {
         let now = self.clock.now();
-        if self.registry.borrow_mut().expire(now) {
+        if self.registry.borrow_mut().remove_expired(now) {
             info!(self.log, "Entry: Upstreams that were missing are gone.";
                 "upstreams" => self.registry.borrow().len());
-            self.deal();
+            self.distribute_upstreams();
         }
     }
 
     /// Tells each service's queue its upstreams.
-    fn deal(&self) {
+    fn distribute_upstreams(&self) {
         let registry = self.registry.borrow();
         let mut services: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
         for replica in registry.iter() {
@@ -224,7 +224,7 @@
     }
 
     /// The upstreams that are ranks of groups, and whether each is in this entry's zone.
-    pub fn ranks(&self) -> Vec<(SocketAddr, bool)> {
+    pub fn group_ranks(&self) -> Vec<(SocketAddr, bool)> {
         let Some(table) = self.table() else {
             return Vec::new();
         };
@@ -243,7 +243,7 @@
 
     /// What the agent on an instance needs to know of its upstream's service; none where
     /// no upstream of a group runs there.
-    pub fn members(&self, instance: IpAddr) -> Option<Members> {
+    pub fn members_for_agent(&self, instance: IpAddr) -> Option<Members> {
         let table = self.table()?;
         let registry = self.registry.borrow();
         let grouped = |replica: &Replica| {
@@ -251,8 +251,8 @@
             let engine = service.engine.as_ref()?;
             engine.experts.is_some().then_some(engine)
         };
-        let mut there = registry.iter().filter(|r| r.address.ip() == instance);
-        let (own, engine) = there.find_map(|replica| Some((replica, grouped(replica)?)))?;
+        let mut local = registry.iter().filter(|r| r.address.ip() == instance);
+        let (own, engine) = local.find_map(|replica| Some((replica, grouped(replica)?)))?;
         let group_members = registry.iter().filter(|r| r.service == own.service);
         let group_members = group_members.map(|replica| replica.address.ip());
         Some(Members {
@@ -264,7 +264,7 @@
     }
 
     /// Takes in how a rank stands, as its agent says.
-    pub fn status(&self, status: &Status) {
+    pub fn record_status(&self, status: &Status) {
         let registry = self.registry.borrow();
         let upstream = registry.iter().find(|r| r.address == status.upstream);
         let Some(upstream) = upstream.cloned() else {
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -76,7 +76,7 @@
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// In how many of these times agents of other zones are asked once.
-const SUBSCRIBE_FAR: u32 = 3;
+const REMOTE_SUBSCRIBE_ROUNDS: u32 = 3;
 
 /// The RPC method by which peers get what they lack.
 pub const LATEST_METHOD: &str = "latest";
@@ -88,9 +88,9 @@
 #[derive(Debug, Default)]
 struct Peer {
     /// When it was last heard; none if never.
-    heard: Option<Duration>,
+    last_received: Option<Duration>,
     /// When it was first thought of or last heard.
-    since: Duration,
+    last_active: Duration,
     digest: Digest,
 }
 
@@ -98,18 +98,18 @@
 #[derive(Debug)]
 pub struct Peers {
     /// This entry's own address, which peers and seeds name as well.
-    own: IpAddr,
+    own_address: IpAddr,
     known: HashMap<Ipv4Addr, Peer>,
-    number: u64,
+    digests_sent: u64,
     /// Since when a peer is known to have something newer.
-    behind: Option<Duration>,
+    behind_since: Option<Duration>,
     /// When a peer was first heard of last.
-    grown: Duration,
+    last_discovery: Duration,
 }
 
 /// What an entry has.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Have {
+pub struct Versions {
     /// The version of its routing table.
     table: u64,
     /// The revision of its registry.
@@ -118,7 +118,7 @@
 
 /// What another entry has that is newer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Latest {
+pub struct Update {
     configuration: Option<Object>,
     revision: u64,
     upstreams: Option<Vec<Object>>,
@@ -126,19 +126,19 @@
 
 impl Peers {
     /// The peers of the entry at an address, none of them known yet.
-    pub fn new(own: IpAddr) -> Self {
+    pub fn new(own_address: IpAddr) -> Self {
         Self {
-            own,
+            own_address,
             known: HashMap::new(),
-            number: 0,
-            behind: None,
-            grown: Duration::ZERO,
+            digests_sent: 0,
+            behind_since: None,
+            last_discovery: Duration::ZERO,
         }
     }
 
     /// How many entries are alive, this one included.
-    pub fn entries(&self, now: Duration) -> usize {
-        1 + self.live(now).count()
+    pub fn live_entries(&self, now: Duration) -> usize {
+        1 + self.live_peers(now).count()
     }
 
     /// Among how many entries this one shares what all may do together.
@@ -146,8 +146,8 @@
     /// An entry that has just started knows few others. When all of a large fleet start
     /// at once each would take the part of one among a few, and all of them together
     /// many times what there is.
-    pub fn sharers(&self, now: Duration) -> usize {
-        let entries = self.entries(now);
+    pub fn sharing_entries(&self, now: Duration) -> usize {
+        let entries = self.live_entries(now);
         if self.is_settled(now) {
             entries
         } else {
@@ -156,30 +156,30 @@
     }
 
     /// How many entries there are, those included that are silent for now.
-    pub fn all(&self) -> usize {
+    pub fn known_entries(&self) -> usize {
         1 + self.known.len()
     }
 
     /// Whether all peers are likely to be known.
     fn is_settled(&self, now: Duration) -> bool {
-        now.saturating_sub(self.grown) >= DISCOVERY_TIME
+        now.saturating_sub(self.last_discovery) >= DISCOVERY_TIME
     }
 
-    fn live(&self, now: Duration) -> impl Iterator<Item = (&Ipv4Addr, &Peer)> {
-        let silence = PEER_TIMEOUT.max(pause(self.known.len()) * (MAX_LOST_DIGESTS + 1));
+    fn live_peers(&self, now: Duration) -> impl Iterator<Item = (&Ipv4Addr, &Peer)> {
+        let silence = PEER_TIMEOUT.max(digest_interval(self.known.len()) * (MAX_LOST_DIGESTS + 1));
         let live = move |peer: &Peer| {
-            peer.heard
-                .is_some_and(|heard| now.saturating_sub(heard) < silence)
+            peer.last_received
+                .is_some_and(|received| now.saturating_sub(received) < silence)
         };
         self.known.iter().filter(move |(_, peer)| live(peer))
     }
 
     /// Takes a digest over; tells whether it changed anything.
-    fn hear(&mut self, now: Duration, from: Ipv4Addr, digest: Digest) -> bool {
+    fn receive(&mut self, now: Duration, from: Ipv4Addr, digest: Digest) -> bool {
         for &other in digest.peers.iter().take(MAX_NAMED_PEERS[0]) {
-            self.think_of(now, other);
+            self.add(now, other);
         }
-        self.think_of(now, from);
+        self.add(now, from);
         let Some(peer) = self.known.get_mut(&from) else {
             return false;
         };
@@ -187,26 +187,26 @@
         // Behind a silence anything is believed: a process that was started again
         // may have a lower number than its forerunner where the time of day was
         // put back.
-        let lately = |heard: Duration| now.saturating_sub(heard) < REORDER_WINDOW;
-        if peer.heard.is_some_and(lately) && order(&digest) <= order(&peer.digest) {
+        let recently = |received: Duration| now.saturating_sub(received) < REORDER_WINDOW;
+        if peer.last_received.is_some_and(recently) && order(&digest) <= order(&peer.digest) {
             return false;
         }
-        peer.heard = Some(now);
-        peer.since = now;
+        peer.last_received = Some(now);
+        peer.last_active = now;
         peer.digest = digest;
         true
     }
 
     /// Remembers an entry that may be there.
-    fn think_of(&mut self, now: Duration, address: Ipv4Addr) {
-        if self.own == address {
+    fn add(&mut self, now: Duration, address: Ipv4Addr) {
+        if self.own_address == address {
             return;
         }
-        let grown = &mut self.grown;
+        let last_discovery = &mut self.last_discovery;
         self.known.entry(address).or_insert_with(|| {
-            *grown = now;
+            *last_discovery = now;
             Peer {
-                since: now,
+                last_active: now,
                 ..Peer::default()
             }
         });
@@ -215,13 +215,13 @@
     /// Forgets peers that are silent for long.
     fn forget(&mut self, now: Duration) {
         self.known
-            .retain(|_, peer| now.saturating_sub(peer.since) < FORGET_AFTER);
+            .retain(|_, peer| now.saturating_sub(peer.last_active) < FORGET_AFTER);
     }
 
     /// What other entries have in flight at each upstream.
-    fn flights(&self, now: Duration) -> HashMap<u32, u32> {
+    fn peer_load(&self, now: Duration) -> HashMap<u32, u32> {
         let mut sums = HashMap::new();
-        for (_, peer) in self.live(now) {
+        for (_, peer) in self.live_peers(now) {
             for flight in &peer.digest.flights {
                 *sums.entry(flight.upstream).or_default() += flight.requests;
             }
@@ -230,49 +230,50 @@
     }
 
     /// The peers that have something newer than this.
-    fn ahead(&self, now: Duration, have: Have) -> Vec<Ipv4Addr> {
-        let ahead =
-            |peer: &Peer| peer.digest.table > have.table || peer.digest.registry > have.registry;
-        let ahead = self.live(now).filter(|(_, peer)| ahead(peer));
-        ahead.map(|(address, _)| *address).collect()
+    fn newer_peers(&self, now: Duration, versions: Versions) -> Vec<Ipv4Addr> {
+        let newer = |peer: &Peer| {
+            peer.digest.table > versions.table || peer.digest.registry > versions.registry
+        };
+        let newer = self.live_peers(now).filter(|(_, peer)| newer(peer));
+        newer.map(|(address, _)| *address).collect()
     }
 }
 
 impl Gateway {
     /// Among how many entries this one shares what all may do together. One whose settings
     /// name no other is by itself.
-    pub fn sharers(&self, now: Duration) -> usize {
+    pub fn sharing_entries(&self, now: Duration) -> usize {
         let settings = self.settings.borrow();
-        let others = settings
+        let has_other_seeds = settings
             .seeds
             .iter()
             .any(|seed| seed.ip() != settings.address);
         let peers = self.peers.borrow();
-        if others {
-            peers.sharers(now)
+        if has_other_seeds {
+            peers.sharing_entries(now)
         } else {
-            peers.entries(now)
+            peers.live_entries(now)
         }
     }
 
     /// Among how many entries this one shares upstreams that return: peers that an outage
     /// cut off come back with them.
-    pub fn sharers_of_return(&self) -> u32 {
-        u32::try_from(self.peers.borrow().all()).unwrap_or(u32::MAX)
+    pub fn known_entries(&self) -> u32 {
+        u32::try_from(self.peers.borrow().known_entries()).unwrap_or(u32::MAX)
     }
 
     /// What this entry has.
-    fn have(&self) -> Have {
-        Have {
-            table: self.version(),
-            registry: self.revision(),
+    fn versions(&self) -> Versions {
+        Versions {
+            table: self.table_version(),
+            registry: self.registry_revision(),
         }
     }
 
     /// This entry's digest.
     fn digest(&self, incarnation: u64) -> Digest {
         let now = self.clock.now();
-        let have = self.have();
+        let versions = self.versions();
         let mut flights = Vec::new();
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
@@ -283,15 +284,15 @@
             });
         }
         let mut peers = self.peers.borrow_mut();
-        peers.number += 1;
-        let most = MAX_NAMED_PEERS[usize::from(peers.is_settled(now))];
-        let named = peers.live(now).map(|(address, _)| *address);
-        let named = named.choose_multiple(&mut rand::rng(), most);
+        peers.digests_sent += 1;
+        let max_named = MAX_NAMED_PEERS[usize::from(peers.is_settled(now))];
+        let named = peers.live_peers(now).map(|(address, _)| *address);
+        let named = named.choose_multiple(&mut rand::rng(), max_named);
         Digest {
             incarnation,
-            number: peers.number,
-            table: have.table,
-            registry: have.registry,
+            number: peers.digests_sent,
+            table: versions.table,
+            registry: versions.registry,
             leaving: self.leaving.get(),
             flights: {
                 flights.truncate(digest::MAX_FLIGHTS);
@@ -302,7 +303,7 @@
     }
 
     /// How long callers of each service wait at first.
-    fn budgets(&self) -> Vec<Budget> {
+    fn common_waits(&self) -> Vec<Budget> {
         let budgets = self.queues().into_iter().map(|queue| Budget {
             service: digest::hash(&queue.service),
             times_ms: queue.common_times(),
@@ -312,7 +313,7 @@
     }
 
     /// Takes over how long callers wait at first, as far as this entry doesn't know.
-    fn learn_budgets(&self, budgets: &[Budget]) {
+    fn set_wait_hints(&self, budgets: &[Budget]) {
         for queue in self.queues() {
             let service = digest::hash(&queue.service);
             let budget = budgets.iter().find(|budget| budget.service == service);
@@ -323,13 +324,13 @@
     }
 
     /// Tells queues what other entries have in flight.
-    fn share(&self) {
-        let sums = self.peers.borrow().flights(self.clock.now());
+    fn distribute_peer_load(&self) {
+        let peer_load = self.peers.borrow().peer_load(self.clock.now());
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
                 let ids: Vec<Rc<str>> = dispatcher.upstream_ids().cloned().collect();
                 for id in ids {
-                    let others = sums.get(&digest::hash(&id)).copied().unwrap_or(0);
+                    let others = peer_load.get(&digest::hash(&id)).copied().unwrap_or(0);
                     dispatcher.set_peer_load(now, &id, others);
                 }
             });
@@ -337,25 +338,25 @@
     }
 
     /// Everything newer than what a peer has.
-    fn latest(&self, have: Have) -> Latest {
-        let newer = self.version() > have.table;
-        let (revision, objects) = self.objects();
-        Latest {
+    fn update_since(&self, versions: Versions) -> Update {
+        let newer = self.table_version() > versions.table;
+        let (revision, objects) = self.registry_objects();
+        Update {
             configuration: newer.then(|| self.configuration()).flatten(),
             revision,
-            upstreams: (revision > have.registry).then_some(objects),
+            upstreams: (revision > versions.registry).then_some(objects),
         }
     }
 
     /// Asks a peer for what it has that is newer.
-    async fn ask(&self, peer: Ipv4Addr) {
+    async fn fetch_update(&self, peer: Ipv4Addr) {
         let address = SocketAddr::from((peer, self.settings.borrow().control.port()));
-        let called: Result<Latest, _> = self
-            .calls
-            .call(address, LATEST_METHOD, &self.have(), CALL_TIMEOUT)
+        let called: Result<Update, _> = self
+            .rpc
+            .call(address, LATEST_METHOD, &self.versions(), CALL_TIMEOUT)
             .await;
-        let latest = match called {
-            Ok(latest) => latest,
+        let update = match called {
+            Ok(update) => update,
             Err(why) => {
                 warn!(self.log, "Entry: A peer that knows more can't be asked.";
                     "peer" => peer.to_string(), "reason" => why.to_string());
@@ -363,27 +364,27 @@
             }
         };
         let from = format!("peer {peer}");
-        if let Some(object) = &latest.configuration {
-            self.learn_status(&object.status);
-            self.adopt(object, &from);
+        if let Some(object) = &update.configuration {
+            self.apply_quarantine(&object.status);
+            self.apply_configuration(object, &from);
         }
-        if let Some(upstreams) = latest.upstreams {
+        if let Some(upstreams) = update.upstreams {
             let objects: BTreeMap<String, Object> = upstreams
                 .into_iter()
                 .map(|object| (object.name.clone(), object))
                 .collect();
-            let settled = registry::settled(self.clock.now());
-            self.enlist(settled, latest.revision, &objects, &from);
+            let retain_missing_until = registry::missing_deadline(self.clock.now());
+            self.update_registry(retain_missing_until, update.revision, &objects, &from);
         }
     }
 }
 
 /// Answers the calls of peers.
-pub fn methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
+pub fn register_methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
     let gateway = gateway.clone();
-    module.on(LATEST_METHOD, move |have: Have| {
-        let latest = gateway.latest(have);
-        async move { Ok::<_, String>(latest) }
+    module.on(LATEST_METHOD, move |versions: Versions| {
+        let update = gateway.update_since(versions);
+        async move { Ok::<_, String>(update) }
     });
 }
 
@@ -391,13 +392,13 @@
 ///
 /// # Errors
 /// The port is taken.
-pub fn open(gateway: &Gateway) -> io::Result<UdpSocket> {
+pub fn bind(gateway: &Gateway) -> io::Result<UdpSocket> {
     let settings = gateway.settings.borrow();
     UdpSocket::bind(SocketAddr::new(settings.address, settings.peer_port))
 }
 
 /// Hears digests for as long as the process runs.
-pub async fn hear(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn receive_messages(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         let (received, buffer) = socket
             .recv_from(vec![0_u8; message::MAX_DATAGRAM_BYTES])
@@ -413,23 +414,23 @@
                 let IpAddr::V4(from) = from else {
                     continue;
                 };
-                let news = gateway.peers.borrow_mut().hear(now, from, digest);
-                if news {
-                    gateway.share();
+                let changed = gateway.peers.borrow_mut().receive(now, from, digest);
+                if changed {
+                    gateway.distribute_peer_load();
                 }
             }
             Some(Message::Budgets(budgets)) if is_peer(&gateway, from) => {
-                gateway.learn_budgets(&budgets);
+                gateway.set_wait_hints(&budgets);
             }
             Some(Message::Suspicions(suspicions)) if is_peer(&gateway, from) => {
                 gateway.learn_suspicions(&suspicions);
             }
             // An agent speaks for the upstream on its own instance only.
             Some(Message::Status(status)) if status.upstream.ip() == from => {
-                gateway.status(&status);
+                gateway.record_status(&status);
             }
             Some(Message::Lookup) => {
-                if let Some(members) = gateway.members(from) {
+                if let Some(members) = gateway.members_for_agent(from) {
                     let port = gateway.settings.borrow().peer_port;
                     let message = Message::Members(members).encode();
                     // An agent that doesn't hear this asks again.
@@ -445,27 +446,27 @@
 }
 
 /// Sends digests for as long as the process runs.
-pub async fn tell(gateway: Rc<Gateway>, socket: Rc<UdpSocket>, incarnation: u64) {
-    let mut reported = Duration::ZERO;
+pub async fn send_digests(gateway: Rc<Gateway>, socket: Rc<UdpSocket>, incarnation: u64) {
+    let mut budgets_sent_at = Duration::ZERO;
     loop {
         let digest = Message::Digest(gateway.digest(incarnation));
         let peers = broadcast(&gateway, &socket, &digest).await;
         let now = gateway.clock.now();
-        if now.saturating_sub(reported) >= BUDGETS_INTERVAL {
-            reported = now;
-            let budgets = gateway.budgets();
+        if now.saturating_sub(budgets_sent_at) >= BUDGETS_INTERVAL {
+            budgets_sent_at = now;
+            let budgets = gateway.common_waits();
             if !budgets.is_empty() {
                 broadcast(&gateway, &socket, &Message::Budgets(budgets)).await;
             }
         }
-        gateway.clock.sleep(pause(peers)).await;
+        gateway.clock.sleep(digest_interval(peers)).await;
     }
 }
 
 /// Sends a message to all peers; tells how many there are.
 pub async fn broadcast(gateway: &Gateway, socket: &UdpSocket, message: &Message) -> usize {
     let message = message.encode();
-    let addresses = addresses(gateway);
+    let addresses = peer_addresses(gateway);
     let port = gateway.settings.borrow().peer_port;
     for address in &addresses {
         // A datagram that is lost is made up for by the next.
@@ -482,44 +483,44 @@
 }
 
 /// The pause between digests to so many peers.
-fn pause(peers: usize) -> Duration {
+fn digest_interval(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
     (DIGEST_INTERVAL + DIGEST_INTERVAL_PER_PEER * peers).max(MIN_DIGEST_INTERVAL_PER_PEER * peers)
 }
 
 /// Asks the agents beside the ranks of groups how their ranks stand, for as long
 /// as the process runs.
-pub async fn subscribe(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn send_subscriptions(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     for round in 0_u32.. {
         let port = gateway.settings.borrow().peer_port;
-        let ranks = gateway.ranks();
+        let ranks = gateway.group_ranks();
         // An entry that starts is to know groups before its first requests.
         let known = !ranks.is_empty();
         for (upstream, near) in ranks {
             // An agent that missed this hears the next one.
-            if near || round % SUBSCRIBE_FAR == 0 {
+            if near || round % REMOTE_SUBSCRIBE_ROUNDS == 0 {
                 let message = Message::Subscribe(Subscription { near }).encode();
                 let agent = SocketAddr::new(upstream.ip(), port);
                 let _ = socket.send_to(message, agent).await;
             }
         }
-        let pause = if known {
+        let interval = if known {
             SUBSCRIBE_INTERVAL
         } else {
             DIGEST_INTERVAL
         };
-        gateway.clock.sleep(pause).await;
+        gateway.clock.sleep(interval).await;
     }
 }
 
 /// Whom digests go to; also forgets peers that are silent for long.
-fn addresses(gateway: &Gateway) -> Vec<Ipv4Addr> {
+fn peer_addresses(gateway: &Gateway) -> Vec<Ipv4Addr> {
     let now = gateway.clock.now();
     let settings = gateway.settings.borrow();
     let mut peers = gateway.peers.borrow_mut();
     for seed in &settings.seeds {
         if let IpAddr::V4(address) = seed.ip() {
-            peers.think_of(now, address);
+            peers.add(now, address);
         }
     }
     peers.forget(now);
@@ -531,16 +532,16 @@
     loop {
         gateway.clock.sleep(CATCH_UP_DELAY / 3).await;
         let now = gateway.clock.now();
-        let ahead = gateway.peers.borrow().ahead(now, gateway.have());
-        let Some(&peer) = ahead.first() else {
-            gateway.peers.borrow_mut().behind = None;
+        let newer = gateway.peers.borrow().newer_peers(now, gateway.versions());
+        let Some(&peer) = newer.first() else {
+            gateway.peers.borrow_mut().behind_since = None;
             continue;
         };
-        let since = *gateway.peers.borrow_mut().behind.get_or_insert(now);
+        let since = *gateway.peers.borrow_mut().behind_since.get_or_insert(now);
         if now.saturating_sub(since) >= CATCH_UP_DELAY {
             info!(gateway.log, "Entry: A peer knows more; asking it."; "peer" => peer.to_string());
-            gateway.ask(peer).await;
-            gateway.peers.borrow_mut().behind = None;
+            gateway.fetch_update(peer).await;
+            gateway.peers.borrow_mut().behind_since = None;
         }
     }
 }
--- a/verbenaspool/src/direct/quarantine.rs
+++ b/verbenaspool/src/direct/quarantine.rs
@@ -51,7 +51,7 @@
     /// Records a crash.
     fn count_crash(&self, request: Fingerprint, crash: Crash, observer: Observer) {
         let now = self.clock.now();
-        let bound = self.settings.borrow().quarantine.bound();
+        let bound = self.settings.borrow().quarantine.limits();
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.record_crash(now, request, crash, observer, &bound) {
             warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
--- a/verbenaspool/src/direct/readiness.rs
+++ b/verbenaspool/src/direct/readiness.rs
@@ -16,7 +16,7 @@
 
 impl Handler for Readiness {
     fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> Answer {
-        let status = if self.0.ready() {
+        let status = if self.0.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -176,7 +176,7 @@
     pub fn measure(&self) {
         let gauge = |name, help, value| self.metrics.gauge(name, help, &[]).set(value);
         #[allow(clippy::cast_precision_loss)] // Versions stay far below 2^52.
-        let version = self.version() as f64;
+        let version = self.table_version() as f64;
         gauge(
             "verbenaspool_config_version",
             "The version in force.",
--- a/verbenaspool/src/direct/registry.rs
+++ b/verbenaspool/src/direct/registry.rs
@@ -29,7 +29,7 @@
     pub fn update(
         &mut self,
         now: Duration,
-        settled: Duration,
+        retain_missing_until: Duration,
         revision: u64,
         objects: &BTreeMap<String, Object>,
     ) {
@@ -50,7 +50,10 @@
                 self.missing.remove(id);
                 continue;
             }
-            let until = *self.missing.entry(id.clone()).or_insert(settled);
+            let until = *self
+                .missing
+                .entry(id.clone())
+                .or_insert(retain_missing_until);
             if now < until {
                 replicas.insert(id.clone(), replica.clone());
             } else {
@@ -65,7 +68,7 @@
     }
 
     /// Drops those that were missing for too long; tells whether there were any.
-    pub fn expire(&mut self, now: Duration) -> bool {
+    pub fn remove_expired(&mut self, now: Duration) -> bool {
         let before = self.replicas.len();
         let missing = &mut self.missing;
         let replicas = &mut self.replicas;
@@ -98,6 +101,6 @@
 
 /// When missing entries count as gone, for a store that is back since a moment.
 #[must_use]
-pub fn settled(back: Duration) -> Duration {
-    back + REREGISTRATION_TIME
+pub fn missing_deadline(available_since: Duration) -> Duration {
+    available_since + REREGISTRATION_TIME
 }
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -103,7 +103,7 @@
         .ok_or(Refused::later("no-service", UNREADY_RETRY_AFTER))?;
     record.routed(&route.name, service, table.version);
     let queue = gateway.queue(service);
-    queue.request(&gateway.settings.borrow().bounds.retries());
+    queue.request(&gateway.settings.borrow().bounds.retry_limits());
     let mut headers = parts.headers;
     hop::strip(&mut headers);
     headers.remove(EXPECT);
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -136,10 +136,10 @@
             match self.reserve(&permit).await {
                 Outcome::Granted(answer) => {
                     permit.reserved();
-                    self.status(&answer.status);
+                    self.record_status(&answer.status);
                     return Ok(permit);
                 }
-                Outcome::Denied(answer) => self.status(&answer.status),
+                Outcome::Denied(answer) => self.record_status(&answer.status),
                 Outcome::Silent if silent + 1 < MAX_SILENT_AGENTS => {
                     silent += 1;
                     permit.unanswered();
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -70,7 +70,7 @@
 }
 
 /// Serves one handler on a listener of its own.
-fn offer(listener: TcpListener, handler: Rc<dyn Handler>, finished: Signal) {
+fn spawn_server(listener: TcpListener, handler: Rc<dyn Handler>, finished: Signal) {
     let limits = Limits {
         connections: 64,
         ..Limits::default()
@@ -106,27 +106,30 @@
             .descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64),
-        ..limits()
+        ..caller_limits()
     };
     let store = store::Client::new(Channel::new(settings.platform), STORE_TIMEOUT);
     let gateway = Gateway::new(settings, clock.clone(), log.clone(), store);
     let (finish, finished) = shutdown::channel();
-    offer(
+    spawn_server(
         readiness,
         Rc::new(Readiness(gateway.clone())),
         finished.clone(),
     );
     if let Some(metrics) = metrics {
-        offer(metrics, Rc::new(Metrics(gateway.clone())), finished.clone());
+        spawn_server(metrics, Rc::new(Metrics(gateway.clone())), finished.clone());
     }
     let mut module = rpc::Module::default();
-    peers::methods(&gateway, &mut module);
-    standing::methods(&gateway, &mut module);
+    peers::register_methods(&gateway, &mut module);
+    standing::register_methods(&gateway, &mut module);
     monoio::spawn(rpc::serve(control, Rc::new(module), finished.clone()));
-    accompany(&gateway);
-    let wake = [Rc::new(Notify::new()), Rc::new(Notify::new())];
-    for (kind, wake) in [Kind::Configuration, Kind::Registry].into_iter().zip(&wake) {
-        let follower = Follower::new(gateway.clone(), kind, wake.clone());
+    start_peer_tasks(&gateway);
+    let relist = [Rc::new(Notify::new()), Rc::new(Notify::new())];
+    for (kind, relist) in [Kind::Configuration, Kind::Registry]
+        .into_iter()
+        .zip(&relist)
+    {
+        let follower = Follower::new(gateway.clone(), kind, relist.clone());
         monoio::spawn(follower.run());
     }
     monoio::spawn(status::save_changes(gateway.clone()));
@@ -139,23 +142,23 @@
         open.clone(),
         closed,
     ));
-    attend(&gateway, &path, &signals, &wake).await;
+    run_until_stopped(&gateway, &path, &signals, &relist).await;
     let grace = Duration::from_secs_f64(gateway.settings.borrow().bounds.grace_s.max(1.0));
-    let until = clock.now() + grace.saturating_sub(SHUTDOWN_RESERVE);
+    let drain_deadline = clock.now() + grace.saturating_sub(SHUTDOWN_RESERVE);
     info!(log, "Entry: Draining."; "connections" => open.count());
     gateway.leaving.set(true);
     open.close();
     let linger = READINESS_LINGER.min(grace / 2);
-    look_after(&gateway, clock.now() + linger).await;
+    process_queues_until(&gateway, clock.now() + linger).await;
     gateway.closed.set(true);
     close.fire();
     let ended = async {
         served.await;
     };
-    let left = until.saturating_sub(clock.now());
+    let remaining = drain_deadline.saturating_sub(clock.now());
     let drained = monoio::select! {
         () = ended => Drained { cut: 0 },
-        () = look_after(&gateway, clock.now() + left) => Drained { cut: open.count() },
+        () = process_queues_until(&gateway, clock.now() + remaining) => Drained { cut: open.count() },
     };
     if drained.cut > 0 {
         warn!(log, "Entry: The end of the time for stopping cuts requests off."; "connections" => drained.cut);
@@ -167,7 +170,7 @@
 
 /// Bounds on callers. Idle connections are closed by the same bound as slow
 /// heads: callers reuse connections for up to four fifths of it.
-fn limits() -> Limits {
+fn caller_limits() -> Limits {
     Limits {
         head: Duration::from_secs(16),
         head_bytes: 32 * 1024,
@@ -177,19 +180,23 @@
 }
 
 /// Starts the tasks that keep the entry in touch with its peers.
-fn accompany(gateway: &Rc<Gateway>) {
-    match peers::open(gateway) {
+fn start_peer_tasks(gateway: &Rc<Gateway>) {
+    match peers::bind(gateway) {
         Ok(socket) => {
             let socket = Rc::new(socket);
             gateway.reservations.open(socket.clone());
             // Later processes have higher numbers, as far as the time of day
             // can be trusted; a digest that looks older is ignored for a while.
-            let since = SystemTime::now().duration_since(UNIX_EPOCH);
-            let incarnation = since.map_or(0, |since| since.as_secs());
-            monoio::spawn(peers::hear(gateway.clone(), socket.clone()));
-            monoio::spawn(peers::tell(gateway.clone(), socket.clone(), incarnation));
+            let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+            let incarnation = elapsed.map_or(0, |elapsed| elapsed.as_secs());
+            monoio::spawn(peers::receive_messages(gateway.clone(), socket.clone()));
+            monoio::spawn(peers::send_digests(
+                gateway.clone(),
+                socket.clone(),
+                incarnation,
+            ));
             monoio::spawn(quarantine::report(gateway.clone(), socket.clone()));
-            monoio::spawn(peers::subscribe(gateway.clone(), socket));
+            monoio::spawn(peers::send_subscriptions(gateway.clone(), socket));
             monoio::spawn(peers::catch_up(gateway.clone()));
         }
         Err(why) => {
@@ -200,7 +207,7 @@
 }
 
 /// Looks after waiting requests for a while.
-async fn look_after(gateway: &Rc<Gateway>, until: Duration) {
+async fn process_queues_until(gateway: &Rc<Gateway>, until: Duration) {
     while gateway.clock.now() < until {
         gateway.clock.sleep(TICK_INTERVAL).await;
         for queue in gateway.queues() {
@@ -210,25 +217,30 @@
 }
 
 /// Looks after waiting requests and hears the signals to reload and to stop.
-async fn attend(gateway: &Rc<Gateway>, path: &Path, signals: &Signals, wake: &[Rc<Notify>; 2]) {
+async fn run_until_stopped(
+    gateway: &Rc<Gateway>,
+    path: &Path,
+    signals: &Signals,
+    relist: &[Rc<Notify>; 2],
+) {
     let clock = &gateway.clock;
-    let mut before = clock.now();
+    let mut last_tick = clock.now();
     while !signals.stopped() {
         clock.sleep(TICK_INTERVAL).await;
-        let entries = gateway.sharers_of_return();
+        let entries = gateway.known_entries();
         for queue in gateway.queues() {
             queue.with(|dispatcher, now| dispatcher.update_entry_count(now, entries));
         }
-        gateway.expire();
+        gateway.expire_upstreams();
         let now = clock.now();
-        if now.saturating_sub(before) > FREEZE_THRESHOLD {
+        if now.saturating_sub(last_tick) > FREEZE_THRESHOLD {
             warn!(gateway.log, "Entry: The process stood still; reading everything anew.";
-                "for_ms" => now.saturating_sub(before).as_secs_f64() * 1e3);
-            for wake in wake {
-                wake.notify_one();
+                "for_ms" => now.saturating_sub(last_tick).as_secs_f64() * 1e3);
+            for relist in relist {
+                relist.notify_one();
             }
         }
-        before = now;
+        last_tick = now;
         if signals.take_reload() {
             reload(gateway, path);
         }
--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -38,7 +38,7 @@
     /// The platform's store.
     pub platform: SocketAddr,
     /// The file descriptors that the process may have.
-    #[serde(default = "descriptors")]
+    #[serde(default = "default_descriptors")]
     pub descriptors: usize,
     /// What the operator promises and demands.
     #[serde(default)]
@@ -89,10 +89,10 @@
     ///
     /// ```
     /// let bounds = verbenaspool::direct::settings::Bounds::default();
-    /// assert_eq!(bounds.retries().window.as_secs(), 10);
+    /// assert_eq!(bounds.retry_limits().window.as_secs(), 10);
     /// ```
     #[must_use]
-    pub fn retries(&self) -> retry_budget::RetryLimits {
+    pub fn retry_limits(&self) -> retry_budget::RetryLimits {
         retry_budget::RetryLimits {
             ratio: self.retry_ratio,
             window: Duration::from_secs_f64(self.retry_window_s.max(0.1)),
@@ -113,10 +113,10 @@
 
 impl Default for Quarantine {
     fn default() -> Self {
-        let bound = quarantine::Limits::default();
+        let limits = quarantine::Limits::default();
         Self {
-            crashes: bound.crash_threshold,
-            duration_s: u32::try_from(bound.duration.as_secs()).unwrap_or(u32::MAX),
+            crashes: limits.crash_threshold,
+            duration_s: u32::try_from(limits.duration.as_secs()).unwrap_or(u32::MAX),
         }
     }
 }
@@ -126,10 +126,10 @@
     ///
     /// ```
     /// let quarantine = verbenaspool::direct::settings::Quarantine::default();
-    /// assert_eq!(quarantine.bound().crash_threshold, 2);
+    /// assert_eq!(quarantine.limits().crash_threshold, 2);
     /// ```
     #[must_use]
-    pub fn bound(&self) -> quarantine::Limits {
+    pub fn limits(&self) -> quarantine::Limits {
         quarantine::Limits {
             crash_threshold: self.crashes,
             duration: Duration::from_secs(self.duration_s.into()),
@@ -138,6 +138,6 @@
 }
 
 /// The descriptors of a usual process.
-fn descriptors() -> usize {
+fn default_descriptors() -> usize {
     1_024
 }
--- a/verbenaspool/src/direct/standing.rs
+++ b/verbenaspool/src/direct/standing.rs
@@ -72,11 +72,11 @@
         Standing {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            ready: self.ready(),
+            ready: self.is_ready(),
             leaving: self.leaving.get(),
-            version: self.version(),
-            revision: self.revision(),
-            entries: self.peers.borrow().entries(now),
+            version: self.table_version(),
+            revision: self.registry_revision(),
+            entries: self.peers.borrow().live_entries(now),
             quarantined: self.quarantine.borrow().quarantined(now).count(),
             services,
         }
@@ -84,7 +84,7 @@
 }
 
 /// Answers operators' calls.
-pub fn methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
+pub fn register_methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
     let gateway = gateway.clone();
     module.on(STANDING_METHOD, move |(): ()| {
         let standing = gateway.standing();
--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -33,24 +33,24 @@
 
 impl Gateway {
     /// Takes over the configuration's object as the store holds it, with its status.
-    pub fn observe_status(&self, object: &Object) {
-        let before = self.stored.replace(Some(object.clone()));
-        let same = before.is_some_and(|before| before.status == object.status);
+    pub fn observe_configuration(&self, object: &Object) {
+        let previous = self.stored_configuration.replace(Some(object.clone()));
+        let same = previous.is_some_and(|previous| previous.status == object.status);
         if !same {
-            self.learn_status(&object.status);
+            self.apply_quarantine(&object.status);
         }
         self.unsaved.notify_one();
     }
 
     /// Rejects what a status says.
-    pub fn learn_status(&self, status: &str) {
-        let (now, unix) = (self.clock.now(), unix_time());
+    pub fn apply_quarantine(&self, status: &str) {
+        let (now, unix_now) = (self.clock.now(), unix_time());
         for entry in quarantine::decode(status) {
-            let age = unix.saturating_sub(Duration::from_millis(entry.since_ms));
-            let left = Duration::from_millis(entry.until_ms).saturating_sub(unix);
+            let age = unix_now.saturating_sub(Duration::from_millis(entry.since_ms));
+            let remaining = Duration::from_millis(entry.until_ms).saturating_sub(unix_now);
             let term = Term {
                 since: now.saturating_sub(age),
-                until: now + left,
+                until: now + remaining,
             };
             self.hold(entry.request, term);
         }
@@ -58,34 +58,37 @@
 
     /// The object that the table in force was read from, with the newest status known.
     pub fn configuration(&self) -> Option<Object> {
-        let mut object = self.source.borrow().clone()?;
-        if let Some(stored) = &*self.stored.borrow() {
+        let mut object = self.table_source.borrow().clone()?;
+        if let Some(stored) = &*self.stored_configuration.borrow() {
             object.status.clone_from(&stored.status);
         }
         Some(object)
     }
 
     /// The configuration's object and the status that it should have, if that is another one.
-    fn wanted_status(&self) -> Option<(Object, String)> {
-        let object = self.stored.borrow().clone()?;
-        let (now, unix) = (self.clock.now(), unix_time());
+    fn changed_status(&self) -> Option<(Object, String)> {
+        let object = self.stored_configuration.borrow().clone()?;
+        let (now, unix_now) = (self.clock.now(), unix_time());
         let rejected = self.quarantine.borrow();
         let wanted: Vec<(Fingerprint, Term)> = rejected.quarantined(now).collect();
         let stored = quarantine::decode(&object.status);
-        let held: HashSet<Fingerprint> = stored.iter().map(|entry| entry.request).collect();
-        let lacks = wanted.iter().any(|(request, _)| !held.contains(request));
+        let stored_requests: HashSet<Fingerprint> =
+            stored.iter().map(|entry| entry.request).collect();
+        let has_new = wanted
+            .iter()
+            .any(|(request, _)| !stored_requests.contains(request));
         // What succeeded since is taken out; what is over goes with the next write.
         let cleared = |entry: &Entry| {
-            let over = entry.until_ms <= ms(unix);
-            !over && !wanted.iter().any(|(request, _)| *request == entry.request)
+            let expired = entry.until_ms <= millis(unix_now);
+            !expired && !wanted.iter().any(|(request, _)| *request == entry.request)
         };
-        if !lacks && !stored.iter().any(cleared) {
+        if !has_new && !stored.iter().any(cleared) {
             return None;
         }
         let entries = wanted.into_iter().map(|(request, term)| Entry {
             request,
-            since_ms: ms(unix.saturating_sub(now.saturating_sub(term.since))),
-            until_ms: ms(unix + term.until.saturating_sub(now)),
+            since_ms: millis(unix_now.saturating_sub(now.saturating_sub(term.since))),
+            until_ms: millis(unix_now + term.until.saturating_sub(now)),
         });
         let mut entries: Vec<Entry> = entries.collect();
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.since_ms));
@@ -96,7 +99,7 @@
 
     /// Writes the status, if it should be another one; tells whether all is well.
     async fn save_status(&self) -> bool {
-        let Some((object, status)) = self.wanted_status() else {
+        let Some((object, status)) = self.changed_status() else {
             return true;
         };
         let (kind, name) = (configuration::KIND, configuration::NAME);
@@ -104,12 +107,12 @@
         match self.store.set_status(kind, name, revision, &status).await {
             Ok(Written::Done(object)) => {
                 info!(self.log, "quarantine saved"; "revision" => object.revision);
-                self.observe_status(&object);
+                self.observe_configuration(&object);
                 true
             }
             // Somebody wrote first; what it lacks is written on top of that.
             Ok(Written::Conflict(object)) => {
-                self.observe_status(&object);
+                self.observe_configuration(&object);
                 false
             }
             Err(why) => {
@@ -122,21 +125,21 @@
 
 /// Writes the quarantine to the store where that lacks it, for as long as the process runs.
 pub async fn save_changes(gateway: Rc<Gateway>) {
-    let mut pause = RETRY_INTERVALS[0];
+    let mut retry_interval = RETRY_INTERVALS[0];
     loop {
         gateway.unsaved.notified().await;
-        if gateway.wanted_status().is_none() {
+        if gateway.changed_status().is_none() {
             continue;
         }
-        let entries = gateway.sharers(gateway.clock.now());
+        let entries = gateway.sharing_entries(gateway.clock.now());
         let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-        let longest = WRITE_DELAY_PER_ENTRY.saturating_mul(entries);
-        gateway.clock.sleep(longest.mul_f32(rand::random())).await;
+        let max_delay = WRITE_DELAY_PER_ENTRY.saturating_mul(entries);
+        gateway.clock.sleep(max_delay.mul_f32(rand::random())).await;
         if gateway.save_status().await {
-            pause = RETRY_INTERVALS[0];
+            retry_interval = RETRY_INTERVALS[0];
         } else {
-            gateway.clock.sleep(pause).await;
-            pause = (pause * 2).min(RETRY_INTERVALS[1]);
+            gateway.clock.sleep(retry_interval).await;
+            retry_interval = (retry_interval * 2).min(RETRY_INTERVALS[1]);
             gateway.unsaved.notify_one();
         }
     }
@@ -145,11 +148,11 @@
 /// The time of day. Entries' clocks differ by little against the time that requests are
 /// rejected for.
 fn unix_time() -> Duration {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default()
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default()
 }
 
 /// A time in whole milliseconds.
-fn ms(time: Duration) -> u64 {
+fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
