--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State shared by all requests of an entry.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,48 +28,45 @@
     settings::Settings,
 };
 
-/// How long a new connection to an upstream may take. The way there and back
-/// takes a few milliseconds; an upstream that is cut off never answers, and a
-/// full queue of connections is served again seconds later only.
+/// Timeout for new connections to upstreams. A round trip takes a few milliseconds. A
+/// partitioned upstream never answers, and one whose accept queue is full answers only
+/// seconds later.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a connection to an upstream is kept that carries no request, where
-/// the upstream doesn't state its own bound: those below a second aren't stated.
+/// How long an idle connection to an upstream is kept if the upstream doesn't state its
+/// keep-alive timeout. Timeouts below a second aren't stated.
 const KEEP_ALIVE_TIME: Duration = Duration::from_millis(400);
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 pub struct Gateway {
-    /// The settings.
     pub settings: RefCell<Settings>,
-    /// The source of time.
     pub clock: Rc<dyn Clock>,
-    /// The log.
     pub log: Logger,
-    /// The metrics.
     pub metrics: metrics::Registry,
-    /// Connections to upstreams.
+    /// HTTP client for upstreams.
     pub client: Client,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: store::Client,
-    /// Calls to other entries.
+    /// RPC client for other entries.
     pub rpc: rpc::Client,
     /// The other entries.
     pub peers: RefCell<Peers>,
-    /// Slots that agents are asked for.
+    /// Pending reservations of slots at upstreams' agents.
     pub reservations: Reservations,
-    /// Requests that upstreams crash under.
+    /// Requests suspected of crashing upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// Wakes the task that reports those to peers.
+    /// Wakes the task that reports suspected requests to peers.
     pub suspected: Notify,
-    /// The configuration's object as the store held it last.
+    /// The configuration's object as last read from the store.
     pub stored_configuration: RefCell<Option<Object>>,
     /// Wakes the task that writes the quarantine to the store.
     pub unsaved: Notify,
-    /// Whether the process is about to stop.
+    /// Whether the process is shutting down. It fails readiness checks but still accepts
+    /// requests.
     pub leaving: Cell<bool>,
-    /// Whether it takes no request any more.
+    /// Whether new requests are rejected.
     pub closed: Cell<bool>,
-    /// The object that the table was read from, for peers.
+    /// The object from which the table was decoded. Peers fetch it.
     pub table_source: RefCell<Option<Object>>,
     table: RefCell<Option<Rc<Table>>>,
     registry: RefCell<Registry>,
@@ -78,7 +75,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without a routing table and upstreams.
     pub fn new(
         settings: Settings,
         clock: Rc<dyn Clock>,
@@ -110,12 +107,12 @@
         })
     }
 
-    /// The routing table in force.
+    /// The active routing table.
     pub fn table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// The version of the table in force; 0 without one.
+    /// The version of the active routing table, or 0 if there is none.
     pub fn table_version(&self) -> u64 {
         self.table
             .borrow()
@@ -123,12 +120,12 @@
             .map_or(0, |table| table.version)
     }
 
-    /// The revision of the registry.
+    /// The store revision of the registry.
     pub fn registry_revision(&self) -> u64 {
         self.registry.borrow().revision
     }
 
-    /// The registry's objects, for peers.
+    /// The revision of the registry and its objects, as sent to peers.
     pub fn registry_objects(&self) -> (u64, Vec<Object>) {
         let registry = self.registry.borrow();
         (
@@ -137,17 +134,18 @@
         )
     }
 
-    /// Whether requests may come: the process knows where they go.
+    /// Whether the entry is ready for requests: it has a routing table and a registry, and
+    /// isn't shutting down.
     pub fn is_ready(&self) -> bool {
         !self.leaving.get() && self.registry_loaded.get() && self.table.borrow().is_some()
     }
 
-    /// Puts a configuration in force, if it is newer than what is.
+    /// Activates a configuration if it is newer than the active one.
     pub fn apply_configuration(&self, object: &Object, from: &str) {
         let table = match configuration::decode(&object.specification) {
             Ok(table) => table,
             Err(why) => {
-                warn!(self.log, "Entry: A configuration can't be read; the one in force stays.";
+                warn!(self.log, "invalid configuration; keeping the active one";
                     "revision" => object.revision, "from" => from, "reason" => why.to_string());
                 return;
             }
@@ -156,7 +154,7 @@
         if table.version <= previous && self.table.borrow().is_some() {
             return;
         }
-        info!(self.log, "Entry: A configuration is in force.";
+        info!(self.log, "configuration activated";
             "version" => table.version, "before" => previous, "from" => from, "routes" => table.len());
         let table = Rc::new(table);
         self.table.replace(Some(table.clone()));
@@ -168,7 +166,9 @@
         self.distribute_upstreams();
     }
 
-    /// Takes over the registry of upstreams.
+    /// Replaces the registry of upstreams, unless the given revision is older.
+    ///
+    /// Upstreams that are missing from `objects` are kept until `retain_missing_until`.
     pub fn update_registry(
         &self,
         retain_missing_until: Duration,
@@ -188,23 +188,23 @@
         };
         self.registry_loaded.set(true);
         if changed {
-            info!(self.log, "Entry: The list of upstreams changed.";
+            info!(self.log, "registry of upstreams changed";
                 "revision" => revision, "from" => from, "upstreams" => self.registry.borrow().len());
             self.distribute_upstreams();
         }
     }
 
-    /// Drops upstreams that were missing for too long.
+    /// Removes upstreams that have been missing from the registry for too long.
     pub fn expire_upstreams(&self) {
         let now = self.clock.now();
         if self.registry.borrow_mut().remove_expired(now) {
-            info!(self.log, "Entry: Upstreams that were missing are gone.";
+            info!(self.log, "missing upstreams removed";
                 "upstreams" => self.registry.borrow().len());
             self.distribute_upstreams();
         }
     }
 
-    /// Tells each service's queue its upstreams.
+    /// Passes each service's upstreams to its queue.
     fn distribute_upstreams(&self) {
         let registry = self.registry.borrow();
         let mut services: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
@@ -223,7 +223,8 @@
         }
     }
 
-    /// The upstreams that are ranks of groups, and whether each is in this entry's zone.
+    /// Addresses of the upstreams that are ranks of groups, and whether each is in this
+    /// entry's zone.
     pub fn group_ranks(&self) -> Vec<(SocketAddr, bool)> {
         let Some(table) = self.table() else {
             return Vec::new();
@@ -241,8 +242,8 @@
             .collect()
     }
 
-    /// What the agent on an instance needs to know of its upstream's service; none where
-    /// no upstream of a group runs there.
+    /// What the agent on an instance needs to know about its upstream's service, or `None`
+    /// if no rank of a group runs on the instance.
     pub fn members_for_agent(&self, instance: IpAddr) -> Option<Members> {
         let table = self.table()?;
         let registry = self.registry.borrow();
@@ -263,7 +264,7 @@
         })
     }
 
-    /// Takes in how a rank stands, as its agent says.
+    /// Records the status of a rank, as reported by its agent.
     pub fn record_status(&self, status: &Status) {
         let registry = self.registry.borrow();
         let upstream = registry.iter().find(|r| r.address == status.upstream);
@@ -279,12 +280,12 @@
             dispatcher.record_status(now, &upstream.id, group, open, pace)
         });
         if changed {
-            info!(self.log, "Entry: A rank's group changed.";
+            info!(self.log, "status of a rank's group changed";
                 "upstream" => &*upstream.id, "open" => status.open);
         }
     }
 
-    /// The queue of a service.
+    /// Returns the queue of a service, creating it if necessary.
     pub fn queue(&self, service: &Rc<str>) -> Rc<ServiceQueue> {
         let mut queues = self.queues.borrow_mut();
         let new = || {
@@ -296,12 +297,12 @@
         queues.entry(service.clone()).or_insert_with(new).clone()
     }
 
-    /// All queues.
+    /// The queues of all services.
     pub fn queues(&self) -> Vec<Rc<ServiceQueue>> {
         self.queues.borrow().values().cloned().collect()
     }
 
-    /// The upstream of this identity.
+    /// The registered upstream with this id.
     pub fn replica(&self, id: &str) -> Option<Rc<Replica>> {
         self.registry.borrow().get(id).cloned()
     }
--- a/verbenaspool/src/direct/mod.rs
+++ b/verbenaspool/src/direct/mod.rs
@@ -1,9 +1,8 @@
-//! The direct path: the entry sends requests straight to upstreams.
+//! The direct path: the entry sends requests to upstreams without a proxying agent.
 //!
-//! Upstreams here say by themselves whether a request ran, and refuse what was
-//! meant for another, so no agent stands between. The routing table and the
-//! registry of upstreams come from the platform's store, or from a peer while
-//! the store is out of reach.
+//! These upstreams report by themselves whether a request ran, and reject requests that
+//! were meant for another upstream. The routing table and the registry of upstreams come
+//! from the platform's store, or from a peer while the store is unreachable.
 
 mod answer;
 mod attempt;
--- a/verbenaspool/src/direct/readiness.rs
+++ b/verbenaspool/src/direct/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics.
+//! HTTP endpoints for readiness checks and metrics.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -11,7 +11,7 @@
 
 use super::gateway::Gateway;
 
-/// Answers whether callers may come.
+/// Answers readiness checks.
 pub struct Readiness(pub Rc<Gateway>);
 
 impl Handler for Readiness {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Tells the metrics.
+/// Serves the metrics in text format.
 pub struct Metrics(pub Rc<Gateway>);
 
 impl Handler for Metrics {
@@ -36,7 +36,7 @@
     }
 }
 
-/// An answer of plain text.
+/// A response with a text body.
 fn plain(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::full(text));
     *response.status_mut() = status;
--- a/verbenaspool/src/direct/registry.rs
+++ b/verbenaspool/src/direct/registry.rs
@@ -1,31 +1,31 @@
-//! The registry of upstreams, as this entry works with it.
+//! The registry of upstreams, as used by this entry.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use verbenaspool_platform::{registry, store::Object};
 use verbenaspool_state::replica::Replica;
 
-/// How long entries that are missing are kept behind an outage of the store.
-/// They lapse while upstreams can't reach it, and those that live are back
-/// within about two seconds; those that aren't by then are gone.
+/// How long upstreams that are missing from the registry are kept after an outage of the
+/// store. Registrations expire while upstreams can't renew them. Running upstreams register
+/// again within about 2 s; those that are still missing then have stopped.
 const REREGISTRATION_TIME: Duration = Duration::from_secs(2);
 
-/// The upstreams, and the objects that they were read from.
+/// The upstreams, and the objects from which they were decoded.
 #[derive(Debug, Default)]
 pub struct Registry {
-    /// The store's revision.
+    /// The store revision of the objects.
     pub revision: u64,
-    /// The objects as the store holds them, for peers.
+    /// The objects as stored, by name. Peers fetch them.
     pub objects: BTreeMap<String, Object>,
-    /// The upstreams by identity.
+    /// The upstreams by id.
     replicas: BTreeMap<Rc<str>, Rc<Replica>>,
-    /// Upstreams that are missing, and until when they are kept nevertheless.
+    /// Upstreams that are missing from the objects, and the time until which they are kept.
     missing: BTreeMap<Rc<str>, Duration>,
 }
 
 impl Registry {
-    /// Takes a newer state over. `settled` is when the store was back for long
-    /// enough that what is missing is gone.
+    /// Replaces the objects. Upstreams that are missing from them are kept until
+    /// `retain_missing_until`.
     pub fn update(
         &mut self,
         now: Duration,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Drops those that were missing for too long; tells whether there were any.
+    /// Removes upstreams whose time to register again is over. Returns whether there were
+    /// any.
     pub fn remove_expired(&mut self, now: Duration) -> bool {
         let before = self.replicas.len();
         let missing = &mut self.missing;
@@ -81,7 +82,7 @@
         replicas.len() != before
     }
 
-    /// The upstream of this identity.
+    /// The upstream with this id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Rc<Replica>> {
         self.replicas.get(id)
@@ -92,14 +93,15 @@
         self.replicas.values()
     }
 
-    /// How many upstreams there are.
+    /// Number of upstreams.
     #[must_use]
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 }
 
-/// When missing entries count as gone, for a store that is back since a moment.
+/// Until when missing upstreams are kept if the store has been available since the given
+/// time.
 #[must_use]
 pub fn missing_deadline(available_since: Duration) -> Duration {
     available_since + REREGISTRATION_TIME
