--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry on the direct path.
+//! Settings of an entry on the direct path.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -9,44 +9,44 @@
 use verbenaspool_policy::{dispatch::retry_budget, quarantine};
 use verbenaspool_transport::log;
 
-/// The settings of one entry. What they don't name is ignored: they are written
-/// by the platform, which may add fields.
+/// Settings of one entry. Unknown fields are ignored: the platform writes the settings and
+/// may add fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How requests reach upstreams; tells these settings from others.
+    /// How requests reach upstreams. Distinguishes these settings from those of other entries.
     pub path: Path,
     /// The entry's name.
     pub name: String,
-    /// The availability zone it stands in.
+    /// The availability zone of the entry.
     pub zone: String,
-    /// The address of its instance.
+    /// The address of the entry's instance.
     pub address: IpAddr,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address for readiness checks.
     pub readiness: SocketAddr,
-    /// Where other entries and operators connect.
+    /// Address for RPC calls of other entries and operators.
     pub control: SocketAddr,
-    /// Where metrics are told.
+    /// Address at which metrics are served, if any.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The UDP port on which entries hear each other, the same everywhere.
+    /// The UDP port for messages between entries and agents, the same on all instances.
     pub peer_port: u16,
-    /// Control addresses of some other entries.
+    /// Control addresses of some entries, from which the others are discovered.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// The file descriptors that the process may have.
+    /// Number of file descriptors available to the process.
     #[serde(default = "default_descriptors")]
     pub descriptors: usize,
-    /// What the operator promises and demands.
+    /// Limits on shutdown and retries.
     #[serde(default)]
     pub bounds: Bounds,
-    /// When requests are rejected that upstreams crash under.
+    /// When requests that crash upstreams are rejected.
     #[serde(default)]
     pub quarantine: Quarantine,
-    /// What is logged, and how.
+    /// Settings of the log.
     #[serde(default)]
     pub log: log::Settings,
 }
@@ -55,21 +55,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Path {
-    /// Straight from the entry.
+    /// The entry sends them to the upstream without an agent in between.
     Direct,
 }
 
-/// What the operator promises and demands.
+/// Limits on shutdown and retries, set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// How long a stopping process may go on before it is killed, in seconds.
+    /// How long a process may take to stop before it is killed, in seconds.
     pub grace_s: f64,
-    /// The part of requests that may be sent to a second upstream.
+    /// The share of requests that may be retried at another upstream.
     pub retry_ratio: f64,
-    /// The window in which they are counted, in seconds.
+    /// The window in which requests and retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// What may be sent beyond that in a window, by all entries together.
+    /// Number of retries allowed in addition per window, by all entries together.
     pub retry_slack: f64,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl Bounds {
-    /// The bound on repeats.
+    /// The limits of the retry budget.
     ///
     /// ```
     /// let bounds = verbenaspool::direct::settings::Bounds::default();
@@ -101,13 +101,13 @@
     }
 }
 
-/// When requests are rejected that upstreams crash under.
+/// When requests that crash upstreams are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Quarantine {
-    /// Crashes after which a request is rejected; 0 turns this off.
+    /// Number of crashes after which a request is rejected. 0 disables the quarantine.
     pub crashes: usize,
-    /// How long it is rejected, in seconds.
+    /// How long the request is rejected, in seconds.
     pub duration_s: u32,
 }
 
@@ -122,7 +122,7 @@
 }
 
 impl Quarantine {
-    /// The bound on crashes.
+    /// The limits of the quarantine.
     ///
     /// ```
     /// let quarantine = verbenaspool::direct::settings::Quarantine::default();
@@ -137,7 +137,7 @@
     }
 }
 
-/// The descriptors of a usual process.
+/// The usual limit of a process.
 fn default_descriptors() -> usize {
     1_024
 }
--- a/verbenaspool/src/direct/standing.rs
+++ b/verbenaspool/src/direct/standing.rs
@@ -1,4 +1,4 @@
-//! How an entry stands, for operators.
+//! Status of an entry, as shown to operators.
 
 use std::rc::Rc;
 
@@ -7,52 +7,54 @@
 
 use super::gateway::Gateway;
 
-/// The RPC method that tells it.
+/// The RPC method that returns the [`Standing`].
 pub const STANDING_METHOD: &str = "standing";
 
-/// How an entry stands.
+/// Status of an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Standing {
     /// The entry's name.
     pub name: String,
-    /// Its zone.
+    /// The entry's availability zone.
     pub zone: String,
-    /// Whether it takes callers.
+    /// Whether it answers readiness checks with success.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// The version of the configuration in force.
+    /// The version of the active configuration.
     pub version: u64,
-    /// The revision of the registry that it works with.
+    /// The revision of its registry of upstreams.
     pub revision: u64,
-    /// How many entries it hears, itself included.
+    /// Number of live entries as seen by this one, including itself.
     pub entries: usize,
-    /// Requests that it rejects because upstreams crashed under them.
+    /// Number of quarantined requests, which are rejected because upstreams crashed while
+    /// processing them.
     #[serde(default)]
     pub quarantined: usize,
-    /// Its services.
+    /// Services by name.
     pub services: Vec<Service>,
 }
 
-/// How a service stands at an entry.
+/// Status of a service at an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: String,
-    /// Upstreams that take requests.
+    /// Number of available upstreams.
     pub upstreams: u32,
-    /// Those of them that nothing is sent to for now.
+    /// Number of available upstreams that are ejected: they get no requests for now, because
+    /// they failed.
     pub shunned: u32,
-    /// Requests in flight, of all entries as far as known.
+    /// Requests in flight from all entries, as far as known.
     pub busy: u32,
-    /// Requests that wait here.
+    /// Requests queued at this entry.
     pub waiting: usize,
-    /// How much longer passes take than on even ranks.
+    /// Measured pass time as a multiple of the time with evenly loaded ranks.
     pub pace: f64,
 }
 
 impl Gateway {
-    /// How this entry stands.
+    /// The status of this entry.
     fn standing(&self) -> Standing {
         let now = self.clock.now();
         let services = self.queues().into_iter().map(|queue| {
@@ -83,7 +85,7 @@
     }
 }
 
-/// Answers operators' calls.
+/// Registers the RPC method for operators.
 pub fn register_methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
     let gateway = gateway.clone();
     module.on(STANDING_METHOD, move |(): ()| {
--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -1,8 +1,9 @@
-//! The quarantine in the platform's store, where it outlasts all entries.
+//! The quarantine in the platform's store, where it survives restarts of all entries.
 //!
-//! It is the status of the configuration, which entries watch anyway: each learns of a
-//! change within milliseconds, also where no peer can be reached. What the store lacks is
-//! written by whichever entry knows it, again and again until it is there.
+//! It is stored as the status of the configuration object, which entries watch anyway. So
+//! each entry gets changes within milliseconds, even if it can't reach any peer. Any entry
+//! that knows of a quarantined request missing from the store writes it, and retries until
+//! the write succeeds.
 
 use std::{
     collections::HashSet,
@@ -21,18 +22,19 @@
 
 use super::gateway::Gateway;
 
-/// The most requests that the status holds; those that began last.
+/// Maximum number of requests in the status. The most recently quarantined ones are kept.
 const MAX_ENTRIES: usize = 1_000;
 
-/// What each entry adds to the longest wait before a write: entries learn the same at once,
-/// and one of them is enough.
+/// Each entry adds this to the maximum of the random delay before a write. All entries learn
+/// of a quarantined request at the same time, and a single write is enough.
 const WRITE_DELAY_PER_ENTRY: Duration = Duration::from_millis(20);
 
-/// The pause after a write that failed, at first and at most.
+/// The first and the maximum delay after a failed write.
 const RETRY_INTERVALS: [Duration; 2] = [Duration::from_millis(250), Duration::from_secs(5)];
 
 impl Gateway {
-    /// Takes over the configuration's object as the store holds it, with its status.
+    /// Records the configuration's object as read from the store, and applies its status if
+    /// that changed.
     pub fn observe_configuration(&self, object: &Object) {
         let previous = self.stored_configuration.replace(Some(object.clone()));
         let same = previous.is_some_and(|previous| previous.status == object.status);
@@ -42,7 +44,7 @@
         self.unsaved.notify_one();
     }
 
-    /// Rejects what a status says.
+    /// Quarantines the requests that are listed in a status.
     pub fn apply_quarantine(&self, status: &str) {
         let (now, unix_now) = (self.clock.now(), unix_time());
         for entry in quarantine::decode(status) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The object that the table in force was read from, with the newest status known.
+    /// The object of the active configuration, with the newest known status.
     pub fn configuration(&self) -> Option<Object> {
         let mut object = self.table_source.borrow().clone()?;
         if let Some(stored) = &*self.stored_configuration.borrow() {
@@ -65,7 +67,7 @@
         Some(object)
     }
 
-    /// The configuration's object and the status that it should have, if that is another one.
+    /// The configuration's object and the status to write, if it differs from the stored one.
     fn changed_status(&self) -> Option<(Object, String)> {
         let object = self.stored_configuration.borrow().clone()?;
         let (now, unix_now) = (self.clock.now(), unix_time());
@@ -77,7 +79,8 @@
         let has_new = wanted
             .iter()
             .any(|(request, _)| !stored_requests.contains(request));
-        // What succeeded since is taken out; what is over goes with the next write.
+        // Requests that have succeeded since are removed now; expired entries are removed by
+        // the next write.
         let cleared = |entry: &Entry| {
             let expired = entry.until_ms <= millis(unix_now);
             !expired && !wanted.iter().any(|(request, _)| *request == entry.request)
@@ -97,7 +100,7 @@
         Some((object, status))
     }
 
-    /// Writes the status, if it should be another one; tells whether all is well.
+    /// Writes the status to the store if it changed. Returns whether the store is up to date.
     async fn save_status(&self) -> bool {
         let Some((object, status)) = self.changed_status() else {
             return true;
@@ -110,7 +113,7 @@
                 self.observe_configuration(&object);
                 true
             }
-            // Somebody wrote first; what it lacks is written on top of that.
+            // Another entry wrote first. The caller retries on top of its status.
             Ok(Written::Conflict(object)) => {
                 self.observe_configuration(&object);
                 false
@@ -123,7 +126,7 @@
     }
 }
 
-/// Writes the quarantine to the store where that lacks it, for as long as the process runs.
+/// Writes changes of the quarantine to the store, for as long as the process runs.
 pub async fn save_changes(gateway: Rc<Gateway>) {
     let mut retry_interval = RETRY_INTERVALS[0];
     loop {
@@ -145,14 +148,13 @@
     }
 }
 
-/// The time of day. Entries' clocks differ by little against the time that requests are
-/// rejected for.
+/// The system time. Entries' clocks differ by much less than the duration of a quarantine.
 fn unix_time() -> Duration {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.unwrap_or_default()
 }
 
-/// A time in whole milliseconds.
+/// A duration in whole milliseconds.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
