--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -1,4 +1,4 @@
-//! The entry on the direct path as a process.
+//! The process of an entry on the direct path.
 
 use std::{
     net::SocketAddr,
@@ -30,31 +30,32 @@
 };
 use crate::run::{Drained, Error};
 
-/// How long a call to the store may take, save for a watch's wait. It answers in
-/// milliseconds; a slow one takes some hundred.
+/// Timeout of calls to the store, not counting the wait of a watch. The store answers within
+/// milliseconds, or some hundred milliseconds if it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often waiting requests are looked after and signals are heard.
+/// How often queued requests are processed and signals are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A tick that comes this late shows that the process stood still: its watches
-/// may be dead and what it knows may be old.
+/// A longer interval between ticks shows that the process was suspended. Its watches may be
+/// dead and its state outdated.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(700);
 
-/// How long a stopping entry still takes new requests: the platform asks for
-/// readiness once a second and believes the second answer.
+/// How long an entry still accepts new requests after it stops being ready. The platform
+/// checks readiness once a second and acts on the second failure.
 const READINESS_LINGER: Duration = Duration::from_millis(2_700);
 
-/// What is kept of the time for stopping, for the process's own end.
+/// The part of the grace period that is reserved for the exit of the process itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
 
-/// Descriptors that aren't for callers: upstreams, peers, the store and files.
+/// File descriptors reserved for upstreams, peers, the store and files. The others are for
+/// callers.
 const RESERVED_DESCRIPTORS: usize = 600;
 
 /// Runs the entry until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The settings can't be taken, or an address can't be listened at.
+/// The settings are invalid, or an address can't be bound.
 pub fn main(path: &Path) -> Result<Drained, Error> {
     let settings: Settings = settings::load(path)?;
     let (log, _guard) = log::guarded(settings.log);
@@ -63,13 +64,13 @@
     runtime::run(serve(settings, path, log, signals))?
 }
 
-/// Opens an address that no other process has.
+/// Binds a listener to an address, which must not be used by another process.
 fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options).map_err(|why| Error::Listen { address, why })
 }
 
-/// Serves one handler on a listener of its own.
+/// Spawns a server for one handler.
 fn spawn_server(listener: TcpListener, handler: Rc<dyn Handler>, finished: Signal) {
     let limits = Limits {
         connections: 64,
@@ -84,10 +85,10 @@
     ));
 }
 
-/// Runs the entry until it is told to stop, then drains.
+/// Runs the entry until a stop signal, then drains it.
 ///
 /// # Errors
-/// An address can't be listened at.
+/// An address can't be bound.
 pub async fn serve(
     settings: Settings,
     path: PathBuf,
@@ -99,7 +100,7 @@
     let readiness = listen(settings.readiness)?;
     let control = listen(settings.control)?;
     let metrics = settings.metrics.map(listen).transpose()?;
-    info!(log, "Entry: Started."; "name" => &settings.name, "zone" => &settings.zone,
+    info!(log, "entry started"; "name" => &settings.name, "zone" => &settings.zone,
         "listen" => settings.listen.to_string());
     let limits = Limits {
         connections: settings
@@ -145,7 +146,7 @@
     run_until_stopped(&gateway, &path, &signals, &relist).await;
     let grace = Duration::from_secs_f64(gateway.settings.borrow().bounds.grace_s.max(1.0));
     let drain_deadline = clock.now() + grace.saturating_sub(SHUTDOWN_RESERVE);
-    info!(log, "Entry: Draining."; "connections" => open.count());
+    info!(log, "draining"; "connections" => open.count());
     gateway.leaving.set(true);
     open.close();
     let linger = READINESS_LINGER.min(grace / 2);
@@ -161,15 +162,15 @@
         () = process_queues_until(&gateway, clock.now() + remaining) => Drained { cut: open.count() },
     };
     if drained.cut > 0 {
-        warn!(log, "Entry: The end of the time for stopping cuts requests off."; "connections" => drained.cut);
+        warn!(log, "grace period over; closing connections with open requests"; "connections" => drained.cut);
     }
     finish.fire();
-    info!(log, "Entry: Stopped."; "cut" => drained.cut);
+    info!(log, "entry stopped"; "cut" => drained.cut);
     Ok(drained)
 }
 
-/// Bounds on callers. Idle connections are closed by the same bound as slow
-/// heads: callers reuse connections for up to four fifths of it.
+/// Limits on callers' connections. The timeout for request heads also closes idle
+/// connections. Callers reuse connections for up to four fifths of it.
 fn caller_limits() -> Limits {
     Limits {
         head: Duration::from_secs(16),
@@ -179,14 +180,14 @@
     }
 }
 
-/// Starts the tasks that keep the entry in touch with its peers.
+/// Spawns the tasks that exchange messages with peers and agents.
 fn start_peer_tasks(gateway: &Rc<Gateway>) {
     match peers::bind(gateway) {
         Ok(socket) => {
             let socket = Rc::new(socket);
             gateway.reservations.open(socket.clone());
-            // Later processes have higher numbers, as far as the time of day
-            // can be trusted; a digest that looks older is ignored for a while.
+            // Restarts increase the incarnation unless the system clock was set back.
+            // Peers ignore digests with a lower incarnation for a short time.
             let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
             let incarnation = elapsed.map_or(0, |elapsed| elapsed.as_secs());
             monoio::spawn(peers::receive_messages(gateway.clone(), socket.clone()));
@@ -200,13 +201,13 @@
             monoio::spawn(peers::catch_up(gateway.clone()));
         }
         Err(why) => {
-            error!(gateway.log, "Entry: Peers can't be heard; each entry is by itself.";
+            error!(gateway.log, "peer socket unavailable; running without peers";
                 "reason" => why.to_string());
         }
     }
 }
 
-/// Looks after waiting requests for a while.
+/// Processes queued requests until a point in time.
 async fn process_queues_until(gateway: &Rc<Gateway>, until: Duration) {
     while gateway.clock.now() < until {
         gateway.clock.sleep(TICK_INTERVAL).await;
@@ -216,7 +217,7 @@
     }
 }
 
-/// Looks after waiting requests and hears the signals to reload and to stop.
+/// Processes queued requests and reload signals until a stop signal.
 async fn run_until_stopped(
     gateway: &Rc<Gateway>,
     path: &Path,
@@ -234,7 +235,7 @@
         gateway.expire_upstreams();
         let now = clock.now();
         if now.saturating_sub(last_tick) > FREEZE_THRESHOLD {
-            warn!(gateway.log, "Entry: The process stood still; reading everything anew.";
+            warn!(gateway.log, "process was suspended; listing all objects";
                 "for_ms" => now.saturating_sub(last_tick).as_secs_f64() * 1e3);
             for relist in relist {
                 relist.notify_one();
@@ -247,15 +248,15 @@
     }
 }
 
-/// Reads the settings anew. Addresses that are listened at stay as they are.
+/// Reloads the settings. Listeners keep their addresses.
 fn reload(gateway: &Gateway, path: &Path) {
     match settings::load::<Settings>(path) {
         Ok(settings) => {
-            info!(gateway.log, "Entry: Settings are read anew."; "seeds" => settings.seeds.len());
+            info!(gateway.log, "settings reloaded"; "seeds" => settings.seeds.len());
             gateway.settings.replace(settings);
         }
         Err(why) => {
-            warn!(gateway.log, "Entry: The settings can't be taken; the old ones stay.";
+            warn!(gateway.log, "invalid settings; keeping the previous ones";
                 "reason" => why.to_string());
         }
     }
