--- a/verbenaspool/src/direct/follow.rs
+++ b/verbenaspool/src/direct/follow.rs
@@ -1,7 +1,8 @@
-//! Following the store: the configuration and the registry of upstreams.
+//! Watches the store for changes of the configuration and the registry of upstreams.
 //!
-//! One long watch each brings changes within milliseconds. A watch that hangs is
-//! found by its timeout, and what it missed meanwhile comes from peers.
+//! Each of the two has a long-polling watch, which returns changes within milliseconds. A
+//! watch on a dead connection is detected by its timeout. Until then the entry gets the
+//! changes from peers.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -15,33 +16,34 @@
 
 use super::{gateway::Gateway, registry};
 
-/// How long a watch waits at an entry by itself. A connection to the store that fell
-/// silent is found within this and a second; each call is paid for, so it isn't
-/// shorter.
+/// How long a watch waits for changes if there are few entries. A dead connection to the
+/// store is detected within a second after it. It isn't shorter because each call to the
+/// store has a cost.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The most that a watch waits, however many entries there are: the store's own bound.
+/// Maximum wait of a watch with any number of entries. This is the limit of the store.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// Entries that watch as if each were by itself.
+/// With up to this number of entries, watches don't wait longer than for a single one.
 const INDEPENDENT_WATCHERS: u32 = 4;
 
-/// The pause behind a change. Changes come in rows, as when all upstreams start at once,
-/// and each watch that brings one is paid for; all of them must be in force within 2 s.
+/// Delay of the next watch after a change. Changes come in bursts, for example when all
+/// upstreams start at the same time, and each watch that returns one has a cost. All
+/// changes must be active within 2 s.
 const BATCH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What each entry adds to the longest pause in a row of changes: each of them is paid
-/// for by every entry.
+/// Each entry adds this to the maximum delay during a burst of changes, because each watch
+/// is repeated by every entry.
 const BATCH_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(10);
 
-/// The longest pause in a row of changes, however many entries there are.
+/// Maximum delay during a burst of changes with any number of entries.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(600);
 
-/// The pause after a call that failed, at first and at most. What the store
-/// refuses must be asked for again within the bound on changes, which is 2 s.
+/// The first and the maximum delay after a failed call. Calls that the store rejects must be
+/// retried within the time limit for changes, which is 2 s.
 const RETRY_INTERVALS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(600)];
 
-/// What is followed.
+/// The kind of objects to watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// The configuration.
@@ -51,7 +53,7 @@
 }
 
 impl Kind {
-    /// The kind of its objects.
+    /// The name of the kind in the store.
     fn object_kind(self) -> &'static str {
         match self {
             Self::Configuration => configuration::KIND,
@@ -60,25 +62,25 @@
     }
 }
 
-/// Follows one kind of objects for as long as the process runs.
+/// Watches one kind of objects and passes changes to the gateway.
 pub struct Follower {
     gateway: Rc<Gateway>,
     kind: Kind,
-    /// Wakes the follower to list everything anew.
+    /// Notified when all objects must be listed again.
     relist: Rc<Notify>,
     objects: BTreeMap<String, Object>,
     revision: u64,
-    /// Since when the store answers without a break; none while it doesn't.
+    /// Since when the store has been answering, or `None` during an outage.
     available_since: Option<Duration>,
-    /// Whether it was away since the process began.
+    /// Whether a call to the store has failed since the process started.
     had_outage: bool,
     retry_interval: Duration,
-    /// The pause after the next change.
+    /// Delay of the next watch after the last change.
     batch_interval: Duration,
 }
 
 impl Follower {
-    /// A follower that has seen nothing.
+    /// Creates a follower that has no objects yet.
     pub fn new(gateway: Rc<Gateway>, kind: Kind, relist: Rc<Notify>) -> Self {
         Self {
             gateway,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Follows.
+    /// Lists and watches objects for as long as the process runs.
     pub async fn run(mut self) {
         loop {
             match self
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Watches until everything must be listed anew.
+    /// Watches for changes until all objects must be listed again.
     async fn watch(&mut self) {
         loop {
             let now = self.gateway.clock.now();
@@ -143,7 +145,7 @@
                     }
                 }
                 Ok(Watched::Forgotten) => {
-                    info!(self.gateway.log, "Entry: The store forgot its history; listing anew.";
+                    info!(self.gateway.log, "store has compacted its history; listing all objects";
                         "kind" => self.kind.object_kind(), "revision" => self.revision);
                     return;
                 }
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Takes changes over.
+    /// Applies changes to the objects and publishes the result.
     fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
@@ -170,7 +172,7 @@
         self.publish();
     }
 
-    /// Tells the gateway how things are.
+    /// Passes the objects to the gateway.
     fn publish(&self) {
         match self.kind {
             Kind::Configuration => {
@@ -183,7 +185,8 @@
                 let available_since = self
                     .available_since
                     .unwrap_or_else(|| self.gateway.clock.now());
-                // Without an outage nothing has lapsed: what is missing is gone.
+                // Without an outage no registration expired wrongly, so missing upstreams
+                // have stopped.
                 let retain_missing_until = if self.had_outage {
                     registry::missing_deadline(available_since)
                 } else {
@@ -199,20 +202,20 @@
         }
     }
 
-    /// The store has answered.
+    /// Records that the store answered a call.
     fn record_success(&mut self) {
         self.retry_interval = RETRY_INTERVALS[0];
         if self.available_since.is_none() {
             self.available_since = Some(self.gateway.clock.now());
-            info!(self.gateway.log, "Entry: The store answers."; "kind" => self.kind.object_kind());
+            info!(self.gateway.log, "store reachable"; "kind" => self.kind.object_kind());
         }
     }
 
-    /// The store has not answered: waits before the next call.
+    /// Records a failed call to the store, and waits before the next one.
     async fn back_off(&mut self, why: &Error) {
         self.had_outage = true;
         if self.available_since.take().is_some() {
-            warn!(self.gateway.log, "Entry: The store doesn't answer; what is known stays in force.";
+            warn!(self.gateway.log, "store unreachable; keeping the known objects";
                 "kind" => self.kind.object_kind(), "reason" => why.to_string());
         }
         let retry_interval = self.retry_interval;
@@ -221,8 +224,8 @@
     }
 }
 
-/// The pause behind a change that a watch waited so long for, before so many entries, if
-/// it was so long after the one before: longer while one change follows the other.
+/// The delay after a change, given the previous delay, how long the watch waited for the
+/// change, and the number of entries. The delay doubles during a burst of changes.
 fn next_batch_interval(previous: Duration, waited: Duration, entries: usize) -> Duration {
     if waited >= previous {
         return BATCH_INTERVAL;
@@ -232,15 +235,17 @@
     (previous * 2).min(max.min(MAX_BATCH_INTERVAL))
 }
 
-/// How long a watch waits before so many entries, this one included; `draw` from 0 to
-/// 1 spreads them.
+/// How long a watch waits for changes, given the number of entries including this one. `draw`
+/// is a random number from 0 to 1.
 ///
-/// Load: each entry renews its watches, so calls to the store grow with the entries.
-/// One that misses a change hears of it from the digests of its peers, so it is enough
-/// that one of them finds silent connections soon: together they renew a watch as often
-/// as a few entries by themselves. Each change ends all watches in one moment, so the
-/// next ones are spread from the shortest wait on, or all connections that fell silent
-/// then would be found together, and late.
+/// Every entry renews its watches, so the calls to the store would grow with the number of
+/// entries. An entry that misses a change learns of it from its peers' digests, so a single
+/// entry that detects a dead connection soon is enough. The wait therefore grows with the
+/// number of entries, and all together renew watches as often as a few entries.
+///
+/// A change ends the watches of all entries at the same time. The next waits are spread,
+/// starting with the shortest. Otherwise connections that die at that moment would all be
+/// detected at the same time, and late.
 fn watch_wait(entries: usize, draw: f32) -> Duration {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
     let [min, usual] = [0.75, 0.875].map(|factor| WATCH_TIMEOUT.mul_f32(factor));
--- a/verbenaspool/src/direct/follow/tests.rs
+++ b/verbenaspool/src/direct/follow/tests.rs
@@ -5,9 +5,10 @@
     watch_wait,
 };
 
-/// With 18 entries calls to the store cost as much as all instances: each renewed its
-/// two watches every 3 s. Together they need no more than a few did; one alone, which
-/// hears from nobody, waits no longer than it did.
+/// Guards against costs that grow with the number of entries: with 18 entries that each renew
+/// two watches every 3 s, calls to the store cost as much as all instances. Many entries
+/// together renew watches as often as a few, and a single entry, which has no peers to learn
+/// from, doesn't wait longer.
 #[test]
 fn watches_of_many_entries_are_renewed_as_often_as_those_of_few() {
     for draw in [0.0, 0.5, 1.0] {
@@ -20,29 +21,29 @@
     assert!(renewals_per_second(16) <= renewals_per_second(4) * 1.01);
 }
 
-/// Entries that start together don't go on renewing their watches together, or a
-/// connection that fell silent right after that would be found by none for long.
+/// Guards against entries that start at the same time and keep renewing their watches at the
+/// same time. No entry would then detect a connection that dies after a renewal for long.
 #[test]
-fn watches_are_spread() {
+fn watch_renewals_are_spread() {
     let (first, last) = (watch_wait(18, 0.0), watch_wait(18, 1.0));
     assert!(last > first + Duration::from_secs(2));
 }
 
-/// A change ends the watches of all entries in one moment, and right behind it every
-/// connection to the store falls silent. Sixty entries that had begun to wait together
-/// found that together, at the end of their waits; one of them should soon.
+/// A change ends the watches of 60 entries at the same time, and directly after it all
+/// connections to the store die. Guards against all entries detecting this only at the end
+/// of the same long wait. One of them must detect it soon.
 #[test]
-fn watches_that_begin_together_do_not_end_together() {
-    let soonest = (0..60_u8)
+fn watches_that_start_together_end_at_different_times() {
+    let shortest = (0..60_u8)
         .map(|number| watch_wait(60, f32::from(number) / 59.0))
         .min();
-    assert!(soonest < Some(WATCH_TIMEOUT));
+    assert!(shortest < Some(WATCH_TIMEOUT));
 }
 
-/// Two hundred upstreams register within 3 s, and sixty entries watch. Each change that
-/// is taken by itself is paid for sixty times; one that comes alone isn't delayed more.
+/// 200 upstreams register within 3 s while 60 entries watch. Guards against a watch per
+/// change, each of which costs 60 calls. A change after a quiet time isn't delayed more.
 #[test]
-fn changes_in_a_row_are_taken_together() {
+fn bursts_of_changes_are_batched() {
     let (mut interval, mut elapsed, mut watches) = (BATCH_INTERVAL, Duration::ZERO, 0);
     while elapsed < Duration::from_secs(3) {
         watches += 1;
@@ -58,6 +59,6 @@
     assert_eq!(
         next_batch_interval(BATCH_INTERVAL, Duration::ZERO, 1),
         BATCH_INTERVAL,
-        "one pays for few"
+        "a single entry makes few calls"
     );
 }
