--- a/verbenaspool_policy/tests/dispatch/relief.rs
+++ b/verbenaspool_policy/tests/dispatch/relief.rs
@@ -12,7 +12,7 @@
     slots: 11,
 };
 
-const BOUND: ChangeLimits = ChangeLimits {
+const LIMITS: ChangeLimits = ChangeLimits {
     max_slots_per_rank: 11,
     max_new_per_layer: 4,
     max_copies_per_rank: 1,
@@ -25,15 +25,15 @@
     let count = usize::from(shape.experts);
     (0..usize::from(shape.layers))
         .map(|layer| {
-            let place = |expert: usize| (expert * 29 + 7 * layer + shift) % count;
+            let popularity_rank = |expert: usize| (expert * 29 + 7 * layer + shift) % count;
             #[allow(clippy::cast_precision_loss)]
-            let load = |expert| 1e4 / (place(expert) as f64 + 1.0).powf(1.6);
+            let load = |expert| 1e4 / (popularity_rank(expert) as f64 + 1.0).powf(1.6);
             (0..count).map(load).collect()
         })
         .collect()
 }
 
-fn layers(shape: Shape) -> Vec<Layer> {
+fn initial_layers(shape: Shape) -> Vec<Layer> {
     let slots = shape.experts.div_ceil(shape.ranks);
     Map::spread(1, Shape { slots, ..shape }).layers
 }
@@ -43,19 +43,19 @@
 /// each and must remove most of the imbalance within a second.
 #[test]
 fn few_copies_remove_most_of_the_imbalance() {
-    let mut layers = layers(SHAPE);
+    let mut layers = initial_layers(SHAPE);
     let loads = loads(SHAPE, 0);
     let before = imbalance(&layers, &loads);
     assert!(before > 2.5, "{before}");
     let mut copies = 0;
     for _ in 0..5 {
-        let Some(relief) = plan_change(&layers, &loads, &[], &BOUND) else {
+        let Some(change) = plan_change(&layers, &loads, &[], &LIMITS) else {
             break;
         };
-        assert!(relief.imbalance_after < relief.imbalance_before);
-        assert!(relief.max_rank_copies <= 1);
-        copies += relief.copies;
-        layers = relief.layers;
+        assert!(change.imbalance_after < change.imbalance_before);
+        assert!(change.max_rank_copies <= 1);
+        copies += change.copies;
+        layers = change.layers;
     }
     let after = imbalance(&layers, &loads);
     assert!(
@@ -69,19 +69,19 @@
 /// with less load is.
 #[test]
 fn ranks_exchange_experts_if_no_slot_is_free() {
-    let held = [Layer {
+    let placement = [Layer {
         ranks: vec![vec![0, 1], vec![2, 3]],
     }];
     let loads = [vec![10.0, 10.0, 1.0, 1.0]];
-    let bound = ChangeLimits {
+    let limits = ChangeLimits {
         max_slots_per_rank: 2,
         max_new_per_layer: 1,
         max_copies_per_rank: 1,
         min_gain_per_copy: 0.01,
     };
-    let relief = plan_change(&held, &loads, &[], &bound).expect("an exchange helps");
-    assert_eq!((relief.copies, relief.max_rank_copies), (2, 1));
-    assert!((relief.imbalance_after - 1.0).abs() < 1e-6, "{relief:?}");
+    let change = plan_change(&placement, &loads, &[], &limits).expect("an exchange helps");
+    assert_eq!((change.copies, change.max_rank_copies), (2, 1));
+    assert!((change.imbalance_after - 1.0).abs() < 1e-6, "{change:?}");
 }
 
 /// A group of 32 ranks has one free slot per rank and layer, and its most popular expert
@@ -95,7 +95,7 @@
         layers: 12,
         slots: 5,
     };
-    let bound = ChangeLimits {
+    let limits = ChangeLimits {
         max_slots_per_rank: 5,
         max_new_per_layer: 2,
         max_copies_per_rank: 2,
@@ -103,18 +103,18 @@
     };
     let loads: Vec<Vec<f64>> = (0..12)
         .map(|layer| {
-            let place = |expert: usize| (expert * 29 + 7 * layer) % 128;
+            let popularity_rank = |expert: usize| (expert * 29 + 7 * layer) % 128;
             #[allow(clippy::cast_precision_loss)]
-            let load = |expert| 1e4 / (place(expert) as f64 + 1.0).powf(0.7);
+            let load = |expert| 1e4 / (popularity_rank(expert) as f64 + 1.0).powf(0.7);
             (0..128).map(load).collect()
         })
         .collect();
-    let mut layers = layers(shape);
+    let mut layers = initial_layers(shape);
     let before = imbalance(&layers, &loads);
     for _ in 0..3 {
-        let relief = plan_change(&layers, &loads, &[], &bound).expect("relief");
-        assert!(relief.max_rank_copies <= 2);
-        layers = relief.layers;
+        let change = plan_change(&layers, &loads, &[], &limits).expect("a change helps");
+        assert!(change.max_rank_copies <= 2);
+        layers = change.layers;
     }
     let after = imbalance(&layers, &loads);
     assert!(
@@ -123,16 +123,17 @@
     );
 }
 
-/// Groups of 12 ranks with few spare slots.
-const NARROW: Shape = Shape {
+/// A group of 12 ranks with two slots per rank and layer more than needed for one copy of
+/// each expert.
+const FEW_SPARE_SLOTS: Shape = Shape {
     ranks: 12,
     experts: 72,
     layers: 4,
     slots: 8,
 };
 
-/// What may be copied while a rank is slow, or is empty.
-const ANEW: ChangeLimits = ChangeLimits {
+/// Limits of a change while a rank is slow, or recovered and without experts.
+const EVACUATION_LIMITS: ChangeLimits = ChangeLimits {
     max_slots_per_rank: 8,
     max_new_per_layer: 3,
     max_copies_per_rank: 3,
@@ -141,15 +142,15 @@
 
 /// The time of the slowest rank relative to the mean load, averaged over layers.
 #[allow(clippy::cast_precision_loss)] // Groups are small.
-fn slowest(layers: &[Layer], loads: &[Vec<f64>], paces: &[f64]) -> f64 {
-    let sets = layers.iter().zip(loads).map(|(layer, loads)| {
-        let holders = |e: &u16| layer.ranks.iter().filter(|rank| rank.contains(e)).count();
-        let part = |e: &u16| loads[usize::from(*e)] / holders(e) as f64;
-        let times = layer.ranks.iter().zip(paces);
-        let times = times.map(|(rank, pace)| rank.iter().map(part).sum::<f64>() * pace);
-        times.fold(0.0, f64::max) / (loads.iter().sum::<f64>() / paces.len() as f64)
+fn slowest_rank_time(layers: &[Layer], loads: &[Vec<f64>], paces: &[f64]) -> f64 {
+    let times = layers.iter().zip(loads).map(|(layer, loads)| {
+        let copies = |e: &u16| layer.ranks.iter().filter(|rank| rank.contains(e)).count();
+        let share = |e: &u16| loads[usize::from(*e)] / copies(e) as f64;
+        let ranks = layer.ranks.iter().zip(paces);
+        let rank_times = ranks.map(|(rank, pace)| rank.iter().map(share).sum::<f64>() * pace);
+        rank_times.fold(0.0, f64::max) / (loads.iter().sum::<f64>() / paces.len() as f64)
     });
-    sets.sum::<f64>() / layers.len() as f64
+    times.sum::<f64>() / layers.len() as f64
 }
 
 /// Guards against a rank that becomes 12 times slower and delays every pass of its group:
@@ -157,40 +158,42 @@
 /// single change, because each further one waits for two more of these passes.
 #[test]
 fn a_slow_rank_loses_its_experts_in_one_change() {
-    for slow in [vec![5], vec![0], vec![1, 7]] {
-        let mut held = layers(NARROW);
-        let loads = loads(NARROW, 0);
+    for slow_ranks in [vec![5], vec![0], vec![1, 7]] {
+        let mut placement = initial_layers(FEW_SPARE_SLOTS);
+        let loads = loads(FEW_SPARE_SLOTS, 0);
         for _ in 0..8 {
-            let bound = ChangeLimits {
+            let limits = ChangeLimits {
                 max_copies_per_rank: 1,
-                ..ANEW
+                ..EVACUATION_LIMITS
             };
-            match plan_change(&held, &loads, &[], &bound) {
-                Some(relief) => held = relief.layers,
+            match plan_change(&placement, &loads, &[], &limits) {
+                Some(change) => placement = change.layers,
                 None => break,
             }
         }
         let mut paces = vec![1.0; 12];
-        for rank in &slow {
+        for rank in &slow_ranks {
             paces[*rank] = 12.0;
         }
-        let before = slowest(&held, &loads, &paces);
-        let relief = plan_change(&held, &loads, &paces, &ANEW).expect("relief");
-        assert!(relief.max_rank_copies <= 3, "{relief:?}");
-        let after = slowest(&relief.layers, &loads, &paces);
-        let bound = if slow.len() == 1 { 2.0 } else { 3.0 };
+        let before = slowest_rank_time(&placement, &loads, &paces);
+        let change =
+            plan_change(&placement, &loads, &paces, &EVACUATION_LIMITS).expect("a change helps");
+        assert!(change.max_rank_copies <= 3, "{change:?}");
+        let after = slowest_rank_time(&change.layers, &loads, &paces);
+        let max_after = if slow_ranks.len() == 1 { 2.0 } else { 3.0 };
         assert!(
-            before > 5.0 && after < bound,
+            before > 5.0 && after < max_after,
             "{before} before, {after} after"
         );
         let map = Map {
             epoch: 2,
-            layers: relief.layers,
+            layers: change.layers,
         };
-        let allowed = map.layers.iter().flat_map(|layer| &layer.ranks);
-        assert!(allowed.clone().all(|rank| rank.len() <= 8));
-        let held_once = |layer: &Layer| (0..72).all(|e| layer.ranks.iter().any(|r| r.contains(&e)));
-        assert!(map.layers.iter().all(held_once));
+        let ranks = map.layers.iter().flat_map(|layer| &layer.ranks);
+        assert!(ranks.clone().all(|rank| rank.len() <= 8));
+        let all_placed =
+            |layer: &Layer| (0..72).all(|e| layer.ranks.iter().any(|r| r.contains(&e)));
+        assert!(map.layers.iter().all(all_placed));
     }
 }
 
@@ -198,22 +201,27 @@
 /// within a few changes, and the group is as balanced as before.
 #[test]
 fn a_recovered_rank_takes_experts() {
-    let loads = loads(NARROW, 0);
+    let loads = loads(FEW_SPARE_SLOTS, 0);
     let mut paces = vec![1.0; 12];
     paces[5] = 12.0;
-    let mut held = plan_change(&layers(NARROW), &loads, &paces, &ANEW)
-        .expect("relief")
-        .layers;
+    let mut placement = plan_change(
+        &initial_layers(FEW_SPARE_SLOTS),
+        &loads,
+        &paces,
+        &EVACUATION_LIMITS,
+    )
+    .expect("a change helps")
+    .layers;
     for _ in 0..6 {
-        match plan_change(&held, &loads, &[], &ANEW) {
-            Some(relief) => held = relief.layers,
+        match plan_change(&placement, &loads, &[], &EVACUATION_LIMITS) {
+            Some(change) => placement = change.layers,
             None => break,
         }
     }
-    let even = imbalance(&held, &loads);
-    assert!(even < 1.6, "{even}");
-    let held_there: usize = held.iter().map(|layer| layer.ranks[5].len()).sum();
-    assert!(held_there >= 8, "{held_there} places");
+    let after = imbalance(&placement, &loads);
+    assert!(after < 1.6, "{after}");
+    let placed: usize = placement.iter().map(|layer| layer.ranks[5].len()).sum();
+    assert!(placed >= 8, "{placed} experts");
 }
 
 /// Guards against copies that only follow random variation of an even load. Each copy has
@@ -221,7 +229,10 @@
 #[test]
 fn an_even_load_needs_no_change() {
     let even = vec![vec![10.0; 64]; 6];
-    assert_eq!(plan_change(&layers(SHAPE), &even, &[], &BOUND), None);
+    assert_eq!(
+        plan_change(&initial_layers(SHAPE), &even, &[], &LIMITS),
+        None
+    );
 }
 
 proptest! {
@@ -231,34 +242,34 @@
     #[test]
     fn changes_are_valid(
         counts in prop::collection::vec(prop::collection::vec(0_u32..5_000, 24), 2),
-        copies in 1_usize..4,
-        spare in 1_usize..3,
+        max_copies in 1_usize..4,
+        max_new in 1_usize..3,
     ) {
         let shape = Shape { ranks: 4, experts: 24, layers: 2, slots: 8 };
         let loads: Vec<Vec<f64>> = counts
             .iter()
-            .map(|set| set.iter().map(|count| f64::from(*count)).collect())
+            .map(|layer| layer.iter().map(|count| f64::from(*count)).collect())
             .collect();
-        let mut held = layers(shape);
-        let bound = ChangeLimits { max_slots_per_rank: 8, max_new_per_layer: spare, max_copies_per_rank: copies, min_gain_per_copy: 0.01 };
+        let mut placement = initial_layers(shape);
+        let limits = ChangeLimits { max_slots_per_rank: 8, max_new_per_layer: max_new, max_copies_per_rank: max_copies, min_gain_per_copy: 0.01 };
         for _ in 0..4 {
-            let Some(relief) = plan_change(&held, &loads, &[], &bound) else {
+            let Some(change) = plan_change(&placement, &loads, &[], &limits) else {
                 break;
             };
-            let map = Map { epoch: 2, layers: relief.layers.clone() };
+            let map = Map { epoch: 2, layers: change.layers.clone() };
             prop_assert_eq!(map.check(shape, 1), Ok(()));
             for rank in 0..4 {
                 let new = |layer: usize| {
-                    let before = &held[layer].ranks[rank];
-                    let after = &relief.layers[layer].ranks[rank];
+                    let before = &placement[layer].ranks[rank];
+                    let after = &change.layers[layer].ranks[rank];
                     after.iter().filter(|expert| !before.contains(expert)).count()
                 };
-                prop_assert!(new(0) <= spare && new(1) <= spare);
-                prop_assert!(new(0) + new(1) <= copies);
+                prop_assert!(new(0) <= max_new && new(1) <= max_new);
+                prop_assert!(new(0) + new(1) <= max_copies);
             }
-            let measured = imbalance(&relief.layers, &loads);
-            prop_assert!((measured - relief.imbalance_after).abs() < 1e-6);
-            held = relief.layers;
+            let measured = imbalance(&change.layers, &loads);
+            prop_assert!((measured - change.imbalance_after).abs() < 1e-6);
+            placement = change.layers;
         }
     }
 }
