--- a/verbenaspool/src/direct/follow.rs
+++ b/verbenaspool/src/direct/follow.rs
@@ -235,8 +235,8 @@
     (previous * 2).min(max.min(MAX_BATCH_INTERVAL))
 }
 
-/// How long a watch waits for changes, given the number of entries including this one. `draw`
-/// is a random number from 0 to 1.
+/// How long a watch waits for changes, given the number of entries including this one.
+/// `random` is a number from 0 to 1.
 ///
 /// Every entry renews its watches, so the calls to the store would grow with the number of
 /// entries. An entry that misses a change learns of it from its peers' digests, so a single
@@ -246,12 +246,12 @@
 /// A change ends the watches of all entries at the same time. The next waits are spread,
 /// starting with the shortest. Otherwise connections that die at that moment would all be
 /// detected at the same time, and late.
-fn watch_wait(entries: usize, draw: f32) -> Duration {
+fn watch_wait(entries: usize, random: f32) -> Duration {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
     let [min, usual] = [0.75, 0.875].map(|factor| WATCH_TIMEOUT.mul_f32(factor));
     let mean = usual.saturating_mul(entries.max(INDEPENDENT_WATCHERS)) / INDEPENDENT_WATCHERS;
     let max = (mean * 2).saturating_sub(min).min(MAX_WATCH_WAIT);
-    min + max.saturating_sub(min).mul_f32(draw)
+    min + max.saturating_sub(min).mul_f32(random)
 }
 
 #[cfg(test)]
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -207,18 +207,20 @@
     /// Passes each service's upstreams to its queue.
     fn distribute_upstreams(&self) {
         let registry = self.registry.borrow();
-        let mut services: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
+        let mut upstreams_by_service: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
         for replica in registry.iter() {
-            let list = services.entry(replica.service.clone()).or_default();
-            list.push(replica.clone());
+            let upstreams = upstreams_by_service
+                .entry(replica.service.clone())
+                .or_default();
+            upstreams.push(replica.clone());
         }
         for name in self.queues.borrow().keys() {
-            services.entry(name.clone()).or_default();
+            upstreams_by_service.entry(name.clone()).or_default();
         }
-        for (service, list) in services {
+        for (service, upstreams) in upstreams_by_service {
             let queue = self.queue(&service);
             queue.with(|dispatcher, _| {
-                dispatcher.set_upstreams(list.iter().map(|replica| &**replica));
+                dispatcher.set_upstreams(upstreams.iter().map(|replica| &**replica));
             });
         }
     }
@@ -229,16 +231,18 @@
         let Some(table) = self.table() else {
             return Vec::new();
         };
-        let grouped = |service: &str| {
+        let is_grouped = |service: &str| {
             let engine = table.service(service).and_then(|s| s.engine.as_ref());
             engine.is_some_and(|engine| engine.experts.is_some())
         };
         let registry = self.registry.borrow();
         let settings = self.settings.borrow();
-        let ranks = registry.iter().filter(|replica| grouped(&replica.service));
-        let near = |replica: &Replica| *replica.zone == *settings.zone;
+        let ranks = registry
+            .iter()
+            .filter(|replica| is_grouped(&replica.service));
+        let is_in_zone = |replica: &Replica| *replica.zone == *settings.zone;
         ranks
-            .map(|replica| (replica.address, near(replica)))
+            .map(|replica| (replica.address, is_in_zone(replica)))
             .collect()
     }
 
@@ -247,18 +251,19 @@
     pub fn members_for_agent(&self, instance: IpAddr) -> Option<Members> {
         let table = self.table()?;
         let registry = self.registry.borrow();
-        let grouped = |replica: &Replica| {
+        let group_engine = |replica: &Replica| {
             let service = table.service(&replica.service)?;
             let engine = service.engine.as_ref()?;
             engine.experts.is_some().then_some(engine)
         };
         let mut local = registry.iter().filter(|r| r.address.ip() == instance);
-        let (own, engine) = local.find_map(|replica| Some((replica, grouped(replica)?)))?;
-        let group_members = registry.iter().filter(|r| r.service == own.service);
+        let (upstream, engine) =
+            local.find_map(|replica| Some((replica, group_engine(replica)?)))?;
+        let group_members = registry.iter().filter(|r| r.service == upstream.service);
         let group_members = group_members.map(|replica| replica.address.ip());
         Some(Members {
             instances: group_members.choose_multiple(&mut rand::rng(), reservation::MAX_INSTANCES),
-            slots: own.slots,
+            slots: upstream.slots,
             experts: engine.experts,
             pass: engine.pass(0.0),
         })
@@ -288,13 +293,16 @@
     /// Returns the queue of a service, creating it if necessary.
     pub fn queue(&self, service: &Rc<str>) -> Rc<ServiceQueue> {
         let mut queues = self.queues.borrow_mut();
-        let new = || {
+        let new_queue = || {
             let zone: Rc<str> = self.settings.borrow().zone.as_str().into();
             let seed = rand::rng().random();
             let (clock, log) = (self.clock.clone(), self.log.clone());
             Rc::new(ServiceQueue::new(service.clone(), clock, log, zone, seed))
         };
-        queues.entry(service.clone()).or_insert_with(new).clone()
+        queues
+            .entry(service.clone())
+            .or_insert_with(new_queue)
+            .clone()
     }
 
     /// The queues of all services.
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -166,11 +166,11 @@
 
     fn live_peers(&self, now: Duration) -> impl Iterator<Item = (&Ipv4Addr, &Peer)> {
         let timeout = PEER_TIMEOUT.max(digest_interval(self.known.len()) * (MAX_LOST_DIGESTS + 1));
-        let live = move |peer: &Peer| {
+        let is_live = move |peer: &Peer| {
             peer.last_received
                 .is_some_and(|received| now.saturating_sub(received) < timeout)
         };
-        self.known.iter().filter(move |(_, peer)| live(peer))
+        self.known.iter().filter(move |(_, peer)| is_live(peer))
     }
 
     /// Records a digest. Returns whether it was accepted.
@@ -185,8 +185,8 @@
         let order = |digest: &Digest| (digest.incarnation, digest.number);
         // After a silence any digest is accepted: a restarted process may have a lower
         // incarnation if the system clock was set back.
-        let recently = |received: Duration| now.saturating_sub(received) < REORDER_WINDOW;
-        if peer.last_received.is_some_and(recently) && order(&digest) <= order(&peer.digest) {
+        let is_recent = |received: Duration| now.saturating_sub(received) < REORDER_WINDOW;
+        if peer.last_received.is_some_and(is_recent) && order(&digest) <= order(&peer.digest) {
             return false;
         }
         peer.last_received = Some(now);
@@ -211,7 +211,7 @@
     }
 
     /// Removes peers that have been silent for long.
-    fn forget(&mut self, now: Duration) {
+    fn remove_silent(&mut self, now: Duration) {
         self.known
             .retain(|_, peer| now.saturating_sub(peer.last_active) < FORGET_AFTER);
     }
@@ -229,10 +229,10 @@
 
     /// The peers that have a newer configuration or registry.
     fn newer_peers(&self, now: Duration, versions: Versions) -> Vec<Ipv4Addr> {
-        let newer = |peer: &Peer| {
+        let is_newer = |peer: &Peer| {
             peer.digest.table > versions.table || peer.digest.registry > versions.registry
         };
-        let newer = self.live_peers(now).filter(|(_, peer)| newer(peer));
+        let newer = self.live_peers(now).filter(|(_, peer)| is_newer(peer));
         newer.map(|(address, _)| *address).collect()
     }
 }
@@ -522,7 +522,7 @@
             peers.add(now, address);
         }
     }
-    peers.forget(now);
+    peers.remove_silent(now);
     peers.known.keys().copied().collect()
 }
 
--- a/verbenaspool/src/direct/peers/tests.rs
+++ b/verbenaspool/src/direct/peers/tests.rs
@@ -84,7 +84,7 @@
         let now = Duration::from_millis(42 * number);
         peers.receive(now, peer(1), named(number));
         peers.receive(now, peer(2), named(number));
-        peers.forget(now);
+        peers.remove_silent(now);
     }
     assert_eq!(peers.sharing_entries(Duration::from_millis(4_200)), 3);
 }
