--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -163,8 +163,8 @@
     /// The limits of the retry budget, and the number of entries that share it.
     fn retry_limits(&self) -> (RetryLimits, usize) {
         let now = self.gateway.clock.now();
-        let limits = self.gateway.settings.borrow().bounds.retries();
-        (limits, self.gateway.sharers(now))
+        let limits = self.gateway.settings.borrow().bounds.retry_limits();
+        (limits, self.gateway.sharing_entries(now))
     }
 
     /// Whether another upstream may be tried after a failed connection.
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State shared by all requests of an entry.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,57 +28,54 @@
     settings::Settings,
 };
 
-/// How long a new connection to an upstream may take. The way there and back
-/// takes a few milliseconds; an upstream that is cut off never answers, and a
-/// full queue of connections is served again seconds later only.
+/// Timeout for new connections to upstreams. A round trip takes a few milliseconds. A
+/// partitioned upstream never answers, and one whose accept queue is full answers only
+/// seconds later.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a connection to an upstream is kept that carries no request, where
-/// the upstream doesn't state its own bound: those below a second aren't stated.
+/// How long an idle connection to an upstream is kept if the upstream doesn't state its
+/// keep-alive timeout. Timeouts below a second aren't stated.
 const KEEP_ALIVE_TIME: Duration = Duration::from_millis(400);
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 pub struct Gateway {
-    /// The settings.
     pub settings: RefCell<Settings>,
-    /// The source of time.
     pub clock: Rc<dyn Clock>,
-    /// The log.
     pub log: Logger,
-    /// The metrics.
     pub metrics: metrics::Registry,
-    /// Connections to upstreams.
+    /// HTTP client for upstreams.
     pub client: Client,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: store::Client,
-    /// Calls to other entries.
-    pub calls: rpc::Client,
+    /// RPC client for other entries.
+    pub rpc: rpc::Client,
     /// The other entries.
     pub peers: RefCell<Peers>,
-    /// Slots that agents are asked for.
+    /// Pending reservations of slots at upstreams' agents.
     pub reservations: Reservations,
-    /// Requests that upstreams crash under.
+    /// Requests suspected of crashing upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// Wakes the task that reports those to peers.
+    /// Wakes the task that reports suspected requests to peers.
     pub suspected: Notify,
-    /// The configuration's object as the store held it last.
-    pub stored: RefCell<Option<Object>>,
+    /// The configuration's object as last read from the store.
+    pub stored_configuration: RefCell<Option<Object>>,
     /// Wakes the task that writes the quarantine to the store.
     pub unsaved: Notify,
-    /// Whether the process is about to stop.
+    /// Whether the process is shutting down. It fails readiness checks but still accepts
+    /// requests.
     pub leaving: Cell<bool>,
-    /// Whether it takes no request any more.
+    /// Whether new requests are rejected.
     pub closed: Cell<bool>,
-    /// The object that the table was read from, for peers.
-    pub source: RefCell<Option<Object>>,
+    /// The object from which the table was decoded. Peers fetch it.
+    pub table_source: RefCell<Option<Object>>,
     table: RefCell<Option<Rc<Table>>>,
     registry: RefCell<Registry>,
-    listed: Cell<bool>,
+    registry_loaded: Cell<bool>,
     queues: RefCell<HashMap<Rc<str>, Rc<ServiceQueue>>>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without a routing table and upstreams.
     pub fn new(
         settings: Settings,
         clock: Rc<dyn Clock>,
@@ -93,43 +90,43 @@
             metrics: metrics::Registry::default(),
             client: Client::new(CONNECT_TIMEOUT).keep_for(KEEP_ALIVE_TIME),
             store,
-            calls: rpc::Client::default(),
+            rpc: rpc::Client::default(),
             peers: RefCell::new(peers),
             reservations: Reservations::new(),
             quarantine: RefCell::default(),
             suspected: Notify::new(),
-            stored: RefCell::default(),
+            stored_configuration: RefCell::default(),
             unsaved: Notify::new(),
             leaving: Cell::new(false),
             closed: Cell::new(false),
-            source: RefCell::default(),
+            table_source: RefCell::default(),
             table: RefCell::default(),
             registry: RefCell::default(),
-            listed: Cell::new(false),
+            registry_loaded: Cell::new(false),
             queues: RefCell::default(),
         })
     }
 
-    /// The routing table in force.
+    /// The active routing table.
     pub fn table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// The version of the table in force; 0 without one.
-    pub fn version(&self) -> u64 {
+    /// The version of the active routing table, or 0 if there is none.
+    pub fn table_version(&self) -> u64 {
         self.table
             .borrow()
             .as_ref()
             .map_or(0, |table| table.version)
     }
 
-    /// The revision of the registry.
-    pub fn revision(&self) -> u64 {
+    /// The store revision of the registry.
+    pub fn registry_revision(&self) -> u64 {
         self.registry.borrow().revision
     }
 
-    /// The registry's objects, for peers.
-    pub fn objects(&self) -> (u64, Vec<Object>) {
+    /// The revision of the registry and its objects, as sent to peers.
+    pub fn registry_objects(&self) -> (u64, Vec<Object>) {
         let registry = self.registry.borrow();
         (
             registry.revision,
@@ -137,41 +134,44 @@
         )
     }
 
-    /// Whether requests may come: the process knows where they go.
-    pub fn ready(&self) -> bool {
-        !self.leaving.get() && self.listed.get() && self.table.borrow().is_some()
+    /// Whether the entry is ready for requests: it has a routing table and a registry, and
+    /// isn't shutting down.
+    pub fn is_ready(&self) -> bool {
+        !self.leaving.get() && self.registry_loaded.get() && self.table.borrow().is_some()
     }
 
-    /// Puts a configuration in force, if it is newer than what is.
-    pub fn adopt(&self, object: &Object, from: &str) {
+    /// Activates a configuration if it is newer than the active one.
+    pub fn apply_configuration(&self, object: &Object, from: &str) {
         let table = match configuration::decode(&object.specification) {
             Ok(table) => table,
             Err(why) => {
-                warn!(self.log, "Entry: A configuration can't be read; the one in force stays.";
+                warn!(self.log, "invalid configuration; keeping the active one";
                     "revision" => object.revision, "from" => from, "reason" => why.to_string());
                 return;
             }
         };
-        let before = self.version();
-        if table.version <= before && self.table.borrow().is_some() {
+        let previous = self.table_version();
+        if table.version <= previous && self.table.borrow().is_some() {
             return;
         }
-        info!(self.log, "Entry: A configuration is in force.";
-            "version" => table.version, "before" => before, "from" => from, "routes" => table.len());
+        info!(self.log, "configuration activated";
+            "version" => table.version, "before" => previous, "from" => from, "routes" => table.len());
         let table = Rc::new(table);
         self.table.replace(Some(table.clone()));
-        self.source.replace(Some(object.clone()));
+        self.table_source.replace(Some(object.clone()));
         for service in table.services() {
             let queue = self.queue(&service.name);
             queue.with(|dispatcher, _| dispatcher.set_engine(service.engine.as_ref()));
         }
-        self.deal();
+        self.distribute_upstreams();
     }
 
-    /// Takes over the registry of upstreams.
-    pub fn enlist(
+    /// Replaces the registry of upstreams, unless the given revision is older.
+    ///
+    /// Upstreams that are missing from `objects` are kept until `retain_missing_until`.
+    pub fn update_registry(
         &self,
-        settled: Duration,
+        retain_missing_until: Duration,
         revision: u64,
         objects: &BTreeMap<String, Object>,
         from: &str,
@@ -179,92 +179,98 @@
         let now = self.clock.now();
         let changed = {
             let mut registry = self.registry.borrow_mut();
-            if revision < registry.revision && self.listed.get() {
+            if revision < registry.revision && self.registry_loaded.get() {
                 return;
             }
             let changed = &registry.objects != objects;
-            registry.update(now, settled, revision, objects);
+            registry.update(now, retain_missing_until, revision, objects);
             changed
         };
-        self.listed.set(true);
+        self.registry_loaded.set(true);
         if changed {
-            info!(self.log, "Entry: The list of upstreams changed.";
+            info!(self.log, "registry of upstreams changed";
                 "revision" => revision, "from" => from, "upstreams" => self.registry.borrow().len());
-            self.deal();
+            self.distribute_upstreams();
         }
     }
 
-    /// Drops upstreams that were missing for too long.
-    pub fn expire(&self) {
+    /// Removes upstreams that have been missing from the registry for too long.
+    pub fn expire_upstreams(&self) {
         let now = self.clock.now();
-        if self.registry.borrow_mut().expire(now) {
-            info!(self.log, "Entry: Upstreams that were missing are gone.";
+        if self.registry.borrow_mut().remove_expired(now) {
+            info!(self.log, "missing upstreams removed";
                 "upstreams" => self.registry.borrow().len());
-            self.deal();
+            self.distribute_upstreams();
         }
     }
 
-    /// Tells each service's queue its upstreams.
-    fn deal(&self) {
+    /// Passes each service's upstreams to its queue.
+    fn distribute_upstreams(&self) {
         let registry = self.registry.borrow();
-        let mut services: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
+        let mut upstreams_by_service: HashMap<Rc<str>, Vec<Rc<Replica>>> = HashMap::new();
         for replica in registry.iter() {
-            let list = services.entry(replica.service.clone()).or_default();
-            list.push(replica.clone());
+            let upstreams = upstreams_by_service
+                .entry(replica.service.clone())
+                .or_default();
+            upstreams.push(replica.clone());
         }
         for name in self.queues.borrow().keys() {
-            services.entry(name.clone()).or_default();
+            upstreams_by_service.entry(name.clone()).or_default();
         }
-        for (service, list) in services {
+        for (service, upstreams) in upstreams_by_service {
             let queue = self.queue(&service);
             queue.with(|dispatcher, _| {
-                dispatcher.set_upstreams(list.iter().map(|replica| &**replica));
+                dispatcher.set_upstreams(upstreams.iter().map(|replica| &**replica));
             });
         }
     }
 
-    /// The upstreams that are ranks of groups, and whether each is in this entry's zone.
-    pub fn ranks(&self) -> Vec<(SocketAddr, bool)> {
+    /// Addresses of the upstreams that are ranks of groups, and whether each is in this
+    /// entry's zone.
+    pub fn group_ranks(&self) -> Vec<(SocketAddr, bool)> {
         let Some(table) = self.table() else {
             return Vec::new();
         };
-        let grouped = |service: &str| {
+        let is_grouped = |service: &str| {
             let engine = table.service(service).and_then(|s| s.engine.as_ref());
             engine.is_some_and(|engine| engine.experts.is_some())
         };
         let registry = self.registry.borrow();
         let settings = self.settings.borrow();
-        let ranks = registry.iter().filter(|replica| grouped(&replica.service));
-        let near = |replica: &Replica| *replica.zone == *settings.zone;
+        let ranks = registry
+            .iter()
+            .filter(|replica| is_grouped(&replica.service));
+        let is_in_zone = |replica: &Replica| *replica.zone == *settings.zone;
         ranks
-            .map(|replica| (replica.address, near(replica)))
+            .map(|replica| (replica.address, is_in_zone(replica)))
             .collect()
     }
 
-    /// What the agent on an instance needs to know of its upstream's service; none where
-    /// no upstream of a group runs there.
-    pub fn members(&self, instance: IpAddr) -> Option<ServiceInfo> {
+    /// What the agent on an instance needs to know about its upstream's service, or `None`
+    /// if no rank of a group runs on the instance.
+    pub fn members_for_agent(&self, instance: IpAddr) -> Option<ServiceInfo> {
         let table = self.table()?;
         let registry = self.registry.borrow();
-        let grouped = |replica: &Replica| {
+        let group_engine = |replica: &Replica| {
             let service = table.service(&replica.service)?;
             let engine = service.engine.as_ref()?;
             engine.experts.is_some().then_some(engine)
         };
-        let mut there = registry.iter().filter(|r| r.address.ip() == instance);
-        let (own, engine) = there.find_map(|replica| Some((replica, grouped(replica)?)))?;
-        let group_members = registry.iter().filter(|r| r.service == own.service);
+        let mut local = registry.iter().filter(|r| r.address.ip() == instance);
+        let (upstream, engine) =
+            local.find_map(|replica| Some((replica, group_engine(replica)?)))?;
+        let group_members = registry.iter().filter(|r| r.service == upstream.service);
         let group_members = group_members.map(|replica| replica.address.ip());
         Some(ServiceInfo {
             instances: group_members.choose_multiple(&mut rand::rng(), reservation::MAX_INSTANCES),
-            slots: own.slots,
+            slots: upstream.slots,
             experts: engine.experts,
             min_pass_time: engine.pass_time(0.0),
         })
     }
 
-    /// Takes in how a rank stands, as its agent says.
-    pub fn status(&self, status: &Status) {
+    /// Records the status of a rank, as reported by its agent.
+    pub fn record_status(&self, status: &Status) {
         let registry = self.registry.borrow();
         let upstream = registry.iter().find(|r| r.address == status.upstream);
         let Some(upstream) = upstream.cloned() else {
@@ -279,29 +285,32 @@
             dispatcher.record_status(now, &upstream.id, group, open, pace)
         });
         if changed {
-            info!(self.log, "Entry: A rank's group changed.";
+            info!(self.log, "status of a rank's group changed";
                 "upstream" => &*upstream.id, "open" => status.group_complete);
         }
     }
 
-    /// The queue of a service.
+    /// Returns the queue of a service, creating it if necessary.
     pub fn queue(&self, service: &Rc<str>) -> Rc<ServiceQueue> {
         let mut queues = self.queues.borrow_mut();
-        let new = || {
+        let new_queue = || {
             let zone: Rc<str> = self.settings.borrow().zone.as_str().into();
             let seed = rand::rng().random();
             let (clock, log) = (self.clock.clone(), self.log.clone());
             Rc::new(ServiceQueue::new(service.clone(), clock, log, zone, seed))
         };
-        queues.entry(service.clone()).or_insert_with(new).clone()
+        queues
+            .entry(service.clone())
+            .or_insert_with(new_queue)
+            .clone()
     }
 
-    /// All queues.
+    /// The queues of all services.
     pub fn queues(&self) -> Vec<Rc<ServiceQueue>> {
         self.queues.borrow().values().cloned().collect()
     }
 
-    /// The upstream of this identity.
+    /// The registered upstream with this id.
     pub fn replica(&self, id: &str) -> Option<Rc<Replica>> {
         self.registry.borrow().get(id).cloned()
     }
--- a/verbenaspool/src/direct/quarantine.rs
+++ b/verbenaspool/src/direct/quarantine.rs
@@ -51,7 +51,7 @@
     /// Records a crash observed by this entry or a peer.
     fn record_crash(&self, request: Fingerprint, crash: Crash, observer: Observer) {
         let now = self.clock.now();
-        let limits = self.settings.borrow().quarantine.bound();
+        let limits = self.settings.borrow().quarantine.limits();
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.record_crash(now, request, crash, observer, &limits) {
             warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
--- a/verbenaspool/src/direct/reserve.rs
+++ b/verbenaspool/src/direct/reserve.rs
@@ -136,10 +136,10 @@
             match self.reserve(&permit).await {
                 Outcome::Granted(answer) => {
                     permit.finish_reservation();
-                    self.status(&answer.status);
+                    self.record_status(&answer.status);
                     return Ok(permit);
                 }
-                Outcome::Denied(answer) => self.status(&answer.status),
+                Outcome::Denied(answer) => self.record_status(&answer.status),
                 Outcome::NoAnswer if unanswered + 1 < MAX_UNRESPONSIVE_AGENTS => {
                     unanswered += 1;
                     permit.record_agent_timeout();
