--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -61,8 +61,8 @@
         zone: "bowen".parse().expect("a name"),
         limits: Limits::default(),
         bounds: Bounds {
-            bytes: 1 << 20,
-            pause: Duration::from_secs(1),
+            max_bytes: 1 << 20,
+            max_pause: Duration::from_secs(1),
         },
         connect: Duration::from_secs(1),
     };
@@ -191,7 +191,7 @@
         cost.follow += start.elapsed();
         let adopted = adopted.expect("all pieces are held");
         let start = Instant::now();
-        entry.adopt(Version(adopted.version().0), &adopted.file);
+        entry.apply_configuration(Version(adopted.version().0), &adopted.file);
         cost.table += start.elapsed();
         black_box(&adopted);
     }
--- a/verbenaspool/src/entry/admin.rs
+++ b/verbenaspool/src/entry/admin.rs
@@ -21,7 +21,7 @@
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
 /// Connections at once; only probes and a scraper come here.
-const CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 /// The listener for operators' tools.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Serves until the signal comes.
     pub async fn serve(self, listener: TcpListener, signal: Signal) {
         let limits = Limits {
-            connections: CONNECTIONS,
+            connections: MAX_CONNECTIONS,
             ..Limits::default()
         };
         server::serve(listener, limits, Rc::new(self), Open::default(), signal).await;
@@ -40,11 +40,11 @@
     /// Answers by path.
     fn answer(&self, path: &str) -> Response<Body> {
         match path {
-            "/healthz" => text(StatusCode::OK, "ok\n"),
-            "/readyz" if self.0.ready() => text(StatusCode::OK, "ready\n"),
-            "/readyz" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/metrics" => text(StatusCode::OK, self.0.scrape()),
-            _ => text(StatusCode::NOT_FOUND, "no such path\n"),
+            "/healthz" => text_response(StatusCode::OK, "ok\n"),
+            "/readyz" if self.0.ready() => text_response(StatusCode::OK, "ready\n"),
+            "/readyz" => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/metrics" => text_response(StatusCode::OK, self.0.scrape()),
+            _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 }
@@ -57,8 +57,8 @@
 }
 
 /// A plain answer.
-fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<Body> {
-    let mut response = Response::new(Body::full(text));
+fn text_response(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response<Body> {
+    let mut response = Response::new(Body::full(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, TEXT);
     response
@@ -66,8 +66,8 @@
 
 /// A count in a gauge.
 #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
-fn count(number: u64) -> f64 {
-    number as f64
+fn gauge_value(count: u64) -> f64 {
+    count as f64
 }
 
 impl Entry {
@@ -76,13 +76,13 @@
     pub fn scrape(&self) -> String {
         let metrics = &self.metrics;
         let gauge = |name, help, value| metrics.gauge(name, help, &[]).set(value);
-        let open = self.open.count() as u64;
+        let connections = self.connections.count() as u64;
         gauge(
             "verbenaspool_connections",
             "Callers' open connections.",
-            count(open),
+            gauge_value(connections),
         );
-        let version = count(self.version().0);
+        let version = gauge_value(self.version().0);
         gauge(
             "verbenaspool_config_version",
             "The version in force.",
@@ -95,13 +95,13 @@
         );
         dropped.set(self.tracer.dropped());
         for (service, snapshot) in self.snapshots() {
-            self.show(service.as_str(), &snapshot);
+            self.export_snapshot(service.as_str(), &snapshot);
         }
         metrics.text()
     }
 
     /// Takes over one balancer's counts.
-    fn show(&self, service: &str, snapshot: &Snapshot) {
+    fn export_snapshot(&self, service: &str, snapshot: &Snapshot) {
         let metrics = &self.metrics;
         let pairs = [("service", service)];
         let total = |name, help, value| metrics.counter(name, help, &pairs).set(value);
@@ -140,21 +140,21 @@
             "Upstreams ejected.",
             snapshot.ejections,
         );
-        for (reason, refused) in Reason::ALL.iter().zip(snapshot.rejected) {
+        for (reason, rejected) in Reason::ALL.iter().zip(snapshot.rejected) {
             let pairs = [("service", service), ("reason", reason.name())];
             let help = "Requests refused, by reason.";
             metrics
                 .counter("verbenaspool_refused_total", help, &pairs)
-                .set(refused);
+                .set(rejected);
         }
         let waiting = snapshot.waiting as u64;
         metrics
             .gauge("verbenaspool_waiting", "Requests that wait now.", &pairs)
-            .set(count(waiting));
+            .set(gauge_value(waiting));
         let upstreams = snapshot.upstreams.len() as u64;
         metrics
             .gauge("verbenaspool_upstreams", "Upstreams worked with.", &pairs)
-            .set(count(upstreams));
+            .set(gauge_value(upstreams));
         let in_flight = snapshot
             .upstreams
             .iter()
@@ -163,11 +163,11 @@
         let limit = snapshot.upstreams.iter().map(|u| u64::from(u.limit)).sum();
         metrics
             .gauge("verbenaspool_limit", "Most attempts in flight.", &pairs)
-            .set(count(limit));
+            .set(gauge_value(limit));
         let ejected = snapshot.upstreams.iter().filter(|u| u.ejected).count();
         metrics
             .gauge("verbenaspool_ejected", "Upstreams ejected now.", &pairs)
-            .set(count(ejected as u64));
+            .set(gauge_value(ejected as u64));
         metrics
             .gauge(
                 "verbenaspool_wait_seconds",
@@ -182,6 +182,6 @@
         );
         metrics
             .gauge("verbenaspool_in_flight", "Attempts in flight.", &pairs)
-            .set(count(in_flight));
+            .set(gauge_value(in_flight));
     }
 }
--- a/verbenaspool/src/entry/answer.rs
+++ b/verbenaspool/src/entry/answer.rs
@@ -23,18 +23,20 @@
     trace::span::Span,
 };
 
-use super::{events::Events, exchange::Exchange, forward::Forward, observe::Ended, queue::Attempt};
+use super::{
+    events::Counter, exchange::Exchange, forward::Forward, observe::Ended, queue::Attempt,
+};
 
 /// How many bytes of an event that isn't whole are held back, in streams that
 /// can be resumed. A longer event passes as it comes, and its stream can't be
 /// resumed any more.
-const HELD: usize = 16 * 1024;
+const MAX_PARTIAL_EVENT_BYTES: usize = 16 * 1024;
 
 /// How often one stream is resumed; engines that break it more often are sick.
-const RESUMES: usize = 3;
+const MAX_RESUMES: usize = 3;
 
 /// The moment when an answer is of no use any more.
-pub struct Limit(pub Sleep);
+pub struct Deadline(pub Sleep);
 
 /// An attempt that answers.
 pub struct Source {
@@ -64,12 +66,12 @@
 pub struct Answer {
     forward: Rc<Forward>,
     state: State,
-    limit: Option<Limit>,
-    events: Option<Events>,
+    deadline: Option<Deadline>,
+    events: Option<Counter>,
     /// The upstreams tried, while the answer can be resumed.
     tried: Option<Vec<Name>>,
     resumes: usize,
-    held: BytesMut,
+    partial_event: BytesMut,
 }
 
 impl Answer {
@@ -79,18 +81,18 @@
     pub fn new(
         forward: Rc<Forward>,
         source: Source,
-        limit: Option<Limit>,
+        deadline: Option<Deadline>,
         events: bool,
         tried: Option<Vec<Name>>,
     ) -> Self {
         Self {
             forward,
             state: State::Reading(source),
-            limit,
-            events: events.then(Events::default),
+            deadline,
+            events: events.then(Counter::default),
             tried,
             resumes: 0,
-            held: BytesMut::new(),
+            partial_event: BytesMut::new(),
         }
     }
 
@@ -107,7 +109,7 @@
     /// Ends well.
     fn finish(&mut self) {
         if let Some(fingerprint) = self.forward.fingerprint {
-            self.forward.entry.succeeded(fingerprint);
+            self.forward.entry.record_success(fingerprint);
         }
         self.close(Ending::Ran, Outcome::Ran);
     }
@@ -132,52 +134,52 @@
     }
 
     /// Takes a chunk in and gives what may pass.
-    fn chunk(&mut self, data: Bytes) -> Bytes {
+    fn process_chunk(&mut self, data: Bytes) -> Bytes {
         let Some(events) = &mut self.events else {
             return data;
         };
         let end = events.read(&data);
-        if self.tried.is_none() || end == data.len() && self.held.is_empty() {
+        if self.tried.is_none() || end == data.len() && self.partial_event.is_empty() {
             return data;
         }
-        if self.held.len() + data.len() > HELD {
+        if self.partial_event.len() + data.len() > MAX_PARTIAL_EVENT_BYTES {
             self.tried = None;
-            self.held.extend_from_slice(&data);
-            return self.held.split().freeze();
+            self.partial_event.extend_from_slice(&data);
+            return self.partial_event.split().freeze();
         }
         // A part of an event that has passed can't be taken back, so it waits
         // for its rest: a resumed stream begins with a whole event.
-        self.held.extend_from_slice(&data[..end]);
-        let whole = if end > 0 {
-            self.held.split().freeze()
+        self.partial_event.extend_from_slice(&data[..end]);
+        let complete = if end > 0 {
+            self.partial_event.split().freeze()
         } else {
             Bytes::new()
         };
-        self.held.extend_from_slice(&data[end..]);
-        whole
+        self.partial_event.extend_from_slice(&data[end..]);
+        complete
     }
 
     /// Starts to go on with a broken answer, if that is possible.
-    fn resume(&mut self) -> bool {
+    fn try_resume(&mut self) -> bool {
         let Some(tried) = self.tried.take() else {
             return false;
         };
-        if self.resumes >= RESUMES {
+        if self.resumes >= MAX_RESUMES {
             return false;
         }
         self.resumes += 1;
         self.end_attempt(Ending::Unknown);
         // Of an event that isn't whole the caller has got nothing.
-        self.held.clear();
+        self.partial_event.clear();
         let events = self.events.get_or_insert_default();
-        events.restart();
-        let resumed = self.forward.clone().resume(events.count, tried);
-        self.state = State::Resuming(Box::pin(resumed));
+        events.discard_partial();
+        let resuming = self.forward.clone().resume(events.count, tried);
+        self.state = State::Resuming(Box::pin(resuming));
         true
     }
 
     /// Takes over what another attempt goes on with.
-    fn resumed(&mut self, exchange: Exchange, tried: Vec<Name>) {
+    fn continue_from(&mut self, exchange: Exchange, tried: Vec<Name>) {
         self.forward.observation.meter().resumed.count();
         self.tried = Some(tried);
         self.state = State::Reading(Source {
@@ -190,28 +192,32 @@
     /// Whether the caller has the whole answer already, though its message hasn't ended.
     fn is_complete(&self) -> bool {
         let marks_end = matches!(self.forward.service.kind, Kind::Model(_));
-        marks_end && self.events.as_ref().is_some_and(|events| events.ended)
+        marks_end
+            && self
+                .events
+                .as_ref()
+                .is_some_and(|events| events.end_mark_seen)
     }
 
     /// Ends well without the end of the upstream's message.
     fn complete(&mut self) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
-        self.held.clear();
+        self.partial_event.clear();
         self.finish();
         Poll::Ready(None)
     }
 
     /// Whether the caller's deadline is over.
-    fn late(&mut self, cx: &mut Context<'_>) -> bool {
-        let Some(limit) = &mut self.limit else {
+    fn poll_deadline(&mut self, cx: &mut Context<'_>) -> bool {
+        let Some(deadline) = &mut self.deadline else {
             return false;
         };
-        limit.0.as_mut().poll(cx).is_ready()
+        deadline.0.as_mut().poll(cx).is_ready()
     }
 
     /// Breaks off.
-    fn fail(&mut self, why: body::Error) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
+    fn fail(&mut self, error: body::Error) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
         self.close(Ending::Unknown, Outcome::Unknown);
-        Poll::Ready(Some(Err(why)))
+        Poll::Ready(Some(Err(error)))
     }
 }
 
@@ -229,7 +235,7 @@
                 State::Reading(source) => Pin::new(&mut source.body).poll_frame(cx),
                 State::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Ready(Some((exchange, tried))) => {
-                        self.resumed(exchange, tried);
+                        self.continue_from(exchange, tried);
                         continue;
                     }
                     Poll::Ready(None) => {
@@ -238,7 +244,7 @@
                     Poll::Pending => Poll::Pending,
                 },
             };
-            if frame.is_pending() && self.late(cx) {
+            if frame.is_pending() && self.poll_deadline(cx) {
                 if self.is_complete() {
                     return self.complete();
                 }
@@ -248,18 +254,18 @@
             match ready!(frame) {
                 None => {
                     self.finish();
-                    let rest = self.held.split().freeze();
+                    let rest = self.partial_event.split().freeze();
                     return Poll::Ready((!rest.is_empty()).then(|| Ok(Frame::data(rest))));
                 }
                 Some(Err(_)) if self.is_complete() => return self.complete(),
-                Some(Err(_)) if self.resume() => {}
-                Some(Err(why)) => return self.fail(why),
+                Some(Err(_)) if self.try_resume() => {}
+                Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
                         // Trailers are dropped: nothing of ours sends any.
                         continue;
                     };
-                    let data = self.chunk(data);
+                    let data = self.process_chunk(data);
                     if self.is_end_stream() {
                         self.finish();
                     }
@@ -273,9 +279,9 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.state {
-            State::Reading(source) => source.body.is_end_stream() && self.held.is_empty(),
+            State::Reading(source) => source.body.is_end_stream() && self.partial_event.is_empty(),
             State::Resuming(_) => false,
-            State::Ended => self.held.is_empty(),
+            State::Ended => self.partial_event.is_empty(),
         }
     }
 
--- a/verbenaspool/src/entry/caller.rs
+++ b/verbenaspool/src/entry/caller.rs
@@ -11,10 +11,10 @@
 
 /// The longest deadline a caller may name; it bounds how long anything is kept
 /// for a request.
-const LONGEST_DEADLINE: Duration = Duration::from_hours(1);
+const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
 /// The longest idempotency key in bytes; the key is part of an object's name.
-const LONGEST_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// The scheme of a credential.
 const BEARER: &str = "bearer ";
@@ -23,7 +23,7 @@
 const PRIORITIES: [&str; 3] = ["low", "normal", "high"];
 
 /// The priority of a request that names none.
-const NORMAL: u8 = 1;
+const DEFAULT_PRIORITY: u8 = 1;
 
 /// What the head says.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,22 +37,24 @@
 }
 
 /// Reads a header that callers may send once, as text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(&format!("The header {name} is there more than once.")));
+        return Err(bad_request(&format!(
+            "The header {name} is there more than once."
+        )));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text.trim())),
-        Err(_) => Err(bad(&format!("The header {name} is no plain text."))),
+        Err(_) => Err(bad_request(&format!("The header {name} is no plain text."))),
     }
 }
 
 /// A malformed request.
-fn bad(message: &str) -> Problem {
+fn bad_request(message: &str) -> Problem {
     Problem::not_run(Code::BadRequest, message)
 }
 
@@ -68,11 +70,11 @@
 ///
 /// let mut headers = HeaderMap::new();
 /// headers.insert("x-verbenaspool-deadline-ms", "250".parse().unwrap());
-/// assert_eq!(caller::wish(&headers).unwrap().deadline.unwrap().as_millis(), 250);
+/// assert_eq!(caller::read_options(&headers).unwrap().deadline.unwrap().as_millis(), 250);
 /// headers.insert("x-verbenaspool-deadline-ms", "soon".parse().unwrap());
-/// assert!(caller::wish(&headers).is_err());
+/// assert!(caller::read_options(&headers).is_err());
 /// ```
-pub fn wish(headers: &HeaderMap) -> Result<Options, Problem> {
+pub fn read_options(headers: &HeaderMap) -> Result<Options, Problem> {
     Ok(Options {
         deadline: deadline(headers)?,
         priority: priority(headers)?,
@@ -82,27 +84,27 @@
 
 /// Reads the deadline.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(text) = text(headers, header::DEADLINE)? else {
+    let Some(text) = single_header(headers, header::DEADLINE)? else {
         return Ok(None);
     };
     match text.parse() {
-        Ok(0) | Err(_) => Err(bad(
+        Ok(0) | Err(_) => Err(bad_request(
             "The deadline is not a whole number of milliseconds above zero.",
         )),
-        Ok(ms) => Ok(Some(Duration::from_millis(ms).min(LONGEST_DEADLINE))),
+        Ok(ms) => Ok(Some(Duration::from_millis(ms).min(MAX_DEADLINE))),
     }
 }
 
 /// Reads the priority.
 fn priority(headers: &HeaderMap) -> Result<u8, Problem> {
-    let Some(text) = text(headers, header::PRIORITY)? else {
-        return Ok(NORMAL);
+    let Some(text) = single_header(headers, header::PRIORITY)? else {
+        return Ok(DEFAULT_PRIORITY);
     };
     (0..)
         .zip(PRIORITIES)
         .find(|(_, name)| *name == text)
         .map(|(priority, _)| priority)
-        .ok_or_else(|| bad("The priority is none of high, normal and low."))
+        .ok_or_else(|| bad_request("The priority is none of high, normal and low."))
 }
 
 /// The priority as its header says it.
@@ -117,11 +119,13 @@
 
 /// Reads the idempotency key.
 fn key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
-    let Some(text) = text(headers, header::IDEMPOTENCY_KEY)? else {
+    let Some(text) = single_header(headers, header::IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
-    if text.is_empty() || text.len() > LONGEST_KEY {
-        return Err(bad("The idempotency key is empty or over 128 bytes."));
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        return Err(bad_request(
+            "The idempotency key is empty or over 128 bytes.",
+        ));
     }
     Ok(Some(text.to_owned()))
 }
@@ -147,7 +151,7 @@
             "The request carries no bearer credential.",
         )
     };
-    let text = text(headers, AUTHORIZATION.as_str())?.ok_or_else(missing)?;
+    let text = single_header(headers, AUTHORIZATION.as_str())?.ok_or_else(missing)?;
     match text.get(..BEARER.len()) {
         Some(scheme) if scheme.eq_ignore_ascii_case(BEARER) => Ok(text[BEARER.len()..].trim()),
         _ => Err(missing()),
@@ -168,17 +172,20 @@
 ///     zones: Vec::new(),
 ///     decisions: Default::default(),
 /// };
-/// assert!(caller::repeatable(&jobs, &Method::GET, "/bookings/1"));
-/// assert!(caller::repeatable(&jobs, &Method::POST, "/search"));
-/// assert!(!caller::repeatable(&jobs, &Method::POST, "/bookings"));
+/// assert!(caller::is_idempotent(&jobs, &Method::GET, "/bookings/1"));
+/// assert!(caller::is_idempotent(&jobs, &Method::POST, "/search"));
+/// assert!(!caller::is_idempotent(&jobs, &Method::POST, "/bookings"));
 /// ```
 #[must_use]
-pub fn repeatable(service: &Service, method: &Method, path: &str) -> bool {
+pub fn is_idempotent(service: &Service, method: &Method, path: &str) -> bool {
     match &service.kind {
         Kind::Model(_) => true,
         Kind::Plain(plain) => {
             matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS)
-                || plain.idempotent.iter().any(|prefix| below(path, prefix))
+                || plain
+                    .idempotent
+                    .iter()
+                    .any(|prefix| has_path_prefix(path, prefix))
         }
     }
 }
@@ -186,14 +193,14 @@
 /// Whether a path is a prefix or lies below it, by whole segments.
 ///
 /// ```
-/// use verbenaspool::entry::caller::below;
+/// use verbenaspool::entry::caller::has_path_prefix;
 ///
-/// assert!(below("/loft/quotes", "/loft/"));
-/// assert!(below("/loft", "/loft/"));
-/// assert!(!below("/lofts", "/loft"));
+/// assert!(has_path_prefix("/loft/quotes", "/loft/"));
+/// assert!(has_path_prefix("/loft", "/loft/"));
+/// assert!(!has_path_prefix("/lofts", "/loft"));
 /// ```
 #[must_use]
-pub fn below(path: &str, prefix: &str) -> bool {
+pub fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/verbenaspool/src/entry/claim.rs
+++ b/verbenaspool/src/entry/claim.rs
@@ -15,23 +15,23 @@
 use verbenaspool_transport::platform::{Store, driver};
 
 use super::{
-    exchange::{self, Ticket},
+    exchange::{self, Target},
     forward::Forward,
 };
 
 /// How long a claim may take. The platform answers in milliseconds; a caller of
 /// a write is told soon that it can't be reached.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// When a repeat of a running request makes sense: a write takes this order.
-const RUNNING: Duration = Duration::from_millis(500);
+const RETRY_AFTER_RUNNING: Duration = Duration::from_millis(500);
 
 /// How often a release is tried before the caller is answered all the same.
-const RELEASES: usize = 3;
+const MAX_RELEASE_TRIES: usize = 3;
 
 /// How often a claim is replaced before the caller is told that its key is
 /// contended: each time another repeat of the same request came first.
-const ROUNDS: usize = 4;
+const MAX_CLAIM_TRIES: usize = 4;
 
 /// A claim that stands.
 pub struct Claimed {
@@ -39,14 +39,14 @@
     key: String,
     version: u64,
     /// The one attempt that may be sent under it.
-    pub ticket: Ticket,
+    pub target: Target,
 }
 
 impl Claimed {
     /// Gives the key back, because its request did not run. If that fails the
     /// claim stays, which is safe: a repeat settles it with the agent it names.
     pub async fn release(self) {
-        for _ in 0..RELEASES {
+        for _ in 0..MAX_RELEASE_TRIES {
             let when = When::Version(self.version);
             match self.store.delete(&self.key, when).await {
                 Err(error) if error.may_have_run() => {}
@@ -62,17 +62,17 @@
     /// # Errors
     /// A repeat of the request holds the key by now, or the platform can't be
     /// reached; the attempt must not be sent then.
-    pub async fn renew(&mut self, forward: &Forward, ticket: Ticket) -> Result<(), Problem> {
-        let record = record(forward, &ticket);
+    pub async fn renew(&mut self, forward: &Forward, target: Target) -> Result<(), Problem> {
+        let record = record(forward, &target);
         let claim = Claim::replace(self.key.clone(), self.version, record);
         match drive(forward, self.store.as_ref(), claim).await {
             Outcome::Acquired { version } => {
                 self.version = version;
-                self.ticket = ticket;
+                self.target = target;
                 Ok(())
             }
-            Outcome::Taken { .. } => Err(came_before()),
-            Outcome::Failed { .. } => Err(unreachable()),
+            Outcome::Taken { .. } => Err(earlier_request()),
+            Outcome::Failed { .. } => Err(platform_unreachable()),
         }
     }
 }
@@ -82,86 +82,88 @@
 /// # Errors
 /// The key is taken, or the platform can't be reached; the request must not be
 /// sent then.
-pub async fn take(forward: &Forward, key: &str, ticket: Ticket) -> Result<Claimed, Problem> {
+pub async fn acquire(forward: &Forward, key: &str, target: Target) -> Result<Claimed, Problem> {
     let entry = &forward.entry;
     let Some(store) = entry.store.clone() else {
-        return Err(unreachable());
+        return Err(platform_unreachable());
     };
     let key = keys::claim(entry.firm(), &forward.customer, key);
-    let record = record(forward, &ticket);
+    let record = record(forward, &target);
     let mut claim = Claim::new(key.clone(), record.clone());
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_CLAIM_TRIES {
         match drive(forward, store.as_ref(), claim).await {
             Outcome::Acquired { version } => {
                 return Ok(Claimed {
                     store,
                     key,
                     version,
-                    ticket,
+                    target,
                 });
             }
-            Outcome::Taken { record: other, .. } if other.request != record.request => {
+            Outcome::Taken {
+                record: earlier, ..
+            } if earlier.request != record.request => {
                 let message = "The key was used for another request.";
                 return Err(Problem::not_run(Code::KeyConflict, message));
             }
             Outcome::Taken {
-                record: other,
+                record: earlier,
                 version,
             } => {
-                settled(forward, &other).await?;
+                ensure_not_run(forward, &earlier).await?;
                 claim = Claim::replace(key.clone(), version, record.clone());
             }
-            Outcome::Failed { .. } => return Err(unreachable()),
+            Outcome::Failed { .. } => return Err(platform_unreachable()),
         }
     }
-    Err(came_before())
+    Err(earlier_request())
 }
 
 /// Makes sure that the attempt of an earlier claim will never run.
 ///
 /// Its entry may have died before it sent the attempt, or lost the platform's
 /// answer to the claim. Without this the key would be taken for ever.
-async fn settled(forward: &Forward, earlier: &Record) -> Result<(), Problem> {
+async fn ensure_not_run(forward: &Forward, earlier: &Record) -> Result<(), Problem> {
     let Ok(attempt) = earlier.attempt.parse() else {
-        return Err(came_before());
+        return Err(earlier_request());
     };
     let agent = earlier.agent;
-    match exchange::ask(forward, attempt, agent.control, agent.process).await {
+    match exchange::attempt_status(forward, attempt, agent.control, agent.process).await {
         Some(settle::Answer::Refused) => Ok(()),
         Some(settle::Answer::Running) => {
             let message = "A request with this key is running.";
-            Err(Problem::unknown(Code::KeyConflict, message).after(RUNNING))
+            Err(Problem::unknown(Code::KeyConflict, message).after(RETRY_AFTER_RUNNING))
         }
         Some(settle::Answer::Ended) => {
             let message = "A request with this key came before and ran; its answer is not kept.";
             Err(Problem::unknown(Code::KeyConflict, message))
         }
-        Some(settle::Answer::Unknown) | None => Err(came_before()),
+        Some(settle::Answer::Unknown) | None => Err(earlier_request()),
     }
 }
 
 /// What the claim of an attempt says.
-fn record(forward: &Forward, ticket: &Ticket) -> Record {
+fn record(forward: &Forward, target: &Target) -> Record {
     Record {
-        attempt: ticket.id.to_string(),
+        attempt: target.id.to_string(),
         agent: Agent {
-            control: ticket.address.control,
-            process: ticket.process,
+            control: target.address.control,
+            process: target.process,
         },
-        request: fingerprint(forward),
+        request: request_hash(forward),
     }
 }
 
 /// Drives a claim to its outcome within the caller's time.
 async fn drive(forward: &Forward, store: &dyn Store, mut claim: Claim) -> Outcome {
-    let within = TIMEOUT.min(forward.left());
+    let timeout = CLAIM_TIMEOUT.min(forward.time_left());
     let seed = forward.entry.attempts.seed();
-    let outcome = driver::drive(store, &mut claim, within, seed).await;
+    let outcome = driver::drive(store, &mut claim, timeout, seed).await;
     outcome.unwrap_or_else(|| claim.abandon())
 }
 
 /// A repeat whose request may have run.
-fn came_before() -> Problem {
+fn earlier_request() -> Problem {
     Problem::unknown(
         Code::KeyConflict,
         "A request with this key came before and may have run.",
@@ -169,16 +171,16 @@
 }
 
 /// Tells a repeat of a request from another one under the same key.
-fn fingerprint(forward: &Forward) -> Hash {
+fn request_hash(forward: &Forward) -> Hash {
     let mut text = format!("{} {}\n", forward.method, forward.uri).into_bytes();
-    for chunk in forward.upload.kept() {
+    for chunk in forward.upload.buffered() {
         text.extend_from_slice(&chunk);
     }
     Hash::of(&text)
 }
 
 /// The platform can't be reached.
-fn unreachable() -> Problem {
+fn platform_unreachable() -> Problem {
     Problem::not_run(
         Code::Platform,
         "The platform can't be reached, and a write with a key needs it.",
--- a/verbenaspool/src/entry/events.rs
+++ b/verbenaspool/src/entry/events.rs
@@ -26,24 +26,24 @@
 /// The event that marks the answer's end isn't counted: an engine that resumes the answer
 /// sends it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Events {
+pub struct Counter {
     /// How many have passed.
     pub count: u32,
     /// Whether the end mark has passed, so that nothing of the answer is missing.
-    pub ended: bool,
+    pub end_mark_seen: bool,
     /// The beginning of the present line.
     line: Vec<u8>,
     /// What the present event carries.
     content: Content,
 }
 
-impl Events {
+impl Counter {
     /// Reads a chunk and tells where its last event ends; none ends at 0.
     ///
     /// ```
-    /// use verbenaspool::entry::events::Events;
+    /// use verbenaspool::entry::events::Counter;
     ///
-    /// let mut events = Events::default();
+    /// let mut events = Counter::default();
     /// assert_eq!(events.read(b"data: net\n"), 0);
     /// assert_eq!(events.read(b"\n: a comment\n\ndata: to"), 14);
     /// assert_eq!(events.count, 1);
@@ -68,14 +68,14 @@
     /// Forgets an event that isn't whole; the count stays.
     ///
     /// ```
-    /// use verbenaspool::entry::events::Events;
+    /// use verbenaspool::entry::events::Counter;
     ///
-    /// let mut events = Events::default();
+    /// let mut events = Counter::default();
     /// events.read(b"data: n");
-    /// events.restart();
-    /// assert_eq!(events, Events::default());
+    /// events.discard_partial();
+    /// assert_eq!(events, Counter::default());
     /// ```
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.line.clear();
         self.content = Content::Empty;
     }
@@ -99,7 +99,7 @@
         match std::mem::take(&mut self.content) {
             Content::Empty => {}
             Content::Data => self.count += 1,
-            Content::EndMark => self.ended = true,
+            Content::EndMark => self.end_mark_seen = true,
         }
     }
 }
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -24,13 +24,13 @@
 
 /// How long an agent may take to say what became of an attempt. It answers from
 /// memory; a silent one is as good as dead, and the caller waits.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the names of our own headers begin with.
-const OWN: &str = "x-verbenaspool-";
+const OWN_PREFIX: &str = "x-verbenaspool-";
 
 /// Our own headers to an agent, for the size of the map.
-const ADDED: usize = 8;
+const ADDED_HEADERS: usize = 8;
 
 /// An answer with the attempt that brought it.
 pub struct Exchange {
@@ -44,7 +44,7 @@
 
 /// Where an attempt is to go, and the id that it goes under.
 #[derive(Clone)]
-pub struct Ticket {
+pub struct Target {
     /// The attempt's id.
     pub id: attempt::Id,
     /// The upstream.
@@ -66,24 +66,24 @@
     /// It ran, and this is its answer.
     Answered,
     /// It was refused.
-    Refused,
+    NotRun,
     /// The agent can't say.
     Unknown,
     /// The answer is another attempt's, or says nothing.
-    Foreign,
+    Mismatched,
 }
 
 /// Makes one attempt; `resume` is how many tokens the caller has already.
 ///
 /// # Errors
 /// It brought no answer.
-pub async fn make(
+pub async fn send(
     forward: &Rc<Forward>,
     attempt: Attempt,
     resume: Option<u32>,
 ) -> Result<Exchange, Failure> {
-    match ticket(forward, &attempt).await {
-        Ok(ticket) => make_under(forward, attempt, ticket, resume).await,
+    match resolve_target(forward, &attempt).await {
+        Ok(target) => send_to(forward, attempt, target, resume).await,
         Err(failure) => {
             attempt.finish(failure.ending, forward.prompt.tokens, 0);
             Err(failure)
@@ -95,16 +95,18 @@
 ///
 /// # Errors
 /// It brought no answer.
-pub async fn make_under(
+pub async fn send_to(
     forward: &Rc<Forward>,
     attempt: Attempt,
-    ticket: Ticket,
+    target: Target,
     resume: Option<u32>,
 ) -> Result<Exchange, Failure> {
     let upstream = attempt.upstream().clone();
-    let mut span = forward.observation.step("entry to agent", Kind::Client);
+    let mut span = forward
+        .observation
+        .child_span("entry to agent", Kind::Client);
     span.set("upstream", upstream.as_str());
-    let result = try_once(forward, &attempt, ticket, &span, resume).await;
+    let result = try_once(forward, &attempt, target, &span, resume).await;
     match result {
         Ok(response) => Ok(Exchange {
             attempt,
@@ -123,26 +125,26 @@
 async fn try_once(
     forward: &Forward,
     attempt: &Attempt,
-    ticket: Ticket,
+    target: Target,
     span: &Span,
     resume: Option<u32>,
 ) -> Result<Response<Body>, Failure> {
-    let id = ticket.id;
-    let request = request(forward, &ticket, span, resume);
+    let id = target.id;
+    let request = agent_request(forward, &target, span, resume);
     forward.observation.meter().attempts.count();
-    let sent = forward.entry.client.send(ticket.address.agent, request);
-    match monoio::time::timeout(forward.left(), sent).await {
+    let sending = forward.entry.client.send(target.address.agent, request);
+    match monoio::time::timeout(forward.time_left(), sending).await {
         Ok(Ok(response)) => {
-            learn(forward, attempt, response.headers());
-            match judge(id, response.headers()) {
+            record_load(forward, attempt, response.headers());
+            match classify_head(id, response.headers()) {
                 Verdict::Answered => Ok(response),
-                Verdict::Refused => Err(not_run("The upstream refused the request.")),
-                Verdict::Unknown => Err(lost()),
-                Verdict::Foreign => Err(settle(forward, &ticket).await),
+                Verdict::NotRun => Err(not_run("The upstream refused the request.")),
+                Verdict::Unknown => Err(answer_lost()),
+                Verdict::Mismatched => Err(settle(forward, &target).await),
             }
         }
         Ok(Err(client::Error::NotSent(_))) => Err(not_run("The upstream can't be reached.")),
-        Ok(Err(client::Error::Broken(_))) => Err(settle(forward, &ticket).await),
+        Ok(Err(client::Error::Broken(_))) => Err(settle(forward, &target).await),
         // The final answer goes out at once; dropping the request cancels it.
         Err(_) => Err(Failure {
             ending: Ending::Cancelled,
@@ -156,44 +158,52 @@
 ///
 /// # Errors
 /// The upstream is gone or silent, and nothing was sent.
-pub async fn ticket(forward: &Forward, attempt: &Attempt) -> Result<Ticket, Failure> {
+pub async fn resolve_target(forward: &Forward, attempt: &Attempt) -> Result<Target, Failure> {
     let name = attempt.upstream();
     let entry = &forward.entry;
     let gone = || not_run("The upstream is gone.");
     let mut address = entry.upstreams.address(name).ok_or_else(gone)?;
     if address.process.is_none() {
-        entry.ask(name).await;
+        entry.request_report(name).await;
         address = entry.upstreams.address(name).ok_or_else(gone)?;
     }
-    let silent = || not_run("The upstream can't be reached.");
-    Ok(Ticket {
+    let unreachable = || not_run("The upstream can't be reached.");
+    Ok(Target {
         id: entry.attempts.next(),
-        process: address.process.ok_or_else(silent)?,
+        process: address.process.ok_or_else(unreachable)?,
         address,
     })
 }
 
 /// The request as the agent gets it.
-fn request(forward: &Forward, ticket: &Ticket, span: &Span, resume: Option<u32>) -> Request<Body> {
+fn agent_request(
+    forward: &Forward,
+    target: &Target,
+    span: &Span,
+    resume: Option<u32>,
+) -> Request<Body> {
     let mut request = Request::new(Body::wrap(forward.upload.body()));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     *request.version_mut() = Version::HTTP_11;
     let headers = request.headers_mut();
     headers.clone_from(&forward.headers);
-    headers.insert(HOST, ticket.address.host.clone());
-    headers.insert(header::ATTEMPT, value(&ticket.id.to_string()));
-    headers.insert(header::AGENT, ticket.process.into());
-    headers.insert(header::INSTANCE, ticket.address.instance.clone());
+    headers.insert(HOST, target.address.host.clone());
+    headers.insert(header::ATTEMPT, header_value(&target.id.to_string()));
+    headers.insert(header::AGENT, target.process.into());
+    headers.insert(header::INSTANCE, target.address.instance.clone());
     if let Some(fingerprint) = forward.fingerprint {
-        headers.insert(header::FINGERPRINT, value(&fingerprint.to_string()));
+        headers.insert(header::FINGERPRINT, header_value(&fingerprint.to_string()));
     }
-    headers.insert(header::CUSTOMER, value(forward.customer.as_str()));
-    let left = u64::try_from(forward.left().as_millis()).unwrap_or(u64::MAX);
-    headers.insert(header::DEADLINE, left.into());
+    headers.insert(header::CUSTOMER, header_value(forward.customer.as_str()));
+    let time_left_ms = u64::try_from(forward.time_left().as_millis()).unwrap_or(u64::MAX);
+    headers.insert(header::DEADLINE, time_left_ms.into());
     let priority = HeaderValue::from_static(priority_name(forward.priority));
     headers.insert(header::PRIORITY, priority);
-    headers.insert(header::TRACEPARENT, value(&span.context().to_string()));
+    headers.insert(
+        header::TRACEPARENT,
+        header_value(&span.context().to_string()),
+    );
     if let Some(tokens) = resume {
         headers.insert(header::RESUME, tokens.into());
     }
@@ -206,79 +216,79 @@
 /// The values are copied. They are windows into the 8 KB that the head was read
 /// into, which would otherwise live as long as the request: 8 MB for 1,000
 /// open streams.
-pub fn passed(mut headers: HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     hop::strip(&mut headers);
     headers.remove(AUTHORIZATION);
     headers.remove(EXPECT);
     headers.remove(HOST);
-    let own = |name: &HeaderName| name.as_str().starts_with(OWN);
-    let size = headers.values().map(HeaderValue::len).sum();
-    let mut copied = BytesMut::with_capacity(size);
-    let mut passed = HeaderMap::with_capacity(headers.len() + ADDED);
-    for (name, value) in headers.iter().filter(|(name, _)| !own(name)) {
+    let is_own = |name: &HeaderName| name.as_str().starts_with(OWN_PREFIX);
+    let value_bytes = headers.values().map(HeaderValue::len).sum();
+    let mut copied = BytesMut::with_capacity(value_bytes);
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + ADDED_HEADERS);
+    for (name, value) in headers.iter().filter(|(name, _)| !is_own(name)) {
         copied.extend_from_slice(value.as_bytes());
         if let Ok(value) = HeaderValue::from_maybe_shared(copied.split().freeze()) {
-            passed.append(name, value);
+            forwarded.append(name, value);
         }
     }
-    passed
+    forwarded
 }
 
 /// What an answer's head says of an attempt.
-fn judge(id: attempt::Id, headers: &HeaderMap) -> Verdict {
+fn classify_head(id: attempt::Id, headers: &HeaderMap) -> Verdict {
     // An answer to another attempt, late or crossed, must never reach this caller.
-    if read(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
-        return Verdict::Foreign;
+    if header_text(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
+        return Verdict::Mismatched;
     }
-    match Outcome::read(read(headers, header::OUTCOME)) {
+    match Outcome::read(header_text(headers, header::OUTCOME)) {
         Outcome::Ran => Verdict::Answered,
-        Outcome::NotRun => Verdict::Refused,
+        Outcome::NotRun => Verdict::NotRun,
         Outcome::Unknown => Verdict::Unknown,
     }
 }
 
 /// Takes in the load that came with an answer.
-fn learn(forward: &Forward, attempt: &Attempt, headers: &HeaderMap) {
-    let load = read(headers, header::LOAD).and_then(|text| serde_json::from_str(text).ok());
+fn record_load(forward: &Forward, attempt: &Attempt, headers: &HeaderMap) {
+    let load = header_text(headers, header::LOAD).and_then(|text| serde_json::from_str(text).ok());
     if let Some(load) = load {
         let load: Load = load;
-        forward.entry.heard(attempt.upstream(), &load);
+        forward.entry.record_load(attempt.upstream(), &load);
     }
 }
 
 /// Asks the agent what became of an attempt whose answer was lost.
-async fn settle(forward: &Forward, ticket: &Ticket) -> Failure {
+async fn settle(forward: &Forward, target: &Target) -> Failure {
     forward.observation.meter().settled.count();
-    let control = ticket.address.control;
-    match ask(forward, ticket.id, control, ticket.process).await {
+    let control = target.address.control;
+    match attempt_status(forward, target.id, control, target.process).await {
         Some(settle::Answer::Refused) => not_run("The upstream broke off before the request."),
-        _ => lost(),
+        _ => answer_lost(),
     }
 }
 
 /// Asks an agent what became of an attempt; none where it doesn't answer.
-pub async fn ask(
+pub async fn attempt_status(
     forward: &Forward,
     attempt: attempt::Id,
     control: SocketAddr,
     agent: u64,
 ) -> Option<settle::Answer> {
-    let question = settle::Question { attempt, agent };
-    let wait = SETTLE.min(forward.left());
+    let request = settle::Question { attempt, agent };
+    let timeout = SETTLE_TIMEOUT.min(forward.time_left());
     let rpc = &forward.entry.rpc;
-    rpc.call(control, settle::METHOD, &question, wait)
+    rpc.call(control, settle::METHOD, &request, timeout)
         .await
         .ok()
 }
 
 /// A header as text, where it is text.
 #[must_use]
-pub fn read<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// A header value of our own making, which is plain ASCII.
-fn value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("ids and names are plain ASCII")
 }
 
@@ -291,7 +301,7 @@
 }
 
 /// An attempt whose answer was lost.
-pub fn lost() -> Failure {
+pub fn answer_lost() -> Failure {
     Failure {
         ending: Ending::Unknown,
         problem: Problem::unknown(
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -91,7 +91,7 @@
 
 /// What the entry uses of the process around it.
 #[derive(Clone)]
-pub struct Surroundings {
+pub struct Dependencies {
     /// The source of time.
     pub clock: Rc<dyn Clock>,
     /// The log.
@@ -104,17 +104,17 @@
     pub store: Option<Rc<dyn Store>>,
 }
 
-impl Surroundings {
+impl Dependencies {
     /// No log, no spans and no platform, as in trials.
     ///
     /// ```
-    /// use verbenaspool::entry::Surroundings;
+    /// use verbenaspool::entry::Dependencies;
     /// use verbenaspool_transport::clock::Monotonic;
     ///
-    /// assert!(Surroundings::bare(Monotonic::start()).store.is_none());
+    /// assert!(Dependencies::minimal(Monotonic::start()).store.is_none());
     /// ```
     #[must_use]
-    pub fn bare(clock: Rc<dyn Clock>) -> Self {
+    pub fn minimal(clock: Rc<dyn Clock>) -> Self {
         Self {
             log: Logger::root(slog::Discard, slog::o!()),
             tracer: Tracer::new(None, clock.clone()),
@@ -194,9 +194,9 @@
     /// The ids of attempts.
     pub attempts: Attempts,
     /// The callers' open connections.
-    pub open: Open,
+    pub connections: Open,
     table: RefCell<Option<Rc<Table>>>,
-    services: RefCell<HashMap<Name, Running>>,
+    services: RefCell<HashMap<Name, ServiceState>>,
     peers: RefCell<Vec<Peer>>,
     draining: Cell<bool>,
     quarantine: RefCell<Quarantine>,
@@ -210,7 +210,7 @@
 
 /// What runs for one service.
 #[derive(Clone)]
-struct Running {
+struct ServiceState {
     queue: Rc<Queue>,
     meter: Rc<Meter>,
 }
@@ -219,25 +219,25 @@
     /// An entry without a configuration, which refuses all requests.
     #[must_use]
     pub fn new(options: Options, clock: Rc<dyn Clock>) -> Rc<Self> {
-        Self::with(options, Surroundings::bare(clock))
+        Self::with_dependencies(options, Dependencies::minimal(clock))
     }
 
     /// The same with a log, spans, metrics and the platform.
     #[must_use]
-    pub fn with(options: Options, around: Surroundings) -> Rc<Self> {
+    pub fn with_dependencies(options: Options, dependencies: Dependencies) -> Rc<Self> {
         let client = Client::new(options.connect);
         Rc::new(Self {
             options,
-            clock: around.clock,
-            log: around.log,
-            tracer: around.tracer,
-            metrics: around.metrics,
-            store: around.store,
+            clock: dependencies.clock,
+            log: dependencies.log,
+            tracer: dependencies.tracer,
+            metrics: dependencies.metrics,
+            store: dependencies.store,
             client,
             rpc: rpc::Client::default(),
             upstreams: Directory::default(),
             attempts: Attempts::default(),
-            open: Open::default(),
+            connections: Open::default(),
             table: RefCell::default(),
             services: RefCell::default(),
             peers: RefCell::default(),
@@ -260,7 +260,7 @@
 
     /// Says that the process is about to stop: it is not ready any more, and
     /// goes on serving who comes all the same.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
@@ -275,27 +275,27 @@
 
     /// Puts a version of the firm's file in force. An older one than is in
     /// force, or another firm's, changes nothing.
-    pub fn adopt(&self, version: Version, file: &File) {
+    pub fn apply_configuration(&self, version: Version, file: &File) {
         if version <= self.version() || file.firm != self.options.firm {
             return;
         }
         let table = Rc::new(Table::new(version, file));
-        self.requeue(&table);
+        self.update_queues(&table);
         self.table.replace(Some(table));
         info!(self.log, "{}: Put a version in force.", PART; "version" => version.0);
     }
 
     /// Takes the firm's whole list of upstreams.
-    pub fn members(&self, upstreams: &[Upstream]) {
+    pub fn set_upstreams(&self, upstreams: &[Upstream]) {
         self.upstreams.replace(self.firm(), upstreams);
         let table = self.table.borrow().clone();
         let services = self.services.borrow();
         for service in table.iter().flat_map(|table| &table.services) {
-            let Some(running) = services.get(&service.name) else {
+            let Some(state) = services.get(&service.name) else {
                 continue;
             };
             let members = self.upstreams.members(service);
-            running
+            state
                 .queue
                 .with(|balancer, now| balancer.set_members(now, &members));
         }
@@ -307,15 +307,15 @@
     /// every entry works the picks out for itself. Entries that knew nothing of
     /// each other would all come to the same few upstreams, and the others would
     /// stand idle.
-    pub fn accompany(&self, names: &[Name]) {
+    pub fn set_peers(&self, names: &[Name]) {
         let zone = &self.options.zone;
         let peer = |name: &Name| Peer {
             name: name.clone(),
             zone: zone.clone(),
         };
         let peers: Vec<Peer> = names.iter().map(peer).collect();
-        for running in self.services.borrow().values() {
-            running
+        for state in self.services.borrow().values() {
+            state
                 .queue
                 .with(|balancer, now| balancer.set_peers(now, &peers));
         }
@@ -326,35 +326,35 @@
     pub async fn serve(self: Rc<Self>, listener: TcpListener, signal: Signal) {
         monoio::spawn(reports::run(Rc::downgrade(&self), signal.clone()));
         let limits = self.options.limits.clone();
-        let open = self.open.clone();
-        server::serve(listener, limits, self, open, signal).await;
+        let connections = self.connections.clone();
+        server::serve(listener, limits, self, connections, signal).await;
     }
 
     /// Gives each service of a file its queue; a queue that was there goes on
     /// with the new settings, and so do those who wait in it.
-    fn requeue(&self, table: &Table) {
+    fn update_queues(&self, table: &Table) {
         let shares = table.customers.iter();
         let shares = shares.map(|customer| (customer.name.clone(), customer.share));
         let shares: Rc<share::Table> = Rc::new(shares.collect());
         let peers = self.peers.borrow();
         let mut services = self.services.borrow_mut();
-        let mut before = std::mem::take(&mut *services);
+        let mut previous = std::mem::take(&mut *services);
         for service in &table.services {
-            let kept = before.remove(&service.name);
-            let running = kept.unwrap_or_else(|| self.running(service));
+            let existing = previous.remove(&service.name);
+            let state = existing.unwrap_or_else(|| self.new_service_state(service));
             let members = self.upstreams.members(service);
-            running.queue.with(|balancer, now| {
+            state.queue.with(|balancer, now| {
                 balancer.configure(now, &service.decisions, &shares);
                 balancer.set_peers(now, &peers);
                 balancer.set_members(now, &members);
             });
-            services.insert(service.name.clone(), running);
+            services.insert(service.name.clone(), state);
         }
     }
 
     /// The upstreams that the balancers work with.
     #[must_use]
-    pub fn working(&self) -> Vec<Name> {
+    pub fn subset_upstreams(&self) -> Vec<Name> {
         let snapshots = self.snapshots().into_iter();
         let upstreams = snapshots.flat_map(|(_, snapshot)| snapshot.upstreams);
         upstreams.map(|upstream| upstream.name).collect()
@@ -364,16 +364,16 @@
     #[must_use]
     pub fn snapshots(&self) -> Vec<(Name, Snapshot)> {
         let services = self.services.borrow();
-        let shown = services.iter().map(|(name, running)| {
-            let snapshot = running.queue.snapshot();
+        let snapshots = services.iter().map(|(name, state)| {
+            let snapshot = state.queue.snapshot();
             (name.clone(), snapshot)
         });
-        shown.collect()
+        snapshots.collect()
     }
 
     /// Takes in an agent's word about its load.
-    pub fn heard(&self, upstream: &Name, load: &Load) {
-        let Some((service, load)) = self.upstreams.heard(upstream, load) else {
+    pub fn record_load(&self, upstream: &Name, load: &Load) {
+        let Some((service, load)) = self.upstreams.record_load(upstream, load) else {
             return;
         };
         if let Some(queue) = self.queue_of(&service) {
@@ -384,11 +384,11 @@
     /// The queue of a service.
     fn queue_of(&self, service: &Name) -> Option<Rc<Queue>> {
         let services = self.services.borrow();
-        services.get(service).map(|running| running.queue.clone())
+        services.get(service).map(|state| state.queue.clone())
     }
 
     /// A new queue and new metrics for a service.
-    fn running(&self, service: &Service) -> Running {
+    fn new_service_state(&self, service: &Service) -> ServiceState {
         let options = &self.options;
         let seed = rand::rng().random();
         let balancer = Balancer::new(
@@ -397,7 +397,7 @@
             options.zone.clone(),
             seed,
         );
-        Running {
+        ServiceState {
             queue: Queue::start(balancer, self.clock.clone()),
             meter: Meter::new(&self.metrics, service.name.as_str()),
         }
@@ -405,48 +405,48 @@
 
     /// Answers one request.
     async fn respond(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        match self.admit(request).await {
+        match self.prepare(request).await {
             Ok(forward) => Rc::new(forward).run().await,
             Err(problem) => reply::problem(&problem),
         }
     }
 
     /// Checks a request and finds its service.
-    async fn admit(self: Rc<Self>, request: Request<Incoming>) -> Result<Forward, Problem> {
-        let began = self.clock.now();
+    async fn prepare(self: Rc<Self>, request: Request<Incoming>) -> Result<Forward, Problem> {
+        let received_at = self.clock.now();
         let table = self.table.borrow().clone().ok_or_else(not_ready)?;
         let (parts, body) = request.into_parts();
         let customer = table.customer(caller::credential(&parts.headers)?)?;
         let service = table.service(parts.uri.path())?;
-        table::permit(customer, &service.name)?;
-        let running = self.services.borrow().get(&service.name).cloned();
-        let running = running.ok_or_else(not_ready)?;
-        let observation = self.observe(&running, began, &parts);
-        let admitted = self.check(&parts, body, service).await;
-        let (wish, uri, upload, prompt, body) = match admitted {
-            Ok(admitted) => admitted,
+        table::check_access(customer, &service.name)?;
+        let state = self.services.borrow().get(&service.name).cloned();
+        let state = state.ok_or_else(not_ready)?;
+        let observation = self.observe(&state, received_at, &parts);
+        let checked = self.check(&parts, body, service).await;
+        let (options, uri, upload, prompt, body) = match checked {
+            Ok(checked) => checked,
             Err(problem) => {
                 observation.end(Ended::Outcome(Outcome::NotRun));
                 return Err(problem);
             }
         };
-        observation.set("customer", customer.name.as_str());
-        let own = Duration::from_millis(service.decisions.deadline_ms);
+        observation.set_attribute("customer", customer.name.as_str());
+        let default_deadline = Duration::from_millis(service.decisions.deadline_ms);
         let fingerprint = body.map(|body| {
             let path = parts.uri.path_and_query();
             let path = path.map_or(parts.uri.path(), PathAndQuery::as_str);
             Fingerprint::of(Some(customer.name.as_str()), path, &body.concat())
         });
-        let headers = exchange::passed(parts.headers);
+        let headers = exchange::forwarded_headers(parts.headers);
         Ok(Forward {
-            idempotent: caller::repeatable(service, &parts.method, uri.path()),
+            idempotent: caller::is_idempotent(service, &parts.method, uri.path()),
             service: service.clone(),
             customer: customer.name.clone(),
-            priority: wish.priority,
-            deadline: began + wish.deadline.unwrap_or(own),
-            named: wish.deadline.is_some(),
-            key: wish.key,
-            queue: running.queue,
+            priority: options.priority,
+            deadline: received_at + options.deadline.unwrap_or(default_deadline),
+            deadline_from_caller: options.deadline.is_some(),
+            key: options.key,
+            queue: state.queue,
             method: parts.method,
             entry: self,
             uri,
@@ -459,12 +459,13 @@
     }
 
     /// Starts to observe a request.
-    fn observe(&self, running: &Running, began: Duration, parts: &Parts) -> Observation {
-        let remote = exchange::read(&parts.headers, header::TRACEPARENT).and_then(Context::parse);
+    fn observe(&self, state: &ServiceState, received_at: Duration, parts: &Parts) -> Observation {
+        let parent =
+            exchange::header_text(&parts.headers, header::TRACEPARENT).and_then(Context::parse);
         let span = self
             .tracer
-            .root(remote, "caller to entry", span::Kind::Server);
-        Observation::new(running.meter.clone(), self.clock.clone(), began, span)
+            .root(parent, "caller to entry", span::Kind::Server);
+        Observation::new(state.meter.clone(), self.clock.clone(), received_at, span)
     }
 
     /// Checks what the caller says and begins to read its body.
@@ -474,27 +475,27 @@
         body: Incoming,
         service: &Service,
     ) -> Result<Checked, Problem> {
-        let wish = caller::wish(&parts.headers)?;
-        let uri = below(parts, service)?;
+        let options = caller::read_options(&parts.headers)?;
+        let uri = relative_uri(parts, service)?;
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > self.options.bounds.bytes) {
+        if length.is_some_and(|length| length > self.options.bounds.max_bytes) {
             return Err(Problem::not_run(Code::TooLarge, "The body is too large."));
         }
         let upload = Upload::new(body.into(), self.options.bounds, self.clock.clone());
         // A sender that gives only a head takes no place in the queue and no
         // slot of an upstream: the first of the body must be here.
-        let first = upload.first().await.map_err(faulty)?;
+        let first = upload.first_chunk().await.map_err(upload_problem)?;
         let prompt = match (&service.kind, first) {
-            (Kind::Model(_), Some(first)) => prompt::read(&first, length),
+            (Kind::Model(_), Some(first)) => prompt::estimate(&first, length),
             _ => Prompt::default(),
         };
         let body = match length {
             Some(length) if length <= upload::MAX_REPLAY_BYTES as u64 => {
-                Some(upload.whole().await.map_err(faulty)?)
+                Some(upload.read_to_end().await.map_err(upload_problem)?)
             }
             _ => None,
         };
-        Ok((wish, uri, upload, prompt, body))
+        Ok((options, uri, upload, prompt, body))
     }
 }
 
@@ -515,17 +516,17 @@
 }
 
 /// A body that was faulty before any of it was passed on.
-fn faulty(fault: Fault) -> Problem {
+fn upload_problem(fault: Fault) -> Problem {
     let (code, message) = match fault {
         Fault::TooLarge => (Code::TooLarge, "The body is too large."),
         Fault::Slow => (Code::SlowSender, "The body did not come in time."),
-        Fault::Broken | Fault::Gone => (Code::BadRequest, "The body broke off."),
+        Fault::Broken | Fault::NotReplayable => (Code::BadRequest, "The body broke off."),
     };
     Problem::not_run(code, message)
 }
 
 /// The path and query below the service's own path.
-fn below(parts: &Parts, service: &Service) -> Result<Uri, Problem> {
+fn relative_uri(parts: &Parts, service: &Service) -> Result<Uri, Problem> {
     let path = parts.uri.path();
     let rest = &path[service.path.trim_end_matches('/').len()..];
     let rest = if rest.is_empty() { "/" } else { rest };
--- a/verbenaspool/src/entry/observe.rs
+++ b/verbenaspool/src/entry/observe.rs
@@ -29,9 +29,9 @@
     not_run: Counter,
     unknown: Counter,
     cancelled: Counter,
-    whole: Histogram,
-    first: Histogram,
-    queue: Histogram,
+    total_time: Histogram,
+    first_byte_time: Histogram,
+    queue_time: Histogram,
     /// Attempts sent to agents.
     pub attempts: Counter,
     /// Lost answers that their agent was asked about.
@@ -66,15 +66,15 @@
             not_run: outcome("not-run"),
             unknown: outcome("unknown"),
             cancelled: outcome("cancelled"),
-            whole: time(
+            total_time: time(
                 "verbenaspool_request_seconds",
                 "Time from a request's head to its whole answer.",
             ),
-            first: time(
+            first_byte_time: time(
                 "verbenaspool_first_byte_seconds",
                 "Time from a request's head to the head of its answer.",
             ),
-            queue: time(
+            queue_time: time(
                 "verbenaspool_queue_seconds",
                 "Time spent waiting for a place.",
             ),
@@ -94,7 +94,7 @@
 pub struct Observation {
     meter: Rc<Meter>,
     clock: Rc<dyn Clock>,
-    began: Duration,
+    received_at: Duration,
     span: RefCell<Span>,
     ended: Cell<bool>,
 }
@@ -102,11 +102,11 @@
 impl Observation {
     /// Starts to observe a request that came at `began`.
     #[must_use]
-    pub fn new(meter: Rc<Meter>, clock: Rc<dyn Clock>, began: Duration, span: Span) -> Self {
+    pub fn new(meter: Rc<Meter>, clock: Rc<dyn Clock>, received_at: Duration, span: Span) -> Self {
         Self {
             meter,
             clock,
-            began,
+            received_at,
             span: RefCell::new(span),
             ended: Cell::new(false),
         }
@@ -120,25 +120,25 @@
 
     /// A span of a step of the request.
     #[must_use]
-    pub fn step(&self, name: &'static str, kind: Kind) -> Span {
+    pub fn child_span(&self, name: &'static str, kind: Kind) -> Span {
         self.span.borrow().child(name, kind)
     }
 
     /// Notes something about the request.
-    pub fn set(&self, key: &'static str, value: impl Into<Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<Value>) {
         self.span.borrow_mut().set(key, value);
     }
 
     /// The request has got its place, after a wait from `since`.
-    pub fn queued(&self, since: Duration) {
-        let wait = self.clock.now().saturating_sub(since);
-        self.meter.queue.record(wait);
+    pub fn record_queue_time(&self, queued_at: Duration) {
+        let wait = self.clock.now().saturating_sub(queued_at);
+        self.meter.queue_time.record(wait);
     }
 
     /// The answer's head is here.
-    pub fn answered(&self) {
-        let time = self.clock.now().saturating_sub(self.began);
-        self.meter.first.record(time);
+    pub fn record_first_byte(&self) {
+        let elapsed = self.clock.now().saturating_sub(self.received_at);
+        self.meter.first_byte_time.record(elapsed);
     }
 
     /// Says how the request ended; only the first word counts.
@@ -147,7 +147,7 @@
             return;
         }
         let meter = &self.meter;
-        let (counter, word) = match ended {
+        let (counter, label) = match ended {
             Ended::Outcome(Outcome::Ran) => (&meter.ran, "ran"),
             Ended::Outcome(Outcome::NotRun) => (&meter.not_run, "not-run"),
             Ended::Outcome(Outcome::Unknown) => (&meter.unknown, "unknown"),
@@ -156,12 +156,12 @@
         counter.count();
         if ended == Ended::Outcome(Outcome::Ran) {
             meter
-                .whole
-                .record(self.clock.now().saturating_sub(self.began));
+                .total_time
+                .record(self.clock.now().saturating_sub(self.received_at));
         } else {
-            self.span.borrow_mut().fail(word);
+            self.span.borrow_mut().fail(label);
         }
-        self.set("outcome", word);
+        self.set_attribute("outcome", label);
     }
 }
 
--- a/verbenaspool/src/entry/prompt.rs
+++ b/verbenaspool/src/entry/prompt.rs
@@ -36,11 +36,11 @@
 /// use verbenaspool::entry::prompt;
 ///
 /// let body = br#"{"prompt":"Mend the net.","max_tokens":64}"#;
-/// let prompt = prompt::read(body, None);
+/// let prompt = prompt::estimate(body, None);
 /// assert_eq!((prompt.tokens, prompt.max_tokens), (3, 64));
 /// ```
 #[must_use]
-pub fn read(first: &[u8], length: Option<u64>) -> Prompt {
+pub fn estimate(first: &[u8], length: Option<u64>) -> Prompt {
     let fields: Fields<'_> = serde_json::from_slice(first).unwrap_or_default();
     let bytes = match &fields.prompt {
         Some(prompt) => prompt.len() as u64,
--- a/verbenaspool/src/entry/quarantine.rs
+++ b/verbenaspool/src/entry/quarantine.rs
@@ -11,7 +11,7 @@
 
 impl Entry {
     /// How much longer a request is rejected, if it is.
-    pub fn quarantined(&self, request: Fingerprint) -> Option<Duration> {
+    pub fn quarantine_time_left(&self, request: Fingerprint) -> Option<Duration> {
         let now = self.clock.now();
         match self.quarantine.borrow().status(now, request) {
             Status::Quarantined(left) => Some(left),
@@ -20,25 +20,25 @@
     }
 
     /// Records that a request succeeded.
-    pub fn succeeded(&self, request: Fingerprint) {
+    pub fn record_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut quarantine = self.quarantine.borrow_mut();
         quarantine.record_success(now, request, now, Observer::Own);
     }
 
     /// Takes in which requests an upstream had as it crashed.
-    pub(super) fn crashed(&self, upstream: &Name, crashes: &[report::Crash]) {
+    pub(super) fn record_crashes(&self, upstream: &Name, crashes: &[report::Crash]) {
         let now = self.clock.now();
-        let bound = Limits::default();
+        let limits = Limits::default();
         let mut quarantine = self.quarantine.borrow_mut();
         for crash in crashes {
             let at = now.saturating_sub(Duration::from_millis(crash.age_ms));
             let ran = crash.ran_ms.map(Duration::from_millis);
             let request = crash.request;
             let crash = Crash::new(at, digest::hash(upstream.as_str()), ran);
-            if quarantine.record_crash(now, request, crash, Observer::Own, &bound) {
+            if quarantine.record_crash(now, request, crash, Observer::Own, &limits) {
                 warn!(self.log, "request quarantined"; "fingerprint" => request.to_string(),
-                    "for_s" => bound.duration.as_secs());
+                    "for_s" => limits.duration.as_secs());
             }
         }
     }
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -20,14 +20,14 @@
 use verbenaspool_transport::clock::Clock;
 
 /// What a waiting caller is told.
-type Verdict = Result<Start, Rejection>;
+type Admission = Result<Start, Rejection>;
 
 /// The queue of one service.
 pub struct Queue {
     balancer: RefCell<Balancer>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Admission>>>,
     clock: Rc<dyn Clock>,
-    changed: Rc<Notify>,
+    wake_changed: Rc<Notify>,
 }
 
 impl std::fmt::Debug for Queue {
@@ -44,12 +44,12 @@
             balancer: RefCell::new(balancer),
             waiting: RefCell::default(),
             clock,
-            changed: Rc::default(),
+            wake_changed: Rc::default(),
         });
-        monoio::spawn(tend(
+        monoio::spawn(run_wakeups(
             Rc::downgrade(&queue),
             queue.clock.clone(),
-            queue.changed.clone(),
+            queue.wake_changed.clone(),
         ));
         queue
     }
@@ -57,7 +57,7 @@
     /// Does something with the balancer and then resolves whoever can go on.
     pub fn with<R>(&self, act: impl FnOnce(&mut Balancer, Duration) -> R) -> R {
         let result = act(&mut self.balancer.borrow_mut(), self.clock.now());
-        self.pump();
+        self.process_queue();
         result
     }
 
@@ -73,7 +73,7 @@
     /// The balancer refuses it, now or after a wait.
     pub async fn admit(self: &Rc<Self>, request: &Request<'_>) -> Result<Attempt, Rejection> {
         let decision = self.balancer.borrow_mut().offer(self.clock.now(), request);
-        self.follow(decision).await
+        self.apply_decision(decision).await
     }
 
     /// Waits until a request whose attempt failed may start again.
@@ -90,43 +90,43 @@
             let mut balancer = self.balancer.borrow_mut();
             balancer.retry(self.clock.now(), request, ending, tried)
         };
-        self.follow(decision).await
+        self.apply_decision(decision).await
     }
 
     /// Carries a decision out.
-    async fn follow(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
+    async fn apply_decision(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
         let start = match decision {
             Decision::Admit(start) => start,
-            Decision::Reject(refusal) => return Err(refusal),
+            Decision::Reject(rejection) => return Err(rejection),
             Decision::Wait(ticket) => self.wait(ticket).await?,
         };
         Ok(Attempt {
             queue: self.clone(),
-            began: self.clock.now(),
+            started_at: self.clock.now(),
             start,
-            ended: Cell::new(false),
+            finished: Cell::new(false),
         })
     }
 
     /// Waits for a ticket's verdict.
-    async fn wait(self: &Rc<Self>, ticket: Ticket) -> Verdict {
+    async fn wait(self: &Rc<Self>, ticket: Ticket) -> Admission {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let place = Place {
+        let guard = WaitGuard {
             queue: self.clone(),
             ticket,
             receiver,
-            heard: false,
+            resolved: false,
         };
         // The balancer resolves a ticket on the next poll, perhaps at once, and
         // may want to be woken sooner than before.
-        self.pump();
-        self.changed.notify_one();
-        place.verdict().await
+        self.process_queue();
+        self.wake_changed.notify_one();
+        guard.wait().await
     }
 
     /// Tells every caller whose ticket is resolved.
-    fn pump(&self) {
+    fn process_queue(&self) {
         loop {
             let resolved = self.balancer.borrow_mut().poll(self.clock.now());
             if resolved.is_empty() {
@@ -134,22 +134,22 @@
             }
             for resolution in resolved {
                 let sender = self.waiting.borrow_mut().remove(&resolution.ticket);
-                let unheard = match sender {
+                let undelivered = match sender {
                     Some(sender) => sender.send(resolution.result).err(),
                     None => Some(resolution.result),
                 };
                 // A caller that left between the verdict and its hearing must
                 // give the started attempt back, or its slot would stay taken.
-                if let Some(Ok(start)) = unheard {
-                    self.give_back(&start);
+                if let Some(Ok(start)) = undelivered {
+                    self.cancel_attempt(&start);
                 }
             }
         }
     }
 
     /// Ends an attempt that nobody will make.
-    fn give_back(&self, start: &Start) {
-        let outcome = ended(Ending::Cancelled, Duration::ZERO);
+    fn cancel_attempt(&self, start: &Start) {
+        let outcome = outcome(Ending::Cancelled, Duration::ZERO);
         let mut balancer = self.balancer.borrow_mut();
         balancer.finish(self.clock.now(), start.attempt, &outcome);
     }
@@ -158,32 +158,32 @@
 impl Drop for Queue {
     fn drop(&mut self) {
         // Ends the queue's own task.
-        self.changed.notify_one();
+        self.wake_changed.notify_one();
     }
 }
 
 /// Wakes the balancer when it asked to be woken.
-async fn tend(queue: Weak<Queue>, clock: Rc<dyn Clock>, changed: Rc<Notify>) {
+async fn run_wakeups(queue: Weak<Queue>, clock: Rc<dyn Clock>, wake_changed: Rc<Notify>) {
     loop {
         let wake = {
             let Some(queue) = queue.upgrade() else { return };
-            queue.pump();
+            queue.process_queue();
             queue.balancer.borrow().next_wake()
         };
-        let heard = Box::pin(changed.notified());
+        let notified = Box::pin(wake_changed.notified());
         match wake {
-            None => heard.await,
+            None => notified.await,
             Some(at) => {
                 // The least step keeps a balancer that asks for the past from spinning.
                 let wait = at.saturating_sub(clock.now()).max(Duration::from_millis(1));
-                select(clock.sleep(wait), heard).await;
+                select(clock.sleep(wait), notified).await;
             }
         }
     }
 }
 
 /// An ending with nothing else known.
-fn ended(ending: Ending, took: Duration) -> Outcome {
+fn outcome(ending: Ending, took: Duration) -> Outcome {
     Outcome {
         ending,
         took,
@@ -194,30 +194,30 @@
 
 /// A caller's place in the queue. Dropping it, as happens when the caller
 /// leaves, takes the request back.
-struct Place {
+struct WaitGuard {
     queue: Rc<Queue>,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Verdict>,
-    heard: bool,
+    receiver: oneshot::Receiver<Admission>,
+    resolved: bool,
 }
 
-impl Place {
-    async fn verdict(mut self) -> Verdict {
-        let verdict = (&mut self.receiver).await;
-        self.heard = true;
-        verdict.expect("a queue outlives its places")
+impl WaitGuard {
+    async fn wait(mut self) -> Admission {
+        let admission = (&mut self.receiver).await;
+        self.resolved = true;
+        admission.expect("a queue outlives its places")
     }
 }
 
-impl Drop for Place {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if self.heard {
+        if self.resolved {
             return;
         }
         let queue = &self.queue;
         queue.waiting.borrow_mut().remove(&self.ticket);
         match self.receiver.try_recv() {
-            Ok(Ok(start)) => queue.give_back(&start),
+            Ok(Ok(start)) => queue.cancel_attempt(&start),
             Ok(Err(_)) => {}
             Err(_) => queue.with(|balancer, now| balancer.cancel(now, self.ticket)),
         }
@@ -230,9 +230,9 @@
 pub struct Attempt {
     queue: Rc<Queue>,
     /// When the attempt began.
-    pub began: Duration,
+    pub started_at: Duration,
     start: Start,
-    ended: Cell<bool>,
+    finished: Cell<bool>,
 }
 
 impl Attempt {
@@ -244,14 +244,14 @@
 
     /// Says how the attempt ended; only the first word counts.
     pub fn finish(&self, ending: Ending, prompt_tokens: u32, tokens: u32) {
-        if self.ended.replace(true) {
+        if self.finished.replace(true) {
             return;
         }
-        let took = self.queue.clock.now().saturating_sub(self.began);
+        let took = self.queue.clock.now().saturating_sub(self.started_at);
         let outcome = Outcome {
             prompt_tokens,
             tokens,
-            ..ended(ending, took)
+            ..outcome(ending, took)
         };
         let attempt = self.start.attempt;
         self.queue
--- a/verbenaspool/src/entry/reply.rs
+++ b/verbenaspool/src/entry/reply.rs
@@ -55,12 +55,12 @@
 /// use verbenaspool::entry::reply;
 /// use verbenaspool_policy::decision::{Reason, Rejection};
 ///
-/// let refusal = Rejection { reason: Reason::QueueFull, retry_after: Duration::from_millis(40) };
-/// assert_eq!(reply::refusal(refusal).retry_after_ms, Some(40));
+/// let rejection = Rejection { reason: Reason::QueueFull, retry_after: Duration::from_millis(40) };
+/// assert_eq!(reply::rejection(rejection).retry_after_ms, Some(40));
 /// ```
 #[must_use]
-pub fn refusal(refusal: Rejection) -> Problem {
-    let (code, message) = match refusal.reason {
+pub fn rejection(rejection: Rejection) -> Problem {
+    let (code, message) = match rejection.reason {
         Reason::Late => (
             Code::Deadline,
             "The deadline can't be met with the work already ahead.",
@@ -86,5 +86,5 @@
             "The request did not run; repeat it later.",
         ),
     };
-    Problem::not_run(code, message).after(refusal.retry_after)
+    Problem::not_run(code, message).after(rejection.retry_after)
 }
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -19,60 +19,64 @@
 
 /// The mean pause between two questions. A question and its answer take about
 /// 400 bytes, so that 8 a second stay under 4 KB a second.
-const PAUSE: Duration = Duration::from_millis(125);
+const MEAN_REQUEST_INTERVAL: Duration = Duration::from_millis(125);
 
 /// How old the last report of an upstream may get before it is asked again.
-const AGE: Duration = Duration::from_secs(1);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
 /// How long an agent may take.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Asks agents for reports until the signal comes or the entry is gone.
 pub async fn run(entry: Weak<Entry>, signal: Signal) {
     while !signal.fired() {
         let Some(entry) = entry.upgrade() else { return };
         let jitter = rand::rng().random_range(0.5..1.5);
-        entry.clock.sleep(PAUSE.mul_f64(jitter)).await;
-        if let Some(name) = entry
-            .upstreams
-            .oldest(&entry.working(), entry.clock.now(), AGE)
+        entry
+            .clock
+            .sleep(MEAN_REQUEST_INTERVAL.mul_f64(jitter))
+            .await;
+        if let Some(name) =
+            entry
+                .upstreams
+                .stalest(&entry.subset_upstreams(), entry.clock.now(), MAX_REPORT_AGE)
         {
-            monoio::spawn(async move { entry.ask(&name).await });
+            monoio::spawn(async move { entry.request_report(&name).await });
         }
     }
 }
 
 impl Entry {
     /// Asks an upstream's agent for its report.
-    pub async fn ask(&self, name: &Name) {
+    pub async fn request_report(&self, name: &Name) {
         let now = self.clock.now();
-        let Some((address, since)) = self.upstreams.asked(name, now) else {
+        let Some((address, since)) = self.upstreams.record_report_request(name, now) else {
             return;
         };
-        let question = report::Question {
+        let request = report::Question {
             instance: Identity {
                 firm: self.firm().clone(),
                 instance: name.clone(),
             },
             since,
         };
-        let asked = self
+        let answer = self
             .rpc
-            .call(address.control, report::METHOD, &question, TIMEOUT)
+            .call(address.control, report::METHOD, &request, REPORT_TIMEOUT)
             .await;
-        if let Ok(report) = asked {
+        if let Ok(report) = answer {
             let report: report::Report = report;
-            self.heard(name, &report.load);
-            self.cached(name, &report.cache);
-            self.crashed(name, &report.crashes);
+            self.record_load(name, &report.load);
+            self.record_cache(name, &report.cache);
+            self.record_crashes(name, &report.crashes);
         }
     }
 
     /// Takes in what an agent says of its engine's cache.
-    fn cached(&self, name: &Name, cache: &report::Cache) {
+    fn record_cache(&self, name: &Name, cache: &report::Cache) {
         let Some(queue) = self
             .upstreams
-            .cached(name, cache.last)
+            .record_cache_event(name, cache.last)
             .and_then(|service| self.queue_of(&service))
         else {
             return;
--- a/verbenaspool/src/entry/table.rs
+++ b/verbenaspool/src/entry/table.rs
@@ -8,7 +8,7 @@
     version::Version,
 };
 
-use super::caller::below;
+use super::caller::has_path_prefix;
 
 /// One version of the file, indexed.
 #[derive(Debug)]
@@ -85,7 +85,7 @@
     pub fn service(&self, path: &str) -> Result<&Rc<Service>, Problem> {
         self.services
             .iter()
-            .find(|service| below(path, &service.path))
+            .find(|service| has_path_prefix(path, &service.path))
             .ok_or_else(|| Problem::not_run(Code::UnknownService, "No service has this path."))
     }
 }
@@ -96,7 +96,7 @@
 /// It may not.
 ///
 /// ```
-/// use verbenaspool::entry::table::permit;
+/// use verbenaspool::entry::table::check_access;
 /// use verbenaspool_state::customer::Customer;
 ///
 /// let customer = Customer {
@@ -105,10 +105,10 @@
 ///     credentials: Vec::new(),
 ///     services: vec!["jobs".parse().unwrap()],
 /// };
-/// assert!(permit(&customer, &"jobs".parse().unwrap()).is_ok());
-/// assert!(permit(&customer, &"assistant".parse().unwrap()).is_err());
+/// assert!(check_access(&customer, &"jobs".parse().unwrap()).is_ok());
+/// assert!(check_access(&customer, &"assistant".parse().unwrap()).is_err());
 /// ```
-pub fn permit(customer: &Customer, service: &Name) -> Result<(), Problem> {
+pub fn check_access(customer: &Customer, service: &Name) -> Result<(), Problem> {
     if customer.services.is_empty() || customer.services.contains(service) {
         return Ok(());
     }
--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// The largest body in bytes.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// The longest pause between two chunks.
-    pub pause: Duration,
+    pub max_pause: Duration,
 }
 
 /// What a caller's body did wrong.
@@ -48,7 +48,7 @@
     Broken,
     /// Too much of it has passed to be sent again.
     #[error("the body can't be sent again")]
-    Gone,
+    NotReplayable,
 }
 
 /// The body, shared between the attempts that send it.
@@ -64,13 +64,13 @@
     source: Body,
     bounds: Bounds,
     clock: Rc<dyn Clock>,
-    pause: Option<Sleep>,
+    pause_timer: Option<Sleep>,
     /// What passed already; none once it outgrew its bound.
-    kept: Option<Vec<Bytes>>,
-    passed: u64,
+    replay_buffer: Option<Vec<Bytes>>,
+    bytes_read: u64,
     fault: Option<Fault>,
     /// The attempt that may read; earlier ones get nothing more.
-    reader: u64,
+    active_view: u64,
 }
 
 impl Upload {
@@ -81,11 +81,11 @@
             source,
             bounds,
             clock,
-            pause: None,
-            kept: Some(Vec::new()),
-            passed: 0,
+            pause_timer: None,
+            replay_buffer: Some(Vec::new()),
+            bytes_read: 0,
             fault: None,
-            reader: 0,
+            active_view: 0,
         })))
     }
 
@@ -97,34 +97,35 @@
 
     /// Whether the body can be sent from its start.
     #[must_use]
-    pub fn replayable(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         let inner = self.0.borrow();
-        inner.kept.is_some() && inner.fault.is_none()
+        inner.replay_buffer.is_some() && inner.fault.is_none()
     }
 
     /// The request runs: what passed is let go, or, where it may be sent again,
     /// copied. A chunk is a window into the whole buffer that it was read into,
     /// which would live as long as the answer.
-    pub fn settle(&self, keep: bool) {
+    pub fn release_buffer(&self, keep_copy: bool) {
         let mut inner = self.0.borrow_mut();
-        let kept = inner.kept.take();
-        if keep {
-            let copied = |kept: Vec<Bytes>| kept.iter().map(|data| data.to_vec().into()).collect();
-            inner.kept = kept.map(copied);
+        let buffer = inner.replay_buffer.take();
+        if keep_copy {
+            let copied =
+                |chunks: Vec<Bytes>| chunks.iter().map(|data| data.to_vec().into()).collect();
+            inner.replay_buffer = buffer.map(copied);
         }
     }
 
     /// What has passed so far and is kept.
     #[must_use]
-    pub fn kept(&self) -> Vec<Bytes> {
-        self.0.borrow().kept.clone().unwrap_or_default()
+    pub fn buffered(&self) -> Vec<Bytes> {
+        self.0.borrow().replay_buffer.clone().unwrap_or_default()
     }
 
     /// The first chunk, which stays part of the body; none for an empty body.
     ///
     /// # Errors
     /// The body is faulty from the start.
-    pub async fn first(&self) -> Result<Option<Bytes>, Fault> {
+    pub async fn first_chunk(&self) -> Result<Option<Bytes>, Fault> {
         let mut view = self.body();
         loop {
             match std::future::poll_fn(|cx| Pin::new(&mut view).poll_frame(cx)).await {
@@ -144,7 +145,7 @@
     ///
     /// # Errors
     /// The body is faulty.
-    pub async fn whole(&self) -> Result<Vec<Bytes>, Fault> {
+    pub async fn read_to_end(&self) -> Result<Vec<Bytes>, Fault> {
         let mut view = self.body();
         while let Some(frame) = std::future::poll_fn(|cx| Pin::new(&mut view).poll_frame(cx)).await
         {
@@ -152,37 +153,37 @@
                 return Err(self.fault().unwrap_or(Fault::Broken));
             }
         }
-        Ok(self.kept())
+        Ok(self.buffered())
     }
 
     /// The body from its start, for one attempt.
     #[must_use]
     pub fn body(&self) -> View {
         let mut inner = self.0.borrow_mut();
-        inner.reader += 1;
+        inner.active_view += 1;
         View {
             upload: self.0.clone(),
-            reader: inner.reader,
-            next: 0,
+            active_view: inner.active_view,
+            next_chunk: 0,
         }
     }
 }
 
 impl Inner {
     /// The next chunk from the caller.
-    fn pull(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.source).poll_frame(cx) else {
-                return self.wait(cx);
+                return self.poll_pause(cx);
             };
-            self.pause = None;
+            self.pause_timer = None;
             match frame {
                 None => return Poll::Ready(None),
                 Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Broken))),
                 Some(Ok(frame)) => {
                     // Trailers are dropped: nothing behind us reads them.
                     if let Ok(data) = frame.into_data() {
-                        return Poll::Ready(Some(self.take(data)));
+                        return Poll::Ready(Some(self.record_chunk(data)));
                     }
                 }
             }
@@ -191,25 +192,25 @@
 
     /// Ends a sender that pauses too long: it would hold a slot of the upstream
     /// with hardly a byte sent.
-    fn wait(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
-        let pause = self
-            .pause
-            .get_or_insert_with(|| self.clock.sleep(self.bounds.pause));
-        ready!(pause.as_mut().poll(cx));
+    fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+        let timer = self
+            .pause_timer
+            .get_or_insert_with(|| self.clock.sleep(self.bounds.max_pause));
+        ready!(timer.as_mut().poll(cx));
         Poll::Ready(Some(Err(Fault::Slow)))
     }
 
     /// Counts and keeps a chunk.
-    fn take(&mut self, data: Bytes) -> Result<Bytes, Fault> {
-        self.passed += data.len() as u64;
-        if self.passed > self.bounds.bytes {
+    fn record_chunk(&mut self, data: Bytes) -> Result<Bytes, Fault> {
+        self.bytes_read += data.len() as u64;
+        if self.bytes_read > self.bounds.max_bytes {
             return Err(Fault::TooLarge);
         }
-        if self.passed > MAX_REPLAY_BYTES as u64 {
-            self.kept = None;
+        if self.bytes_read > MAX_REPLAY_BYTES as u64 {
+            self.replay_buffer = None;
         }
-        if let Some(kept) = &mut self.kept {
-            kept.push(data.clone());
+        if let Some(buffer) = &mut self.replay_buffer {
+            buffer.push(data.clone());
         }
         Ok(data)
     }
@@ -218,8 +219,8 @@
 /// The body as one attempt reads it.
 pub struct View {
     upload: Rc<RefCell<Inner>>,
-    reader: u64,
-    next: usize,
+    active_view: u64,
+    next_chunk: usize,
 }
 
 impl http_body::Body for View {
@@ -235,18 +236,21 @@
         if let Some(fault) = inner.fault {
             return Poll::Ready(Some(Err(fault.into())));
         }
-        if inner.reader != self.reader {
-            return Poll::Ready(Some(Err(Fault::Gone.into())));
+        if inner.active_view != self.active_view {
+            return Poll::Ready(Some(Err(Fault::NotReplayable.into())));
         }
-        let kept = inner.kept.as_ref().and_then(|kept| kept.get(self.next));
-        if let Some(data) = kept.cloned() {
-            self.next += 1;
+        let buffered = inner
+            .replay_buffer
+            .as_ref()
+            .and_then(|chunks| chunks.get(self.next_chunk));
+        if let Some(data) = buffered.cloned() {
+            self.next_chunk += 1;
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        match ready!(inner.pull(cx)) {
+        match ready!(inner.poll_source(cx)) {
             None => Poll::Ready(None),
             Some(Ok(data)) => {
-                self.next += 1;
+                self.next_chunk += 1;
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Some(Err(fault)) => {
@@ -258,8 +262,8 @@
 
     fn is_end_stream(&self) -> bool {
         let inner = self.upload.borrow();
-        let kept = inner.kept.as_ref().map_or(0, Vec::len);
-        inner.fault.is_none() && self.next >= kept && inner.source.is_end_stream()
+        let buffered = inner.replay_buffer.as_ref().map_or(0, Vec::len);
+        inner.fault.is_none() && self.next_chunk >= buffered && inner.source.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -267,10 +271,9 @@
         let Some(rest) = inner.source.size_hint().exact() else {
             return SizeHint::default();
         };
-        let unread: usize = inner
-            .kept
-            .as_ref()
-            .map_or(0, |kept| kept[self.next..].iter().map(Bytes::len).sum());
+        let unread: usize = inner.replay_buffer.as_ref().map_or(0, |chunks| {
+            chunks[self.next_chunk..].iter().map(Bytes::len).sum()
+        });
         SizeHint::with_exact(rest + unread as u64)
     }
 }
--- a/verbenaspool/src/entry/upstreams.rs
+++ b/verbenaspool/src/entry/upstreams.rs
@@ -28,16 +28,16 @@
 
 /// The upstreams that the entry knows.
 #[derive(Debug, Default)]
-pub struct Directory(RefCell<HashMap<Name, Known>>);
+pub struct Directory(RefCell<HashMap<Name, KnownUpstream>>);
 
 #[derive(Debug)]
-struct Known {
+struct KnownUpstream {
     upstream: Upstream,
     address: Address,
     /// When the agent was last asked or heard from.
-    at: Option<Duration>,
+    last_contact: Option<Duration>,
     /// The number of the last cache event heard.
-    events: u64,
+    last_cache_event: u64,
 }
 
 impl Directory {
@@ -49,7 +49,7 @@
     /// ```
     pub fn replace(&self, firm: &Name, upstreams: &[Upstream]) {
         let mut directory = self.0.borrow_mut();
-        let mut before = std::mem::take(&mut *directory);
+        let mut previous = std::mem::take(&mut *directory);
         for upstream in upstreams {
             // Addresses and names are plain ASCII, so this holds for every upstream.
             let identity = format!("{firm}/{}", upstream.name);
@@ -59,20 +59,20 @@
             ) else {
                 continue;
             };
-            let kept = before
+            let existing = previous
                 .remove(&upstream.name)
                 .filter(|known| known.upstream.incarnation == upstream.incarnation);
-            let known = Known {
+            let known = KnownUpstream {
                 upstream: upstream.clone(),
                 address: Address {
                     agent: upstream.agent,
                     host,
                     control: upstream.control,
                     instance,
-                    process: kept.as_ref().and_then(|known| known.address.process),
+                    process: existing.as_ref().and_then(|known| known.address.process),
                 },
-                at: kept.as_ref().and_then(|known| known.at),
-                events: kept.map_or(0, |known| known.events),
+                last_contact: existing.as_ref().and_then(|known| known.last_contact),
+                last_cache_event: existing.map_or(0, |known| known.last_cache_event),
             };
             directory.insert(upstream.name.clone(), known);
         }
@@ -87,59 +87,61 @@
     /// The upstream of these that was not heard from for the longest time, if
     /// that is longer than `age`.
     #[must_use]
-    pub fn oldest(&self, names: &[Name], now: Duration, age: Duration) -> Option<Name> {
+    pub fn stalest(&self, names: &[Name], now: Duration, min_age: Duration) -> Option<Name> {
         let directory = self.0.borrow();
         let known = names.iter().filter_map(|name| directory.get(name));
-        let oldest = known.min_by_key(|known| known.at)?;
-        let due = oldest.at.is_none_or(|at| now.saturating_sub(at) >= age);
-        due.then(|| oldest.upstream.name.clone())
+        let stalest = known.min_by_key(|known| known.last_contact)?;
+        let due = stalest
+            .last_contact
+            .is_none_or(|at| now.saturating_sub(at) >= min_age);
+        due.then(|| stalest.upstream.name.clone())
     }
 
     /// Notes that an upstream's agent is asked for its report; gives where, and
     /// the last cache event heard.
     #[must_use]
-    pub fn asked(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
+    pub fn record_report_request(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
-        known.at = Some(now);
-        Some((known.address.clone(), known.events))
+        known.last_contact = Some(now);
+        Some((known.address.clone(), known.last_cache_event))
     }
 
     /// Takes in an agent's word: notes which process answers, and gives the
     /// upstream's service and the load in the balancer's terms.
     #[must_use]
-    pub fn heard(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
+    pub fn record_load(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
         known.address.process = Some(load.agent);
-        let load = Report {
+        let report = Report {
             incarnation: known.upstream.incarnation,
             sequence: load.sequence,
             running: load.running,
             waiting: load.queued,
             leaving: load.leaving,
         };
-        Some((known.upstream.service.clone(), load))
+        Some((known.upstream.service.clone(), report))
     }
 
     /// Notes the last cache event heard; gives the upstream's service.
     #[must_use]
-    pub fn cached(&self, name: &Name, last: u64) -> Option<Name> {
+    pub fn record_cache_event(&self, name: &Name, last: u64) -> Option<Name> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
-        known.events = last;
+        known.last_cache_event = last;
         Some(known.upstream.service.clone())
     }
 
     /// The upstreams of a service as the balancer sees them.
     #[must_use]
     pub fn members(&self, service: &Service) -> Vec<Member> {
-        let within = |zone: &Name| service.zones.is_empty() || service.zones.contains(zone);
+        let in_zones = |zone: &Name| service.zones.is_empty() || service.zones.contains(zone);
         let directory = self.0.borrow();
         let mut members: Vec<_> = directory
             .values()
             .map(|known| &known.upstream)
-            .filter(|upstream| upstream.service == service.name && within(&upstream.zone))
+            .filter(|upstream| upstream.service == service.name && in_zones(&upstream.zone))
             .map(member)
             .collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -28,7 +28,7 @@
 
 use crate::{
     direct,
-    entry::{Entry, Surroundings, admin::Admin},
+    entry::{Dependencies, Entry, admin::Admin},
     settings::Settings,
 };
 
@@ -119,14 +119,14 @@
     if let Some(exporter) = &exporter {
         monoio::spawn(exporter.clone().run(clock.clone()));
     }
-    let around = Surroundings {
+    let dependencies = Dependencies {
         clock: clock.clone(),
         log: log.clone(),
         tracer,
         metrics: Registry::default(),
         store: Some(store.clone()),
     };
-    let entry = Entry::with(settings.options(), around);
+    let entry = Entry::with_dependencies(settings.options(), dependencies);
     // What is needed until the last request has ended stops behind it.
     let (finish, finished) = shutdown::channel();
     if let Some(listener) = admin {
@@ -192,7 +192,7 @@
     monoio::spawn(status::publish(source.clone(), store.clone(), zone));
     let follower = Follower::new(store, &settings.firm);
     let (entry, clock) = (entry.clone(), entry.clock.clone());
-    let changed = move |list: &[_]| entry.members(list);
+    let changed = move |list: &[_]| entry.set_upstreams(list);
     monoio::spawn(follower.run(clock, seed, finished.clone(), changed));
     source
 }
@@ -203,7 +203,7 @@
     loop {
         let adopted = source.above(seen).await;
         seen = adopted.version();
-        entry.adopt(seen, &adopted.file);
+        entry.apply_configuration(seen, &adopted.file);
     }
 }
 
@@ -213,7 +213,7 @@
     while !finished.fired() {
         let live = source.live();
         if live != known {
-            entry.accompany(&live);
+            entry.set_peers(&live);
             known = live;
         }
         entry.clock.sleep(LOOK).await;
@@ -242,9 +242,9 @@
     served: impl Future<Output = ()>,
     log: &Logger,
 ) -> Drained {
-    info!(log, "Entry: Draining."; "connections" => entry.open.count());
-    entry.leave();
-    entry.open.close();
+    info!(log, "Entry: Draining."; "connections" => entry.connections.count());
+    entry.start_draining();
+    entry.connections.close();
     let mut served = Box::pin(served);
     let linger = Box::pin(
         entry
@@ -258,7 +258,7 @@
     if monoio::time::timeout(deadline, served).await.is_ok() {
         return Drained { cut: 0 };
     }
-    let cut = entry.open.count();
+    let cut = entry.connections.count();
     warn!(log, "Entry: The drain's deadline cuts requests off."; "connections" => cut);
     Drained { cut }
 }
--- a/verbenaspool/src/settings.rs
+++ b/verbenaspool/src/settings.rs
@@ -172,8 +172,8 @@
                 headers: limits.headers,
             },
             bounds: Bounds {
-                bytes: limits.body_bytes,
-                pause: Duration::from_millis(limits.pause_ms),
+                max_bytes: limits.body_bytes,
+                max_pause: Duration::from_millis(limits.pause_ms),
             },
             connect: Duration::from_millis(limits.connect_ms),
         }
--- a/verbenaspool/tests/entry/bad_input.rs
+++ b/verbenaspool/tests/entry/bad_input.rs
@@ -227,7 +227,7 @@
         let answer = site.raw(body + "abc").await;
         assert!(answer.contains("slow-sender"), "{answer}");
         monoio::time::sleep(Duration::from_millis(100)).await;
-        assert_eq!(site.entry.open.count(), 0);
+        assert_eq!(site.entry.connections.count(), 0);
     });
 }
 
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -9,7 +9,7 @@
     net::{TcpListener, TcpStream},
 };
 use tokio::sync::mpsc;
-use verbenaspool::{entry::Surroundings, settings::Bound};
+use verbenaspool::{entry::Dependencies, settings::Bound};
 use verbenaspool_protocol::{header, settle};
 use verbenaspool_standin::address;
 use verbenaspool_state::version::Version;
@@ -272,14 +272,14 @@
             sample: 0.0,
         };
         let tracer = Tracer::new(Some(&settings), clock.clone());
-        let around = Surroundings {
+        let around = Dependencies {
             tracer: tracer.clone(),
-            ..Surroundings::bare(clock)
+            ..Dependencies::minimal(clock)
         };
         let site = Site::around(Bound::default(), around);
-        site.entry.adopt(Version(1), &file());
+        site.entry.apply_configuration(Version(1), &file());
         site.entry
-            .members(&[played("jobs-1", "jobs", &agent, &signal)]);
+            .set_upstreams(&[played("jobs-1", "jobs", &agent, &signal)]);
         let mut sent = request(Method::POST, "/jobs/bookings", "one booking");
         let context = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
         let headers = sent.headers_mut();
--- a/verbenaspool/tests/entry/site.rs
+++ b/verbenaspool/tests/entry/site.rs
@@ -9,7 +9,7 @@
     net::{TcpListener, TcpStream},
 };
 use verbenaspool::{
-    entry::{Entry, Surroundings},
+    entry::{Dependencies, Entry},
     settings::{Bound, Settings},
 };
 use verbenaspool_protocol::{header, problem::Problem};
@@ -99,12 +99,12 @@
 impl Site {
     /// Starts an entry without configuration.
     pub fn bare(limits: Bound) -> Self {
-        Self::around(limits, Surroundings::bare(Monotonic::start()))
+        Self::around(limits, Dependencies::minimal(Monotonic::start()))
     }
 
     /// The same with other surroundings.
-    pub fn around(limits: Bound, around: Surroundings) -> Self {
-        let entry = Entry::with(options(limits).options(), around);
+    pub fn around(limits: Bound, around: Dependencies) -> Self {
+        let entry = Entry::with_dependencies(options(limits).options(), around);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (stop, signal) = shutdown::channel();
@@ -125,8 +125,8 @@
     /// The same with other limits.
     pub fn limited(limits: Bound, upstreams: &[Upstream]) -> Self {
         let site = Self::bare(limits);
-        site.entry.adopt(Version(1), &file());
-        site.entry.members(upstreams);
+        site.entry.apply_configuration(Version(1), &file());
+        site.entry.set_upstreams(upstreams);
         site
     }
 
--- a/verbenaspool/tests/entry/subsets.rs
+++ b/verbenaspool/tests/entry/subsets.rs
@@ -25,8 +25,8 @@
     let upstreams: Vec<_> = (0..UPSTREAMS)
         .map(|i| upstream(&format!("loft-{i}"), "assistant", nobody, nobody))
         .collect();
-    entry.adopt(Version(1), &file());
-    entry.members(&upstreams);
+    entry.apply_configuration(Version(1), &file());
+    entry.set_upstreams(&upstreams);
     entry
 }
 
@@ -41,12 +41,12 @@
             .map(|number| format!("entry-{number}").parse().unwrap())
             .collect();
         let used = || {
-            let all = entries.iter().flat_map(|entry| entry.working());
+            let all = entries.iter().flat_map(|entry| entry.subset_upstreams());
             all.collect::<HashSet<Name>>().len()
         };
         let alone = used();
         for entry in &entries {
-            entry.accompany(&names);
+            entry.set_peers(&names);
         }
         assert!(alone < UPSTREAMS / 2, "{alone} are used by entries alone");
         assert_eq!(used(), UPSTREAMS);
@@ -64,13 +64,13 @@
         abroad.zone = "tweed-a".parse().unwrap();
         let home = upstream("loft-home", "assistant", nobody, nobody);
         let (at_home, both) = (vec![home.name.clone()], [home, abroad]);
-        entry.members(&both);
-        assert_eq!(entry.working().len(), 2);
+        entry.set_upstreams(&both);
+        assert_eq!(entry.subset_upstreams().len(), 2);
         let mut narrow = file();
         narrow.services[0].zones = vec!["bowen-a".parse().unwrap()];
-        entry.adopt(Version(2), &narrow);
-        assert_eq!(entry.working(), at_home);
-        entry.members(&both);
-        assert_eq!(entry.working(), at_home);
+        entry.apply_configuration(Version(2), &narrow);
+        assert_eq!(entry.subset_upstreams(), at_home);
+        entry.set_upstreams(&both);
+        assert_eq!(entry.subset_upstreams(), at_home);
     });
 }
