--- a/verbenaspool/src/entry/admin.rs
+++ b/verbenaspool/src/entry/admin.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics, on a listener of their own.
+//! Serves health, readiness and metrics on a separate listener.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -20,15 +20,15 @@
 /// The media type of the Prometheus text format.
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// Connections at once; only probes and a scraper come here.
+/// The maximum number of connections; only health probes and a metrics scraper connect.
 const MAX_CONNECTIONS: usize = 64;
 
-/// The listener for operators' tools.
+/// The handler of the admin listener.
 #[derive(Debug)]
 pub struct Admin(pub Rc<Entry>);
 
 impl Admin {
-    /// Serves until the signal comes.
+    /// Serves until the signal fires.
     pub async fn serve(self, listener: TcpListener, signal: Signal) {
         let limits = Limits {
             connections: MAX_CONNECTIONS,
@@ -37,7 +37,7 @@
         server::serve(listener, limits, Rc::new(self), Open::default(), signal).await;
     }
 
-    /// Answers by path.
+    /// Returns the response for a path.
     fn answer(&self, path: &str) -> Response<Body> {
         match path {
             "/healthz" => text_response(StatusCode::OK, "ok\n"),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A plain answer.
+/// A plain text response.
 fn text_response(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::full(body));
     *response.status_mut() = status;
@@ -64,14 +64,14 @@
     response
 }
 
-/// A count in a gauge.
+/// Converts a count to the value of a gauge.
 #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
 fn gauge_value(count: u64) -> f64 {
     count as f64
 }
 
 impl Entry {
-    /// All metrics, with the balancers' own counts taken over.
+    /// All metrics as text, including the balancers' own counts.
     #[must_use]
     pub fn scrape(&self) -> String {
         let metrics = &self.metrics;
@@ -100,7 +100,7 @@
         metrics.text()
     }
 
-    /// Takes over one balancer's counts.
+    /// Updates the metrics from a snapshot of a service's balancer.
     fn export_snapshot(&self, service: &str, snapshot: &Snapshot) {
         let metrics = &self.metrics;
         let pairs = [("service", service)];
--- a/verbenaspool/src/entry/answer.rs
+++ b/verbenaspool/src/entry/answer.rs
@@ -1,9 +1,9 @@
-//! The upstream's answer on its way to the caller.
+//! Streams the upstream's answer to the caller.
 //!
-//! A broken stream goes on where the engine can resume it, at the last token
-//! that the caller got whole. Otherwise the caller's connection is broken as
-//! well: a broken answer must never end like a whole one. One that breaks off after
-//! its end mark is whole, and ends so.
+//! A broken stream is resumed, if the engine can do so, after the last token that the caller
+//! received completely. Otherwise the caller's connection is broken as well: an incomplete
+//! answer must never end like a complete one. An answer that breaks off after its end mark is
+//! complete and ends normally.
 
 use std::{
     future::Future,
@@ -27,56 +27,56 @@
     events::Counter, exchange::Exchange, forward::Forward, observe::Ended, queue::Attempt,
 };
 
-/// How many bytes of an event that isn't whole are held back, in streams that
-/// can be resumed. A longer event passes as it comes, and its stream can't be
-/// resumed any more.
+/// The maximum size of an incomplete event that is held back in a resumable stream. A longer
+/// event is forwarded as it arrives, and its stream can't be resumed any more.
 const MAX_PARTIAL_EVENT_BYTES: usize = 16 * 1024;
 
-/// How often one stream is resumed; engines that break it more often are sick.
+/// The maximum number of times one stream is resumed; engines that break it more often are
+/// faulty.
 const MAX_RESUMES: usize = 3;
 
-/// The moment when an answer is of no use any more.
+/// The timer of the caller's deadline, after which the answer is of no use.
 pub struct Deadline(pub Sleep);
 
-/// An attempt that answers.
+/// An attempt and the answer it brings.
 pub struct Source {
-    /// What comes from the agent.
+    /// The body of the agent's answer.
     pub body: Body,
     /// The attempt.
     pub attempt: Attempt,
-    /// The hop.
+    /// The span of the attempt.
     pub span: Span,
 }
 
-/// Another attempt that is to go on with the answer.
+/// The pending search for an attempt that resumes the answer.
 type Resuming = Pin<Box<dyn Future<Output = Option<(Exchange, Vec<Name>)>>>>;
 
-/// Where the answer comes from at this time.
+/// The state of an answer.
 enum State {
-    /// From an attempt.
+    /// The answer is read from an attempt.
     Reading(Source),
-    /// From nowhere, until another attempt goes on.
+    /// Another attempt is being started to resume the answer.
     Resuming(Resuming),
-    /// It ended, well or badly.
+    /// The answer ended, complete or not.
     Ended,
 }
 
-/// An answer's body with the request it belongs to. A caller that leaves drops
-/// it, which closes the connection to the agent and so cancels the work there.
+/// The body of an answer. It is dropped when the caller leaves, which closes the connection to
+/// the agent and so cancels the work there.
 pub struct Answer {
     forward: Rc<Forward>,
     state: State,
     deadline: Option<Deadline>,
     events: Option<Counter>,
-    /// The upstreams tried, while the answer can be resumed.
+    /// The upstreams tried so far, while the answer can be resumed.
     tried: Option<Vec<Name>>,
     resumes: usize,
     partial_event: BytesMut,
 }
 
 impl Answer {
-    /// Wraps the answer that a source brings. `events` says whether it is a
-    /// stream of events, `tried` which upstreams were tried, if it can be resumed.
+    /// Wraps the answer from a source. `events` says whether it is an event stream; `tried`
+    /// lists the upstreams tried, if it can be resumed.
     #[must_use]
     pub fn new(
         forward: Rc<Forward>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The answer as a body; one without a byte has ended already.
+    /// Converts the answer to a body. An answer without content ends here.
     #[must_use]
     pub fn into_body(mut self) -> Body {
         if self.is_end_stream() {
@@ -106,7 +106,7 @@
         Body::wrap(self)
     }
 
-    /// Ends well.
+    /// Ends a complete answer.
     fn finish(&mut self) {
         if let Some(fingerprint) = self.forward.fingerprint {
             self.forward.entry.record_success(fingerprint);
@@ -114,13 +114,13 @@
         self.close(Ending::Ran, Outcome::Ran);
     }
 
-    /// Ends, and says how.
+    /// Ends the answer and records its outcome.
     fn close(&mut self, ending: Ending, outcome: Outcome) {
         self.end_attempt(ending);
         self.forward.observation.end(Ended::Outcome(outcome));
     }
 
-    /// Ends the attempt at hand.
+    /// Ends the current attempt.
     fn end_attempt(&mut self, ending: Ending) {
         let state = std::mem::replace(&mut self.state, State::Ended);
         if let State::Reading(mut source) = state {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes a chunk in and gives what may pass.
+    /// Processes a chunk and returns the data that may be forwarded.
     fn process_chunk(&mut self, data: Bytes) -> Bytes {
         let Some(events) = &mut self.events else {
             return data;
@@ -147,8 +147,8 @@
             self.partial_event.extend_from_slice(&data);
             return self.partial_event.split().freeze();
         }
-        // A part of an event that has passed can't be taken back, so it waits
-        // for its rest: a resumed stream begins with a whole event.
+        // Forwarded data can't be taken back, and a resumed stream starts with a whole event,
+        // so an incomplete event is held back.
         self.partial_event.extend_from_slice(&data[..end]);
         let complete = if end > 0 {
             self.partial_event.split().freeze()
@@ -159,7 +159,7 @@
         complete
     }
 
-    /// Starts to go on with a broken answer, if that is possible.
+    /// Starts to resume a broken answer. Returns false if that isn't possible.
     fn try_resume(&mut self) -> bool {
         let Some(tried) = self.tried.take() else {
             return false;
@@ -169,7 +169,7 @@
         }
         self.resumes += 1;
         self.end_attempt(Ending::Unknown);
-        // Of an event that isn't whole the caller has got nothing.
+        // The caller has received nothing of an incomplete event.
         self.partial_event.clear();
         let events = self.events.get_or_insert_default();
         events.discard_partial();
@@ -178,7 +178,7 @@
         true
     }
 
-    /// Takes over what another attempt goes on with.
+    /// Continues the answer from another attempt.
     fn continue_from(&mut self, exchange: Exchange, tried: Vec<Name>) {
         self.forward.observation.meter().resumed.count();
         self.tried = Some(tried);
@@ -189,7 +189,7 @@
         });
     }
 
-    /// Whether the caller has the whole answer already, though its message hasn't ended.
+    /// Whether the answer is complete, though the upstream's message hasn't ended.
     fn is_complete(&self) -> bool {
         let marks_end = matches!(self.forward.service.kind, Kind::Model(_));
         marks_end
@@ -199,14 +199,14 @@
                 .is_some_and(|events| events.end_mark_seen)
     }
 
-    /// Ends well without the end of the upstream's message.
+    /// Ends a complete answer before the upstream's message ends.
     fn complete(&mut self) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
         self.partial_event.clear();
         self.finish();
         Poll::Ready(None)
     }
 
-    /// Whether the caller's deadline is over.
+    /// Whether the caller's deadline has passed.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> bool {
         let Some(deadline) = &mut self.deadline else {
             return false;
@@ -214,7 +214,7 @@
         deadline.0.as_mut().poll(cx).is_ready()
     }
 
-    /// Breaks off.
+    /// Ends an incomplete answer with an error.
     fn fail(&mut self, error: body::Error) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
         self.close(Ending::Unknown, Outcome::Unknown);
         Poll::Ready(Some(Err(error)))
@@ -262,7 +262,7 @@
                 Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
-                        // Trailers are dropped: nothing of ours sends any.
+                        // Trailers are dropped: agents send none.
                         continue;
                     };
                     let data = self.process_chunk(data);
--- a/verbenaspool/src/entry/caller.rs
+++ b/verbenaspool/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller says about its request in the request's head.
+//! Reads the options, the credential and the path of a caller's request.
 
 use std::time::Duration;
 
@@ -9,34 +9,33 @@
 };
 use verbenaspool_state::service::{Kind, Service};
 
-/// The longest deadline a caller may name; it bounds how long anything is kept
-/// for a request.
+/// The maximum deadline of a request; it limits how long anything is kept for a request.
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
-/// The longest idempotency key in bytes; the key is part of an object's name.
+/// The maximum length of an idempotency key; the key is part of an object's name.
 const MAX_KEY_BYTES: usize = 128;
 
-/// The scheme of a credential.
+/// The authorization scheme, in lower case.
 const BEARER: &str = "bearer ";
 
 /// The priorities of [`header::PRIORITY`], lowest first.
 const PRIORITIES: [&str; 3] = ["low", "normal", "high"];
 
-/// The priority of a request that names none.
+/// The priority of a request without the header.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// What the head says.
+/// The options in a request's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// How long the caller waits for the whole answer, where it says so.
+    /// The time that the caller waits for the whole answer, if given.
     pub deadline: Option<Duration>,
-    /// How urgent the request is; higher goes first.
+    /// The priority; higher goes first.
     pub priority: u8,
-    /// The key that makes a write run at most once.
+    /// The idempotency key, which makes a write run at most once.
     pub key: Option<String>,
 }
 
-/// Reads a header that callers may send once, as text.
+/// Reads a header that may occur only once, as text.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -53,16 +52,16 @@
     }
 }
 
-/// A malformed request.
+/// The problem for a malformed request.
 fn bad_request(message: &str) -> Problem {
     Problem::not_run(Code::BadRequest, message)
 }
 
-/// Reads what the head says about the request.
+/// Reads the options from a request's headers.
 ///
 /// # Errors
-/// A header can't be understood: guessing at a deadline or a key could run a
-/// request that the caller has given up.
+/// A header is invalid. With a guessed deadline or key, a request might run that the caller has
+/// given up.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -82,7 +81,6 @@
     })
 }
 
-/// Reads the deadline.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
     let Some(text) = single_header(headers, header::DEADLINE)? else {
         return Ok(None);
@@ -95,7 +93,6 @@
     }
 }
 
-/// Reads the priority.
 fn priority(headers: &HeaderMap) -> Result<u8, Problem> {
     let Some(text) = single_header(headers, header::PRIORITY)? else {
         return Ok(DEFAULT_PRIORITY);
@@ -107,7 +104,7 @@
         .ok_or_else(|| bad_request("The priority is none of high, normal and low."))
 }
 
-/// The priority as its header says it.
+/// The name of a priority in its header.
 ///
 /// ```
 /// assert_eq!(verbenaspool::entry::caller::priority_name(2), "high");
@@ -117,7 +114,6 @@
     PRIORITIES[usize::from(priority).min(PRIORITIES.len() - 1)]
 }
 
-/// Reads the idempotency key.
 fn key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
     let Some(text) = single_header(headers, header::IDEMPOTENCY_KEY)? else {
         return Ok(None);
@@ -130,10 +126,10 @@
     Ok(Some(text.to_owned()))
 }
 
-/// Reads the credential that the caller presents.
+/// Reads the caller's bearer credential.
 ///
 /// # Errors
-/// There is none, or it is no bearer credential.
+/// The credential is missing or isn't a bearer credential.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -158,7 +154,7 @@
     }
 }
 
-/// Whether a request may run twice. `path` is the path below the service's own.
+/// Whether a request may run twice. `path` is relative to the service's path.
 ///
 /// ```
 /// use http::Method;
@@ -190,7 +186,7 @@
     }
 }
 
-/// Whether a path is a prefix or lies below it, by whole segments.
+/// Whether a path equals a prefix or is below it, compared by whole segments.
 ///
 /// ```
 /// use verbenaspool::entry::caller::has_path_prefix;
--- a/verbenaspool/src/entry/claim.rs
+++ b/verbenaspool/src/entry/claim.rs
@@ -1,4 +1,4 @@
-//! The caller's idempotency key, claimed in the platform before a write is sent.
+//! Claims the caller's idempotency key in the platform before a write is sent.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,32 +19,32 @@
     forward::Forward,
 };
 
-/// How long a claim may take. The platform answers in milliseconds; a caller of
-/// a write is told soon that it can't be reached.
+/// Timeout for a claim. The platform normally answers in milliseconds, so a caller soon learns
+/// that it can't be reached.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When a repeat of a running request makes sense: a write takes this order.
+/// When to retry if the request is still running: writes usually take about this long.
 const RETRY_AFTER_RUNNING: Duration = Duration::from_millis(500);
 
-/// How often a release is tried before the caller is answered all the same.
+/// The maximum number of times a release is tried before the caller is answered without it.
 const MAX_RELEASE_TRIES: usize = 3;
 
-/// How often a claim is replaced before the caller is told that its key is
-/// contended: each time another repeat of the same request came first.
+/// The maximum number of claims tried before the caller is told that its key is contended: each
+/// time, another retry of the same request was first.
 const MAX_CLAIM_TRIES: usize = 4;
 
-/// A claim that stands.
+/// An acquired claim.
 pub struct Claimed {
     store: Rc<dyn Store>,
     key: String,
     version: u64,
-    /// The one attempt that may be sent under it.
+    /// The only attempt that may be sent under the claim.
     pub target: Target,
 }
 
 impl Claimed {
-    /// Gives the key back, because its request did not run. If that fails the
-    /// claim stays, which is safe: a repeat settles it with the agent it names.
+    /// Releases the key because its request did not run. If that fails the claim stays, which
+    /// is safe: a retry asks the agent that the claim names about the attempt.
     pub async fn release(self) {
         for _ in 0..MAX_RELEASE_TRIES {
             let when = When::Version(self.version);
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Has the claim name the request's next attempt, once the last one is
-    /// confirmed as not run. An attempt that no claim names could run beside
-    /// that of a repeat, which settles only what the claim names.
+    /// Updates the claim to name the request's next attempt, once the last one is confirmed as
+    /// not run. An attempt that no claim names could run beside that of a retry, which checks
+    /// only the attempt that the claim names.
     ///
     /// # Errors
-    /// A repeat of the request holds the key by now, or the platform can't be
-    /// reached; the attempt must not be sent then.
+    /// A retry of the request holds the key by now, or the platform can't be reached; the
+    /// attempt must not be sent then.
     pub async fn renew(&mut self, forward: &Forward, target: Target) -> Result<(), Problem> {
         let record = record(forward, &target);
         let claim = Claim::replace(self.key.clone(), self.version, record);
@@ -119,10 +119,10 @@
     Err(earlier_request())
 }
 
-/// Makes sure that the attempt of an earlier claim will never run.
+/// Ensures that the attempt of an earlier claim did not run and never will.
 ///
-/// Its entry may have died before it sent the attempt, or lost the platform's
-/// answer to the claim. Without this the key would be taken for ever.
+/// Its entry may have crashed before it sent the attempt, or the platform's answer to the claim
+/// was lost. Without this check the key would be blocked for ever.
 async fn ensure_not_run(forward: &Forward, earlier: &Record) -> Result<(), Problem> {
     let Ok(attempt) = earlier.attempt.parse() else {
         return Err(earlier_request());
@@ -142,7 +142,7 @@
     }
 }
 
-/// What the claim of an attempt says.
+/// The claim's record of an attempt.
 fn record(forward: &Forward, target: &Target) -> Record {
     Record {
         attempt: target.id.to_string(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Drives a claim to its outcome within the caller's time.
+/// Runs a claim to its outcome, within the time left for the request.
 async fn drive(forward: &Forward, store: &dyn Store, mut claim: Claim) -> Outcome {
     let timeout = CLAIM_TIMEOUT.min(forward.time_left());
     let seed = forward.entry.attempts.seed();
@@ -162,7 +162,7 @@
     outcome.unwrap_or_else(|| claim.abandon())
 }
 
-/// A repeat whose request may have run.
+/// The problem for a retry whose earlier request may have run.
 fn earlier_request() -> Problem {
     Problem::unknown(
         Code::KeyConflict,
@@ -170,7 +170,7 @@
     )
 }
 
-/// Tells a repeat of a request from another one under the same key.
+/// A hash of the request, which tells a retry from another request with the same key.
 fn request_hash(forward: &Forward) -> Hash {
     let mut text = format!("{} {}\n", forward.method, forward.uri).into_bytes();
     for chunk in forward.upload.buffered() {
@@ -179,7 +179,7 @@
     Hash::of(&text)
 }
 
-/// The platform can't be reached.
+/// The problem for a write with a key while the platform can't be reached.
 fn platform_unreachable() -> Problem {
     Problem::not_run(
         Code::Platform,
--- a/verbenaspool/src/entry/events.rs
+++ b/verbenaspool/src/entry/events.rs
@@ -1,15 +1,15 @@
-//! Server-sent events as they pass: counted, and cut at their ends.
+//! Counts the server-sent events in a stream and finds where they end.
 
 use verbenaspool_protocol::engine::END_MARK;
 
-/// What a line that carries data begins with.
+/// The prefix of a line with data.
 const DATA: &[u8] = b"data:";
 
-/// How much of a line is kept to recognise it, in bytes: the longest form of the end mark's
-/// line, and a byte that tells a longer line from it.
+/// The number of bytes of a line that are buffered to recognise it: the longest form of the end
+/// mark's line, and one byte to tell a longer line from it.
 const MAX_LINE_BYTES: usize = DATA.len() + 1 + END_MARK.len() + 1;
 
-/// What the lines of an event carried so far.
+/// The content of an event's lines so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Content {
     /// No data.
@@ -21,24 +21,24 @@
     EndMark,
 }
 
-/// Counts the events with data that have passed whole, wherever chunks are cut.
+/// Counts the complete events with data, wherever the stream is split into chunks.
 ///
-/// The event that marks the answer's end isn't counted: an engine that resumes the answer
-/// sends it again.
+/// The event with the end mark isn't counted: an engine that resumes the answer sends it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counter {
-    /// How many have passed.
+    /// The number of complete events with data.
     pub count: u32,
-    /// Whether the end mark has passed, so that nothing of the answer is missing.
+    /// Whether the end mark was read, so that the answer is complete.
     pub end_mark_seen: bool,
-    /// The beginning of the present line.
+    /// The start of the current line.
     line: Vec<u8>,
-    /// What the present event carries.
+    /// The content of the current event.
     content: Content,
 }
 
 impl Counter {
-    /// Reads a chunk and tells where its last event ends; none ends at 0.
+    /// Reads a chunk and returns the offset after its last event end, or 0 if no event ends in
+    /// it.
     ///
     /// ```
     /// use verbenaspool::entry::events::Counter;
@@ -65,7 +65,7 @@
         end
     }
 
-    /// Forgets an event that isn't whole; the count stays.
+    /// Discards an incomplete event; the count stays.
     ///
     /// ```
     /// use verbenaspool::entry::events::Counter;
@@ -80,7 +80,7 @@
         self.content = Content::Empty;
     }
 
-    /// Takes in what the present line carries.
+    /// Processes the end of a line.
     fn end_line(&mut self) {
         if let Some(value) = self.line.strip_prefix(DATA) {
             let value = value.strip_prefix(b" ").unwrap_or(value);
@@ -94,7 +94,7 @@
         self.line.clear();
     }
 
-    /// Takes in what the present event was.
+    /// Processes the end of an event.
     fn end_event(&mut self) {
         match std::mem::take(&mut self.content) {
             Content::Empty => {}
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: what goes to the agent, and what its answer means.
+//! One attempt: the request sent to the agent, and what its answer means.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,61 +22,61 @@
 
 use super::{caller::priority_name, forward::Forward, queue::Attempt, upstreams::Address};
 
-/// How long an agent may take to say what became of an attempt. It answers from
-/// memory; a silent one is as good as dead, and the caller waits.
+/// Timeout for asking an agent about an attempt. The agent answers from memory, so one that is
+/// silent for this long is probably dead, and the caller is waiting.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the names of our own headers begin with.
+/// The prefix of verbenaspool's own header names.
 const OWN_PREFIX: &str = "x-verbenaspool-";
 
-/// Our own headers to an agent, for the size of the map.
+/// Capacity reserved for verbenaspool's own headers to an agent.
 const ADDED_HEADERS: usize = 8;
 
-/// An answer with the attempt that brought it.
+/// An answer and the attempt that it belongs to.
 pub struct Exchange {
     /// The attempt.
     pub attempt: Attempt,
     /// The answer.
     pub response: Response<Body>,
-    /// The hop, which ends with the answer's body.
+    /// The span of the attempt, which ends with the answer's body.
     pub span: Span,
 }
 
-/// Where an attempt is to go, and the id that it goes under.
+/// The agent that an attempt is sent to, and the attempt's id.
 #[derive(Clone)]
 pub struct Target {
     /// The attempt's id.
     pub id: attempt::Id,
-    /// The upstream.
+    /// The addresses of the upstream's agent.
     pub address: Address,
-    /// The agent process that is meant; another refuses the attempt.
+    /// The agent process; any other process at this address rejects the attempt.
     pub process: u64,
 }
 
-/// How an attempt that brought no answer ended.
+/// The failure of an attempt.
 pub struct Failure {
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// What to tell the caller, should no other attempt be made.
+    /// The problem to return to the caller if there is no further attempt.
     pub problem: Problem,
 }
 
-/// What an answer's head says of the attempt.
+/// What the head of an answer says about the attempt.
 enum Verdict {
-    /// It ran, and this is its answer.
+    /// The attempt ran, and this is its answer.
     Answered,
-    /// It was refused.
+    /// The attempt did not run.
     NotRun,
-    /// The agent can't say.
+    /// The agent doesn't know whether the attempt ran.
     Unknown,
-    /// The answer is another attempt's, or says nothing.
+    /// The answer belongs to another attempt, or names none.
     Mismatched,
 }
 
-/// Makes one attempt; `resume` is how many tokens the caller has already.
+/// Sends one attempt; `resume` is the number of tokens that the caller already has.
 ///
 /// # Errors
-/// It brought no answer.
+/// The attempt failed; its ending has been reported to the balancer.
 pub async fn send(
     forward: &Rc<Forward>,
     attempt: Attempt,
@@ -91,10 +91,10 @@
     }
 }
 
-/// Makes one attempt under a ticket that it has already.
+/// Sends one attempt to a target that was resolved before.
 ///
 /// # Errors
-/// It brought no answer.
+/// The attempt failed; its ending has been reported to the balancer.
 pub async fn send_to(
     forward: &Rc<Forward>,
     attempt: Attempt,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Sends the attempt and judges what comes back.
+/// Sends the attempt and classifies the answer.
 async fn try_once(
     forward: &Forward,
     attempt: &Attempt,
@@ -145,7 +145,7 @@
         }
         Ok(Err(client::Error::NotSent(_))) => Err(not_run("The upstream can't be reached.")),
         Ok(Err(client::Error::Broken(_))) => Err(settle(forward, &target).await),
-        // The final answer goes out at once; dropping the request cancels it.
+        // The caller is answered at once; dropping the request cancels it.
         Err(_) => Err(Failure {
             ending: Ending::Cancelled,
             problem: Problem::unknown(Code::Deadline, "The answer did not come in time."),
@@ -153,11 +153,11 @@
     }
 }
 
-/// Finds the upstream, and which agent process answers beside it: an attempt
-/// that names none would be refused.
+/// Finds an upstream's addresses and agent process. The agent would reject an attempt that
+/// names no process, so it is asked for a report if the process isn't known.
 ///
 /// # Errors
-/// The upstream is gone or silent, and nothing was sent.
+/// The upstream is not listed any more or its agent doesn't answer; nothing was sent.
 pub async fn resolve_target(forward: &Forward, attempt: &Attempt) -> Result<Target, Failure> {
     let name = attempt.upstream();
     let entry = &forward.entry;
@@ -175,7 +175,7 @@
     })
 }
 
-/// The request as the agent gets it.
+/// Builds the request to the agent.
 fn agent_request(
     forward: &Forward,
     target: &Target,
@@ -210,12 +210,11 @@
     request
 }
 
-/// A caller's headers without what is not passed on: what concerns its
-/// connection, its credential, and words that only we may say.
+/// Returns the caller's headers without those that are not forwarded: hop-by-hop headers, its
+/// credential, and verbenaspool's own headers.
 ///
-/// The values are copied. They are windows into the 8 KB that the head was read
-/// into, which would otherwise live as long as the request: 8 MB for 1,000
-/// open streams.
+/// The values are copied. The originals are slices of the 8 KB buffer that the head was read
+/// into, which would otherwise live as long as the request: 8 MB for 1,000 open streams.
 pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     hop::strip(&mut headers);
     headers.remove(AUTHORIZATION);
@@ -234,9 +233,9 @@
     forwarded
 }
 
-/// What an answer's head says of an attempt.
+/// Classifies the head of an answer to an attempt.
 fn classify_head(id: attempt::Id, headers: &HeaderMap) -> Verdict {
-    // An answer to another attempt, late or crossed, must never reach this caller.
+    // A late or misrouted answer to another attempt must never reach this caller.
     if header_text(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
         return Verdict::Mismatched;
     }
@@ -247,7 +246,7 @@
     }
 }
 
-/// Takes in the load that came with an answer.
+/// Records the load that came with an answer.
 fn record_load(forward: &Forward, attempt: &Attempt, headers: &HeaderMap) {
     let load = header_text(headers, header::LOAD).and_then(|text| serde_json::from_str(text).ok());
     if let Some(load) = load {
@@ -256,7 +255,7 @@
     }
 }
 
-/// Asks the agent what became of an attempt whose answer was lost.
+/// Asks the agent about an attempt whose answer was lost, and returns the failure.
 async fn settle(forward: &Forward, target: &Target) -> Failure {
     forward.observation.meter().settled.count();
     let control = target.address.control;
@@ -266,7 +265,7 @@
     }
 }
 
-/// Asks an agent what became of an attempt; none where it doesn't answer.
+/// Asks an agent about the status of an attempt. Returns none if it doesn't answer.
 pub async fn attempt_status(
     forward: &Forward,
     attempt: attempt::Id,
@@ -281,18 +280,18 @@
         .ok()
 }
 
-/// A header as text, where it is text.
+/// The value of a header, if it is present and plain text.
 #[must_use]
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header value of our own making, which is plain ASCII.
+/// Converts an id or a name, which are ASCII, to a header value.
 fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("ids and names are plain ASCII")
 }
 
-/// An attempt that did not run.
+/// The failure of an attempt that did not run.
 fn not_run(message: &str) -> Failure {
     Failure {
         ending: Ending::NotRun,
@@ -300,7 +299,7 @@
     }
 }
 
-/// An attempt whose answer was lost.
+/// The failure of an attempt whose answer was lost.
 pub fn answer_lost() -> Failure {
     Failure {
         ending: Ending::Unknown,
--- a/verbenaspool/src/entry/forward.rs
+++ b/verbenaspool/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! One request's way to an upstream: attempts, until one of them answers.
+//! Forwards one request: sends attempts until one of them answers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -34,7 +34,7 @@
     upload::{Fault, Upload},
 };
 
-/// A request that was let in, ready to be sent.
+/// A checked request that is ready to be forwarded.
 pub struct Forward {
     /// The entry.
     pub entry: Rc<Entry>,
@@ -44,34 +44,34 @@
     pub service: Rc<Service>,
     /// The request's method.
     pub method: Method,
-    /// The path and query below the service's own path.
+    /// The path and query relative to the service's path.
     pub uri: Uri,
-    /// The caller's headers, without those that aren't passed on.
+    /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
     /// The caller's body.
     pub upload: Upload,
     /// The customer.
     pub customer: Name,
-    /// How urgent it is.
+    /// The priority; higher goes first.
     pub priority: u8,
-    /// When the whole answer must be there.
+    /// When the whole answer must have arrived.
     pub deadline: Duration,
-    /// Whether the caller itself named the deadline.
+    /// Whether the caller set the deadline, rather than the service's settings.
     pub deadline_from_caller: bool,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The key that makes a write run at most once.
+    /// The idempotency key, which makes a write run at most once.
     pub key: Option<String>,
-    /// What identifies it, where its whole body is here.
+    /// The fingerprint of the request, if its whole body has been read.
     pub fingerprint: Option<Fingerprint>,
-    /// The estimate of its work.
+    /// The estimate of the request's work.
     pub prompt: Prompt,
-    /// What is measured of it.
+    /// The request's metrics and span.
     pub observation: Observation,
 }
 
 impl Forward {
-    /// Sends the request until an attempt answers or no other is allowed.
+    /// Sends attempts until one answers or no further one is allowed.
     pub async fn run(self: Rc<Self>) -> Response<Body> {
         match self.execute().await {
             Ok(response) => response,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The request as the balancer sees it.
+    /// The request in the balancer's terms.
     #[must_use]
     pub fn policy_request(&self) -> PolicyRequest<'_> {
         PolicyRequest {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// The time left before the deadline.
+    /// The time left until the deadline.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.entry.clock.now())
     }
 
-    /// Gets a place, claims the key where there is one, and makes attempts.
+    /// Waits for admission, claims the idempotency key if there is one, and sends attempts.
     async fn execute(self: &Rc<Self>) -> Result<Response<Body>, Problem> {
         if let Some(time_left) = self.quarantine_time_left() {
             let message = "Upstreams crash under the request.";
@@ -114,13 +114,13 @@
         if let (Some(claimed), Err(problem)) = (claimed, &result)
             && problem.outcome == Outcome::NotRun
         {
-            // Before the caller hears that it may repeat, its key must be free.
+            // The key must be free before the caller learns that it may retry.
             claimed.release().await;
         }
         result
     }
 
-    /// Waits for a place.
+    /// Waits until the balancer starts an attempt.
     async fn wait_for_admission(&self) -> Result<Attempt, Problem> {
         let span = self.observation.child_span("queue", span::Kind::Internal);
         let queued_at = self.entry.clock.now();
@@ -131,8 +131,8 @@
         Ok(attempt)
     }
 
-    /// Claims the caller's key for the first attempt. That comes after the
-    /// place, so that a crowd that is turned away costs the platform no writes.
+    /// Claims the idempotency key for the first attempt. This follows the admission, so that
+    /// rejected requests cause no writes to the platform.
     async fn claim_key(&self, attempt: &Attempt) -> Result<Option<Claimed>, Problem> {
         let Some(key) = self.key.as_ref().filter(|_| !self.idempotent) else {
             return Ok(None);
@@ -151,7 +151,7 @@
         claimed.map(Some)
     }
 
-    /// Has the claim name the next attempt.
+    /// Updates the claim to name the next attempt.
     async fn renew_claim(&self, attempt: &Attempt, claimed: &mut Claimed) -> Result<(), Problem> {
         let span = self
             .observation
@@ -167,11 +167,11 @@
         renewed
     }
 
-    /// Makes attempts, each decided by the balancer.
+    /// Sends attempts, each started by the balancer.
     ///
-    /// Once an attempt may have run, so may the request: a later attempt's
-    /// refusal is true of that attempt only. Passed on as it is, it would tell
-    /// the caller that nothing ran, and the caller would send the work again.
+    /// Once an attempt may have run, the request may have run too, and the rejection of a later
+    /// attempt holds for that attempt only. Returned unchanged, it would tell the caller that
+    /// nothing ran, and the caller would send the work again.
     async fn send_attempts(
         self: &Rc<Self>,
         first: Attempt,
@@ -204,13 +204,13 @@
         }
     }
 
-    /// How much longer the request is rejected, if it is.
+    /// How long the request stays quarantined, if it is.
     fn quarantine_time_left(&self) -> Option<Duration> {
         self.entry.quarantine_time_left(self.fingerprint?)
     }
 
-    /// Learns from the agent beside an upstream that broke off whether that crashed. Tells
-    /// whether the request may be sent again.
+    /// Asks the agent of an upstream that broke the connection whether the upstream crashed.
+    /// Returns whether the request may be sent again.
     async fn check_quarantine(&self, upstream: &Name) -> bool {
         if self.fingerprint.is_some() {
             self.entry.request_report(upstream).await;
@@ -218,7 +218,7 @@
         self.quarantine_time_left().is_none()
     }
 
-    /// The next attempt after a failure, if one is allowed.
+    /// Returns the next attempt after a failure, if one is allowed.
     async fn next_attempt(&self, failure: Failure, tried: &[Name]) -> Result<Attempt, Problem> {
         if let Some(problem) = self.upload_problem() {
             return Err(problem);
@@ -229,7 +229,7 @@
         {
             return Err(failure.problem);
         }
-        // Work that may have run is repeated only where it may run twice.
+        // A request that may have run is retried only if it may run twice.
         let may_run_again = failure.ending == Ending::NotRun
             || failure.ending == Ending::Unknown && self.idempotent;
         if !may_run_again || !self.upload.is_replayable() {
@@ -242,10 +242,10 @@
         retried.map_err(|rejection| failure.problem.after(rejection.retry_after))
     }
 
-    /// What the caller's own body did wrong; it was the cause of the failure then.
+    /// The problem with the caller's own body, if the body caused the failure.
     fn upload_problem(&self) -> Option<Problem> {
         let problem = match self.upload.fault()? {
-            // The upstream got a broken request, and may have acted on its start.
+            // The upstream received part of the request and may have acted on it.
             Fault::TooLarge => Problem::unknown(Code::TooLarge, "The body is too large."),
             Fault::Slow => Problem::unknown(Code::SlowSender, "The body paused for too long."),
             Fault::Broken => Problem::unknown(Code::BadRequest, "The body broke off."),
@@ -254,7 +254,7 @@
         Some(problem)
     }
 
-    /// Passes an answer on as it comes.
+    /// Returns the response whose body streams the answer as it arrives.
     fn relay_response(self: &Rc<Self>, exchange: Exchange, tried: Vec<Name>) -> Response<Body> {
         self.observation.record_first_byte();
         let (mut parts, body) = exchange.response.into_parts();
@@ -262,7 +262,7 @@
         self.upload.release_buffer(resumable);
         let length = parts.headers.remove(CONTENT_LENGTH);
         hop::strip(&mut parts.headers);
-        // A HEAD's answer names the length of a body that isn't there.
+        // The response to HEAD has the length of a body that isn't sent.
         if let Some(length) = length.filter(|_| self.method == Method::HEAD) {
             parts.headers.insert(CONTENT_LENGTH, length);
         }
@@ -287,7 +287,7 @@
         Response::from_parts(parts, answer.into_body())
     }
 
-    /// Whether a broken answer can go on at another upstream.
+    /// Whether a broken answer can be resumed by another upstream.
     fn is_resumable(&self, headers: &HeaderMap) -> bool {
         let Kind::Model(model) = &self.service.kind else {
             return false;
@@ -295,7 +295,7 @@
         model.resume && is_event_stream(headers) && self.upload.is_replayable()
     }
 
-    /// Goes on with a broken stream after the tokens that the caller has.
+    /// Resumes a broken stream after the tokens that the caller already has.
     pub async fn resume(
         self: Rc<Self>,
         tokens: u32,
@@ -313,8 +313,8 @@
             tried.push(attempt.upstream().clone());
             match exchange::send(&self, attempt, Some(tokens)).await {
                 Ok(exchange) => {
-                    // Only an engine that says so goes on behind them; any other
-                    // would begin anew, and the caller would read tokens twice.
+                    // Only an engine that confirms the token count resumes after it. Any other
+                    // would start from the beginning, and the caller would get tokens twice.
                     let resumed_after = header_text(exchange.response.headers(), header::RESUME);
                     let resumes = resumed_after.and_then(|text| text.parse().ok()) == Some(tokens);
                     return resumes.then_some((exchange, tried));
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers' requests and passes each to an upstream.
+//! The entry: accepts callers' requests and forwards each to an upstream.
 
 pub mod admin;
 mod answer;
@@ -69,43 +69,42 @@
     upstreams::Directory,
 };
 
-/// The part of the process that log lines name.
 const PART: &str = "Entry";
 
-/// What an entry process is told at its start.
+/// Options of an entry process.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The firm it serves.
+    /// The firm that the entry serves.
     pub firm: Name,
-    /// Its own name among the firm's entry instances.
+    /// The entry's own name among the firm's entry instances.
     pub name: Name,
-    /// The availability zone it stands in.
+    /// The availability zone that the entry runs in.
     pub zone: Name,
-    /// Bounds on connections and heads.
+    /// Limits on connections and request heads.
     pub limits: Limits,
-    /// Bounds on bodies.
+    /// Limits on request bodies.
     pub bounds: Bounds,
-    /// How long a connection to an agent may take.
+    /// Timeout for connecting to an agent.
     pub connect: Duration,
 }
 
-/// What the entry uses of the process around it.
+/// The services of the process that the entry uses.
 #[derive(Clone)]
 pub struct Dependencies {
-    /// The source of time.
+    /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// The log.
+    /// The logger.
     pub log: Logger,
-    /// The spans.
+    /// The tracer that records spans.
     pub tracer: Rc<Tracer>,
     /// The metrics.
     pub metrics: Registry,
-    /// The platform, where there is one.
+    /// The platform's object store, if there is one.
     pub store: Option<Rc<dyn Store>>,
 }
 
 impl Dependencies {
-    /// No log, no spans and no platform, as in trials.
+    /// Dependencies without a log, spans or a platform, for tests.
     ///
     /// ```
     /// use verbenaspool::entry::Dependencies;
@@ -125,7 +124,7 @@
     }
 }
 
-/// Counts the attempts of this process.
+/// Generates the ids of this process's attempts.
 #[derive(Debug)]
 pub struct Attempts {
     incarnation: u64,
@@ -133,7 +132,7 @@
 }
 
 impl Attempts {
-    /// The next attempt's id.
+    /// Returns the id of the next attempt.
     ///
     /// ```
     /// use verbenaspool::entry::Attempts;
@@ -150,7 +149,7 @@
         }
     }
 
-    /// A number that differs between processes and between calls.
+    /// Returns a random seed that differs between processes and changes with each new attempt.
     ///
     /// ```
     /// use verbenaspool::entry::Attempts;
@@ -172,28 +171,28 @@
     }
 }
 
-/// The entry process's state.
+/// The state of the entry process.
 pub struct Entry {
     options: Options,
-    /// The source of time.
+    /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// The log.
+    /// The logger.
     pub log: Logger,
-    /// The spans.
+    /// The tracer that records spans.
     pub tracer: Rc<Tracer>,
     /// The metrics.
     pub metrics: Registry,
-    /// The platform, where there is one.
+    /// The platform's object store, if there is one.
     pub store: Option<Rc<dyn Store>>,
-    /// Connections to agents.
+    /// The client for requests to agents.
     pub client: Client,
-    /// Control calls to agents.
+    /// The client for control calls to agents.
     pub rpc: rpc::Client,
-    /// The upstreams.
+    /// The known upstreams and their addresses.
     pub upstreams: Directory,
-    /// The ids of attempts.
+    /// The generator of attempt ids.
     pub attempts: Attempts,
-    /// The callers' open connections.
+    /// The open connections of callers.
     pub connections: Open,
     table: RefCell<Option<Rc<Table>>>,
     services: RefCell<HashMap<Name, ServiceState>>,
@@ -208,7 +207,7 @@
     }
 }
 
-/// What runs for one service.
+/// The queue and the metrics of one service.
 #[derive(Clone)]
 struct ServiceState {
     queue: Rc<Queue>,
@@ -216,13 +215,13 @@
 }
 
 impl Entry {
-    /// An entry without a configuration, which refuses all requests.
+    /// Creates an entry without a configuration, which rejects all requests.
     #[must_use]
     pub fn new(options: Options, clock: Rc<dyn Clock>) -> Rc<Self> {
         Self::with_dependencies(options, Dependencies::minimal(clock))
     }
 
-    /// The same with a log, spans, metrics and the platform.
+    /// Creates an entry with the given dependencies.
     #[must_use]
     pub fn with_dependencies(options: Options, dependencies: Dependencies) -> Rc<Self> {
         let client = Client::new(options.connect);
@@ -252,19 +251,19 @@
         &self.options.firm
     }
 
-    /// Whether new callers may be sent here.
+    /// Whether the entry is ready for new callers.
     #[must_use]
     pub fn ready(&self) -> bool {
         !self.draining.get() && self.version() > Version::default()
     }
 
-    /// Says that the process is about to stop: it is not ready any more, and
-    /// goes on serving who comes all the same.
+    /// Marks the entry as not ready because the process is about to stop. Requests that still
+    /// arrive are served.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// The version in force; zero before the first.
+    /// The version of the active configuration; zero before the first.
     #[must_use]
     pub fn version(&self) -> Version {
         self.table
@@ -273,8 +272,8 @@
             .map_or(Version::default(), |table| table.version)
     }
 
-    /// Puts a version of the firm's file in force. An older one than is in
-    /// force, or another firm's, changes nothing.
+    /// Activates a version of the firm's file. A version that is not newer than the active one,
+    /// or that is for another firm, is ignored.
     pub fn apply_configuration(&self, version: Version, file: &File) {
         if version <= self.version() || file.firm != self.options.firm {
             return;
@@ -285,7 +284,7 @@
         info!(self.log, "{}: Put a version in force.", PART; "version" => version.0);
     }
 
-    /// Takes the firm's whole list of upstreams.
+    /// Replaces the list of the firm's upstreams.
     pub fn set_upstreams(&self, upstreams: &[Upstream]) {
         self.upstreams.replace(self.firm(), upstreams);
         let table = self.table.borrow().clone();
@@ -301,12 +300,11 @@
         }
     }
 
-    /// Takes the names of the zone's entries, this one among them.
+    /// Replaces the names of the zone's entries, which include this one.
     ///
-    /// The upstreams of a large service pick the entries that may use them, and
-    /// every entry works the picks out for itself. Entries that knew nothing of
-    /// each other would all come to the same few upstreams, and the others would
-    /// stand idle.
+    /// For a large service, each entry uses a subset of the upstreams, which every entry
+    /// computes from the list of entries. Entries that didn't know of each other would all
+    /// choose the same few upstreams, and the others would be idle.
     pub fn set_peers(&self, names: &[Name]) {
         let zone = &self.options.zone;
         let peer = |name: &Name| Peer {
@@ -322,7 +320,7 @@
         self.peers.replace(peers);
     }
 
-    /// Serves callers until the signal comes and the last request has ended.
+    /// Serves callers until the signal fires and the last request has ended.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, signal: Signal) {
         monoio::spawn(reports::run(Rc::downgrade(&self), signal.clone()));
         let limits = self.options.limits.clone();
@@ -330,8 +328,8 @@
         server::serve(listener, limits, self, connections, signal).await;
     }
 
-    /// Gives each service of a file its queue; a queue that was there goes on
-    /// with the new settings, and so do those who wait in it.
+    /// Creates or reconfigures the queue of each service. An existing queue keeps its waiting
+    /// requests and gets the new settings.
     fn update_queues(&self, table: &Table) {
         let shares = table.customers.iter();
         let shares = shares.map(|customer| (customer.name.clone(), customer.share));
@@ -352,7 +350,7 @@
         }
     }
 
-    /// The upstreams that the balancers work with.
+    /// The upstreams in the subsets of all services' balancers.
     #[must_use]
     pub fn subset_upstreams(&self) -> Vec<Name> {
         let snapshots = self.snapshots().into_iter();
@@ -360,7 +358,7 @@
         upstreams.map(|upstream| upstream.name).collect()
     }
 
-    /// What each service's balancer has decided so far.
+    /// Snapshots of the decisions of each service's balancer.
     #[must_use]
     pub fn snapshots(&self) -> Vec<(Name, Snapshot)> {
         let services = self.services.borrow();
@@ -371,7 +369,7 @@
         snapshots.collect()
     }
 
-    /// Takes in an agent's word about its load.
+    /// Records the load that an agent reported for its upstream.
     pub fn record_load(&self, upstream: &Name, load: &Load) {
         let Some((service, load)) = self.upstreams.record_load(upstream, load) else {
             return;
@@ -381,13 +379,13 @@
         }
     }
 
-    /// The queue of a service.
+    /// The queue of a service, if the service is configured.
     fn queue_of(&self, service: &Name) -> Option<Rc<Queue>> {
         let services = self.services.borrow();
         services.get(service).map(|state| state.queue.clone())
     }
 
-    /// A new queue and new metrics for a service.
+    /// Creates the queue and the metrics of a service.
     fn new_service_state(&self, service: &Service) -> ServiceState {
         let options = &self.options;
         let seed = rand::rng().random();
@@ -411,7 +409,7 @@
         }
     }
 
-    /// Checks a request and finds its service.
+    /// Checks a request, finds its service and prepares it for forwarding.
     async fn prepare(self: Rc<Self>, request: Request<Incoming>) -> Result<Forward, Problem> {
         let received_at = self.clock.now();
         let table = self.table.borrow().clone().ok_or_else(not_ready)?;
@@ -458,7 +456,7 @@
         })
     }
 
-    /// Starts to observe a request.
+    /// Starts the span and the measurement of a request.
     fn observe(&self, state: &ServiceState, received_at: Duration, parts: &Parts) -> Observation {
         let parent =
             exchange::header_text(&parts.headers, header::TRACEPARENT).and_then(Context::parse);
@@ -468,7 +466,7 @@
         Observation::new(state.meter.clone(), self.clock.clone(), received_at, span)
     }
 
-    /// Checks what the caller says and begins to read its body.
+    /// Checks the request's headers and starts to read its body.
     async fn check(
         &self,
         parts: &Parts,
@@ -482,8 +480,8 @@
             return Err(Problem::not_run(Code::TooLarge, "The body is too large."));
         }
         let upload = Upload::new(body.into(), self.options.bounds, self.clock.clone());
-        // A sender that gives only a head takes no place in the queue and no
-        // slot of an upstream: the first of the body must be here.
+        // Waits for the first bytes of the body, so that a sender that sends only a head takes
+        // no place in the queue and no slot of an upstream.
         let first = upload.first_chunk().await.map_err(upload_problem)?;
         let prompt = match (&service.kind, first) {
             (Kind::Model(_), Some(first)) => prompt::estimate(&first, length),
@@ -499,8 +497,8 @@
     }
 }
 
-/// A checked request: what its caller asks for, the path below its service's own, its body
-/// and the estimate of its work, and the whole body where that is small.
+/// A checked request: the caller's options, the URI relative to the service's path, the body,
+/// the estimate of its work, and the whole body if it is small.
 type Checked = (caller::Options, Uri, Upload, Prompt, Option<Vec<Bytes>>);
 
 impl Handler for Entry {
@@ -509,13 +507,13 @@
     }
 }
 
-/// The entry has no configuration yet.
+/// The rejection while the entry has no configuration.
 fn not_ready() -> Problem {
     Problem::not_run(Code::NotReady, "The instance has no configuration yet.")
         .after(Duration::from_secs(1))
 }
 
-/// A body that was faulty before any of it was passed on.
+/// The rejection for a body that failed before any of it was forwarded.
 fn upload_problem(fault: Fault) -> Problem {
     let (code, message) = match fault {
         Fault::TooLarge => (Code::TooLarge, "The body is too large."),
@@ -525,7 +523,7 @@
     Problem::not_run(code, message)
 }
 
-/// The path and query below the service's own path.
+/// The path and query relative to the service's path.
 fn relative_uri(parts: &Parts, service: &Service) -> Result<Uri, Problem> {
     let path = parts.uri.path();
     let rest = &path[service.path.trim_end_matches('/').len()..];
--- a/verbenaspool/src/entry/observe.rs
+++ b/verbenaspool/src/entry/observe.rs
@@ -1,4 +1,4 @@
-//! What is measured of each request: its outcome, its times and its spans.
+//! Measures each request: its outcome, its times and its spans.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,12 +13,12 @@
     trace::span::{Kind, Span, Value},
 };
 
-/// How a request ended, as its metrics tell it.
+/// How a request ended, for its metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// With an outcome that the caller got.
+    /// The caller received this outcome.
     Outcome(Outcome),
-    /// The caller left before.
+    /// The caller left before the end.
     Cancelled,
 }
 
@@ -34,14 +34,14 @@
     queue_time: Histogram,
     /// Attempts sent to agents.
     pub attempts: Counter,
-    /// Lost answers that their agent was asked about.
+    /// Lost answers that the agent was asked about.
     pub settled: Counter,
-    /// Broken streams that went on.
+    /// Broken streams that were resumed.
     pub resumed: Counter,
 }
 
 impl Meter {
-    /// The metrics of a service.
+    /// Registers the metrics of a service.
     ///
     /// ```
     /// use verbenaspool::entry::observe::Meter;
@@ -88,8 +88,8 @@
     }
 }
 
-/// One request under observation. Dropping it without a word counts as left by
-/// its caller.
+/// The measurement of one request. Dropping it before it has ended counts as cancelled by the
+/// caller.
 #[derive(Debug)]
 pub struct Observation {
     meter: Rc<Meter>,
@@ -100,7 +100,7 @@
 }
 
 impl Observation {
-    /// Starts to observe a request that came at `began`.
+    /// Starts to measure a request that was received at `received_at`.
     #[must_use]
     pub fn new(meter: Rc<Meter>, clock: Rc<dyn Clock>, received_at: Duration, span: Span) -> Self {
         Self {
@@ -118,30 +118,30 @@
         &self.meter
     }
 
-    /// A span of a step of the request.
+    /// Starts a child span for a step of the request.
     #[must_use]
     pub fn child_span(&self, name: &'static str, kind: Kind) -> Span {
         self.span.borrow().child(name, kind)
     }
 
-    /// Notes something about the request.
+    /// Sets an attribute of the request's span.
     pub fn set_attribute(&self, key: &'static str, value: impl Into<Value>) {
         self.span.borrow_mut().set(key, value);
     }
 
-    /// The request has got its place, after a wait from `since`.
+    /// Records the time in the queue of a request that was admitted.
     pub fn record_queue_time(&self, queued_at: Duration) {
         let wait = self.clock.now().saturating_sub(queued_at);
         self.meter.queue_time.record(wait);
     }
 
-    /// The answer's head is here.
+    /// Records the time to the head of the answer.
     pub fn record_first_byte(&self) {
         let elapsed = self.clock.now().saturating_sub(self.received_at);
         self.meter.first_byte_time.record(elapsed);
     }
 
-    /// Says how the request ended; only the first word counts.
+    /// Records how the request ended; only the first call counts.
     pub fn end(&self, ended: Ended) {
         if self.ended.replace(true) {
             return;
--- a/verbenaspool/src/entry/prompt.rs
+++ b/verbenaspool/src/entry/prompt.rs
@@ -1,26 +1,26 @@
-//! What a request to a model says about its work: read from the first chunk of
-//! its body, since bodies are never gathered.
+//! Estimates the work of a request to a model from the first chunk of its body, since large
+//! bodies are not read completely before they are forwarded.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 use verbenaspool_protocol::prefix;
 
-/// Bytes of a prompt to a token, roughly, for the estimate of its work.
+/// The approximate number of bytes per token of a prompt.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// The estimate of a request's work.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The estimated length of its prompt in tokens.
+    /// The estimated length of the prompt in tokens.
     pub tokens: u32,
-    /// The most tokens it may generate; 0 where unknown.
+    /// The maximum number of tokens to generate; 0 if unknown.
     pub max_tokens: u32,
-    /// Hashes of its prefixes, shortest first.
+    /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<u64>,
 }
 
-/// The fields of a completion request that matter here.
+/// The fields of a completion request that the estimate uses.
 #[derive(Debug, Default, Deserialize)]
 struct Fields<'a> {
     #[serde(borrow, default)]
@@ -29,8 +29,8 @@
     max_tokens: Option<u32>,
 }
 
-/// Reads the first chunk of a body that is so long in all. A body that isn't
-/// whole in its first chunk, or no completion, is estimated by its length alone.
+/// Estimates the work from the first chunk of a body of the given length. If the first chunk
+/// isn't a whole completion request, only the length is used.
 ///
 /// ```
 /// use verbenaspool::entry::prompt;
--- a/verbenaspool/src/entry/quarantine.rs
+++ b/verbenaspool/src/entry/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that upstreams crash under, as the agents beside those report.
+//! Quarantines requests that crash upstreams, as reported by the agents.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::Entry;
 
 impl Entry {
-    /// How much longer a request is rejected, if it is.
+    /// How long a request stays quarantined, if it is.
     pub fn quarantine_time_left(&self, request: Fingerprint) -> Option<Duration> {
         let now = self.clock.now();
         match self.quarantine.borrow().status(now, request) {
@@ -26,7 +26,7 @@
         quarantine.record_success(now, request, now, Observer::Own);
     }
 
-    /// Takes in which requests an upstream had as it crashed.
+    /// Records the requests that an upstream was running when it crashed.
     pub(super) fn record_crashes(&self, upstream: &Name, crashes: &[report::Crash]) {
         let now = self.clock.now();
         let limits = Limits::default();
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -1,4 +1,4 @@
-//! The balancer of one service, with callers that wait for it.
+//! The balancer of one service and the callers that wait for its decisions.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,7 +19,7 @@
 use verbenaspool_state::name::Name;
 use verbenaspool_transport::clock::Clock;
 
-/// What a waiting caller is told.
+/// The balancer's final decision on a request.
 type Admission = Result<Start, Rejection>;
 
 /// The queue of one service.
@@ -37,7 +37,7 @@
 }
 
 impl Queue {
-    /// A queue in front of a balancer.
+    /// Creates a queue for a balancer and starts its wake-up task.
     #[must_use]
     pub fn start(balancer: Balancer, clock: Rc<dyn Clock>) -> Rc<Self> {
         let queue = Rc::new(Self {
@@ -54,14 +54,14 @@
         queue
     }
 
-    /// Does something with the balancer and then resolves whoever can go on.
+    /// Calls `act` with the balancer and then resolves the requests that it decides on.
     pub fn with<R>(&self, act: impl FnOnce(&mut Balancer, Duration) -> R) -> R {
         let result = act(&mut self.balancer.borrow_mut(), self.clock.now());
         self.process_queue();
         result
     }
 
-    /// What the balancer has decided so far.
+    /// A snapshot of the balancer's decisions and measurements.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         self.balancer.borrow().snapshot(self.clock.now())
@@ -70,16 +70,16 @@
     /// Waits until a request may start.
     ///
     /// # Errors
-    /// The balancer refuses it, now or after a wait.
+    /// The balancer rejects the request, at once or after it has waited.
     pub async fn admit(self: &Rc<Self>, request: &Request<'_>) -> Result<Attempt, Rejection> {
         let decision = self.balancer.borrow_mut().offer(self.clock.now(), request);
         self.apply_decision(decision).await
     }
 
-    /// Waits until a request whose attempt failed may start again.
+    /// Waits until a request whose attempt failed may be retried.
     ///
     /// # Errors
-    /// The balancer refuses the retry.
+    /// The balancer rejects the retry.
     pub async fn retry(
         self: &Rc<Self>,
         request: &Request<'_>,
@@ -93,7 +93,7 @@
         self.apply_decision(decision).await
     }
 
-    /// Carries a decision out.
+    /// Starts the attempt, waits or returns the rejection, as decided.
     async fn apply_decision(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
         let start = match decision {
             Decision::Admit(start) => start,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Waits for a ticket's verdict.
+    /// Waits until a ticket is resolved.
     async fn wait(self: &Rc<Self>, ticket: Ticket) -> Admission {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
@@ -118,14 +118,14 @@
             receiver,
             resolved: false,
         };
-        // The balancer resolves a ticket on the next poll, perhaps at once, and
-        // may want to be woken sooner than before.
+        // The balancer may resolve the ticket at the next poll, even now, and may need an
+        // earlier wake-up than before.
         self.process_queue();
         self.wake_changed.notify_one();
         guard.wait().await
     }
 
-    /// Tells every caller whose ticket is resolved.
+    /// Notifies the callers whose tickets the balancer has resolved.
     fn process_queue(&self) {
         loop {
             let resolved = self.balancer.borrow_mut().poll(self.clock.now());
@@ -138,8 +138,8 @@
                     Some(sender) => sender.send(resolution.result).err(),
                     None => Some(resolution.result),
                 };
-                // A caller that left between the verdict and its hearing must
-                // give the started attempt back, or its slot would stay taken.
+                // A caller may have left after its request was started; the attempt must be
+                // cancelled then, or its slot would stay occupied.
                 if let Some(Ok(start)) = undelivered {
                     self.cancel_attempt(&start);
                 }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Ends an attempt that nobody will make.
+    /// Cancels an attempt that was started and won't be sent.
     fn cancel_attempt(&self, start: &Start) {
         let outcome = outcome(Ending::Cancelled, Duration::ZERO);
         let mut balancer = self.balancer.borrow_mut();
@@ -157,12 +157,12 @@
 
 impl Drop for Queue {
     fn drop(&mut self) {
-        // Ends the queue's own task.
+        // Ends the wake-up task, which holds a weak reference.
         self.wake_changed.notify_one();
     }
 }
 
-/// Wakes the balancer when it asked to be woken.
+/// Polls the balancer whenever its next wake-up is due.
 async fn run_wakeups(queue: Weak<Queue>, clock: Rc<dyn Clock>, wake_changed: Rc<Notify>) {
     loop {
         let wake = {
@@ -174,7 +174,8 @@
         match wake {
             None => notified.await,
             Some(at) => {
-                // The least step keeps a balancer that asks for the past from spinning.
+                // The minimum wait prevents a busy loop if the balancer's wake-up time has
+                // passed.
                 let wait = at.saturating_sub(clock.now()).max(Duration::from_millis(1));
                 select(clock.sleep(wait), notified).await;
             }
@@ -182,7 +183,7 @@
     }
 }
 
-/// An ending with nothing else known.
+/// The outcome of an attempt without token counts.
 fn outcome(ending: Ending, took: Duration) -> Outcome {
     Outcome {
         ending,
@@ -192,8 +193,8 @@
     }
 }
 
-/// A caller's place in the queue. Dropping it, as happens when the caller
-/// leaves, takes the request back.
+/// Holds a request in the queue. Dropping it, which happens when the caller leaves, cancels the
+/// request.
 struct WaitGuard {
     queue: Rc<Queue>,
     ticket: Ticket,
@@ -224,25 +225,25 @@
     }
 }
 
-/// An attempt that the balancer let start. Dropping it without a word counts as
-/// given up by the caller.
+/// An attempt started by the balancer. Dropping it before it is finished counts as cancelled by
+/// the caller.
 #[derive(Debug)]
 pub struct Attempt {
     queue: Rc<Queue>,
-    /// When the attempt began.
+    /// When the attempt started.
     pub started_at: Duration,
     start: Start,
     finished: Cell<bool>,
 }
 
 impl Attempt {
-    /// The upstream to send it to.
+    /// The upstream that the attempt goes to.
     #[must_use]
     pub fn upstream(&self) -> &Name {
         &self.start.upstream
     }
 
-    /// Says how the attempt ended; only the first word counts.
+    /// Reports how the attempt ended; only the first call counts.
     pub fn finish(&self, ending: Ending, prompt_tokens: u32, tokens: u32) {
         if self.finished.replace(true) {
             return;
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -1,11 +1,10 @@
-//! Reports of the agents that the entry works with.
+//! Requests load reports from the agents of the entry's subset.
 //!
-//! Load: load words ride on answers for free, so only upstreams that haven't
-//! been heard from for a while are asked. Without the asking an idle upstream
-//! would look as loaded as it was last, and one that leaves would be noticed
-//! only by its refusals. Asking is bounded by a rate for the whole entry, not
-//! by a period for each upstream: with many upstreams the words get older,
-//! and the cost stays the same.
+//! Load reports also arrive with answers, at no extra cost. Agents are asked in addition
+//! because otherwise an idle upstream would keep the load that it last reported, and a leaving
+//! one would be noticed only by its rejections. These requests are limited by a rate for the
+//! whole entry, not by an interval for each upstream: with many upstreams the reports get older
+//! while the cost stays the same.
 
 use std::{rc::Weak, time::Duration};
 
@@ -17,17 +16,17 @@
 
 use super::Entry;
 
-/// The mean pause between two questions. A question and its answer take about
-/// 400 bytes, so that 8 a second stay under 4 KB a second.
+/// The mean interval between report requests. A request and its answer take about 400 bytes, so
+/// 8 a second stay under 4 KB a second.
 const MEAN_REQUEST_INTERVAL: Duration = Duration::from_millis(125);
 
-/// How old the last report of an upstream may get before it is asked again.
+/// The time since the last report request to an upstream after which it is asked again.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// How long an agent may take.
+/// Timeout for an agent's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks agents for reports until the signal comes or the entry is gone.
+/// Requests reports from agents until the signal fires or the entry is dropped.
 pub async fn run(entry: Weak<Entry>, signal: Signal) {
     while !signal.fired() {
         let Some(entry) = entry.upgrade() else { return };
@@ -47,7 +46,8 @@
 }
 
 impl Entry {
-    /// Asks an upstream's agent for its report.
+    /// Requests a report from an upstream's agent and records the load, the cache events and
+    /// the crashes in it.
     pub async fn request_report(&self, name: &Name) {
         let now = self.clock.now();
         let Some((address, since)) = self.upstreams.record_report_request(name, now) else {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes in what an agent says of its engine's cache.
+    /// Passes the changes of an engine's prefix cache to the balancer.
     fn record_cache(&self, name: &Name, cache: &report::Cache) {
         let Some(queue) = self
             .upstreams
--- a/verbenaspool/src/entry/table.rs
+++ b/verbenaspool/src/entry/table.rs
@@ -1,4 +1,4 @@
-//! The firm's file as the entry looks things up in it.
+//! The firm's file, indexed for the lookups of the entry.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -17,11 +17,11 @@
     pub version: Version,
     /// The firm.
     pub firm: Name,
-    /// The services, longest path first, so that the first match is the closest.
+    /// The services, longest path first, so that the first match is the most specific.
     pub services: Vec<Rc<Service>>,
     /// The customers.
     pub customers: Vec<Rc<Customer>>,
-    /// Whom each credential stands for.
+    /// The customer of each credential's digest.
     credentials: HashMap<Digest, Rc<Customer>>,
 }
 
@@ -62,11 +62,11 @@
         }
     }
 
-    /// The customer whom a credential stands for.
+    /// The customer that a credential belongs to.
     ///
     /// # Errors
-    /// It stands for nobody of this firm. Another firm's customer gets the same
-    /// answer as a stranger, so that neither firm learns who the other's are.
+    /// The credential belongs to no customer of this firm. Another firm's customer gets the
+    /// same answer as an unknown one, so that no firm learns about the customers of another.
     pub fn customer(&self, credential: &str) -> Result<&Rc<Customer>, Problem> {
         self.credentials
             .get(&Digest::of(credential))
@@ -90,10 +90,10 @@
     }
 }
 
-/// Whether a customer may use a service.
+/// Checks that a customer may use a service.
 ///
 /// # Errors
-/// It may not.
+/// The customer may not use the service.
 ///
 /// ```
 /// use verbenaspool::entry::table::check_access;
--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -1,10 +1,10 @@
-//! The caller's request body, which passes on as it comes and can be sent again
-//! as long as little of it has passed.
+//! The caller's request body, which is streamed to the upstream and can be sent again while
+//! little of it has been read.
 //!
-//! Load: many callers that upload at once, some of them large or slow. Without
-//! bounds a few large bodies would fill the memory, and slow ones would hold
-//! slots of upstreams. What passed is kept only up to a small bound; a body
-//! that outgrew it can't be sent a second time, and its request is not retried.
+//! Many callers may upload at once, and some bodies are large or slow. Without limits a few
+//! large bodies would fill the memory, and slow ones would hold slots of upstreams. What has
+//! been read is buffered only up to a small limit; a larger body can't be sent a second time,
+//! so its request is not retried.
 
 use std::{
     cell::RefCell,
@@ -21,32 +21,32 @@
     http::body::{self, Body},
 };
 
-/// How many bytes of a body are kept for a second sending. A usual prompt fits,
-/// and 1,000 callers hold at most 16 MB.
+/// The number of bytes of a body that are buffered for a retry. A usual prompt fits, and 1,000
+/// callers use at most 16 MB.
 pub const MAX_REPLAY_BYTES: usize = 16 * 1024;
 
-/// Bounds on a caller's body.
+/// Limits on a caller's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The largest body in bytes.
+    /// The maximum size of a body in bytes.
     pub max_bytes: u64,
-    /// The longest pause between two chunks.
+    /// The maximum pause between two chunks.
     pub max_pause: Duration,
 }
 
-/// What a caller's body did wrong.
+/// Why a caller's body can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// It paused for too long.
+    /// The body paused for too long.
     #[error("the body paused for too long")]
     Slow,
-    /// It broke off or was malformed.
+    /// The body ended early or was malformed.
     #[error("the body broke off")]
     Broken,
-    /// Too much of it has passed to be sent again.
+    /// Too much of the body has been read for it to be sent again.
     #[error("the body can't be sent again")]
     NotReplayable,
 }
@@ -65,16 +65,16 @@
     bounds: Bounds,
     clock: Rc<dyn Clock>,
     pause_timer: Option<Sleep>,
-    /// What passed already; none once it outgrew its bound.
+    /// The chunks read so far; none once they exceed [`MAX_REPLAY_BYTES`].
     replay_buffer: Option<Vec<Bytes>>,
     bytes_read: u64,
     fault: Option<Fault>,
-    /// The attempt that may read; earlier ones get nothing more.
+    /// The number of the view that may read. Earlier views get an error.
     active_view: u64,
 }
 
 impl Upload {
-    /// Takes a caller's body.
+    /// Wraps a caller's body.
     #[must_use]
     pub fn new(source: Body, bounds: Bounds, clock: Rc<dyn Clock>) -> Self {
         Self(Rc::new(RefCell::new(Inner {
@@ -89,22 +89,22 @@
         })))
     }
 
-    /// What the caller did wrong, if it did.
+    /// Why the body can't be read, if it failed.
     #[must_use]
     pub fn fault(&self) -> Option<Fault> {
         self.0.borrow().fault
     }
 
-    /// Whether the body can be sent from its start.
+    /// Whether the body can be sent again from its start.
     #[must_use]
     pub fn is_replayable(&self) -> bool {
         let inner = self.0.borrow();
         inner.replay_buffer.is_some() && inner.fault.is_none()
     }
 
-    /// The request runs: what passed is let go, or, where it may be sent again,
-    /// copied. A chunk is a window into the whole buffer that it was read into,
-    /// which would live as long as the answer.
+    /// Releases the buffered chunks once the request runs, or replaces them by copies if the
+    /// request may be sent again. A chunk is a slice of the whole buffer that it was read into,
+    /// which would otherwise live as long as the answer.
     pub fn release_buffer(&self, keep_copy: bool) {
         let mut inner = self.0.borrow_mut();
         let buffer = inner.replay_buffer.take();
@@ -115,16 +115,16 @@
         }
     }
 
-    /// What has passed so far and is kept.
+    /// The chunks read so far, if they are still buffered.
     #[must_use]
     pub fn buffered(&self) -> Vec<Bytes> {
         self.0.borrow().replay_buffer.clone().unwrap_or_default()
     }
 
-    /// The first chunk, which stays part of the body; none for an empty body.
+    /// Reads the first chunk, which stays part of the body. Returns none for an empty body.
     ///
     /// # Errors
-    /// The body is faulty from the start.
+    /// The body failed before its first chunk.
     pub async fn first_chunk(&self) -> Result<Option<Bytes>, Fault> {
         let mut view = self.body();
         loop {
@@ -140,11 +140,10 @@
         }
     }
 
-    /// Waits until all of the body is here, and gives it. To be asked only of a body that is
-    /// small enough to be kept.
+    /// Waits for the whole body and returns it. The body must be small enough to be buffered.
     ///
     /// # Errors
-    /// The body is faulty.
+    /// The body failed.
     pub async fn read_to_end(&self) -> Result<Vec<Bytes>, Fault> {
         let mut view = self.body();
         while let Some(frame) = std::future::poll_fn(|cx| Pin::new(&mut view).poll_frame(cx)).await
@@ -156,7 +155,8 @@
         Ok(self.buffered())
     }
 
-    /// The body from its start, for one attempt.
+    /// Returns a view of the body from its start, for one attempt. Earlier views can't read any
+    /// more.
     #[must_use]
     pub fn body(&self) -> View {
         let mut inner = self.0.borrow_mut();
@@ -170,7 +170,7 @@
 }
 
 impl Inner {
-    /// The next chunk from the caller.
+    /// Reads the next chunk from the caller.
     fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.source).poll_frame(cx) else {
@@ -181,7 +181,7 @@
                 None => return Poll::Ready(None),
                 Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Broken))),
                 Some(Ok(frame)) => {
-                    // Trailers are dropped: nothing behind us reads them.
+                    // Trailers are dropped: agents and upstreams don't read them.
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(self.record_chunk(data)));
                     }
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Ends a sender that pauses too long: it would hold a slot of the upstream
-    /// with hardly a byte sent.
+    /// Fails once the sender has paused for too long: it would hold a slot of the upstream
+    /// while it sends hardly anything.
     fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
         let timer = self
             .pause_timer
@@ -200,7 +200,7 @@
         Poll::Ready(Some(Err(Fault::Slow)))
     }
 
-    /// Counts and keeps a chunk.
+    /// Checks the size limit and buffers a chunk.
     fn record_chunk(&mut self, data: Bytes) -> Result<Bytes, Fault> {
         self.bytes_read += data.len() as u64;
         if self.bytes_read > self.bounds.max_bytes {
@@ -216,7 +216,7 @@
     }
 }
 
-/// The body as one attempt reads it.
+/// The body as read by one attempt.
 pub struct View {
     upload: Rc<RefCell<Inner>>,
     active_view: u64,
--- a/verbenaspool/src/entry/upstreams.rs
+++ b/verbenaspool/src/entry/upstreams.rs
@@ -1,4 +1,4 @@
-//! Where upstreams are, and which agent process answers beside each.
+//! The addresses of upstreams and the agent process of each.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -11,22 +11,22 @@
     upstream::{State, Upstream},
 };
 
-/// How to reach an upstream.
+/// The addresses of an upstream's agent.
 #[derive(Debug, Clone)]
 pub struct Address {
-    /// Where its agent takes requests.
+    /// The agent's address for requests.
     pub agent: SocketAddr,
-    /// The same as a header's value.
+    /// The agent's address as a `Host` header value.
     pub host: HeaderValue,
-    /// Where its agent takes control calls.
+    /// The agent's address for control calls.
     pub control: SocketAddr,
-    /// The instance, `firm/instance`, as a header's value.
+    /// The instance as a header value: `firm/instance`.
     pub instance: HeaderValue,
-    /// The agent process, once it was heard from.
+    /// The id of the agent process, known once the agent has answered.
     pub process: Option<u64>,
 }
 
-/// The upstreams that the entry knows.
+/// The upstreams known to the entry, by name.
 #[derive(Debug, Default)]
 pub struct Directory(RefCell<HashMap<Name, KnownUpstream>>);
 
@@ -34,14 +34,15 @@
 struct KnownUpstream {
     upstream: Upstream,
     address: Address,
-    /// When the agent was last asked or heard from.
+    /// When the agent was last asked for a report.
     last_contact: Option<Duration>,
-    /// The number of the last cache event heard.
+    /// The sequence number of the last cache event received.
     last_cache_event: u64,
 }
 
 impl Directory {
-    /// Takes the firm's whole list of upstreams.
+    /// Replaces the list of the firm's upstreams. What is known of an upstream is kept while
+    /// its incarnation stays the same.
     ///
     /// ```
     /// let firm = "quetzal".parse().unwrap();
@@ -51,7 +52,7 @@
         let mut directory = self.0.borrow_mut();
         let mut previous = std::mem::take(&mut *directory);
         for upstream in upstreams {
-            // Addresses and names are plain ASCII, so this holds for every upstream.
+            // Addresses and names are ASCII, so both conversions always succeed.
             let identity = format!("{firm}/{}", upstream.name);
             let (Ok(host), Ok(instance)) = (
                 HeaderValue::from_str(&upstream.agent.to_string()),
@@ -78,14 +79,14 @@
         }
     }
 
-    /// How to reach an upstream, while it is listed.
+    /// The addresses of an upstream, or none if it isn't listed.
     #[must_use]
     pub fn address(&self, name: &Name) -> Option<Address> {
         Some(self.0.borrow().get(name)?.address.clone())
     }
 
-    /// The upstream of these that was not heard from for the longest time, if
-    /// that is longer than `age`.
+    /// Returns the upstream among `names` that was asked longest ago, if that was at least
+    /// `min_age` ago or never.
     #[must_use]
     pub fn stalest(&self, names: &[Name], now: Duration, min_age: Duration) -> Option<Name> {
         let directory = self.0.borrow();
@@ -97,8 +98,8 @@
         due.then(|| stalest.upstream.name.clone())
     }
 
-    /// Notes that an upstream's agent is asked for its report; gives where, and
-    /// the last cache event heard.
+    /// Records that an upstream's agent is asked for its report. Returns its addresses and the
+    /// sequence number of the last cache event received.
     #[must_use]
     pub fn record_report_request(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
         let mut directory = self.0.borrow_mut();
@@ -107,8 +108,8 @@
         Some((known.address.clone(), known.last_cache_event))
     }
 
-    /// Takes in an agent's word: notes which process answers, and gives the
-    /// upstream's service and the load in the balancer's terms.
+    /// Records the agent process that reported a load. Returns the upstream's service and the
+    /// load in the balancer's terms.
     #[must_use]
     pub fn record_load(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
         let mut directory = self.0.borrow_mut();
@@ -124,7 +125,8 @@
         Some((known.upstream.service.clone(), report))
     }
 
-    /// Notes the last cache event heard; gives the upstream's service.
+    /// Records the sequence number of the last cache event received. Returns the upstream's
+    /// service.
     #[must_use]
     pub fn record_cache_event(&self, name: &Name, last: u64) -> Option<Name> {
         let mut directory = self.0.borrow_mut();
@@ -133,7 +135,7 @@
         Some(known.upstream.service.clone())
     }
 
-    /// The upstreams of a service as the balancer sees them.
+    /// The upstreams of a service in the balancer's terms, limited to the service's zones.
     #[must_use]
     pub fn members(&self, service: &Service) -> Vec<Member> {
         let in_zones = |zone: &Name| service.zones.is_empty() || service.zones.contains(zone);
@@ -149,7 +151,7 @@
     }
 }
 
-/// An upstream as the balancer sees it.
+/// Converts an upstream to the balancer's terms.
 fn member(upstream: &Upstream) -> Member {
     Member {
         name: upstream.name.clone(),
