--- a/verbenaspool/src/entry/forward.rs
+++ b/verbenaspool/src/entry/forward.rs
@@ -211,7 +211,7 @@
 
     /// Asks the agent of an upstream that broke the connection whether the upstream crashed.
     /// Returns whether the request may be sent again.
-    async fn check_quarantine(&self, upstream: &Name) -> bool {
+    async fn may_resend(&self, upstream: &Name) -> bool {
         if self.fingerprint.is_some() {
             self.entry.request_report(upstream).await;
         }
@@ -225,7 +225,7 @@
         }
         if failure.ending == Ending::Unknown
             && let Some(upstream) = tried.last()
-            && !self.check_quarantine(upstream).await
+            && !self.may_resend(upstream).await
         {
             return Err(failure.problem);
         }
@@ -301,7 +301,7 @@
         tokens: u32,
         mut tried: Vec<Name>,
     ) -> Option<(Exchange, Vec<Name>)> {
-        if !self.check_quarantine(tried.last()?).await {
+        if !self.may_resend(tried.last()?).await {
             return None;
         }
         let retried = self
--- a/verbenaspool/src/entry/upstreams.rs
+++ b/verbenaspool/src/entry/upstreams.rs
@@ -35,7 +35,7 @@
     upstream: Upstream,
     address: Address,
     /// When the agent was last asked for a report.
-    last_contact: Option<Duration>,
+    last_asked: Option<Duration>,
     /// The sequence number of the last cache event received.
     last_cache_event: u64,
 }
@@ -72,7 +72,7 @@
                     instance,
                     process: existing.as_ref().and_then(|known| known.address.process),
                 },
-                last_contact: existing.as_ref().and_then(|known| known.last_contact),
+                last_asked: existing.as_ref().and_then(|known| known.last_asked),
                 last_cache_event: existing.map_or(0, |known| known.last_cache_event),
             };
             directory.insert(upstream.name.clone(), known);
@@ -91,9 +91,9 @@
     pub fn stalest(&self, names: &[Name], now: Duration, min_age: Duration) -> Option<Name> {
         let directory = self.0.borrow();
         let known = names.iter().filter_map(|name| directory.get(name));
-        let stalest = known.min_by_key(|known| known.last_contact)?;
+        let stalest = known.min_by_key(|known| known.last_asked)?;
         let due = stalest
-            .last_contact
+            .last_asked
             .is_none_or(|at| now.saturating_sub(at) >= min_age);
         due.then(|| stalest.upstream.name.clone())
     }
@@ -104,7 +104,7 @@
     pub fn record_report_request(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
-        known.last_contact = Some(now);
+        known.last_asked = Some(now);
         Some((known.address.clone(), known.last_cache_event))
     }
 
