--- a/verbenaspool/src/entry/answer.rs
+++ b/verbenaspool/src/entry/answer.rs
@@ -125,7 +125,7 @@
         let state = std::mem::replace(&mut self.state, State::Ended);
         if let State::Reading(mut source) = state {
             if ending != Ending::Ran {
-                source.span.fail("the answer broke off");
+                source.span.fail("the answer was interrupted");
             }
             let tokens = self.events.as_ref().map_or(0, |events| events.count);
             let prompt = self.forward.prompt.tokens;
@@ -239,7 +239,7 @@
                         continue;
                     }
                     Poll::Ready(None) => {
-                        return self.fail("the answer broke off".into());
+                        return self.fail("the answer was interrupted".into());
                     }
                     Poll::Pending => Poll::Pending,
                 },
@@ -249,7 +249,7 @@
                     return self.complete();
                 }
                 self.end_attempt(Ending::Cancelled);
-                return self.fail("the deadline is over".into());
+                return self.fail("the deadline has passed".into());
             }
             match ready!(frame) {
                 None => {
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -69,8 +69,6 @@
     upstreams::Directory,
 };
 
-const PART: &str = "Entry";
-
 /// Options of an entry process.
 #[derive(Debug, Clone)]
 pub struct Options {
@@ -281,7 +279,7 @@
         let table = Rc::new(Table::new(version, file));
         self.update_queues(&table);
         self.table.replace(Some(table));
-        info!(self.log, "{}: Put a version in force.", PART; "version" => version.0);
+        info!(self.log, "configuration activated"; "version" => version.0);
     }
 
     /// Replaces the list of the firm's upstreams.
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -206,7 +206,7 @@
     async fn wait(mut self) -> Admission {
         let admission = (&mut self.receiver).await;
         self.resolved = true;
-        admission.expect("a queue outlives its places")
+        admission.expect("the queue outlives its waiting requests")
     }
 }
 
--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -41,10 +41,10 @@
     #[error("the body is too large")]
     TooLarge,
     /// The body paused for too long.
-    #[error("the body paused for too long")]
+    #[error("the body paused for longer than allowed")]
     Slow,
     /// The body ended early or was malformed.
-    #[error("the body broke off")]
+    #[error("the body ended early or is malformed")]
     Broken,
     /// Too much of the body has been read for it to be sent again.
     #[error("the body can't be sent again")]
