--- a/verbenaspool/tests/entry/agent.rs
+++ b/verbenaspool/tests/entry/agent.rs
@@ -33,54 +33,54 @@
 };
 
 /// What the agent does with a request.
-pub enum Act {
+pub enum Action {
     /// Answers 200 with the request's own body.
     Echo,
     /// Answers with a stream that the test feeds.
     Stream(mpsc::UnboundedReceiver<Option<&'static str>>),
     /// Refuses: the request did not run.
-    Refuse,
+    Reject,
     /// Answers as if to another attempt.
-    Crossed,
+    WrongAttempt,
 }
 
 /// What the agent saw of a request.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Received {
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
 /// The agent: a queue of acts, and what it saw. Without an act it echoes.
-pub struct Agent {
-    pub settles: Cell<settle::Answer>,
-    pub acts: RefCell<VecDeque<Act>>,
-    pub seen: RefCell<Vec<Seen>>,
+pub struct FakeAgent {
+    pub settle_answer: Cell<settle::Answer>,
+    pub actions: RefCell<VecDeque<Action>>,
+    pub received: RefCell<Vec<Received>>,
 }
 
-impl Default for Agent {
+impl Default for FakeAgent {
     fn default() -> Self {
         Self {
-            settles: Cell::new(settle::Answer::Unknown),
-            acts: RefCell::default(),
-            seen: RefCell::default(),
+            settle_answer: Cell::new(settle::Answer::Unknown),
+            actions: RefCell::default(),
+            received: RefCell::default(),
         }
     }
 }
 
 /// The number of every played agent process.
-pub const NUMBER: u64 = 7;
+pub const PROCESS_ID: u64 = 7;
 
-impl Agent {
+impl FakeAgent {
     /// Starts the agent's control listener and tells its address.
-    pub fn control(self: &Rc<Self>, signal: Signal) -> SocketAddr {
+    pub fn start_control(self: &Rc<Self>, signal: Signal) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut module = Module::default();
         module.on(report::METHOD, |_: report::Question| async {
             let load = Load {
-                agent: NUMBER,
+                agent: PROCESS_ID,
                 ..Load::default()
             };
             let cache = report::Cache::default();
@@ -92,7 +92,7 @@
         });
         let agent = self.clone();
         module.on(settle::METHOD, move |_: settle::Question| {
-            let answer = agent.settles.get();
+            let answer = agent.settle_answer.get();
             async move { Ok::<_, String>(answer) }
         });
         monoio::spawn(rpc::serve(listener, Rc::new(module), signal));
@@ -114,7 +114,11 @@
     }
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let act = self.acts.borrow_mut().pop_front().unwrap_or(Act::Echo);
+        let action = self
+            .actions
+            .borrow_mut()
+            .pop_front()
+            .unwrap_or(Action::Echo);
         let (parts, body) = request.into_parts();
         let mut id = parts.headers[header::ATTEMPT].clone();
         let resume = parts.headers.get(header::RESUME).cloned();
@@ -122,27 +126,27 @@
             Ok(body) => body.to_bytes(),
             Err(_) => Bytes::from_static(b"(broken)"),
         };
-        self.seen.borrow_mut().push(Seen {
+        self.received.borrow_mut().push(Received {
             path: parts.uri.to_string(),
             headers: parts.headers,
             body: body.clone(),
         });
-        let mut response = match act {
-            Act::Echo => Response::new(Body::full(body)),
-            Act::Stream(feed) => {
-                let mut response = Response::new(Body::wrap(Feed(feed)));
-                let kind = "text/event-stream".parse().unwrap();
-                response.headers_mut().insert(CONTENT_TYPE, kind);
+        let mut response = match action {
+            Action::Echo => Response::new(Body::full(body)),
+            Action::Stream(chunks) => {
+                let mut response = Response::new(Body::wrap(ChannelBody(chunks)));
+                let content_type = "text/event-stream".parse().unwrap();
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
                 if let Some(tokens) = resume {
                     response.headers_mut().insert(header::RESUME, tokens);
                 }
                 response
             }
-            Act::Crossed => {
+            Action::WrongAttempt => {
                 id = "0000000000000000-1".parse().unwrap();
                 Response::new(Body::full("another caller's answer"))
             }
-            Act::Refuse => refusal(),
+            Action::Reject => rejection(),
         };
         let headers = response.headers_mut();
         let outcome = headers.get(header::OUTCOME).cloned();
@@ -153,21 +157,21 @@
     }
 }
 
-fn refusal() -> Response<Body> {
+fn rejection() -> Response<Body> {
     let problem = Problem::not_run(Code::Leaving, "The instance is leaving.");
     verbenaspool::entry::reply::problem(&problem)
 }
 
-impl Handler for Agent {
+impl Handler for FakeAgent {
     fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
         Box::pin(self.answer(request))
     }
 }
 
 /// A body that the test feeds; none breaks it.
-struct Feed(mpsc::UnboundedReceiver<Option<&'static str>>);
+struct ChannelBody(mpsc::UnboundedReceiver<Option<&'static str>>);
 
-impl http_body::Body for Feed {
+impl http_body::Body for ChannelBody {
     type Data = Bytes;
     type Error = body::Error;
 
--- a/verbenaspool/tests/entry/bad_input.rs
+++ b/verbenaspool/tests/entry/bad_input.rs
@@ -7,8 +7,8 @@
 use verbenaspool_transport::shutdown;
 
 use crate::{
-    agent::Agent,
-    site::{CREDENTIAL, Site, played, run},
+    agent::FakeAgent,
+    deployment::{CREDENTIAL, Deployment, fake_upstream, run_test},
 };
 
 /// One malformed request, and the status and code it gets.
@@ -78,7 +78,7 @@
 }
 
 /// Requests that are well-formed HTTP and still wrong.
-fn wrong() -> Vec<Case> {
+fn invalid() -> Vec<Case> {
     let post = "POST /jobs/bookings";
     vec![
         case(
@@ -157,7 +157,7 @@
 }
 
 /// Bounds that a test can reach.
-fn tight() -> Bound {
+fn tight_limits() -> Bound {
     Bound {
         body_bytes: 3_000,
         head_ms: 300,
@@ -168,13 +168,13 @@
 
 #[test]
 fn each_gets_a_clear_error_and_others_go_on() {
-    run(async {
+    run_test(async {
         let (_stop, signal) = shutdown::channel();
-        let agent = std::rc::Rc::new(Agent::default());
-        let upstreams = [played("jobs-1", "jobs", &agent, &signal)];
-        let site = Site::limited(tight(), &upstreams);
-        for case in malformed().into_iter().chain(wrong()) {
-            let answer = site.raw(case.request).await;
+        let agent = std::rc::Rc::new(FakeAgent::default());
+        let upstreams = [fake_upstream("jobs-1", "jobs", &agent, &signal)];
+        let deployment = Deployment::with_limits(tight_limits(), &upstreams);
+        for case in malformed().into_iter().chain(invalid()) {
+            let answer = deployment.send_raw(case.request).await;
             let status = case.status.to_string();
             assert_eq!(
                 answer.get(9..12),
@@ -184,7 +184,7 @@
             );
             assert!(answer.contains(case.code), "{}: {answer}", case.name);
             let good = head("GET /jobs/1", "Connection: close\r\n");
-            let answer = site.raw(good).await;
+            let answer = deployment.send_raw(good).await;
             assert!(
                 answer.starts_with("HTTP/1.1 200"),
                 "after {}: {answer}",
@@ -198,44 +198,47 @@
 fn an_ambiguous_length_is_no_second_request() {
     // A caller smuggles a request past the checks: with two ways to say the
     // length, the entry takes one and serves the rest as a request of its own.
-    run(async {
+    run_test(async {
         let (_stop, signal) = shutdown::channel();
-        let agent = std::rc::Rc::new(Agent::default());
-        let site = Site::start(&[played("jobs-1", "jobs", &agent, &signal)]);
+        let agent = std::rc::Rc::new(FakeAgent::default());
+        let deployment = Deployment::start(&[fake_upstream("jobs-1", "jobs", &agent, &signal)]);
         let more = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n";
         let smuggled = head("GET /jobs/smuggled", "");
         let bytes = head("POST /jobs/bookings", more) + "0\r\n\r\n" + &smuggled;
-        let answer = site.raw(bytes).await;
+        let answer = deployment.send_raw(bytes).await;
         assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
-        let seen = agent.seen.borrow();
-        assert!(seen.iter().all(|seen| seen.path != "/smuggled"));
+        let received = agent.received.borrow();
+        assert!(received.iter().all(|request| request.path != "/smuggled"));
     });
 }
 
 #[test]
 fn slow_senders_are_closed() {
-    run(async {
+    run_test(async {
         let (_stop, signal) = shutdown::channel();
-        let agent = std::rc::Rc::new(Agent::default());
-        let site = Site::limited(tight(), &[played("jobs-1", "jobs", &agent, &signal)]);
+        let agent = std::rc::Rc::new(FakeAgent::default());
+        let deployment = Deployment::with_limits(
+            tight_limits(),
+            &[fake_upstream("jobs-1", "jobs", &agent, &signal)],
+        );
         let start = "POST /jobs/ HTTP/1.1\r\nHo";
-        let _ = site.raw(start).await;
+        let _ = deployment.send_raw(start).await;
         let body = head("POST /jobs/bookings", "Content-Length: 10\r\n");
-        let answer = site.raw(body.clone()).await;
+        let answer = deployment.send_raw(body.clone()).await;
         assert!(answer.contains("slow-sender"), "{answer}");
         assert!(answer.contains("not-run"), "{answer}");
-        let answer = site.raw(body + "abc").await;
+        let answer = deployment.send_raw(body + "abc").await;
         assert!(answer.contains("slow-sender"), "{answer}");
         monoio::time::sleep(Duration::from_millis(100)).await;
-        assert_eq!(site.entry.connections.count(), 0);
+        assert_eq!(deployment.entry.connections.count(), 0);
     });
 }
 
 #[test]
 fn an_entry_without_configuration_serves_nobody() {
-    run(async {
-        let site = Site::bare(Bound::default());
-        let answer = site.raw(head("GET /jobs/1", "")).await;
+    run_test(async {
+        let deployment = Deployment::unconfigured(Bound::default());
+        let answer = deployment.send_raw(head("GET /jobs/1", "")).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
         assert!(answer.contains("not-ready"), "{answer}");
     });
@@ -243,12 +246,12 @@
 
 #[test]
 fn bytes_that_are_no_text_are_refused() {
-    run(async {
-        let site = Site::start(&[]);
+    run_test(async {
+        let deployment = Deployment::start(&[]);
         let start = head("POST /jobs/bookings", "").trim_end().to_owned();
         let mut request = (start + "\r\nidempotency-key: ").into_bytes();
         request.extend_from_slice(b"\xff\xfe\r\n\r\n");
-        let answer = site.raw(request).await;
+        let answer = deployment.send_raw(request).await;
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
         assert!(answer.contains("bad-request"), "{answer}");
     });
@@ -257,21 +260,26 @@
 #[test]
 fn one_connection_too_many_is_closed() {
     // A caller that opens connections without end takes the entry from everyone.
-    run(async {
+    run_test(async {
         let limits = Bound {
             connections: 2,
             ..Bound::default()
         };
-        let site = Site::limited(limits, &[]);
-        let held = [
-            TcpStream::connect(site.address).await.unwrap(),
-            TcpStream::connect(site.address).await.unwrap(),
+        let deployment = Deployment::with_limits(limits, &[]);
+        let open = [
+            TcpStream::connect(deployment.address).await.unwrap(),
+            TcpStream::connect(deployment.address).await.unwrap(),
         ];
         monoio::time::sleep(Duration::from_millis(50)).await;
         let request = head("GET /jobs/1", "Connection: close\r\n");
-        assert_eq!(site.raw(request.clone()).await, "");
-        drop(held);
+        assert_eq!(deployment.send_raw(request.clone()).await, "");
+        drop(open);
         monoio::time::sleep(Duration::from_millis(50)).await;
-        assert!(site.raw(request).await.starts_with("HTTP/1.1 503"));
+        assert!(
+            deployment
+                .send_raw(request)
+                .await
+                .starts_with("HTTP/1.1 503")
+        );
     });
 }
--- a/verbenaspool/tests/entry/crashes.rs
+++ b/verbenaspool/tests/entry/crashes.rs
@@ -19,7 +19,7 @@
     shutdown::{self, Trigger},
 };
 
-use crate::site::{Site, code, request, run, upstream, whole};
+use crate::deployment::{Deployment, problem_code, read_response, request, run_test, upstream};
 
 /// Upstreams of the service.
 const UPSTREAMS: usize = 4;
@@ -28,21 +28,21 @@
 const DOWNTIME: Duration = Duration::from_millis(200);
 
 /// The body of a request that crashes them.
-const CRASHING: &str = "crashes";
+const CRASHING_BODY: &str = "crashes";
 
 /// Crashes after which a request is rejected at an entry.
-const CRASHES: usize = 2;
+const CRASH_THRESHOLD: usize = 2;
 
 /// One process of an upstream.
-struct Fragile {
+struct CrashableService {
     crash: Trigger,
 }
 
-impl Fragile {
+impl CrashableService {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let body = request.into_body().collect().await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
-        if body == CRASHING {
+        if body == CRASHING_BODY {
             self.crash.fire();
             std::future::pending::<()>().await;
         }
@@ -50,7 +50,7 @@
     }
 }
 
-impl Handler for Fragile {
+impl Handler for CrashableService {
     fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
         Box::pin(self.answer(request))
     }
@@ -97,16 +97,21 @@
     loop {
         let (trigger, signal) = shutdown::channel();
         let listener = TcpListener::bind(address).expect("a free address");
-        crash::serve(listener, Rc::new(Fragile { crash: trigger }), signal).await;
+        crash::serve(
+            listener,
+            Rc::new(CrashableService { crash: trigger }),
+            signal,
+        )
+        .await;
         crashes.set(crashes.get() + 1);
         monoio::time::sleep(DOWNTIME).await;
     }
 }
 
 /// Sends a look-up, which may be repeated; tells the status and the answer.
-async fn search(site: &Site, body: &'static str) -> (StatusCode, String) {
-    let sent = request(Method::POST, "/jobs/search", body);
-    let (status, _, body) = whole(site.send(sent).await).await;
+async fn send_search(deployment: &Deployment, body: &'static str) -> (StatusCode, String) {
+    let request = request(Method::POST, "/jobs/search", body);
+    let (status, _, body) = read_response(deployment.send(request).await).await;
     (status, body)
 }
 
@@ -114,21 +119,27 @@
 /// each attempt of its caller and at each entry.
 #[test]
 fn a_request_that_crashes_upstreams_behind_agents_is_not_sent_on() {
-    run(async {
+    run_test(async {
         let fleet = Fleet::start();
-        let entries = [Site::start(&fleet.upstreams), Site::start(&fleet.upstreams)];
+        let entries = [
+            Deployment::start(&fleet.upstreams),
+            Deployment::start(&fleet.upstreams),
+        ];
         for attempt in 0..12 {
-            search(&entries[attempt % 2], CRASHING).await;
+            send_search(&entries[attempt % 2], CRASHING_BODY).await;
             monoio::time::sleep(DOWNTIME).await;
         }
         let crashes = fleet.crashes.get();
-        assert!(crashes >= CRASHES);
-        assert!(crashes <= CRASHES * entries.len(), "{crashes} crashes");
+        assert!(crashes >= CRASH_THRESHOLD);
+        assert!(
+            crashes <= CRASH_THRESHOLD * entries.len(),
+            "{crashes} crashes"
+        );
         for entry in &entries {
-            let (status, body) = search(entry, CRASHING).await;
+            let (status, body) = send_search(entry, CRASHING_BODY).await;
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-            assert_eq!(code(&body), "quarantined");
-            assert_eq!(search(entry, "sound").await.0, StatusCode::OK);
+            assert_eq!(problem_code(&body), "quarantined");
+            assert_eq!(send_search(entry, "sound").await.0, StatusCode::OK);
         }
         assert_eq!(fleet.crashes.get(), crashes);
     });
@@ -137,19 +148,19 @@
 /// Guards against an entry that starts later and has to find out by crashes of its own.
 #[test]
 fn an_entry_learns_from_agents_what_crashed_upstreams_before() {
-    run(async {
+    run_test(async {
         let fleet = Fleet::start();
-        let first = Site::start(&fleet.upstreams);
+        let first = Deployment::start(&fleet.upstreams);
         for _ in 0..3 {
-            search(&first, CRASHING).await;
+            send_search(&first, CRASHING_BODY).await;
             monoio::time::sleep(DOWNTIME).await;
         }
         let crashes = fleet.crashes.get();
-        let second = Site::start(&fleet.upstreams);
+        let second = Deployment::start(&fleet.upstreams);
         // An entry asks all its agents within a second or two.
         monoio::time::sleep(Duration::from_millis(2_500)).await;
-        let (_, body) = search(&second, CRASHING).await;
-        assert_eq!(code(&body), "quarantined");
+        let (_, body) = send_search(&second, CRASHING_BODY).await;
+        assert_eq!(problem_code(&body), "quarantined");
         assert_eq!(fleet.crashes.get(), crashes);
     });
 }
--- a/verbenaspool/tests/entry/site.rs
+++ b/verbenaspool/tests/entry/deployment.rs
@@ -26,13 +26,13 @@
     shutdown::{self, Signal},
 };
 
-use crate::agent::Agent;
+use crate::agent::FakeAgent;
 
 /// The credential of the one customer.
 pub const CREDENTIAL: &str = "a-long-random-token";
 
 /// A started site.
-pub struct Site {
+pub struct Deployment {
     pub entry: Rc<Entry>,
     pub address: SocketAddr,
     pub client: Client,
@@ -65,8 +65,13 @@
 }
 
 /// An upstream of a service, beside a played agent.
-pub fn played(name: &str, service: &str, agent: &Rc<Agent>, signal: &Signal) -> Upstream {
-    let control = agent.control(signal.clone());
+pub fn fake_upstream(
+    name: &str,
+    service: &str,
+    agent: &Rc<FakeAgent>,
+    signal: &Signal,
+) -> Upstream {
+    let control = agent.start_control(signal.clone());
     upstream(name, service, agent.start(signal.clone()), control)
 }
 
@@ -85,7 +90,7 @@
 }
 
 /// The settings of the site's entry.
-fn options(limits: Bound) -> Settings {
+fn entry_settings(limits: Bound) -> Settings {
     let text = "firm: tidewater
 name: entry-1
 zone: bowen-a
@@ -96,15 +101,15 @@
     Settings { limits, ..settings }
 }
 
-impl Site {
+impl Deployment {
     /// Starts an entry without configuration.
-    pub fn bare(limits: Bound) -> Self {
-        Self::around(limits, Dependencies::minimal(Monotonic::start()))
+    pub fn unconfigured(limits: Bound) -> Self {
+        Self::with_dependencies(limits, Dependencies::minimal(Monotonic::start()))
     }
 
     /// The same with other surroundings.
-    pub fn around(limits: Bound, around: Dependencies) -> Self {
-        let entry = Entry::with_dependencies(options(limits).options(), around);
+    pub fn with_dependencies(limits: Bound, dependencies: Dependencies) -> Self {
+        let entry = Entry::with_dependencies(entry_settings(limits).options(), dependencies);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (stop, signal) = shutdown::channel();
@@ -119,15 +124,15 @@
 
     /// Starts an entry with the file and these upstreams.
     pub fn start(upstreams: &[Upstream]) -> Self {
-        Self::limited(Bound::default(), upstreams)
+        Self::with_limits(Bound::default(), upstreams)
     }
 
     /// The same with other limits.
-    pub fn limited(limits: Bound, upstreams: &[Upstream]) -> Self {
-        let site = Self::bare(limits);
-        site.entry.apply_configuration(Version(1), &file());
-        site.entry.set_upstreams(upstreams);
-        site
+    pub fn with_limits(limits: Bound, upstreams: &[Upstream]) -> Self {
+        let deployment = Self::unconfigured(limits);
+        deployment.entry.apply_configuration(Version(1), &file());
+        deployment.entry.set_upstreams(upstreams);
+        deployment
     }
 
     /// Sends a request as the customer.
@@ -137,15 +142,15 @@
 
     /// Sends bytes on a connection of their own and reads what comes back until
     /// the entry closes it or has answered and waits.
-    pub async fn raw(&self, bytes: impl Into<Vec<u8>>) -> String {
+    pub async fn send_raw(&self, bytes: impl Into<Vec<u8>>) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let _ = stream.write_all(bytes.into()).await;
-        read(&mut stream, Duration::from_millis(400)).await
+        read_until_idle(&mut stream, Duration::from_millis(400)).await
     }
 }
 
 /// Reads until the end, or until nothing comes for a while.
-pub async fn read(stream: &mut TcpStream, pause: Duration) -> String {
+pub async fn read_until_idle(stream: &mut TcpStream, pause: Duration) -> String {
     let mut text = Vec::new();
     loop {
         match monoio::time::timeout(pause, stream.read(vec![0; 4096])).await {
@@ -167,7 +172,7 @@
 }
 
 /// A response, read whole.
-pub async fn whole(response: Response<Body>) -> (StatusCode, String, String) {
+pub async fn read_response(response: Response<Body>) -> (StatusCode, String, String) {
     let status = response.status();
     let outcome = response.headers()[header::OUTCOME]
         .to_str()
@@ -178,7 +183,7 @@
 }
 
 /// A problem's code as callers read it.
-pub fn code(body: &str) -> String {
+pub fn problem_code(body: &str) -> String {
     let problem: Problem = serde_json::from_str(body).unwrap();
     serde_json::to_value(problem.code)
         .unwrap()
@@ -188,7 +193,7 @@
 }
 
 /// Runs a test, bounded in time.
-pub fn run<F: Future<Output = ()>>(test: F) {
+pub fn run_test<F: Future<Output = ()>>(test: F) {
     let bounded = async { monoio::time::timeout(Duration::from_secs(20), test).await };
     runtime::run(bounded)
         .unwrap()
--- a/verbenaspool/tests/entry/main.rs
+++ b/verbenaspool/tests/entry/main.rs
@@ -3,8 +3,8 @@
 mod agent;
 mod bad_input;
 mod crashes;
+mod deployment;
 mod path;
 mod process;
-mod repeats;
-mod site;
+mod retries;
 mod subsets;
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -20,33 +20,35 @@
 };
 
 use crate::{
-    agent::{Act, Agent},
-    site::{Site, code, file, played, request, run, upstream, whole},
+    agent::{Action, FakeAgent},
+    deployment::{
+        Deployment, fake_upstream, file, problem_code, read_response, request, run_test, upstream,
+    },
 };
 
 /// A site with so many played agents behind each service.
-fn site(agents: usize) -> (Site, Vec<Rc<Agent>>, shutdown::Trigger) {
+fn start_deployment(agents: usize) -> (Deployment, Vec<Rc<FakeAgent>>, shutdown::Trigger) {
     let (stop, signal) = shutdown::channel();
-    let agents: Vec<Rc<Agent>> = (0..agents).map(|_| Rc::default()).collect();
+    let agents: Vec<Rc<FakeAgent>> = (0..agents).map(|_| Rc::default()).collect();
     let mut upstreams = Vec::new();
     for (i, agent) in agents.iter().enumerate() {
-        let loft = format!("loft-{i}");
-        upstreams.push(played(&loft, "assistant", agent, &signal));
-        upstreams.push(played(&format!("jobs-{i}"), "jobs", agent, &signal));
+        let name = format!("loft-{i}");
+        upstreams.push(fake_upstream(&name, "assistant", agent, &signal));
+        upstreams.push(fake_upstream(&format!("jobs-{i}"), "jobs", agent, &signal));
     }
-    (Site::start(&upstreams), agents, stop)
+    (Deployment::start(&upstreams), agents, stop)
 }
 
 /// Sends one booking, which may not run twice, and reads the answer whole.
-async fn book(site: &Site) -> (StatusCode, String, String) {
+async fn send_booking(deployment: &Deployment) -> (StatusCode, String, String) {
     let sent = request(Method::POST, "/jobs/bookings", "one booking");
-    whole(site.send(sent).await).await
+    read_response(deployment.send(sent).await).await
 }
 
 #[test]
 fn a_request_reaches_its_service() {
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let mut sent = request(
             Method::POST,
             "/loft/v1/completions?x=1",
@@ -56,29 +58,32 @@
             .insert(header::PRIORITY, "high".parse().unwrap());
         sent.headers_mut()
             .insert(header::AGENT, "9".parse().unwrap());
-        let (status, outcome, body) = whole(site.send(sent).await).await;
+        let (status, outcome, body) = read_response(deployment.send(sent).await).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (200, "ran"));
         assert_eq!(body, "{\"prompt\":\"net\"}");
-        let seen = agents[0].seen.borrow()[0].clone();
-        assert_eq!(seen.path, "/v1/completions?x=1");
-        assert_eq!(seen.body, body);
-        assert_eq!(seen.headers[header::CUSTOMER], "bowen-loft");
-        assert_eq!(seen.headers[header::PRIORITY], "high");
-        assert!(!seen.headers.contains_key("authorization"));
-        assert_eq!(seen.headers[header::AGENT], "7");
-        assert!(seen.headers.contains_key(header::TRACEPARENT));
+        let received = agents[0].received.borrow()[0].clone();
+        assert_eq!(received.path, "/v1/completions?x=1");
+        assert_eq!(received.body, body);
+        assert_eq!(received.headers[header::CUSTOMER], "bowen-loft");
+        assert_eq!(received.headers[header::PRIORITY], "high");
+        assert!(!received.headers.contains_key("authorization"));
+        assert_eq!(received.headers[header::AGENT], "7");
+        assert!(received.headers.contains_key(header::TRACEPARENT));
     });
 }
 
 #[test]
 fn the_first_chunk_passes_before_the_second_exists() {
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
-        agents[0].acts.borrow_mut().push_back(Act::Stream(chunks));
+        agents[0]
+            .actions
+            .borrow_mut()
+            .push_back(Action::Stream(chunks));
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
         feed.send(Some("data: one\n\n")).unwrap();
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         let first = body.frame().await.unwrap().unwrap().into_data().unwrap();
         assert_eq!(first, "data: one\n\n");
         feed.send(Some("data: two\n\n")).unwrap();
@@ -92,13 +97,16 @@
 fn a_broken_stream_never_ends_like_a_whole_one() {
     // A caller gets the start of a stream and then an end that looks whole,
     // because the upstream broke off and the entry closed the message cleanly.
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
-        agents[0].acts.borrow_mut().push_back(Act::Stream(chunks));
+        agents[0]
+            .actions
+            .borrow_mut()
+            .push_back(Action::Stream(chunks));
         feed.send(Some("data: one\n\n")).unwrap();
         let sent = request(Method::GET, "/jobs/bookings", "");
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         body.frame().await.unwrap().unwrap();
         feed.send(None).unwrap();
         assert!(body.frame().await.unwrap().is_err());
@@ -109,15 +117,15 @@
 fn a_broken_stream_goes_on_behind_its_last_whole_token() {
     // A caller reads a token twice or a torn one: the first upstream broke off
     // in the middle of an event, and the second began where the entry thought.
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
         let (rest, more) = mpsc::unbounded_channel();
-        let acts = [Act::Stream(chunks), Act::Stream(more)];
-        agents[0].acts.borrow_mut().extend(acts);
+        let actions = [Action::Stream(chunks), Action::Stream(more)];
+        agents[0].actions.borrow_mut().extend(actions);
         feed.send(Some("data: one\n\ndata: t")).unwrap();
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         let first = body.frame().await.unwrap().unwrap().into_data().unwrap();
         assert_eq!(first, "data: one\n\n");
         feed.send(None).unwrap();
@@ -125,20 +133,20 @@
         drop(rest);
         let last = body.collect().await.unwrap().to_bytes();
         assert_eq!(last, "data: two\n\n");
-        let seen = agents[0].seen.borrow();
-        assert_eq!(seen[1].headers[header::RESUME], "1");
-        assert_eq!(seen[1].body, seen[0].body);
+        let received = agents[0].received.borrow();
+        assert_eq!(received[1].headers[header::RESUME], "1");
+        assert_eq!(received[1].body, received[0].body);
     });
 }
 
 /// Guards against an answer that ends twice, as it was resumed after its end mark.
 #[test]
 fn a_stream_that_breaks_after_its_end_mark_is_not_resumed() {
-    run(async {
-        let (site, agents, _stop) = site(2);
-        let queue = |agent: &Agent| {
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(2);
+        let queue = |agent: &FakeAgent| {
             let (feed, chunks) = mpsc::unbounded_channel();
-            agent.acts.borrow_mut().push_back(Act::Stream(chunks));
+            agent.actions.borrow_mut().push_back(Action::Stream(chunks));
             feed
         };
         let feeds = [queue(&agents[0]), queue(&agents[1])];
@@ -148,7 +156,7 @@
             }
         }
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         let mut got = Vec::new();
         while !got.ends_with(b"[DONE]\n\n") {
             let frame = body.frame().await.unwrap().unwrap();
@@ -159,26 +167,26 @@
         }
         got.extend(body.collect().await.unwrap().to_bytes());
         assert_eq!(got, b"data: one\n\ndata: [DONE]\n\n");
-        let sent = agents.iter().map(|agent| agent.seen.borrow().len());
+        let sent = agents.iter().map(|agent| agent.received.borrow().len());
         assert_eq!(sent.sum::<usize>(), 1);
     });
 }
 
 #[test]
 fn a_confirmed_refusal_is_repeated_elsewhere() {
-    run(async {
-        let (site, agents, _stop) = site(2);
-        let refuse = |agent: &Agent| {
-            let mut acts = agent.acts.borrow_mut();
-            acts.extend((0..20).map(|_| Act::Refuse));
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(2);
+        let reject = |agent: &FakeAgent| {
+            let mut actions = agent.actions.borrow_mut();
+            actions.extend((0..20).map(|_| Action::Reject));
         };
-        refuse(&agents[0]);
-        assert_eq!(book(&site).await.2, "one booking");
+        reject(&agents[0]);
+        assert_eq!(send_booking(&deployment).await.2, "one booking");
         // While both refuse, the caller hears a truthful word.
-        refuse(&agents[1]);
-        let (status, outcome, body) = book(&site).await;
+        reject(&agents[1]);
+        let (status, outcome, body) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (503, "not-run"));
-        assert_eq!(code(&body), "no-upstream");
+        assert_eq!(problem_code(&body), "no-upstream");
     });
 }
 
@@ -186,13 +194,16 @@
 fn a_crossed_answer_never_reaches_the_caller() {
     // A caller sees another caller's answer: an agent answered on the wrong
     // connection, and the entry passed on whatever came.
-    run(async {
-        let (site, agents, _stop) = site(1);
-        agents[0].acts.borrow_mut().push_back(Act::Crossed);
-        let (status, outcome, body) = book(&site).await;
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
+        agents[0]
+            .actions
+            .borrow_mut()
+            .push_back(Action::WrongAttempt);
+        let (status, outcome, body) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (502, "unknown"));
-        assert_eq!(code(&body), "upstream");
-        assert_eq!(agents[0].seen.borrow().len(), 1);
+        assert_eq!(problem_code(&body), "upstream");
+        assert_eq!(agents[0].received.borrow().len(), 1);
     });
 }
 
@@ -200,7 +211,7 @@
 fn a_lost_answer_to_a_write_is_not_repeated() {
     // A skipper is charged twice: the agent took the booking and died before
     // its answer, and the entry sent the booking again.
-    run(async {
+    run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (count, mut counted) = mpsc::unbounded_channel();
@@ -210,33 +221,33 @@
                 count.send(()).unwrap();
             }
         });
-        let agent = Rc::new(Agent::default());
+        let agent = Rc::new(FakeAgent::default());
         let (_stop, signal) = shutdown::channel();
-        let control = agent.control(signal);
+        let control = agent.start_control(signal);
         let upstreams = [
             upstream("jobs-1", "jobs", address, control),
             upstream("jobs-2", "jobs", address, control),
         ];
-        let site = Site::start(&upstreams);
-        let (status, outcome, _) = book(&site).await;
+        let deployment = Deployment::start(&upstreams);
+        let (status, outcome, _) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (502, "unknown"));
         assert!(counted.try_recv().is_ok());
         assert!(counted.try_recv().is_err());
         // The agent's word that it never will run makes it safe to repeat.
-        agent.settles.set(settle::Answer::Refused);
-        let (status, outcome, _) = book(&site).await;
+        agent.settle_answer.set(settle::Answer::Refused);
+        let (status, outcome, _) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (503, "not-run"));
     });
 }
 
 #[test]
 fn an_unreachable_upstream_is_a_truthful_not_run() {
-    run(async {
-        let gone = address::fresh();
-        let site = Site::start(&[upstream("jobs-1", "jobs", gone, gone)]);
-        let (status, outcome, body) = book(&site).await;
+    run_test(async {
+        let unused = address::fresh();
+        let deployment = Deployment::start(&[upstream("jobs-1", "jobs", unused, unused)]);
+        let (status, outcome, body) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (503, "not-run"));
-        assert_eq!(code(&body), "no-upstream");
+        assert_eq!(problem_code(&body), "no-upstream");
     });
 }
 
@@ -244,47 +255,51 @@
 fn a_stopping_entry_cuts_off_no_request() {
     // A caller's answer breaks off during an ordinary restart: the entry was
     // told to stop while a stream was under way, and ended with it.
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
-        agents[0].acts.borrow_mut().push_back(Act::Stream(chunks));
+        agents[0]
+            .actions
+            .borrow_mut()
+            .push_back(Action::Stream(chunks));
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
         feed.send(Some("data: one\n\n")).unwrap();
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         body.frame().await.unwrap().unwrap();
-        site.stop.fire();
+        deployment.stop.fire();
         monoio::time::sleep(Duration::from_millis(50)).await;
         feed.send(Some("data: two\n\n")).unwrap();
         drop(feed);
         assert_eq!(body.collect().await.unwrap().to_bytes(), "data: two\n\n");
-        assert!(TcpStream::connect(site.address).await.is_err());
+        assert!(TcpStream::connect(deployment.address).await.is_err());
     });
 }
 
 #[test]
 fn each_hop_has_a_span_in_the_callers_trace() {
-    run(async {
+    run_test(async {
         let (_stop, signal) = shutdown::channel();
-        let agent = Rc::new(Agent::default());
+        let agent = Rc::new(FakeAgent::default());
         let clock = Monotonic::start();
         let settings = trace::Settings {
             collector: "127.0.0.1:1".parse().unwrap(),
             sample: 0.0,
         };
         let tracer = Tracer::new(Some(&settings), clock.clone());
-        let around = Dependencies {
+        let dependencies = Dependencies {
             tracer: tracer.clone(),
             ..Dependencies::minimal(clock)
         };
-        let site = Site::around(Bound::default(), around);
-        site.entry.apply_configuration(Version(1), &file());
-        site.entry
-            .set_upstreams(&[played("jobs-1", "jobs", &agent, &signal)]);
+        let deployment = Deployment::with_dependencies(Bound::default(), dependencies);
+        deployment.entry.apply_configuration(Version(1), &file());
+        deployment
+            .entry
+            .set_upstreams(&[fake_upstream("jobs-1", "jobs", &agent, &signal)]);
         let mut sent = request(Method::POST, "/jobs/bookings", "one booking");
         let context = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
         let headers = sent.headers_mut();
         headers.insert(header::TRACEPARENT, context.parse().unwrap());
-        whole(site.send(sent).await).await;
+        read_response(deployment.send(sent).await).await;
         let spans = tracer.take(10);
         let names: Vec<_> = spans.iter().map(|span| span.name).collect();
         assert_eq!(names, ["queue", "entry to agent", "caller to entry"]);
@@ -298,8 +313,8 @@
             (caller.parent, caller.context.trace),
             (remote.span, remote.trace)
         );
-        let passed = agent.seen.borrow()[0].headers[header::TRACEPARENT].clone();
-        assert_eq!(passed, attempt.context.to_string());
+        let forwarded = agent.received.borrow()[0].headers[header::TRACEPARENT].clone();
+        assert_eq!(forwarded, attempt.context.to_string());
     });
 }
 
@@ -307,19 +322,22 @@
 fn a_caller_that_leaves_cancels_its_work() {
     // Upstreams work for nobody: callers close their connections, and the entry
     // goes on reading answers that it can't deliver.
-    run(async {
-        let (site, agents, _stop) = site(1);
+    run_test(async {
+        let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
-        agents[0].acts.borrow_mut().push_back(Act::Stream(chunks));
+        agents[0]
+            .actions
+            .borrow_mut()
+            .push_back(Action::Stream(chunks));
         feed.send(Some("data: one\n\n")).unwrap();
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
-        let mut body = site.send(sent).await.into_body();
+        let mut body = deployment.send(sent).await.into_body();
         body.frame().await.unwrap().unwrap();
         drop(body);
         while feed.send(Some("data: more\n\n")).is_ok() {
             monoio::time::sleep(Duration::from_millis(5)).await;
         }
-        let metrics = site.entry.scrape();
+        let metrics = deployment.entry.scrape();
         let line = "verbenaspool_requests_total{service=\"assistant\",outcome=\"cancelled\"} 1";
         assert!(metrics.contains(line), "{metrics}");
     });
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -26,13 +26,13 @@
     shutdown::{self, Signal, Trigger},
 };
 
-use crate::site::{code, file, request, run as bounded, upstream, whole};
+use crate::deployment::{file, problem_code, read_response, request, run_test, upstream};
 
 /// A firm's platform, upstreams and entries.
 struct Firm {
     platform: Platform,
-    jobs: Option<claim::Agent>,
-    book: Rc<Journal>,
+    jobs_agent: Option<claim::Agent>,
+    journal: Rc<Journal>,
     client: Client,
     signal: Signal,
     _stop: Trigger,
@@ -53,19 +53,19 @@
         platform.allow("token", "tidewater");
         let (stop, signal) = shutdown::channel();
         let clock = Monotonic::start();
-        let book = Journal::new(Duration::ZERO, clock.clone());
-        let service = Service::bind(([127, 0, 0, 1], 0).into(), book.clone()).unwrap();
+        let journal = Journal::new(Duration::ZERO, clock.clone());
+        let service = Service::bind(([127, 0, 0, 1], 0).into(), journal.clone()).unwrap();
         let engine = Engine::bind(Config::default(), clock).unwrap();
         let mut firm = Self {
             platform,
-            jobs: None,
-            book,
+            jobs_agent: None,
+            journal,
             client: Client::new(Duration::from_secs(1)),
             signal: signal.clone(),
             _stop: stop,
         };
-        firm.jobs = Some(firm.agent("jobs-1", "jobs", service.address(), "plain"));
-        firm.agent("loft-1", "assistant", engine.address(), "engine");
+        firm.jobs_agent = Some(firm.start_agent("jobs-1", "jobs", service.address(), "plain"));
+        firm.start_agent("loft-1", "assistant", engine.address(), "engine");
         monoio::spawn(service.run(signal.clone()));
         monoio::spawn(engine.run(signal));
         firm.apply().await;
@@ -73,7 +73,13 @@
     }
 
     /// Starts an agent beside an upstream and lists it.
-    fn agent(&self, name: &str, service: &str, beside: SocketAddr, kind: &str) -> claim::Agent {
+    fn start_agent(
+        &self,
+        name: &str,
+        service: &str,
+        beside: SocketAddr,
+        kind: &str,
+    ) -> claim::Agent {
         let text = format!(
             "firm: tidewater
 instance: {name}
@@ -112,7 +118,7 @@
     }
 
     /// Starts an entry and waits until it is ready.
-    async fn entry(&self, name: &str) -> Process {
+    async fn start_entry(&self, name: &str) -> Process {
         let (listen, admin) = (address::fresh(), address::fresh());
         let text = format!(
             "firm: tidewater
@@ -136,22 +142,22 @@
             stop,
             ended,
         };
-        while !self.ready(&process).await {
+        while !self.is_ready(&process).await {
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
         process
     }
 
     /// Whether an entry is ready and knows its upstreams.
-    async fn ready(&self, process: &Process) -> bool {
-        let metrics = self.look(process, "/metrics").await;
-        self.look(process, "/readyz").await == "ready\n"
+    async fn is_ready(&self, process: &Process) -> bool {
+        let metrics = self.get_admin(process, "/metrics").await;
+        self.get_admin(process, "/readyz").await == "ready\n"
             && metrics.contains("verbenaspool_upstreams{service=\"jobs\"} 1\n")
             && metrics.contains("verbenaspool_upstreams{service=\"assistant\"} 1\n")
     }
 
     /// What an entry says on its admin listener; nothing before it listens.
-    async fn look(&self, process: &Process, path: &str) -> String {
+    async fn get_admin(&self, process: &Process, path: &str) -> String {
         let mut get = Request::new(Body::empty());
         *get.uri_mut() = path.parse().unwrap();
         get.headers_mut().insert("host", "entry".parse().unwrap());
@@ -163,7 +169,7 @@
     }
 
     /// Sends a booking under a key.
-    async fn book(
+    async fn send_booking(
         &self,
         process: &Process,
         key: &str,
@@ -172,9 +178,13 @@
         let mut sent = request(Method::POST, "/jobs/bookings", body);
         let headers = sent.headers_mut();
         headers.insert(header::IDEMPOTENCY_KEY, key.parse().unwrap());
-        let (status, outcome, body) = whole(self.send(process, sent).await).await;
-        let word = if status == 200 { body } else { code(&body) };
-        (status.as_u16(), outcome, word)
+        let (status, outcome, body) = read_response(self.send(process, sent).await).await;
+        let body_or_code = if status == 200 {
+            body
+        } else {
+            problem_code(&body)
+        };
+        (status.as_u16(), outcome, body_or_code)
     }
 
     async fn send(&self, process: &Process, request: Request<Body>) -> Response<Body> {
@@ -183,29 +193,32 @@
 }
 
 /// What a booking is answered with.
-fn answer(status: u16, outcome: &str, word: &str) -> (u16, String, String) {
-    (status, outcome.to_owned(), word.to_owned())
+fn expected(status: u16, outcome: &str, body_or_code: &str) -> (u16, String, String) {
+    (status, outcome.to_owned(), body_or_code.to_owned())
 }
 
 #[test]
 fn a_key_runs_a_write_at_most_once() {
     // A skipper is charged twice: the answer to a booking was lost, and the
     // caller sent it again, with the same key, through another entry.
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let (one, other) = (firm.entry("entry-1").await, firm.entry("entry-2").await);
-        let first = firm.book(&one, "key-1", "one booking").await;
-        assert_eq!(first, answer(200, "ran", "/bookings one booking"));
-        let repeat = firm.book(&other, "key-1", "one booking").await;
-        assert_eq!(repeat, answer(409, "unknown", "key-conflict"));
-        let another = firm.book(&other, "key-1", "another booking").await;
-        assert_eq!(another, answer(409, "not-run", "key-conflict"));
-        firm.book.lose_answer();
-        let lost = firm.book(&one, "key-2", "lost booking").await;
+        let (one, other) = (
+            firm.start_entry("entry-1").await,
+            firm.start_entry("entry-2").await,
+        );
+        let first = firm.send_booking(&one, "key-1", "one booking").await;
+        assert_eq!(first, expected(200, "ran", "/bookings one booking"));
+        let repeat = firm.send_booking(&other, "key-1", "one booking").await;
+        assert_eq!(repeat, expected(409, "unknown", "key-conflict"));
+        let another = firm.send_booking(&other, "key-1", "another booking").await;
+        assert_eq!(another, expected(409, "not-run", "key-conflict"));
+        firm.journal.lose_answer();
+        let lost = firm.send_booking(&one, "key-2", "lost booking").await;
         assert_eq!(lost.1, "unknown");
-        let repeat = firm.book(&other, "key-2", "lost booking").await;
-        assert_eq!(repeat, answer(409, "unknown", "key-conflict"));
-        assert_eq!(firm.book.writes.borrow().len(), 2);
+        let repeat = firm.send_booking(&other, "key-2", "lost booking").await;
+        assert_eq!(repeat, expected(409, "unknown", "key-conflict"));
+        assert_eq!(firm.journal.writes.borrow().len(), 2);
     });
 }
 
@@ -213,32 +226,37 @@
 fn a_dead_entrys_claim_does_not_keep_the_key() {
     // A skipper can never book under a key again: an entry claimed it and died
     // before it sent the booking, and every repeat is told that it may have run.
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let entry = firm.entry("entry-1").await;
+        let entry = firm.start_entry("entry-1").await;
         let customer = "bowen-loft".parse().unwrap();
         let key = keys::claim(&"tidewater".parse().unwrap(), &customer, "key-1");
         let record = claim::Record {
             attempt: "00000000000000aa-1".to_owned(),
-            agent: firm.jobs.unwrap(),
+            agent: firm.jobs_agent.unwrap(),
             request: piece::Hash::of(b"POST /bookings\none booking"),
         };
         let value = serde_json::to_vec(&record).unwrap();
         firm.platform
             .with(|objects| objects.put(&key, value.into()));
-        let repeat = firm.book(&entry, "key-1", "one booking").await;
-        assert_eq!(repeat, answer(200, "ran", "/bookings one booking"));
+        let repeat = firm.send_booking(&entry, "key-1", "one booking").await;
+        assert_eq!(repeat, expected(200, "ran", "/bookings one booking"));
         // The dead entry's attempt arrives after all.
-        let agent = firm.jobs.unwrap();
-        let late = settle::Question {
+        let agent = firm.jobs_agent.unwrap();
+        let request = settle::Question {
             attempt: record.attempt.parse().unwrap(),
             agent: agent.process,
         };
         let rpc = rpc::Client::default();
-        let told = rpc.call(agent.control, settle::METHOD, &late, Duration::from_secs(1));
-        let told: settle::Answer = told.await.unwrap();
-        assert_eq!(told, settle::Answer::Refused);
-        assert_eq!(firm.book.writes.borrow().len(), 1);
+        let call = rpc.call(
+            agent.control,
+            settle::METHOD,
+            &request,
+            Duration::from_secs(1),
+        );
+        let answer: settle::Answer = call.await.unwrap();
+        assert_eq!(answer, settle::Answer::Refused);
+        assert_eq!(firm.journal.writes.borrow().len(), 1);
     });
 }
 
@@ -246,45 +264,45 @@
 fn a_lost_claim_is_read_back() {
     // A booking is refused for ever: its claim took effect, the platform's
     // answer was lost, and the entry took its own claim for another's.
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let entry = firm.entry("entry-1").await;
+        let entry = firm.start_entry("entry-1").await;
         firm.platform.set(|faults| faults.lose_answers = 1);
-        let first = firm.book(&entry, "key-1", "one booking").await;
-        assert_eq!(first, answer(200, "ran", "/bookings one booking"));
-        assert_eq!(firm.book.writes.borrow().len(), 1);
+        let first = firm.send_booking(&entry, "key-1", "one booking").await;
+        assert_eq!(first, expected(200, "ran", "/bookings one booking"));
+        assert_eq!(firm.journal.writes.borrow().len(), 1);
     });
 }
 
 #[test]
 fn without_the_platform_only_keyed_writes_are_refused() {
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let entry = firm.entry("entry-1").await;
+        let entry = firm.start_entry("entry-1").await;
         firm.platform.set(|faults| faults.down = true);
-        let keyed = firm.book(&entry, "key-1", "one booking").await;
-        assert_eq!(keyed, answer(503, "not-run", "platform"));
+        let keyed = firm.send_booking(&entry, "key-1", "one booking").await;
+        assert_eq!(keyed, expected(503, "not-run", "platform"));
         let plain = request(Method::GET, "/jobs/bookings", "");
-        assert_eq!(whole(firm.send(&entry, plain).await).await.0, 200);
-        assert!(firm.book.writes.borrow().is_empty());
+        assert_eq!(read_response(firm.send(&entry, plain).await).await.0, 200);
+        assert!(firm.journal.writes.borrow().is_empty());
         firm.platform.set(|faults| faults.down = false);
-        let keyed = firm.book(&entry, "key-2", "one booking").await;
-        assert_eq!(keyed, answer(200, "ran", "/bookings one booking"));
+        let keyed = firm.send_booking(&entry, "key-2", "one booking").await;
+        assert_eq!(keyed, expected(200, "ran", "/bookings one booking"));
     });
 }
 
 #[test]
 fn a_stopped_process_ends_its_streams_first() {
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let entry = firm.entry("entry-1").await;
+        let entry = firm.start_entry("entry-1").await;
         let body = r#"{"prompt":"Mend the net.","max_tokens":100,"stream":true}"#;
         let sent = request(Method::POST, "/loft/v1/completions", body);
         let mut stream = firm.send(&entry, sent).await.into_body();
         stream.frame().await.unwrap().unwrap();
         entry.stop.fire();
         monoio::time::sleep(Duration::from_millis(10)).await;
-        assert_eq!(firm.look(&entry, "/readyz").await, "not ready\n");
+        assert_eq!(firm.get_admin(&entry, "/readyz").await, "not ready\n");
         let rest = stream.collect().await.unwrap().to_bytes();
         assert!(rest.ends_with(b"data: [DONE]\n\n"));
         assert_eq!(entry.ended.await, Drained { cut: 0 });
@@ -293,12 +311,12 @@
 
 #[test]
 fn metrics_tell_what_became_of_requests() {
-    bounded(async {
+    run_test(async {
         let firm = Firm::start().await;
-        let entry = firm.entry("entry-1").await;
-        firm.book(&entry, "key-1", "one booking").await;
-        firm.book(&entry, "key-1", "one booking").await;
-        let metrics = firm.look(&entry, "/metrics").await;
+        let entry = firm.start_entry("entry-1").await;
+        firm.send_booking(&entry, "key-1", "one booking").await;
+        firm.send_booking(&entry, "key-1", "one booking").await;
+        let metrics = firm.get_admin(&entry, "/metrics").await;
         for line in [
             "verbenaspool_requests_total{service=\"jobs\",outcome=\"ran\"} 1\n",
             "verbenaspool_requests_total{service=\"jobs\",outcome=\"unknown\"} 1\n",
@@ -307,6 +325,6 @@
         ] {
             assert!(metrics.contains(line), "{line} in {metrics}");
         }
-        assert_eq!(firm.look(&entry, "/healthz").await, "ok\n");
+        assert_eq!(firm.get_admin(&entry, "/healthz").await, "ok\n");
     });
 }
--- /dev/null
+++ b/verbenaspool/tests/entry/retries.rs
@@ -0,0 +1,50 @@
+//! What the outcome says of a request that took several attempts.
+
+use std::rc::Rc;
+
+use http::Method;
+use verbenaspool_transport::shutdown;
+
+use crate::{
+    agent::{Action, FakeAgent},
+    deployment::{Deployment, fake_upstream, read_response, request, run_test},
+};
+
+/// How many requests are sent, so that each order of the two agents occurs.
+const REQUESTS: usize = 12;
+
+/// Lets an agent act in one way for as many attempts as a request may take.
+fn repeat_action(agent: &FakeAgent, action: impl FnMut() -> Action) {
+    let mut actions = agent.actions.borrow_mut();
+    actions.clear();
+    actions.extend(std::iter::repeat_with(action).take(20));
+}
+
+#[test]
+fn a_refused_repeat_does_not_take_back_an_unknown_attempt() {
+    // A caller is told `not-run` and books again, though its request ran: the
+    // first attempt's answer was lost, the entry tried another upstream, and
+    // that one's truthful refusal was passed on as the word for both.
+    run_test(async {
+        let (_stop, signal) = shutdown::channel();
+        let agents: Vec<Rc<FakeAgent>> = (0..2).map(|_| Rc::default()).collect();
+        let upstreams: Vec<_> = agents
+            .iter()
+            .enumerate()
+            .map(|(i, agent)| fake_upstream(&format!("loft-{i}"), "assistant", agent, &signal))
+            .collect();
+        let deployment = Deployment::start(&upstreams);
+        for _ in 0..REQUESTS {
+            repeat_action(&agents[0], || Action::WrongAttempt);
+            repeat_action(&agents[1], || Action::Reject);
+            let before = agents[0].received.borrow().len();
+            let sent = request(Method::POST, "/loft/v1/completions", "{}");
+            let (_, outcome, _) = read_response(deployment.send(sent).await).await;
+            if agents[0].received.borrow().len() > before {
+                assert_eq!(outcome, "unknown");
+            }
+        }
+        assert!(!agents[0].received.borrow().is_empty());
+        assert!(!agents[1].received.borrow().is_empty());
+    });
+}
