--- a/verbenaspool/tests/entry/agent.rs
+++ b/verbenaspool/tests/entry/agent.rs
@@ -1,4 +1,4 @@
-//! An agent as the test plays it.
+//! A fake agent whose behaviour the test sets.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,17 +34,17 @@
 
 /// What the agent does with a request.
 pub enum Action {
-    /// Answers 200 with the request's own body.
+    /// Answers 200 with the request's body.
     Echo,
-    /// Answers with a stream that the test feeds.
+    /// Answers with a stream of the chunks that the test sends; none breaks it.
     Stream(mpsc::UnboundedReceiver<Option<&'static str>>),
-    /// Refuses: the request did not run.
+    /// Rejects the request: it did not run.
     Reject,
-    /// Answers as if to another attempt.
+    /// Answers with the id of another attempt.
     WrongAttempt,
 }
 
-/// What the agent saw of a request.
+/// A request as the agent received it.
 #[derive(Debug, Clone)]
 pub struct Received {
     pub path: String,
@@ -52,7 +52,8 @@
     pub body: Bytes,
 }
 
-/// The agent: a queue of acts, and what it saw. Without an act it echoes.
+/// The agent: the queue of its next actions and the requests it received. It echoes if the
+/// queue is empty.
 pub struct FakeAgent {
     pub settle_answer: Cell<settle::Answer>,
     pub actions: RefCell<VecDeque<Action>>,
@@ -69,11 +70,11 @@
     }
 }
 
-/// The number of every played agent process.
+/// The process id of all fake agents.
 pub const PROCESS_ID: u64 = 7;
 
 impl FakeAgent {
-    /// Starts the agent's control listener and tells its address.
+    /// Starts the agent's control listener and returns its address.
     pub fn start_control(self: &Rc<Self>, signal: Signal) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -99,7 +100,7 @@
         address
     }
 
-    /// Starts the agent and tells its address.
+    /// Starts the agent and returns its address.
     pub fn start(self: &Rc<Self>, signal: Signal) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -168,7 +169,7 @@
     }
 }
 
-/// A body that the test feeds; none breaks it.
+/// A body whose chunks the test sends; none breaks it.
 struct ChannelBody(mpsc::UnboundedReceiver<Option<&'static str>>);
 
 impl http_body::Body for ChannelBody {
--- a/verbenaspool/tests/entry/bad_input.rs
+++ b/verbenaspool/tests/entry/bad_input.rs
@@ -1,4 +1,4 @@
-//! What callers may get wrong, and what they hear.
+//! Tests of malformed requests and the errors that they get.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     deployment::{CREDENTIAL, Deployment, fake_upstream, run_test},
 };
 
-/// One malformed request, and the status and code it gets.
+/// A malformed request, and the status and code of its answer.
 struct Case {
     name: &'static str,
     request: String,
@@ -28,12 +28,12 @@
     }
 }
 
-/// A head with the customer's credential and more lines.
+/// A request head with the customer's credential and further header lines.
 fn head(line: &str, more: &str) -> String {
     format!("{line} HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {CREDENTIAL}\r\n{more}\r\n")
 }
 
-/// Requests that are no proper HTTP, or too large.
+/// Requests that are not valid HTTP, or too large.
 fn malformed() -> Vec<Case> {
     let post = "POST /jobs/bookings";
     vec![
@@ -77,7 +77,7 @@
     ]
 }
 
-/// Requests that are well-formed HTTP and still wrong.
+/// Requests that are valid HTTP but not valid for the entry.
 fn invalid() -> Vec<Case> {
     let post = "POST /jobs/bookings";
     vec![
@@ -156,7 +156,7 @@
     ]
 }
 
-/// Bounds that a test can reach.
+/// Limits that a test can reach quickly.
 fn tight_limits() -> Bound {
     Bound {
         body_bytes: 3_000,
@@ -196,8 +196,8 @@
 
 #[test]
 fn an_ambiguous_length_is_no_second_request() {
-    // A caller smuggles a request past the checks: with two ways to say the
-    // length, the entry takes one and serves the rest as a request of its own.
+    // Guards against request smuggling: if a request gives its length in two ways, an entry
+    // that uses one of them would serve the rest as another request, past the checks.
     run_test(async {
         let (_stop, signal) = shutdown::channel();
         let agent = std::rc::Rc::new(FakeAgent::default());
@@ -259,7 +259,8 @@
 
 #[test]
 fn one_connection_too_many_is_closed() {
-    // A caller that opens connections without end takes the entry from everyone.
+    // Guards against a caller that makes the entry unavailable by opening connections without
+    // limit.
     run_test(async {
         let limits = Bound {
             connections: 2,
--- a/verbenaspool/tests/entry/crashes.rs
+++ b/verbenaspool/tests/entry/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them, through real agents.
+//! Tests of requests that crash upstreams, with real agents.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,16 +21,16 @@
 
 use crate::deployment::{Deployment, problem_code, read_response, request, run_test, upstream};
 
-/// Upstreams of the service.
+/// The number of upstreams of the service.
 const UPSTREAMS: usize = 4;
 
-/// How long an upstream takes to start again.
+/// The time that an upstream takes to restart.
 const DOWNTIME: Duration = Duration::from_millis(200);
 
-/// The body of a request that crashes them.
+/// The body of a request that crashes an upstream.
 const CRASHING_BODY: &str = "crashes";
 
-/// Crashes after which a request is rejected at an entry.
+/// The number of crashes after which an entry rejects a request.
 const CRASH_THRESHOLD: usize = 2;
 
 /// One process of an upstream.
@@ -56,7 +56,7 @@
     }
 }
 
-/// The upstreams with an agent beside each.
+/// The upstreams, each with an agent.
 struct Fleet {
     upstreams: Vec<Upstream>,
     crashes: Rc<Cell<usize>>,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Runs an upstream, which starts again after each crash.
+/// Runs an upstream, which restarts after each crash.
 async fn run_upstream(address: SocketAddr, crashes: Rc<Cell<usize>>) {
     loop {
         let (trigger, signal) = shutdown::channel();
@@ -108,15 +108,15 @@
     }
 }
 
-/// Sends a look-up, which may be repeated; tells the status and the answer.
+/// Sends a search, which may be retried; returns the status and the body.
 async fn send_search(deployment: &Deployment, body: &'static str) -> (StatusCode, String) {
     let request = request(Method::POST, "/jobs/search", body);
     let (status, _, body) = read_response(deployment.send(request).await).await;
     (status, body)
 }
 
-/// Guards against a request that crashes one upstream after the other behind their agents, at
-/// each attempt of its caller and at each entry.
+/// Guards against a request that crashes one upstream after the other, at each retry of its
+/// caller and through each entry.
 #[test]
 fn a_request_that_crashes_upstreams_behind_agents_is_not_sent_on() {
     run_test(async {
@@ -145,7 +145,7 @@
     });
 }
 
-/// Guards against an entry that starts later and has to find out by crashes of its own.
+/// Guards against an entry that starts later and learns of the request only by further crashes.
 #[test]
 fn an_entry_learns_from_agents_what_crashed_upstreams_before() {
     run_test(async {
@@ -157,7 +157,7 @@
         }
         let crashes = fleet.crashes.get();
         let second = Deployment::start(&fleet.upstreams);
-        // An entry asks all its agents within a second or two.
+        // An entry requests reports from all its agents within one or two seconds.
         monoio::time::sleep(Duration::from_millis(2_500)).await;
         let (_, body) = send_search(&second, CRASHING_BODY).await;
         assert_eq!(problem_code(&body), "quarantined");
--- a/verbenaspool/tests/entry/deployment.rs
+++ b/verbenaspool/tests/entry/deployment.rs
@@ -1,4 +1,4 @@
-//! A small site: one entry, played agents, and callers.
+//! A small deployment: one entry, its upstreams and a caller.
 
 use std::{future::Future, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,10 +28,10 @@
 
 use crate::agent::FakeAgent;
 
-/// The credential of the one customer.
+/// The credential of the customer that may use all services.
 pub const CREDENTIAL: &str = "a-long-random-token";
 
-/// A started site.
+/// A running entry and a client for it.
 pub struct Deployment {
     pub entry: Rc<Entry>,
     pub address: SocketAddr,
@@ -64,7 +64,7 @@
     settings::parse("tidewater.yaml".as_ref(), &text).unwrap()
 }
 
-/// An upstream of a service, beside a played agent.
+/// An upstream of a service with a fake agent, which is started.
 pub fn fake_upstream(
     name: &str,
     service: &str,
@@ -75,7 +75,7 @@
     upstream(name, service, agent.start(signal.clone()), control)
 }
 
-/// An upstream of a service at its agent's addresses.
+/// An upstream of a service whose agent has the given addresses.
 pub fn upstream(name: &str, service: &str, agent: SocketAddr, control: SocketAddr) -> Upstream {
     Upstream {
         name: name.parse().unwrap(),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The settings of the site's entry.
+/// The settings of the entry.
 fn entry_settings(limits: Bound) -> Settings {
     let text = "firm: tidewater
 name: entry-1
@@ -102,12 +102,12 @@
 }
 
 impl Deployment {
-    /// Starts an entry without configuration.
+    /// Starts an entry without a configuration.
     pub fn unconfigured(limits: Bound) -> Self {
         Self::with_dependencies(limits, Dependencies::minimal(Monotonic::start()))
     }
 
-    /// The same with other surroundings.
+    /// Starts an entry without a configuration, with the given dependencies.
     pub fn with_dependencies(limits: Bound, dependencies: Dependencies) -> Self {
         let entry = Entry::with_dependencies(entry_settings(limits).options(), dependencies);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Starts an entry with the file and these upstreams.
+    /// Starts an entry with the file and the given upstreams.
     pub fn start(upstreams: &[Upstream]) -> Self {
         Self::with_limits(Bound::default(), upstreams)
     }
 
-    /// The same with other limits.
+    /// Starts an entry with the file, the given upstreams and limits.
     pub fn with_limits(limits: Bound, upstreams: &[Upstream]) -> Self {
         let deployment = Self::unconfigured(limits);
         deployment.entry.apply_configuration(Version(1), &file());
@@ -135,13 +135,12 @@
         deployment
     }
 
-    /// Sends a request as the customer.
+    /// Sends a request.
     pub async fn send(&self, request: Request<Body>) -> Response<Body> {
         self.client.send(self.address, request).await.unwrap()
     }
 
-    /// Sends bytes on a connection of their own and reads what comes back until
-    /// the entry closes it or has answered and waits.
+    /// Sends bytes on a new connection and reads until the entry closes it or is idle.
     pub async fn send_raw(&self, bytes: impl Into<Vec<u8>>) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let _ = stream.write_all(bytes.into()).await;
@@ -149,7 +148,7 @@
     }
 }
 
-/// Reads until the end, or until nothing comes for a while.
+/// Reads until the end of the stream, or until nothing arrives for `pause`.
 pub async fn read_until_idle(stream: &mut TcpStream, pause: Duration) -> String {
     let mut text = Vec::new();
     loop {
@@ -160,7 +159,7 @@
     }
 }
 
-/// A request of the customer.
+/// A request with the customer's credential.
 pub fn request(method: Method, path: &str, body: &'static str) -> Request<Body> {
     Request::builder()
         .method(method)
@@ -171,7 +170,7 @@
         .unwrap()
 }
 
-/// A response, read whole.
+/// Reads a whole response; returns its status, outcome and body.
 pub async fn read_response(response: Response<Body>) -> (StatusCode, String, String) {
     let status = response.status();
     let outcome = response.headers()[header::OUTCOME]
@@ -182,7 +181,7 @@
     (status, outcome, String::from_utf8(body.to_vec()).unwrap())
 }
 
-/// A problem's code as callers read it.
+/// The code of a problem as callers read it.
 pub fn problem_code(body: &str) -> String {
     let problem: Problem = serde_json::from_str(body).unwrap();
     serde_json::to_value(problem.code)
@@ -192,7 +191,7 @@
         .to_owned()
 }
 
-/// Runs a test, bounded in time.
+/// Runs a test with a time limit.
 pub fn run_test<F: Future<Output = ()>>(test: F) {
     let bounded = async { monoio::time::timeout(Duration::from_secs(20), test).await };
     runtime::run(bounded)
--- a/verbenaspool/tests/entry/main.rs
+++ b/verbenaspool/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! The entry on real sockets, with an agent that the test plays.
+//! Tests of the entry over real sockets, with fake or real agents.
 
 mod agent;
 mod bad_input;
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the entry.
+//! Tests of how the entry forwards requests and answers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,7 +26,7 @@
     },
 };
 
-/// A site with so many played agents behind each service.
+/// Starts an entry with the given number of fake agents, each of which serves both services.
 fn start_deployment(agents: usize) -> (Deployment, Vec<Rc<FakeAgent>>, shutdown::Trigger) {
     let (stop, signal) = shutdown::channel();
     let agents: Vec<Rc<FakeAgent>> = (0..agents).map(|_| Rc::default()).collect();
@@ -39,7 +39,7 @@
     (Deployment::start(&upstreams), agents, stop)
 }
 
-/// Sends one booking, which may not run twice, and reads the answer whole.
+/// Sends a booking, which may not run twice, and reads the whole answer.
 async fn send_booking(deployment: &Deployment) -> (StatusCode, String, String) {
     let sent = request(Method::POST, "/jobs/bookings", "one booking");
     read_response(deployment.send(sent).await).await
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_broken_stream_never_ends_like_a_whole_one() {
-    // A caller gets the start of a stream and then an end that looks whole,
-    // because the upstream broke off and the entry closed the message cleanly.
+    // Guards against an incomplete stream that looks complete to the caller: the upstream broke
+    // the connection, and the entry ended the response normally.
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
@@ -115,8 +115,8 @@
 
 #[test]
 fn a_broken_stream_goes_on_behind_its_last_whole_token() {
-    // A caller reads a token twice or a torn one: the first upstream broke off
-    // in the middle of an event, and the second began where the entry thought.
+    // Guards against duplicate or truncated tokens: the first upstream broke off within an
+    // event, and the second resumed at the wrong token.
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
@@ -139,7 +139,7 @@
     });
 }
 
-/// Guards against an answer that ends twice, as it was resumed after its end mark.
+/// Guards against an answer that ends twice because it was resumed after its end mark.
 #[test]
 fn a_stream_that_breaks_after_its_end_mark_is_not_resumed() {
     run_test(async {
@@ -182,7 +182,7 @@
         };
         reject(&agents[0]);
         assert_eq!(send_booking(&deployment).await.2, "one booking");
-        // While both refuse, the caller hears a truthful word.
+        // If both reject the request, the caller learns that it did not run.
         reject(&agents[1]);
         let (status, outcome, body) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (503, "not-run"));
@@ -192,8 +192,8 @@
 
 #[test]
 fn a_crossed_answer_never_reaches_the_caller() {
-    // A caller sees another caller's answer: an agent answered on the wrong
-    // connection, and the entry passed on whatever came.
+    // Guards against a caller that gets another caller's answer: an agent answered on the wrong
+    // connection, and the entry forwarded the answer.
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         agents[0]
@@ -209,8 +209,8 @@
 
 #[test]
 fn a_lost_answer_to_a_write_is_not_repeated() {
-    // A skipper is charged twice: the agent took the booking and died before
-    // its answer, and the entry sent the booking again.
+    // Guards against a write that runs twice: the agent ran the booking and crashed before its
+    // answer, and the entry sent the booking again.
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -233,7 +233,7 @@
         assert_eq!((status.as_u16(), outcome.as_str()), (502, "unknown"));
         assert!(counted.try_recv().is_ok());
         assert!(counted.try_recv().is_err());
-        // The agent's word that it never will run makes it safe to repeat.
+        // Once the agent confirms that it will never run, a retry is safe.
         agent.settle_answer.set(settle::Answer::Refused);
         let (status, outcome, _) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (503, "not-run"));
@@ -253,8 +253,8 @@
 
 #[test]
 fn a_stopping_entry_cuts_off_no_request() {
-    // A caller's answer breaks off during an ordinary restart: the entry was
-    // told to stop while a stream was under way, and ended with it.
+    // Guards against answers that are cut off by an ordinary restart: the entry was stopped
+    // while a stream was open, and ended with it.
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
@@ -320,8 +320,8 @@
 
 #[test]
 fn a_caller_that_leaves_cancels_its_work() {
-    // Upstreams work for nobody: callers close their connections, and the entry
-    // goes on reading answers that it can't deliver.
+    // Guards against upstreams that work for callers who have closed their connections, while
+    // the entry goes on reading the answers.
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -1,4 +1,4 @@
-//! The entry as a process: configured by the platform, with real agents.
+//! Tests of the entry process, configured by the platform, with real agents.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,7 +28,7 @@
 
 use crate::deployment::{file, problem_code, read_response, request, run_test, upstream};
 
-/// A firm's platform, upstreams and entries.
+/// A firm's platform and upstreams.
 struct Firm {
     platform: Platform,
     jobs_agent: Option<claim::Agent>,
@@ -47,7 +47,7 @@
 }
 
 impl Firm {
-    /// A platform with an accepted file, one engine and one plain service.
+    /// Starts a platform with an accepted file, one engine and one plain service.
     async fn start() -> Self {
         let platform = Platform::start().unwrap();
         platform.allow("token", "tidewater");
@@ -72,7 +72,7 @@
         firm
     }
 
-    /// Starts an agent beside an upstream and lists it.
+    /// Starts an agent for an upstream and lists it in the platform.
     fn start_agent(
         &self,
         name: &str,
@@ -101,7 +101,7 @@
         claim::Agent { control, process }
     }
 
-    /// Has the file accepted.
+    /// Applies the file to the platform.
     async fn apply(&self) {
         let store = client::Client::new(client::Settings {
             address: self.platform.address(),
@@ -156,7 +156,7 @@
             && metrics.contains("verbenaspool_upstreams{service=\"assistant\"} 1\n")
     }
 
-    /// What an entry says on its admin listener; nothing before it listens.
+    /// Gets a path from an entry's admin listener; empty before the entry listens.
     async fn get_admin(&self, process: &Process, path: &str) -> String {
         let mut get = Request::new(Body::empty());
         *get.uri_mut() = path.parse().unwrap();
@@ -168,7 +168,8 @@
         String::from_utf8(body.to_vec()).unwrap()
     }
 
-    /// Sends a booking under a key.
+    /// Sends a booking with a key; returns the status, the outcome, and the body or the
+    /// problem's code.
     async fn send_booking(
         &self,
         process: &Process,
@@ -192,15 +193,15 @@
     }
 }
 
-/// What a booking is answered with.
+/// The expected result of a booking.
 fn expected(status: u16, outcome: &str, body_or_code: &str) -> (u16, String, String) {
     (status, outcome.to_owned(), body_or_code.to_owned())
 }
 
 #[test]
 fn a_key_runs_a_write_at_most_once() {
-    // A skipper is charged twice: the answer to a booking was lost, and the
-    // caller sent it again, with the same key, through another entry.
+    // Guards against a write that runs twice: the answer to a booking was lost, and the caller
+    // sent it again with the same key through another entry.
     run_test(async {
         let firm = Firm::start().await;
         let (one, other) = (
@@ -224,8 +225,8 @@
 
 #[test]
 fn a_dead_entrys_claim_does_not_keep_the_key() {
-    // A skipper can never book under a key again: an entry claimed it and died
-    // before it sent the booking, and every repeat is told that it may have run.
+    // Guards against a key that is blocked for ever: an entry claimed it and crashed before it
+    // sent the booking, and every retry is told that it may have run.
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
@@ -241,7 +242,7 @@
             .with(|objects| objects.put(&key, value.into()));
         let repeat = firm.send_booking(&entry, "key-1", "one booking").await;
         assert_eq!(repeat, expected(200, "ran", "/bookings one booking"));
-        // The dead entry's attempt arrives after all.
+        // The crashed entry's attempt arrives late.
         let agent = firm.jobs_agent.unwrap();
         let request = settle::Question {
             attempt: record.attempt.parse().unwrap(),
@@ -262,8 +263,8 @@
 
 #[test]
 fn a_lost_claim_is_read_back() {
-    // A booking is refused for ever: its claim took effect, the platform's
-    // answer was lost, and the entry took its own claim for another's.
+    // Guards against an entry that takes its own claim for another's and rejects the booking:
+    // the claim was stored, but the platform's answer was lost.
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
--- a/verbenaspool/tests/entry/retries.rs
+++ b/verbenaspool/tests/entry/retries.rs
@@ -1,4 +1,4 @@
-//! What the outcome says of a request that took several attempts.
+//! Tests of the outcome of a request that took several attempts.
 
 use std::rc::Rc;
 
@@ -10,10 +10,10 @@
     deployment::{Deployment, fake_upstream, read_response, request, run_test},
 };
 
-/// How many requests are sent, so that each order of the two agents occurs.
+/// The number of requests, so that the agents are tried in both orders.
 const REQUESTS: usize = 12;
 
-/// Lets an agent act in one way for as many attempts as a request may take.
+/// Sets an agent's action for as many attempts as a request may take.
 fn repeat_action(agent: &FakeAgent, action: impl FnMut() -> Action) {
     let mut actions = agent.actions.borrow_mut();
     actions.clear();
@@ -22,9 +22,9 @@
 
 #[test]
 fn a_refused_repeat_does_not_take_back_an_unknown_attempt() {
-    // A caller is told `not-run` and books again, though its request ran: the
-    // first attempt's answer was lost, the entry tried another upstream, and
-    // that one's truthful refusal was passed on as the word for both.
+    // Guards against a caller that is told `not-run` and sends a booking again, though it ran:
+    // the first attempt's answer was lost, the retry at another upstream was rejected, and the
+    // outcome of that rejection was returned for both attempts.
     run_test(async {
         let (_stop, signal) = shutdown::channel();
         let agents: Vec<Rc<FakeAgent>> = (0..2).map(|_| Rc::default()).collect();
--- a/verbenaspool/tests/entry/subsets.rs
+++ b/verbenaspool/tests/entry/subsets.rs
@@ -1,4 +1,4 @@
-//! Which upstreams of a large service each entry works with.
+//! Tests of the subset of a service's upstreams that each entry uses.
 
 use std::{collections::HashSet, rc::Rc};
 
@@ -8,12 +8,12 @@
 
 use crate::deployment::{file, run_test, upstream};
 
-/// Upstreams of the service, several times what an entry works with.
+/// The number of upstreams of the service, several times the size of a subset.
 const UPSTREAMS: usize = 300;
-/// Entries of the zone.
+/// The number of entries in the zone.
 const ENTRIES: usize = 8;
 
-/// An entry with its file and the whole list of upstreams.
+/// Creates an entry with the file and the whole list of upstreams.
 fn start_entry(number: usize) -> Rc<Entry> {
     let text = format!(
         "firm: tidewater\nname: entry-{number}\nzone: bowen-a\nlisten: 127.0.0.1:0\n\
@@ -39,9 +39,8 @@
 
 #[test]
 fn entries_share_out_a_large_service() {
-    // Most upstreams of a large service stand idle while a few are overrun: the
-    // entries of a zone were never told of each other, and each worked out, alone,
-    // the same part of the list.
+    // Guards against a large service with most upstreams idle and a few overloaded: the entries
+    // of a zone didn't know of each other, and all computed the same subset.
     run_test(async {
         let entries: Vec<Rc<Entry>> = (0..ENTRIES).map(start_entry).collect();
         let names: Vec<Name> = (0..ENTRIES)
@@ -62,8 +61,8 @@
 
 #[test]
 fn a_service_stays_in_its_zones() {
-    // Inspection notes leave the zone that they must not leave: the file named
-    // the service's zones, and entries sent its work to every upstream listed.
+    // Guards against requests that leave the zones they are restricted to: the file listed the
+    // service's zones, and the entries sent to upstreams in all zones.
     run_test(async {
         let entry = start_entry(0);
         let unused_address = ([127, 0, 0, 1], 1).into();
