--- a/verbenaspool/tests/entry/bad_input.rs
+++ b/verbenaspool/tests/entry/bad_input.rs
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn each_gets_a_clear_error_and_others_go_on() {
+fn each_gets_its_error_and_others_are_served() {
     run_test(async {
         let (_stop, signal) = shutdown::channel();
         let agent = std::rc::Rc::new(FakeAgent::default());
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn an_ambiguous_length_is_no_second_request() {
+fn an_ambiguous_length_does_not_smuggle_a_request() {
     // Guards against request smuggling: if a request gives its length in two ways, an entry
     // that uses one of them would serve the rest as another request, past the checks.
     run_test(async {
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn an_entry_without_configuration_serves_nobody() {
+fn an_entry_without_configuration_rejects_requests() {
     run_test(async {
         let deployment = Deployment::unconfigured(Bound::default());
         let answer = deployment.send_raw(head("GET /jobs/1", "")).await;
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_are_refused() {
+fn header_values_that_are_not_text_are_rejected() {
     run_test(async {
         let deployment = Deployment::start(&[]);
         let start = head("POST /jobs/bookings", "").trim_end().to_owned();
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn one_connection_too_many_is_closed() {
+fn a_connection_over_the_limit_is_closed() {
     // Guards against a caller that makes the entry unavailable by opening connections without
     // limit.
     run_test(async {
--- a/verbenaspool/tests/entry/crashes.rs
+++ b/verbenaspool/tests/entry/crashes.rs
@@ -118,7 +118,7 @@
 /// Guards against a request that crashes one upstream after the other, at each retry of its
 /// caller and through each entry.
 #[test]
-fn a_request_that_crashes_upstreams_behind_agents_is_not_sent_on() {
+fn a_request_that_crashes_upstreams_is_quarantined() {
     run_test(async {
         let fleet = Fleet::start();
         let entries = [
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_first_chunk_passes_before_the_second_exists() {
+fn the_first_chunk_is_forwarded_before_the_second_is_sent() {
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_broken_stream_never_ends_like_a_whole_one() {
+fn a_broken_stream_never_ends_like_a_complete_one() {
     // Guards against an incomplete stream that looks complete to the caller: the upstream broke
     // the connection, and the entry ended the response normally.
     run_test(async {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_broken_stream_goes_on_behind_its_last_whole_token() {
+fn a_broken_stream_resumes_after_its_last_whole_token() {
     // Guards against duplicate or truncated tokens: the first upstream broke off within an
     // event, and the second resumed at the wrong token.
     run_test(async {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_confirmed_refusal_is_repeated_elsewhere() {
+fn a_confirmed_rejection_is_retried_on_another_upstream() {
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(2);
         let reject = |agent: &FakeAgent| {
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_crossed_answer_never_reaches_the_caller() {
+fn an_answer_to_another_attempt_never_reaches_the_caller() {
     // Guards against a caller that gets another caller's answer: an agent answered on the wrong
     // connection, and the entry forwarded the answer.
     run_test(async {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_lost_answer_to_a_write_is_not_repeated() {
+fn a_write_whose_answer_is_lost_is_not_retried() {
     // Guards against a write that runs twice: the agent ran the booking and crashed before its
     // answer, and the entry sent the booking again.
     run_test(async {
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn an_unreachable_upstream_is_a_truthful_not_run() {
+fn an_unreachable_upstream_yields_not_run() {
     run_test(async {
         let unused = address::fresh();
         let deployment = Deployment::start(&[upstream("jobs-1", "jobs", unused, unused)]);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_stopping_entry_cuts_off_no_request() {
+fn a_stopping_entry_completes_open_requests() {
     // Guards against answers that are cut off by an ordinary restart: the entry was stopped
     // while a stream was open, and ended with it.
     run_test(async {
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_dead_entrys_claim_does_not_keep_the_key() {
+fn a_crashed_entrys_claim_does_not_block_the_key() {
     // Guards against a key that is blocked for ever: an entry claimed it and crashed before it
     // sent the booking, and every retry is told that it may have run.
     run_test(async {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_lost_claim_is_read_back() {
+fn a_claim_whose_answer_is_lost_is_read_back() {
     // Guards against an entry that takes its own claim for another's and rejects the booking:
     // the claim was stored, but the platform's answer was lost.
     run_test(async {
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn without_the_platform_only_keyed_writes_are_refused() {
+fn without_the_platform_only_keyed_writes_are_rejected() {
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_stopped_process_ends_its_streams_first() {
+fn a_stopping_process_completes_its_streams() {
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn metrics_tell_what_became_of_requests() {
+fn metrics_count_requests_by_outcome() {
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
--- a/verbenaspool/tests/entry/retries.rs
+++ b/verbenaspool/tests/entry/retries.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_refused_repeat_does_not_take_back_an_unknown_attempt() {
+fn a_rejected_retry_keeps_the_outcome_unknown() {
     // Guards against a caller that is told `not-run` and sends a booking again, though it ran:
     // the first attempt's answer was lost, the retry at another upstream was rejected, and the
     // outcome of that rejection was returned for both attempts.
--- a/verbenaspool/tests/entry/subsets.rs
+++ b/verbenaspool/tests/entry/subsets.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn entries_share_out_a_large_service() {
+fn entries_together_cover_a_large_service() {
     // Guards against a large service with most upstreams idle and a few overloaded: the entries
     // of a zone didn't know of each other, and all computed the same subset.
     run_test(async {
