--- a/verbenaspool/tests/entry/crashes.rs
+++ b/verbenaspool/tests/entry/crashes.rs
@@ -75,9 +75,10 @@
                 "firm: tidewater\ninstance: {name}\nlisten: 127.0.0.1:0\ncontrol: 127.0.0.1:0\n\
                  upstream: {{address: '{address}', kind: plain}}\n"
             );
-            let settings = settings::read(&text).expect("sound settings");
+            let settings = settings::read(&text).expect("valid settings");
             let log = Logger::root(Discard, o!());
-            let agent = Agent::bind(settings, log, Monotonic::start()).expect("an agent");
+            let agent = Agent::bind(settings, log, Monotonic::start())
+                .expect("the agent binds its addresses");
             let (data, control) = (agent.address(), agent.control());
             upstreams.push(upstream(&name, "jobs", data, control));
             let (stop, signal) = shutdown::channel();
@@ -96,7 +97,7 @@
 async fn run_upstream(address: SocketAddr, crashes: Rc<Cell<usize>>) {
     loop {
         let (trigger, signal) = shutdown::channel();
-        let listener = TcpListener::bind(address).expect("a free address");
+        let listener = TcpListener::bind(address).expect("the address is free");
         crash::serve(
             listener,
             Rc::new(CrashableService { crash: trigger }),
--- a/verbenaspool/tests/entry/subsets.rs
+++ b/verbenaspool/tests/entry/subsets.rs
@@ -66,9 +66,9 @@
     run_test(async {
         let entry = start_entry(0);
         let unused_address = ([127, 0, 0, 1], 1).into();
-        let mut remote = upstream("loft-abroad", "assistant", unused_address, unused_address);
+        let mut remote = upstream("loft-remote", "assistant", unused_address, unused_address);
         remote.zone = "tweed-a".parse().unwrap();
-        let local = upstream("loft-home", "assistant", unused_address, unused_address);
+        let local = upstream("loft-local", "assistant", unused_address, unused_address);
         let (local_names, both) = (vec![local.name.clone()], [local, remote]);
         entry.set_upstreams(&both);
         assert_eq!(entry.subset_upstreams().len(), 2);
