--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -64,7 +64,7 @@
             max_bytes: 1 << 20,
             max_pause: Duration::from_secs(1),
         },
-        connect: Duration::from_secs(1),
+        connect_timeout: Duration::from_secs(1),
     };
     Entry::new(options, Monotonic::start())
 }
--- a/verbenaspool/src/entry/admin.rs
+++ b/verbenaspool/src/entry/admin.rs
@@ -41,7 +41,7 @@
     fn answer(&self, path: &str) -> Response<Body> {
         match path {
             "/healthz" => text_response(StatusCode::OK, "ok\n"),
-            "/readyz" if self.0.ready() => text_response(StatusCode::OK, "ready\n"),
+            "/readyz" if self.0.is_ready() => text_response(StatusCode::OK, "ready\n"),
             "/readyz" => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => text_response(StatusCode::OK, self.0.scrape()),
             _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -83,7 +83,7 @@
     /// Limits on request bodies.
     pub bounds: Bounds,
     /// Timeout for connecting to an agent.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// The services of the process that the entry uses.
@@ -222,7 +222,7 @@
     /// Creates an entry with the given dependencies.
     #[must_use]
     pub fn with_dependencies(options: Options, dependencies: Dependencies) -> Rc<Self> {
-        let client = Client::new(options.connect);
+        let client = Client::new(options.connect_timeout);
         Rc::new(Self {
             options,
             clock: dependencies.clock,
@@ -251,7 +251,7 @@
 
     /// Whether the entry is ready for new callers.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.draining.get() && self.version() > Version::default()
     }
 
@@ -372,13 +372,13 @@
         let Some((service, load)) = self.upstreams.record_load(upstream, load) else {
             return;
         };
-        if let Some(queue) = self.queue_of(&service) {
+        if let Some(queue) = self.service_queue(&service) {
             queue.with(|balancer, now| balancer.load_report(now, upstream, &load));
         }
     }
 
     /// The queue of a service, if the service is configured.
-    fn queue_of(&self, service: &Name) -> Option<Rc<Queue>> {
+    fn service_queue(&self, service: &Name) -> Option<Rc<Queue>> {
         let services = self.services.borrow();
         services.get(service).map(|state| state.queue.clone())
     }
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -27,7 +27,7 @@
     balancer: RefCell<Balancer>,
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Admission>>>,
     clock: Rc<dyn Clock>,
-    wake_changed: Rc<Notify>,
+    wake_time_changed: Rc<Notify>,
 }
 
 impl std::fmt::Debug for Queue {
@@ -44,12 +44,12 @@
             balancer: RefCell::new(balancer),
             waiting: RefCell::default(),
             clock,
-            wake_changed: Rc::default(),
+            wake_time_changed: Rc::default(),
         });
         monoio::spawn(run_wakeups(
             Rc::downgrade(&queue),
             queue.clock.clone(),
-            queue.wake_changed.clone(),
+            queue.wake_time_changed.clone(),
         ));
         queue
     }
@@ -121,7 +121,7 @@
         // The balancer may resolve the ticket at the next poll, even now, and may need an
         // earlier wake-up than before.
         self.process_queue();
-        self.wake_changed.notify_one();
+        self.wake_time_changed.notify_one();
         guard.wait().await
     }
 
@@ -158,19 +158,19 @@
 impl Drop for Queue {
     fn drop(&mut self) {
         // Ends the wake-up task, which holds a weak reference.
-        self.wake_changed.notify_one();
+        self.wake_time_changed.notify_one();
     }
 }
 
 /// Polls the balancer whenever its next wake-up is due.
-async fn run_wakeups(queue: Weak<Queue>, clock: Rc<dyn Clock>, wake_changed: Rc<Notify>) {
+async fn run_wakeups(queue: Weak<Queue>, clock: Rc<dyn Clock>, wake_time_changed: Rc<Notify>) {
     loop {
         let wake = {
             let Some(queue) = queue.upgrade() else { return };
             queue.process_queue();
             queue.balancer.borrow().next_wake()
         };
-        let notified = Box::pin(wake_changed.notified());
+        let notified = Box::pin(wake_time_changed.notified());
         match wake {
             None => notified.await,
             Some(at) => {
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -77,7 +77,7 @@
         let Some(queue) = self
             .upstreams
             .record_cache_event(name, cache.last)
-            .and_then(|service| self.queue_of(&service))
+            .and_then(|service| self.service_queue(&service))
         else {
             return;
         };
--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -163,7 +163,7 @@
         inner.active_view += 1;
         View {
             upload: self.0.clone(),
-            active_view: inner.active_view,
+            number: inner.active_view,
             next_chunk: 0,
         }
     }
@@ -219,7 +219,7 @@
 /// The body as read by one attempt.
 pub struct View {
     upload: Rc<RefCell<Inner>>,
-    active_view: u64,
+    number: u64,
     next_chunk: usize,
 }
 
@@ -236,7 +236,7 @@
         if let Some(fault) = inner.fault {
             return Poll::Ready(Some(Err(fault.into())));
         }
-        if inner.active_view != self.active_view {
+        if inner.active_view != self.number {
             return Poll::Ready(Some(Err(Fault::NotReplayable.into())));
         }
         let buffered = inner
--- a/verbenaspool/src/settings.rs
+++ b/verbenaspool/src/settings.rs
@@ -175,7 +175,7 @@
                 max_bytes: limits.body_bytes,
                 max_pause: Duration::from_millis(limits.pause_ms),
             },
-            connect: Duration::from_millis(limits.connect_ms),
+            connect_timeout: Duration::from_millis(limits.connect_ms),
         }
     }
 }
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -120,8 +120,8 @@
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(1);
         let (feed, chunks) = mpsc::unbounded_channel();
-        let (rest, more) = mpsc::unbounded_channel();
-        let actions = [Action::Stream(chunks), Action::Stream(more)];
+        let (resumed_feed, resumed_chunks) = mpsc::unbounded_channel();
+        let actions = [Action::Stream(chunks), Action::Stream(resumed_chunks)];
         agents[0].actions.borrow_mut().extend(actions);
         feed.send(Some("data: one\n\ndata: t")).unwrap();
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
@@ -129,8 +129,8 @@
         let first = body.frame().await.unwrap().unwrap().into_data().unwrap();
         assert_eq!(first, "data: one\n\n");
         feed.send(None).unwrap();
-        rest.send(Some("data: two\n\n")).unwrap();
-        drop(rest);
+        resumed_feed.send(Some("data: two\n\n")).unwrap();
+        drop(resumed_feed);
         let last = body.collect().await.unwrap().to_bytes();
         assert_eq!(last, "data: two\n\n");
         let received = agents[0].received.borrow();
@@ -144,12 +144,12 @@
 fn a_stream_that_breaks_after_its_end_mark_is_not_resumed() {
     run_test(async {
         let (deployment, agents, _stop) = start_deployment(2);
-        let queue = |agent: &FakeAgent| {
+        let queue_stream = |agent: &FakeAgent| {
             let (feed, chunks) = mpsc::unbounded_channel();
             agent.actions.borrow_mut().push_back(Action::Stream(chunks));
             feed
         };
-        let feeds = [queue(&agents[0]), queue(&agents[1])];
+        let feeds = [queue_stream(&agents[0]), queue_stream(&agents[1])];
         for feed in &feeds {
             for chunk in ["data: one\n\ndata: [DO", "NE]\n\n"] {
                 feed.send(Some(chunk)).unwrap();
@@ -157,16 +157,16 @@
         }
         let sent = request(Method::POST, "/loft/v1/completions", "{}");
         let mut body = deployment.send(sent).await.into_body();
-        let mut got = Vec::new();
-        while !got.ends_with(b"[DONE]\n\n") {
+        let mut received = Vec::new();
+        while !received.ends_with(b"[DONE]\n\n") {
             let frame = body.frame().await.unwrap().unwrap();
-            got.extend(frame.into_data().unwrap());
+            received.extend(frame.into_data().unwrap());
         }
         for feed in &feeds {
             feed.send(None).unwrap();
         }
-        got.extend(body.collect().await.unwrap().to_bytes());
-        assert_eq!(got, b"data: one\n\ndata: [DONE]\n\n");
+        received.extend(body.collect().await.unwrap().to_bytes());
+        assert_eq!(received, b"data: one\n\ndata: [DONE]\n\n");
         let sent = agents.iter().map(|agent| agent.received.borrow().len());
         assert_eq!(sent.sum::<usize>(), 1);
     });
@@ -214,11 +214,11 @@
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (count, mut counted) = mpsc::unbounded_channel();
+        let (connected, mut connections) = mpsc::unbounded_channel();
         monoio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let _ = stream.read(vec![0; 4096]).await;
-                count.send(()).unwrap();
+                connected.send(()).unwrap();
             }
         });
         let agent = Rc::new(FakeAgent::default());
@@ -231,8 +231,8 @@
         let deployment = Deployment::start(&upstreams);
         let (status, outcome, _) = send_booking(&deployment).await;
         assert_eq!((status.as_u16(), outcome.as_str()), (502, "unknown"));
-        assert!(counted.try_recv().is_ok());
-        assert!(counted.try_recv().is_err());
+        assert!(connections.try_recv().is_ok());
+        assert!(connections.try_recv().is_err());
         // Once the agent confirms that it will never run, a retry is safe.
         agent.settle_answer.set(settle::Answer::Refused);
         let (status, outcome, _) = send_booking(&deployment).await;
@@ -304,7 +304,7 @@
         let names: Vec<_> = spans.iter().map(|span| span.name).collect();
         assert_eq!(names, ["queue", "entry to agent", "caller to entry"]);
         let [queue, attempt, caller] = &spans[..] else {
-            panic!("three spans")
+            panic!("expected three spans")
         };
         assert_eq!(queue.parent, caller.context.span);
         assert_eq!(attempt.parent, caller.context.span);
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -204,21 +204,31 @@
     // sent it again with the same key through another entry.
     run_test(async {
         let firm = Firm::start().await;
-        let (one, other) = (
+        let (first_entry, second_entry) = (
             firm.start_entry("entry-1").await,
             firm.start_entry("entry-2").await,
         );
-        let first = firm.send_booking(&one, "key-1", "one booking").await;
+        let first = firm
+            .send_booking(&first_entry, "key-1", "one booking")
+            .await;
         assert_eq!(first, expected(200, "ran", "/bookings one booking"));
-        let repeat = firm.send_booking(&other, "key-1", "one booking").await;
-        assert_eq!(repeat, expected(409, "unknown", "key-conflict"));
-        let another = firm.send_booking(&other, "key-1", "another booking").await;
+        let retry = firm
+            .send_booking(&second_entry, "key-1", "one booking")
+            .await;
+        assert_eq!(retry, expected(409, "unknown", "key-conflict"));
+        let another = firm
+            .send_booking(&second_entry, "key-1", "another booking")
+            .await;
         assert_eq!(another, expected(409, "not-run", "key-conflict"));
         firm.journal.lose_answer();
-        let lost = firm.send_booking(&one, "key-2", "lost booking").await;
+        let lost = firm
+            .send_booking(&first_entry, "key-2", "lost booking")
+            .await;
         assert_eq!(lost.1, "unknown");
-        let repeat = firm.send_booking(&other, "key-2", "lost booking").await;
-        assert_eq!(repeat, expected(409, "unknown", "key-conflict"));
+        let retry = firm
+            .send_booking(&second_entry, "key-2", "lost booking")
+            .await;
+        assert_eq!(retry, expected(409, "unknown", "key-conflict"));
         assert_eq!(firm.journal.writes.borrow().len(), 2);
     });
 }
@@ -240,8 +250,8 @@
         let value = serde_json::to_vec(&record).unwrap();
         firm.platform
             .with(|objects| objects.put(&key, value.into()));
-        let repeat = firm.send_booking(&entry, "key-1", "one booking").await;
-        assert_eq!(repeat, expected(200, "ran", "/bookings one booking"));
+        let retry = firm.send_booking(&entry, "key-1", "one booking").await;
+        assert_eq!(retry, expected(200, "ran", "/bookings one booking"));
         // The crashed entry's attempt arrives late.
         let agent = firm.jobs_agent.unwrap();
         let request = settle::Question {
