--- a/verbenaspool/src/entry/answer.rs
+++ b/verbenaspool/src/entry/answer.rs
@@ -1,9 +1,9 @@
-//! The upstream's answer on its way to the caller.
+//! Streams the upstream's answer to the caller.
 //!
-//! A broken stream goes on where the engine can resume it, at the last token
-//! that the caller got whole. Otherwise the caller's connection is broken as
-//! well: a broken answer must never end like a whole one. One that breaks off after
-//! its end mark is whole, and ends so.
+//! A broken stream is resumed, if the engine can do so, after the last token that the caller
+//! received completely. Otherwise the caller's connection is broken as well: an incomplete
+//! answer must never end like a complete one. An answer that breaks off after its end mark is
+//! complete and ends normally.
 
 use std::{
     future::Future,
@@ -23,78 +23,80 @@
     trace::span::Span,
 };
 
-use super::{events::Events, exchange::Exchange, forward::Forward, observe::Ended, queue::Attempt};
+use super::{
+    events::Counter, exchange::Exchange, forward::Forward, observe::Ended, queue::Attempt,
+};
 
-/// How many bytes of an event that isn't whole are held back, in streams that
-/// can be resumed. A longer event passes as it comes, and its stream can't be
-/// resumed any more.
-const HELD: usize = 16 * 1024;
+/// The maximum size of an incomplete event that is held back in a resumable stream. A longer
+/// event is forwarded as it arrives, and its stream can't be resumed any more.
+const MAX_PARTIAL_EVENT_BYTES: usize = 16 * 1024;
 
-/// How often one stream is resumed; engines that break it more often are sick.
-const RESUMES: usize = 3;
+/// The maximum number of times one stream is resumed; engines that break it more often are
+/// faulty.
+const MAX_RESUMES: usize = 3;
 
-/// The moment when an answer is of no use any more.
-pub struct Limit(pub Sleep);
+/// The timer of the caller's deadline, after which the answer is of no use.
+pub struct Deadline(pub Sleep);
 
-/// An attempt that answers.
+/// An attempt and the answer it brings.
 pub struct Source {
-    /// What comes from the agent.
+    /// The body of the agent's answer.
     pub body: Body,
     /// The attempt.
     pub attempt: Attempt,
-    /// The hop.
+    /// The span of the attempt.
     pub span: Span,
 }
 
-/// Another attempt that is to go on with the answer.
+/// The pending search for an attempt that resumes the answer.
 type Resuming = Pin<Box<dyn Future<Output = Option<(Exchange, Vec<Name>)>>>>;
 
-/// Where the answer comes from at this time.
+/// The state of an answer.
 enum State {
-    /// From an attempt.
+    /// The answer is read from an attempt.
     Reading(Source),
-    /// From nowhere, until another attempt goes on.
+    /// Another attempt is being started to resume the answer.
     Resuming(Resuming),
-    /// It ended, well or badly.
+    /// The answer ended, complete or not.
     Ended,
 }
 
-/// An answer's body with the request it belongs to. A caller that leaves drops
-/// it, which closes the connection to the agent and so cancels the work there.
+/// The body of an answer. It is dropped when the caller leaves, which closes the connection to
+/// the agent and so cancels the work there.
 pub struct Answer {
     forward: Rc<Forward>,
     state: State,
-    limit: Option<Limit>,
-    events: Option<Events>,
-    /// The upstreams tried, while the answer can be resumed.
+    deadline: Option<Deadline>,
+    events: Option<Counter>,
+    /// The upstreams tried so far, while the answer can be resumed.
     tried: Option<Vec<Name>>,
     resumes: usize,
-    held: BytesMut,
+    partial_event: BytesMut,
 }
 
 impl Answer {
-    /// Wraps the answer that a source brings. `events` says whether it is a
-    /// stream of events, `tried` which upstreams were tried, if it can be resumed.
+    /// Wraps the answer from a source. `events` says whether it is an event stream; `tried`
+    /// lists the upstreams tried, if it can be resumed.
     #[must_use]
     pub fn new(
         forward: Rc<Forward>,
         source: Source,
-        limit: Option<Limit>,
+        deadline: Option<Deadline>,
         events: bool,
         tried: Option<Vec<Name>>,
     ) -> Self {
         Self {
             forward,
             state: State::Reading(source),
-            limit,
-            events: events.then(Events::default),
+            deadline,
+            events: events.then(Counter::default),
             tried,
             resumes: 0,
-            held: BytesMut::new(),
+            partial_event: BytesMut::new(),
         }
     }
 
-    /// The answer as a body; one without a byte has ended already.
+    /// Converts the answer to a body. An answer without content ends here.
     #[must_use]
     pub fn into_body(mut self) -> Body {
         if self.is_end_stream() {
@@ -104,26 +106,26 @@
         Body::wrap(self)
     }
 
-    /// Ends well.
+    /// Ends a complete answer.
     fn finish(&mut self) {
         if let Some(fingerprint) = self.forward.fingerprint {
-            self.forward.entry.succeeded(fingerprint);
+            self.forward.entry.record_success(fingerprint);
         }
         self.close(Ending::Ran, Outcome::Ran);
     }
 
-    /// Ends, and says how.
+    /// Ends the answer and records its outcome.
     fn close(&mut self, ending: Ending, outcome: Outcome) {
         self.end_attempt(ending);
         self.forward.observation.end(Ended::Outcome(outcome));
     }
 
-    /// Ends the attempt at hand.
+    /// Ends the current attempt.
     fn end_attempt(&mut self, ending: Ending) {
         let state = std::mem::replace(&mut self.state, State::Ended);
         if let State::Reading(mut source) = state {
             if ending != Ending::Ran {
-                source.span.fail("the answer broke off");
+                source.span.fail("the answer was interrupted");
             }
             let tokens = self.events.as_ref().map_or(0, |events| events.count);
             let prompt = self.forward.prompt.tokens;
@@ -131,53 +133,53 @@
         }
     }
 
-    /// Takes a chunk in and gives what may pass.
-    fn chunk(&mut self, data: Bytes) -> Bytes {
+    /// Processes a chunk and returns the data that may be forwarded.
+    fn process_chunk(&mut self, data: Bytes) -> Bytes {
         let Some(events) = &mut self.events else {
             return data;
         };
         let end = events.read(&data);
-        if self.tried.is_none() || end == data.len() && self.held.is_empty() {
+        if self.tried.is_none() || end == data.len() && self.partial_event.is_empty() {
             return data;
         }
-        if self.held.len() + data.len() > HELD {
+        if self.partial_event.len() + data.len() > MAX_PARTIAL_EVENT_BYTES {
             self.tried = None;
-            self.held.extend_from_slice(&data);
-            return self.held.split().freeze();
+            self.partial_event.extend_from_slice(&data);
+            return self.partial_event.split().freeze();
         }
-        // A part of an event that has passed can't be taken back, so it waits
-        // for its rest: a resumed stream begins with a whole event.
-        self.held.extend_from_slice(&data[..end]);
-        let whole = if end > 0 {
-            self.held.split().freeze()
+        // Forwarded data can't be taken back, and a resumed stream starts with a whole event,
+        // so an incomplete event is held back.
+        self.partial_event.extend_from_slice(&data[..end]);
+        let complete = if end > 0 {
+            self.partial_event.split().freeze()
         } else {
             Bytes::new()
         };
-        self.held.extend_from_slice(&data[end..]);
-        whole
+        self.partial_event.extend_from_slice(&data[end..]);
+        complete
     }
 
-    /// Starts to go on with a broken answer, if that is possible.
-    fn resume(&mut self) -> bool {
+    /// Starts to resume a broken answer. Returns false if that isn't possible.
+    fn try_resume(&mut self) -> bool {
         let Some(tried) = self.tried.take() else {
             return false;
         };
-        if self.resumes >= RESUMES {
+        if self.resumes >= MAX_RESUMES {
             return false;
         }
         self.resumes += 1;
         self.end_attempt(Ending::Unknown);
-        // Of an event that isn't whole the caller has got nothing.
-        self.held.clear();
+        // The caller has received nothing of an incomplete event.
+        self.partial_event.clear();
         let events = self.events.get_or_insert_default();
-        events.restart();
-        let resumed = self.forward.clone().resume(events.count, tried);
-        self.state = State::Resuming(Box::pin(resumed));
+        events.discard_partial();
+        let resuming = self.forward.clone().resume(events.count, tried);
+        self.state = State::Resuming(Box::pin(resuming));
         true
     }
 
-    /// Takes over what another attempt goes on with.
-    fn resumed(&mut self, exchange: Exchange, tried: Vec<Name>) {
+    /// Continues the answer from another attempt.
+    fn continue_from(&mut self, exchange: Exchange, tried: Vec<Name>) {
         self.forward.observation.meter().resumed.count();
         self.tried = Some(tried);
         self.state = State::Reading(Source {
@@ -187,31 +189,35 @@
         });
     }
 
-    /// Whether the caller has the whole answer already, though its message hasn't ended.
+    /// Whether the answer is complete, though the upstream's message hasn't ended.
     fn is_complete(&self) -> bool {
         let marks_end = matches!(self.forward.service.kind, Kind::Model(_));
-        marks_end && self.events.as_ref().is_some_and(|events| events.ended)
+        marks_end
+            && self
+                .events
+                .as_ref()
+                .is_some_and(|events| events.end_mark_seen)
     }
 
-    /// Ends well without the end of the upstream's message.
+    /// Ends a complete answer before the upstream's message ends.
     fn complete(&mut self) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
-        self.held.clear();
+        self.partial_event.clear();
         self.finish();
         Poll::Ready(None)
     }
 
-    /// Whether the caller's deadline is over.
-    fn late(&mut self, cx: &mut Context<'_>) -> bool {
-        let Some(limit) = &mut self.limit else {
+    /// Whether the caller's deadline has passed.
+    fn poll_deadline(&mut self, cx: &mut Context<'_>) -> bool {
+        let Some(deadline) = &mut self.deadline else {
             return false;
         };
-        limit.0.as_mut().poll(cx).is_ready()
+        deadline.0.as_mut().poll(cx).is_ready()
     }
 
-    /// Breaks off.
-    fn fail(&mut self, why: body::Error) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
+    /// Ends an incomplete answer with an error.
+    fn fail(&mut self, error: body::Error) -> Poll<Option<Result<Frame<Bytes>, body::Error>>> {
         self.close(Ending::Unknown, Outcome::Unknown);
-        Poll::Ready(Some(Err(why)))
+        Poll::Ready(Some(Err(error)))
     }
 }
 
@@ -229,37 +235,37 @@
                 State::Reading(source) => Pin::new(&mut source.body).poll_frame(cx),
                 State::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Ready(Some((exchange, tried))) => {
-                        self.resumed(exchange, tried);
+                        self.continue_from(exchange, tried);
                         continue;
                     }
                     Poll::Ready(None) => {
-                        return self.fail("the answer broke off".into());
+                        return self.fail("the answer was interrupted".into());
                     }
                     Poll::Pending => Poll::Pending,
                 },
             };
-            if frame.is_pending() && self.late(cx) {
+            if frame.is_pending() && self.poll_deadline(cx) {
                 if self.is_complete() {
                     return self.complete();
                 }
                 self.end_attempt(Ending::Cancelled);
-                return self.fail("the deadline is over".into());
+                return self.fail("the deadline has passed".into());
             }
             match ready!(frame) {
                 None => {
                     self.finish();
-                    let rest = self.held.split().freeze();
+                    let rest = self.partial_event.split().freeze();
                     return Poll::Ready((!rest.is_empty()).then(|| Ok(Frame::data(rest))));
                 }
                 Some(Err(_)) if self.is_complete() => return self.complete(),
-                Some(Err(_)) if self.resume() => {}
-                Some(Err(why)) => return self.fail(why),
+                Some(Err(_)) if self.try_resume() => {}
+                Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
-                        // Trailers are dropped: nothing of ours sends any.
+                        // Trailers are dropped: agents send none.
                         continue;
                     };
-                    let data = self.chunk(data);
+                    let data = self.process_chunk(data);
                     if self.is_end_stream() {
                         self.finish();
                     }
@@ -273,9 +279,9 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.state {
-            State::Reading(source) => source.body.is_end_stream() && self.held.is_empty(),
+            State::Reading(source) => source.body.is_end_stream() && self.partial_event.is_empty(),
             State::Resuming(_) => false,
-            State::Ended => self.held.is_empty(),
+            State::Ended => self.partial_event.is_empty(),
         }
     }
 
--- a/verbenaspool/src/entry/caller.rs
+++ b/verbenaspool/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller says about its request in the request's head.
+//! Reads the options, the credential and the path of a caller's request.
 
 use std::time::Duration;
 
@@ -9,58 +9,59 @@
 };
 use verbenaspool_state::service::{Kind, Service};
 
-/// The longest deadline a caller may name; it bounds how long anything is kept
-/// for a request.
-const LONGEST_DEADLINE: Duration = Duration::from_hours(1);
+/// The maximum deadline of a request; it limits how long anything is kept for a request.
+const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
-/// The longest idempotency key in bytes; the key is part of an object's name.
-const LONGEST_KEY: usize = 128;
+/// The maximum length of an idempotency key; the key is part of an object's name.
+const MAX_KEY_BYTES: usize = 128;
 
-/// The scheme of a credential.
+/// The authorization scheme, in lower case.
 const BEARER: &str = "bearer ";
 
 /// The priorities of [`header::PRIORITY`], lowest first.
 const PRIORITIES: [&str; 3] = ["low", "normal", "high"];
 
-/// The priority of a request that names none.
-const NORMAL: u8 = 1;
+/// The priority of a request without the header.
+const DEFAULT_PRIORITY: u8 = 1;
 
-/// What the head says.
+/// The options in a request's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// How long the caller waits for the whole answer, where it says so.
+    /// The time that the caller waits for the whole answer, if given.
     pub deadline: Option<Duration>,
-    /// How urgent the request is; higher goes first.
+    /// The priority; higher goes first.
     pub priority: u8,
-    /// The key that makes a write run at most once.
+    /// The idempotency key, which makes a write run at most once.
     pub key: Option<String>,
 }
 
-/// Reads a header that callers may send once, as text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+/// Reads a header that may occur only once, as text.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(&format!("The header {name} is there more than once.")));
+        return Err(bad_request(&format!(
+            "The header {name} is there more than once."
+        )));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text.trim())),
-        Err(_) => Err(bad(&format!("The header {name} is no plain text."))),
+        Err(_) => Err(bad_request(&format!("The header {name} is no plain text."))),
     }
 }
 
-/// A malformed request.
-fn bad(message: &str) -> Problem {
+/// The problem for a malformed request.
+fn bad_request(message: &str) -> Problem {
     Problem::not_run(Code::BadRequest, message)
 }
 
-/// Reads what the head says about the request.
+/// Reads the options from a request's headers.
 ///
 /// # Errors
-/// A header can't be understood: guessing at a deadline or a key could run a
-/// request that the caller has given up.
+/// A header is invalid. With a guessed deadline or key, a request might run that the caller has
+/// given up.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -68,11 +69,11 @@
 ///
 /// let mut headers = HeaderMap::new();
 /// headers.insert("x-verbenaspool-deadline-ms", "250".parse().unwrap());
-/// assert_eq!(caller::wish(&headers).unwrap().deadline.unwrap().as_millis(), 250);
+/// assert_eq!(caller::read_options(&headers).unwrap().deadline.unwrap().as_millis(), 250);
 /// headers.insert("x-verbenaspool-deadline-ms", "soon".parse().unwrap());
-/// assert!(caller::wish(&headers).is_err());
+/// assert!(caller::read_options(&headers).is_err());
 /// ```
-pub fn wish(headers: &HeaderMap) -> Result<Options, Problem> {
+pub fn read_options(headers: &HeaderMap) -> Result<Options, Problem> {
     Ok(Options {
         deadline: deadline(headers)?,
         priority: priority(headers)?,
@@ -80,32 +81,30 @@
     })
 }
 
-/// Reads the deadline.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(text) = text(headers, header::DEADLINE)? else {
+    let Some(text) = single_header(headers, header::DEADLINE)? else {
         return Ok(None);
     };
     match text.parse() {
-        Ok(0) | Err(_) => Err(bad(
+        Ok(0) | Err(_) => Err(bad_request(
             "The deadline is not a whole number of milliseconds above zero.",
         )),
-        Ok(ms) => Ok(Some(Duration::from_millis(ms).min(LONGEST_DEADLINE))),
+        Ok(ms) => Ok(Some(Duration::from_millis(ms).min(MAX_DEADLINE))),
     }
 }
 
-/// Reads the priority.
 fn priority(headers: &HeaderMap) -> Result<u8, Problem> {
-    let Some(text) = text(headers, header::PRIORITY)? else {
-        return Ok(NORMAL);
+    let Some(text) = single_header(headers, header::PRIORITY)? else {
+        return Ok(DEFAULT_PRIORITY);
     };
     (0..)
         .zip(PRIORITIES)
         .find(|(_, name)| *name == text)
         .map(|(priority, _)| priority)
-        .ok_or_else(|| bad("The priority is none of high, normal and low."))
+        .ok_or_else(|| bad_request("The priority is none of high, normal and low."))
 }
 
-/// The priority as its header says it.
+/// The name of a priority in its header.
 ///
 /// ```
 /// assert_eq!(verbenaspool::entry::caller::priority_name(2), "high");
@@ -115,21 +114,22 @@
     PRIORITIES[usize::from(priority).min(PRIORITIES.len() - 1)]
 }
 
-/// Reads the idempotency key.
 fn key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
-    let Some(text) = text(headers, header::IDEMPOTENCY_KEY)? else {
+    let Some(text) = single_header(headers, header::IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
-    if text.is_empty() || text.len() > LONGEST_KEY {
-        return Err(bad("The idempotency key is empty or over 128 bytes."));
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        return Err(bad_request(
+            "The idempotency key is empty or over 128 bytes.",
+        ));
     }
     Ok(Some(text.to_owned()))
 }
 
-/// Reads the credential that the caller presents.
+/// Reads the caller's bearer credential.
 ///
 /// # Errors
-/// There is none, or it is no bearer credential.
+/// The credential is missing or isn't a bearer credential.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -147,14 +147,14 @@
             "The request carries no bearer credential.",
         )
     };
-    let text = text(headers, AUTHORIZATION.as_str())?.ok_or_else(missing)?;
+    let text = single_header(headers, AUTHORIZATION.as_str())?.ok_or_else(missing)?;
     match text.get(..BEARER.len()) {
         Some(scheme) if scheme.eq_ignore_ascii_case(BEARER) => Ok(text[BEARER.len()..].trim()),
         _ => Err(missing()),
     }
 }
 
-/// Whether a request may run twice. `path` is the path below the service's own.
+/// Whether a request may run twice. `path` is relative to the service's path.
 ///
 /// ```
 /// use http::Method;
@@ -168,32 +168,35 @@
 ///     zones: Vec::new(),
 ///     decisions: Default::default(),
 /// };
-/// assert!(caller::repeatable(&jobs, &Method::GET, "/bookings/1"));
-/// assert!(caller::repeatable(&jobs, &Method::POST, "/search"));
-/// assert!(!caller::repeatable(&jobs, &Method::POST, "/bookings"));
+/// assert!(caller::is_idempotent(&jobs, &Method::GET, "/bookings/1"));
+/// assert!(caller::is_idempotent(&jobs, &Method::POST, "/search"));
+/// assert!(!caller::is_idempotent(&jobs, &Method::POST, "/bookings"));
 /// ```
 #[must_use]
-pub fn repeatable(service: &Service, method: &Method, path: &str) -> bool {
+pub fn is_idempotent(service: &Service, method: &Method, path: &str) -> bool {
     match &service.kind {
         Kind::Model(_) => true,
         Kind::Plain(plain) => {
             matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS)
-                || plain.idempotent.iter().any(|prefix| below(path, prefix))
+                || plain
+                    .idempotent
+                    .iter()
+                    .any(|prefix| has_path_prefix(path, prefix))
         }
     }
 }
 
-/// Whether a path is a prefix or lies below it, by whole segments.
+/// Whether a path equals a prefix or is below it, compared by whole segments.
 ///
 /// ```
-/// use verbenaspool::entry::caller::below;
+/// use verbenaspool::entry::caller::has_path_prefix;
 ///
-/// assert!(below("/loft/quotes", "/loft/"));
-/// assert!(below("/loft", "/loft/"));
-/// assert!(!below("/lofts", "/loft"));
+/// assert!(has_path_prefix("/loft/quotes", "/loft/"));
+/// assert!(has_path_prefix("/loft", "/loft/"));
+/// assert!(!has_path_prefix("/lofts", "/loft"));
 /// ```
 #[must_use]
-pub fn below(path: &str, prefix: &str) -> bool {
+pub fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/verbenaspool/src/entry/events.rs
+++ b/verbenaspool/src/entry/events.rs
@@ -1,15 +1,15 @@
-//! Server-sent events as they pass: counted, and cut at their ends.
+//! Counts the server-sent events in a stream and finds where they end.
 
 use verbenaspool_protocol::engine::END_OF_STREAM;
 
-/// What a line that carries data begins with.
+/// The prefix of a line with data.
 const DATA: &[u8] = b"data:";
 
-/// How much of a line is kept to recognise it, in bytes: the longest form of the end mark's
-/// line, and a byte that tells a longer line from it.
+/// The number of bytes of a line that are buffered to recognise it: the longest form of the end
+/// mark's line, and one byte to tell a longer line from it.
 const MAX_LINE_BYTES: usize = DATA.len() + 1 + END_OF_STREAM.len() + 1;
 
-/// What the lines of an event carried so far.
+/// The content of an event's lines so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Content {
     /// No data.
@@ -21,29 +21,29 @@
     EndMark,
 }
 
-/// Counts the events with data that have passed whole, wherever chunks are cut.
+/// Counts the complete events with data, wherever the stream is split into chunks.
 ///
-/// The event that marks the answer's end isn't counted: an engine that resumes the answer
-/// sends it again.
+/// The event with the end mark isn't counted: an engine that resumes the answer sends it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Events {
-    /// How many have passed.
+pub struct Counter {
+    /// The number of complete events with data.
     pub count: u32,
-    /// Whether the end mark has passed, so that nothing of the answer is missing.
-    pub ended: bool,
-    /// The beginning of the present line.
+    /// Whether the end mark was read, so that the answer is complete.
+    pub end_mark_seen: bool,
+    /// The start of the current line.
     line: Vec<u8>,
-    /// What the present event carries.
+    /// The content of the current event.
     content: Content,
 }
 
-impl Events {
-    /// Reads a chunk and tells where its last event ends; none ends at 0.
+impl Counter {
+    /// Reads a chunk and returns the offset after its last event end, or 0 if no event ends in
+    /// it.
     ///
     /// ```
-    /// use verbenaspool::entry::events::Events;
+    /// use verbenaspool::entry::events::Counter;
     ///
-    /// let mut events = Events::default();
+    /// let mut events = Counter::default();
     /// assert_eq!(events.read(b"data: net\n"), 0);
     /// assert_eq!(events.read(b"\n: a comment\n\ndata: to"), 14);
     /// assert_eq!(events.count, 1);
@@ -65,22 +65,22 @@
         end
     }
 
-    /// Forgets an event that isn't whole; the count stays.
+    /// Discards an incomplete event; the count stays.
     ///
     /// ```
-    /// use verbenaspool::entry::events::Events;
+    /// use verbenaspool::entry::events::Counter;
     ///
-    /// let mut events = Events::default();
+    /// let mut events = Counter::default();
     /// events.read(b"data: n");
-    /// events.restart();
-    /// assert_eq!(events, Events::default());
+    /// events.discard_partial();
+    /// assert_eq!(events, Counter::default());
     /// ```
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.line.clear();
         self.content = Content::Empty;
     }
 
-    /// Takes in what the present line carries.
+    /// Processes the end of a line.
     fn end_line(&mut self) {
         if let Some(value) = self.line.strip_prefix(DATA) {
             let value = value.strip_prefix(b" ").unwrap_or(value);
@@ -94,12 +94,12 @@
         self.line.clear();
     }
 
-    /// Takes in what the present event was.
+    /// Processes the end of an event.
     fn end_event(&mut self) {
         match std::mem::take(&mut self.content) {
             Content::Empty => {}
             Content::Data => self.count += 1,
-            Content::EndMark => self.ended = true,
+            Content::EndMark => self.end_mark_seen = true,
         }
     }
 }
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: what goes to the agent, and what its answer means.
+//! One attempt: the request sent to the agent, and what its answer means.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,68 +22,68 @@
 
 use super::{caller::priority_name, forward::Forward, queue::Attempt, upstreams::Address};
 
-/// How long an agent may take to say what became of an attempt. It answers from
-/// memory; a silent one is as good as dead, and the caller waits.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Timeout for asking an agent about an attempt. The agent answers from memory, so one that is
+/// silent for this long is probably dead, and the caller is waiting.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the names of our own headers begin with.
-const OWN: &str = "x-verbenaspool-";
+/// The prefix of verbenaspool's own header names.
+const OWN_PREFIX: &str = "x-verbenaspool-";
 
-/// Our own headers to an agent, for the size of the map.
-const ADDED: usize = 8;
+/// Capacity reserved for verbenaspool's own headers to an agent.
+const ADDED_HEADERS: usize = 8;
 
-/// An answer with the attempt that brought it.
+/// An answer and the attempt that it belongs to.
 pub struct Exchange {
     /// The attempt.
     pub attempt: Attempt,
     /// The answer.
     pub response: Response<Body>,
-    /// The hop, which ends with the answer's body.
+    /// The span of the attempt, which ends with the answer's body.
     pub span: Span,
 }
 
-/// Where an attempt is to go, and the id that it goes under.
+/// The agent that an attempt is sent to, and the attempt's id.
 #[derive(Clone)]
-pub struct Ticket {
+pub struct Target {
     /// The attempt's id.
     pub id: attempt::Id,
-    /// The upstream.
+    /// The addresses of the upstream's agent.
     pub address: Address,
-    /// The agent process that is meant; another refuses the attempt.
+    /// The agent process; any other process at this address rejects the attempt.
     pub process: u64,
 }
 
-/// How an attempt that brought no answer ended.
+/// The failure of an attempt.
 pub struct Failure {
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// What to tell the caller, should no other attempt be made.
+    /// The problem to return to the caller if there is no further attempt.
     pub problem: Problem,
 }
 
-/// What an answer's head says of the attempt.
+/// What the head of an answer says about the attempt.
 enum Verdict {
-    /// It ran, and this is its answer.
+    /// The attempt ran, and this is its answer.
     Answered,
-    /// It was refused.
-    Refused,
-    /// The agent can't say.
+    /// The attempt did not run.
+    NotRun,
+    /// The agent doesn't know whether the attempt ran.
     Unknown,
-    /// The answer is another attempt's, or says nothing.
-    Foreign,
+    /// The answer belongs to another attempt, or names none.
+    Mismatched,
 }
 
-/// Makes one attempt; `resume` is how many tokens the caller has already.
+/// Sends one attempt; `resume` is the number of tokens that the caller already has.
 ///
 /// # Errors
-/// It brought no answer.
-pub async fn make(
+/// The attempt failed; its ending has been reported to the balancer.
+pub async fn send(
     forward: &Rc<Forward>,
     attempt: Attempt,
     resume: Option<u32>,
 ) -> Result<Exchange, Failure> {
-    match ticket(forward, &attempt).await {
-        Ok(ticket) => make_under(forward, attempt, ticket, resume).await,
+    match resolve_target(forward, &attempt).await {
+        Ok(target) => send_to(forward, attempt, target, resume).await,
         Err(failure) => {
             attempt.finish(failure.ending, forward.prompt.tokens, 0);
             Err(failure)
@@ -91,20 +91,22 @@
     }
 }
 
-/// Makes one attempt under a ticket that it has already.
+/// Sends one attempt to a target that was resolved before.
 ///
 /// # Errors
-/// It brought no answer.
-pub async fn make_under(
+/// The attempt failed; its ending has been reported to the balancer.
+pub async fn send_to(
     forward: &Rc<Forward>,
     attempt: Attempt,
-    ticket: Ticket,
+    target: Target,
     resume: Option<u32>,
 ) -> Result<Exchange, Failure> {
     let upstream = attempt.upstream().clone();
-    let mut span = forward.observation.step("entry to agent", Kind::Client);
+    let mut span = forward
+        .observation
+        .child_span("entry to agent", Kind::Client);
     span.set("upstream", upstream.as_str());
-    let result = try_once(forward, &attempt, ticket, &span, resume).await;
+    let result = try_once(forward, &attempt, target, &span, resume).await;
     match result {
         Ok(response) => Ok(Exchange {
             attempt,
@@ -119,31 +121,31 @@
     }
 }
 
-/// Sends the attempt and judges what comes back.
+/// Sends the attempt and classifies the answer.
 async fn try_once(
     forward: &Forward,
     attempt: &Attempt,
-    ticket: Ticket,
+    target: Target,
     span: &Span,
     resume: Option<u32>,
 ) -> Result<Response<Body>, Failure> {
-    let id = ticket.id;
-    let request = request(forward, &ticket, span, resume);
+    let id = target.id;
+    let request = agent_request(forward, &target, span, resume);
     forward.observation.meter().attempts.count();
-    let sent = forward.entry.client.send(ticket.address.agent, request);
-    match monoio::time::timeout(forward.left(), sent).await {
+    let sending = forward.entry.client.send(target.address.agent, request);
+    match monoio::time::timeout(forward.time_left(), sending).await {
         Ok(Ok(response)) => {
-            learn(forward, attempt, response.headers());
-            match judge(id, response.headers()) {
+            record_load(forward, attempt, response.headers());
+            match classify_head(id, response.headers()) {
                 Verdict::Answered => Ok(response),
-                Verdict::Refused => Err(not_run("The upstream refused the request.")),
-                Verdict::Unknown => Err(lost()),
-                Verdict::Foreign => Err(settle(forward, &ticket).await),
+                Verdict::NotRun => Err(not_run("The upstream refused the request.")),
+                Verdict::Unknown => Err(answer_lost()),
+                Verdict::Mismatched => Err(settle(forward, &target).await),
             }
         }
         Ok(Err(client::Error::NotSent(_))) => Err(not_run("The upstream can't be reached.")),
-        Ok(Err(client::Error::Broken(_))) => Err(settle(forward, &ticket).await),
-        // The final answer goes out at once; dropping the request cancels it.
+        Ok(Err(client::Error::Broken(_))) => Err(settle(forward, &target).await),
+        // The caller is answered at once; dropping the request cancels it.
         Err(_) => Err(Failure {
             ending: Ending::Cancelled,
             problem: Problem::unknown(Code::Deadline, "The answer did not come in time."),
@@ -151,138 +153,145 @@
     }
 }
 
-/// Finds the upstream, and which agent process answers beside it: an attempt
-/// that names none would be refused.
+/// Finds an upstream's addresses and agent process. The agent would reject an attempt that
+/// names no process, so it is asked for a report if the process isn't known.
 ///
 /// # Errors
-/// The upstream is gone or silent, and nothing was sent.
-pub async fn ticket(forward: &Forward, attempt: &Attempt) -> Result<Ticket, Failure> {
+/// The upstream is not listed any more or its agent doesn't answer; nothing was sent.
+pub async fn resolve_target(forward: &Forward, attempt: &Attempt) -> Result<Target, Failure> {
     let name = attempt.upstream();
     let entry = &forward.entry;
     let gone = || not_run("The upstream is gone.");
     let mut address = entry.upstreams.address(name).ok_or_else(gone)?;
     if address.process.is_none() {
-        entry.ask(name).await;
+        entry.request_report(name).await;
         address = entry.upstreams.address(name).ok_or_else(gone)?;
     }
-    let silent = || not_run("The upstream can't be reached.");
-    Ok(Ticket {
+    let unreachable = || not_run("The upstream can't be reached.");
+    Ok(Target {
         id: entry.attempts.next(),
-        process: address.process.ok_or_else(silent)?,
+        process: address.process.ok_or_else(unreachable)?,
         address,
     })
 }
 
-/// The request as the agent gets it.
-fn request(forward: &Forward, ticket: &Ticket, span: &Span, resume: Option<u32>) -> Request<Body> {
+/// Builds the request to the agent.
+fn agent_request(
+    forward: &Forward,
+    target: &Target,
+    span: &Span,
+    resume: Option<u32>,
+) -> Request<Body> {
     let mut request = Request::new(Body::wrap(forward.upload.body()));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     *request.version_mut() = Version::HTTP_11;
     let headers = request.headers_mut();
     headers.clone_from(&forward.headers);
-    headers.insert(HOST, ticket.address.host.clone());
-    headers.insert(header::ATTEMPT, value(&ticket.id.to_string()));
-    headers.insert(header::AGENT, ticket.process.into());
-    headers.insert(header::INSTANCE, ticket.address.instance.clone());
+    headers.insert(HOST, target.address.host.clone());
+    headers.insert(header::ATTEMPT, header_value(&target.id.to_string()));
+    headers.insert(header::AGENT, target.process.into());
+    headers.insert(header::INSTANCE, target.address.instance.clone());
     if let Some(fingerprint) = forward.fingerprint {
-        headers.insert(header::FINGERPRINT, value(&fingerprint.to_string()));
+        headers.insert(header::FINGERPRINT, header_value(&fingerprint.to_string()));
     }
-    headers.insert(header::CUSTOMER, value(forward.customer.as_str()));
-    let left = u64::try_from(forward.left().as_millis()).unwrap_or(u64::MAX);
-    headers.insert(header::DEADLINE, left.into());
+    headers.insert(header::CUSTOMER, header_value(forward.customer.as_str()));
+    let time_left_ms = u64::try_from(forward.time_left().as_millis()).unwrap_or(u64::MAX);
+    headers.insert(header::DEADLINE, time_left_ms.into());
     let priority = HeaderValue::from_static(priority_name(forward.priority));
     headers.insert(header::PRIORITY, priority);
-    headers.insert(header::TRACEPARENT, value(&span.context().to_string()));
+    headers.insert(
+        header::TRACEPARENT,
+        header_value(&span.context().to_string()),
+    );
     if let Some(tokens) = resume {
         headers.insert(header::RESUME, tokens.into());
     }
     request
 }
 
-/// A caller's headers without what is not passed on: what concerns its
-/// connection, its credential, and words that only we may say.
+/// Returns the caller's headers without those that are not forwarded: hop-by-hop headers, its
+/// credential, and verbenaspool's own headers.
 ///
-/// The values are copied. They are windows into the 8 KB that the head was read
-/// into, which would otherwise live as long as the request: 8 MB for 1,000
-/// open streams.
-pub fn passed(mut headers: HeaderMap) -> HeaderMap {
+/// The values are copied. The originals are slices of the 8 KB buffer that the head was read
+/// into, which would otherwise live as long as the request: 8 MB for 1,000 open streams.
+pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     hop::strip(&mut headers);
     headers.remove(AUTHORIZATION);
     headers.remove(EXPECT);
     headers.remove(HOST);
-    let own = |name: &HeaderName| name.as_str().starts_with(OWN);
-    let size = headers.values().map(HeaderValue::len).sum();
-    let mut copied = BytesMut::with_capacity(size);
-    let mut passed = HeaderMap::with_capacity(headers.len() + ADDED);
-    for (name, value) in headers.iter().filter(|(name, _)| !own(name)) {
+    let is_own = |name: &HeaderName| name.as_str().starts_with(OWN_PREFIX);
+    let value_bytes = headers.values().map(HeaderValue::len).sum();
+    let mut copied = BytesMut::with_capacity(value_bytes);
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + ADDED_HEADERS);
+    for (name, value) in headers.iter().filter(|(name, _)| !is_own(name)) {
         copied.extend_from_slice(value.as_bytes());
         if let Ok(value) = HeaderValue::from_maybe_shared(copied.split().freeze()) {
-            passed.append(name, value);
+            forwarded.append(name, value);
         }
     }
-    passed
+    forwarded
 }
 
-/// What an answer's head says of an attempt.
-fn judge(id: attempt::Id, headers: &HeaderMap) -> Verdict {
-    // An answer to another attempt, late or crossed, must never reach this caller.
-    if read(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
-        return Verdict::Foreign;
+/// Classifies the head of an answer to an attempt.
+fn classify_head(id: attempt::Id, headers: &HeaderMap) -> Verdict {
+    // A late or misrouted answer to another attempt must never reach this caller.
+    if header_text(headers, header::ATTEMPT).and_then(|text| text.parse().ok()) != Some(id) {
+        return Verdict::Mismatched;
     }
-    match Outcome::from_header(read(headers, header::OUTCOME)) {
+    match Outcome::from_header(header_text(headers, header::OUTCOME)) {
         Outcome::Ran => Verdict::Answered,
-        Outcome::NotRun => Verdict::Refused,
+        Outcome::NotRun => Verdict::NotRun,
         Outcome::Unknown => Verdict::Unknown,
     }
 }
 
-/// Takes in the load that came with an answer.
-fn learn(forward: &Forward, attempt: &Attempt, headers: &HeaderMap) {
-    let load = read(headers, header::LOAD).and_then(|text| serde_json::from_str(text).ok());
+/// Records the load that came with an answer.
+fn record_load(forward: &Forward, attempt: &Attempt, headers: &HeaderMap) {
+    let load = header_text(headers, header::LOAD).and_then(|text| serde_json::from_str(text).ok());
     if let Some(load) = load {
         let load: Load = load;
-        forward.entry.heard(attempt.upstream(), &load);
+        forward.entry.record_load(attempt.upstream(), &load);
     }
 }
 
-/// Asks the agent what became of an attempt whose answer was lost.
-async fn settle(forward: &Forward, ticket: &Ticket) -> Failure {
+/// Asks the agent about an attempt whose answer was lost, and returns the failure.
+async fn settle(forward: &Forward, target: &Target) -> Failure {
     forward.observation.meter().settled.count();
-    let control = ticket.address.control;
-    match ask(forward, ticket.id, control, ticket.process).await {
+    let control = target.address.control;
+    match attempt_status(forward, target.id, control, target.process).await {
         Some(settle::Answer::Refused) => not_run("The upstream broke off before the request."),
-        _ => lost(),
+        _ => answer_lost(),
     }
 }
 
-/// Asks an agent what became of an attempt; none where it doesn't answer.
-pub async fn ask(
+/// Asks an agent about the status of an attempt. Returns none if it doesn't answer.
+pub async fn attempt_status(
     forward: &Forward,
     attempt: attempt::Id,
     control: SocketAddr,
     agent: u64,
 ) -> Option<settle::Answer> {
-    let question = settle::Request { attempt, agent };
-    let wait = SETTLE.min(forward.left());
+    let request = settle::Request { attempt, agent };
+    let timeout = SETTLE_TIMEOUT.min(forward.time_left());
     let rpc = &forward.entry.rpc;
-    rpc.call(control, settle::METHOD, &question, wait)
+    rpc.call(control, settle::METHOD, &request, timeout)
         .await
         .ok()
 }
 
-/// A header as text, where it is text.
+/// The value of a header, if it is present and plain text.
 #[must_use]
-pub fn read<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header value of our own making, which is plain ASCII.
-fn value(text: &str) -> HeaderValue {
+/// Converts an id or a name, which are ASCII, to a header value.
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("ids and names are plain ASCII")
 }
 
-/// An attempt that did not run.
+/// The failure of an attempt that did not run.
 fn not_run(message: &str) -> Failure {
     Failure {
         ending: Ending::NotRun,
@@ -290,8 +299,8 @@
     }
 }
 
-/// An attempt whose answer was lost.
-pub fn lost() -> Failure {
+/// The failure of an attempt whose answer was lost.
+pub fn answer_lost() -> Failure {
     Failure {
         ending: Ending::Unknown,
         problem: Problem::unknown(
--- a/verbenaspool/src/entry/queue.rs
+++ b/verbenaspool/src/entry/queue.rs
@@ -1,4 +1,4 @@
-//! The balancer of one service, with callers that wait for it.
+//! The balancer of one service and the callers that wait for its decisions.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,15 +19,15 @@
 use verbenaspool_state::name::Name;
 use verbenaspool_transport::clock::Clock;
 
-/// What a waiting caller is told.
-type Verdict = Result<Start, Rejection>;
+/// The balancer's final decision on a request.
+type Admission = Result<Start, Rejection>;
 
 /// The queue of one service.
 pub struct Queue {
     balancer: RefCell<Balancer>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Admission>>>,
     clock: Rc<dyn Clock>,
-    changed: Rc<Notify>,
+    wake_time_changed: Rc<Notify>,
 }
 
 impl std::fmt::Debug for Queue {
@@ -37,31 +37,31 @@
 }
 
 impl Queue {
-    /// A queue in front of a balancer.
+    /// Creates a queue for a balancer and starts its wake-up task.
     #[must_use]
     pub fn start(balancer: Balancer, clock: Rc<dyn Clock>) -> Rc<Self> {
         let queue = Rc::new(Self {
             balancer: RefCell::new(balancer),
             waiting: RefCell::default(),
             clock,
-            changed: Rc::default(),
+            wake_time_changed: Rc::default(),
         });
-        monoio::spawn(tend(
+        monoio::spawn(run_wakeups(
             Rc::downgrade(&queue),
             queue.clock.clone(),
-            queue.changed.clone(),
+            queue.wake_time_changed.clone(),
         ));
         queue
     }
 
-    /// Does something with the balancer and then resolves whoever can go on.
+    /// Calls `act` with the balancer and then resolves the requests that it decides on.
     pub fn with<R>(&self, act: impl FnOnce(&mut Balancer, Duration) -> R) -> R {
         let result = act(&mut self.balancer.borrow_mut(), self.clock.now());
-        self.pump();
+        self.process_queue();
         result
     }
 
-    /// What the balancer has decided so far.
+    /// A snapshot of the balancer's decisions and measurements.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         self.balancer.borrow().snapshot(self.clock.now())
@@ -70,16 +70,16 @@
     /// Waits until a request may start.
     ///
     /// # Errors
-    /// The balancer refuses it, now or after a wait.
+    /// The balancer rejects the request, at once or after it has waited.
     pub async fn admit(self: &Rc<Self>, request: &Request<'_>) -> Result<Attempt, Rejection> {
         let decision = self.balancer.borrow_mut().offer(self.clock.now(), request);
-        self.follow(decision).await
+        self.apply_decision(decision).await
     }
 
-    /// Waits until a request whose attempt failed may start again.
+    /// Waits until a request whose attempt failed may be retried.
     ///
     /// # Errors
-    /// The balancer refuses the retry.
+    /// The balancer rejects the retry.
     pub async fn retry(
         self: &Rc<Self>,
         request: &Request<'_>,
@@ -90,43 +90,43 @@
             let mut balancer = self.balancer.borrow_mut();
             balancer.retry(self.clock.now(), request, ending, tried)
         };
-        self.follow(decision).await
+        self.apply_decision(decision).await
     }
 
-    /// Carries a decision out.
-    async fn follow(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
+    /// Starts the attempt, waits or returns the rejection, as decided.
+    async fn apply_decision(self: &Rc<Self>, decision: Decision) -> Result<Attempt, Rejection> {
         let start = match decision {
             Decision::Admit(start) => start,
-            Decision::Reject(refusal) => return Err(refusal),
+            Decision::Reject(rejection) => return Err(rejection),
             Decision::Wait(ticket) => self.wait(ticket).await?,
         };
         Ok(Attempt {
             queue: self.clone(),
-            began: self.clock.now(),
+            started_at: self.clock.now(),
             start,
-            ended: Cell::new(false),
+            finished: Cell::new(false),
         })
     }
 
-    /// Waits for a ticket's verdict.
-    async fn wait(self: &Rc<Self>, ticket: Ticket) -> Verdict {
+    /// Waits until a ticket is resolved.
+    async fn wait(self: &Rc<Self>, ticket: Ticket) -> Admission {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let place = Place {
+        let guard = WaitGuard {
             queue: self.clone(),
             ticket,
             receiver,
-            heard: false,
+            resolved: false,
         };
-        // The balancer resolves a ticket on the next poll, perhaps at once, and
-        // may want to be woken sooner than before.
-        self.pump();
-        self.changed.notify_one();
-        place.verdict().await
+        // The balancer may resolve the ticket at the next poll, even now, and may need an
+        // earlier wake-up than before.
+        self.process_queue();
+        self.wake_time_changed.notify_one();
+        guard.wait().await
     }
 
-    /// Tells every caller whose ticket is resolved.
-    fn pump(&self) {
+    /// Notifies the callers whose tickets the balancer has resolved.
+    fn process_queue(&self) {
         loop {
             let resolved = self.balancer.borrow_mut().poll(self.clock.now());
             if resolved.is_empty() {
@@ -134,22 +134,22 @@
             }
             for resolution in resolved {
                 let sender = self.waiting.borrow_mut().remove(&resolution.ticket);
-                let unheard = match sender {
+                let undelivered = match sender {
                     Some(sender) => sender.send(resolution.result).err(),
                     None => Some(resolution.result),
                 };
-                // A caller that left between the verdict and its hearing must
-                // give the started attempt back, or its slot would stay taken.
-                if let Some(Ok(start)) = unheard {
-                    self.give_back(&start);
+                // A caller may have left after its request was started; the attempt must be
+                // cancelled then, or its slot would stay occupied.
+                if let Some(Ok(start)) = undelivered {
+                    self.cancel_attempt(&start);
                 }
             }
         }
     }
 
-    /// Ends an attempt that nobody will make.
-    fn give_back(&self, start: &Start) {
-        let outcome = ended(Ending::Cancelled, Duration::ZERO);
+    /// Cancels an attempt that was started and won't be sent.
+    fn cancel_attempt(&self, start: &Start) {
+        let outcome = outcome(Ending::Cancelled, Duration::ZERO);
         let mut balancer = self.balancer.borrow_mut();
         balancer.finish(self.clock.now(), start.attempt, &outcome);
     }
@@ -157,33 +157,34 @@
 
 impl Drop for Queue {
     fn drop(&mut self) {
-        // Ends the queue's own task.
-        self.changed.notify_one();
+        // Ends the wake-up task, which holds a weak reference.
+        self.wake_time_changed.notify_one();
     }
 }
 
-/// Wakes the balancer when it asked to be woken.
-async fn tend(queue: Weak<Queue>, clock: Rc<dyn Clock>, changed: Rc<Notify>) {
+/// Polls the balancer whenever its next wake-up is due.
+async fn run_wakeups(queue: Weak<Queue>, clock: Rc<dyn Clock>, wake_time_changed: Rc<Notify>) {
     loop {
         let wake = {
             let Some(queue) = queue.upgrade() else { return };
-            queue.pump();
+            queue.process_queue();
             queue.balancer.borrow().next_wake()
         };
-        let heard = Box::pin(changed.notified());
+        let notified = Box::pin(wake_time_changed.notified());
         match wake {
-            None => heard.await,
+            None => notified.await,
             Some(at) => {
-                // The least step keeps a balancer that asks for the past from spinning.
+                // The minimum wait prevents a busy loop if the balancer's wake-up time has
+                // passed.
                 let wait = at.saturating_sub(clock.now()).max(Duration::from_millis(1));
-                select(clock.sleep(wait), heard).await;
+                select(clock.sleep(wait), notified).await;
             }
         }
     }
 }
 
-/// An ending with nothing else known.
-fn ended(ending: Ending, took: Duration) -> Outcome {
+/// The outcome of an attempt without token counts.
+fn outcome(ending: Ending, took: Duration) -> Outcome {
     Outcome {
         ending,
         took,
@@ -192,66 +193,66 @@
     }
 }
 
-/// A caller's place in the queue. Dropping it, as happens when the caller
-/// leaves, takes the request back.
-struct Place {
+/// Holds a request in the queue. Dropping it, which happens when the caller leaves, cancels the
+/// request.
+struct WaitGuard {
     queue: Rc<Queue>,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Verdict>,
-    heard: bool,
+    receiver: oneshot::Receiver<Admission>,
+    resolved: bool,
 }
 
-impl Place {
-    async fn verdict(mut self) -> Verdict {
-        let verdict = (&mut self.receiver).await;
-        self.heard = true;
-        verdict.expect("a queue outlives its places")
+impl WaitGuard {
+    async fn wait(mut self) -> Admission {
+        let admission = (&mut self.receiver).await;
+        self.resolved = true;
+        admission.expect("the queue outlives its waiting requests")
     }
 }
 
-impl Drop for Place {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if self.heard {
+        if self.resolved {
             return;
         }
         let queue = &self.queue;
         queue.waiting.borrow_mut().remove(&self.ticket);
         match self.receiver.try_recv() {
-            Ok(Ok(start)) => queue.give_back(&start),
+            Ok(Ok(start)) => queue.cancel_attempt(&start),
             Ok(Err(_)) => {}
             Err(_) => queue.with(|balancer, now| balancer.cancel(now, self.ticket)),
         }
     }
 }
 
-/// An attempt that the balancer let start. Dropping it without a word counts as
-/// given up by the caller.
+/// An attempt started by the balancer. Dropping it before it is finished counts as cancelled by
+/// the caller.
 #[derive(Debug)]
 pub struct Attempt {
     queue: Rc<Queue>,
-    /// When the attempt began.
-    pub began: Duration,
+    /// When the attempt started.
+    pub started_at: Duration,
     start: Start,
-    ended: Cell<bool>,
+    finished: Cell<bool>,
 }
 
 impl Attempt {
-    /// The upstream to send it to.
+    /// The upstream that the attempt goes to.
     #[must_use]
     pub fn upstream(&self) -> &Name {
         &self.start.upstream
     }
 
-    /// Says how the attempt ended; only the first word counts.
+    /// Reports how the attempt ended; only the first call counts.
     pub fn finish(&self, ending: Ending, prompt_tokens: u32, tokens: u32) {
-        if self.ended.replace(true) {
+        if self.finished.replace(true) {
             return;
         }
-        let took = self.queue.clock.now().saturating_sub(self.began);
+        let took = self.queue.clock.now().saturating_sub(self.started_at);
         let outcome = Outcome {
             prompt_tokens,
             tokens,
-            ..ended(ending, took)
+            ..outcome(ending, took)
         };
         let attempt = self.start.attempt;
         self.queue
--- a/verbenaspool/src/entry/table.rs
+++ b/verbenaspool/src/entry/table.rs
@@ -1,4 +1,4 @@
-//! The firm's file as the entry looks things up in it.
+//! The firm's file, indexed for the lookups of the entry.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -8,7 +8,7 @@
     version::Version,
 };
 
-use super::caller::below;
+use super::caller::has_path_prefix;
 
 /// One version of the file, indexed.
 #[derive(Debug)]
@@ -17,11 +17,11 @@
     pub version: Version,
     /// The firm.
     pub firm: Name,
-    /// The services, longest path first, so that the first match is the closest.
+    /// The services, longest path first, so that the first match is the most specific.
     pub services: Vec<Rc<Service>>,
     /// The customers.
     pub customers: Vec<Rc<Customer>>,
-    /// Whom each credential stands for.
+    /// The customer of each credential's digest.
     credentials: HashMap<Digest, Rc<Customer>>,
 }
 
@@ -62,11 +62,11 @@
         }
     }
 
-    /// The customer whom a credential stands for.
+    /// The customer that a credential belongs to.
     ///
     /// # Errors
-    /// It stands for nobody of this firm. Another firm's customer gets the same
-    /// answer as a stranger, so that neither firm learns who the other's are.
+    /// The credential belongs to no customer of this firm. Another firm's customer gets the
+    /// same answer as an unknown one, so that no firm learns about the customers of another.
     pub fn customer(&self, credential: &str) -> Result<&Rc<Customer>, Problem> {
         self.credentials
             .get(&Digest::of(credential))
@@ -85,18 +85,18 @@
     pub fn service(&self, path: &str) -> Result<&Rc<Service>, Problem> {
         self.services
             .iter()
-            .find(|service| below(path, &service.path))
+            .find(|service| has_path_prefix(path, &service.path))
             .ok_or_else(|| Problem::not_run(Code::UnknownService, "No service has this path."))
     }
 }
 
-/// Whether a customer may use a service.
+/// Checks that a customer may use a service.
 ///
 /// # Errors
-/// It may not.
+/// The customer may not use the service.
 ///
 /// ```
-/// use verbenaspool::entry::table::permit;
+/// use verbenaspool::entry::table::check_access;
 /// use verbenaspool_state::customer::Customer;
 ///
 /// let customer = Customer {
@@ -105,10 +105,10 @@
 ///     credentials: Vec::new(),
 ///     services: vec!["jobs".parse().unwrap()],
 /// };
-/// assert!(permit(&customer, &"jobs".parse().unwrap()).is_ok());
-/// assert!(permit(&customer, &"assistant".parse().unwrap()).is_err());
+/// assert!(check_access(&customer, &"jobs".parse().unwrap()).is_ok());
+/// assert!(check_access(&customer, &"assistant".parse().unwrap()).is_err());
 /// ```
-pub fn permit(customer: &Customer, service: &Name) -> Result<(), Problem> {
+pub fn check_access(customer: &Customer, service: &Name) -> Result<(), Problem> {
     if customer.services.is_empty() || customer.services.contains(service) {
         return Ok(());
     }
--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -1,10 +1,10 @@
-//! The caller's request body, which passes on as it comes and can be sent again
-//! as long as little of it has passed.
+//! The caller's request body, which is streamed to the upstream and can be sent again while
+//! little of it has been read.
 //!
-//! Load: many callers that upload at once, some of them large or slow. Without
-//! bounds a few large bodies would fill the memory, and slow ones would hold
-//! slots of upstreams. What passed is kept only up to a small bound; a body
-//! that outgrew it can't be sent a second time, and its request is not retried.
+//! Many callers may upload at once, and some bodies are large or slow. Without limits a few
+//! large bodies would fill the memory, and slow ones would hold slots of upstreams. What has
+//! been read is buffered only up to a small limit; a larger body can't be sent a second time,
+//! so its request is not retried.
 
 use std::{
     cell::RefCell,
@@ -21,34 +21,34 @@
     http::body::{self, Body},
 };
 
-/// How many bytes of a body are kept for a second sending. A usual prompt fits,
-/// and 1,000 callers hold at most 16 MB.
+/// The number of bytes of a body that are buffered for a retry. A usual prompt fits, and 1,000
+/// callers use at most 16 MB.
 pub const MAX_REPLAY_BYTES: usize = 16 * 1024;
 
-/// Bounds on a caller's body.
+/// Limits on a caller's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The largest body in bytes.
-    pub bytes: u64,
-    /// The longest pause between two chunks.
-    pub pause: Duration,
+    /// The maximum size of a body in bytes.
+    pub max_bytes: u64,
+    /// The maximum pause between two chunks.
+    pub max_pause: Duration,
 }
 
-/// What a caller's body did wrong.
+/// Why a caller's body can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// It paused for too long.
-    #[error("the body paused for too long")]
+    /// The body paused for too long.
+    #[error("the body paused for longer than allowed")]
     Slow,
-    /// It broke off or was malformed.
-    #[error("the body broke off")]
+    /// The body ended early or was malformed.
+    #[error("the body ended early or is malformed")]
     Broken,
-    /// Too much of it has passed to be sent again.
+    /// Too much of the body has been read for it to be sent again.
     #[error("the body can't be sent again")]
-    Gone,
+    NotReplayable,
 }
 
 /// The body, shared between the attempts that send it.
@@ -64,67 +64,68 @@
     source: Body,
     bounds: Bounds,
     clock: Rc<dyn Clock>,
-    pause: Option<Sleep>,
-    /// What passed already; none once it outgrew its bound.
-    kept: Option<Vec<Bytes>>,
-    passed: u64,
+    pause_timer: Option<Sleep>,
+    /// The chunks read so far; none once they exceed [`MAX_REPLAY_BYTES`].
+    replay_buffer: Option<Vec<Bytes>>,
+    bytes_read: u64,
     fault: Option<Fault>,
-    /// The attempt that may read; earlier ones get nothing more.
-    reader: u64,
+    /// The number of the view that may read. Earlier views get an error.
+    active_view: u64,
 }
 
 impl Upload {
-    /// Takes a caller's body.
+    /// Wraps a caller's body.
     #[must_use]
     pub fn new(source: Body, bounds: Bounds, clock: Rc<dyn Clock>) -> Self {
         Self(Rc::new(RefCell::new(Inner {
             source,
             bounds,
             clock,
-            pause: None,
-            kept: Some(Vec::new()),
-            passed: 0,
+            pause_timer: None,
+            replay_buffer: Some(Vec::new()),
+            bytes_read: 0,
             fault: None,
-            reader: 0,
+            active_view: 0,
         })))
     }
 
-    /// What the caller did wrong, if it did.
+    /// Why the body can't be read, if it failed.
     #[must_use]
     pub fn fault(&self) -> Option<Fault> {
         self.0.borrow().fault
     }
 
-    /// Whether the body can be sent from its start.
+    /// Whether the body can be sent again from its start.
     #[must_use]
-    pub fn replayable(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         let inner = self.0.borrow();
-        inner.kept.is_some() && inner.fault.is_none()
+        inner.replay_buffer.is_some() && inner.fault.is_none()
     }
 
-    /// The request runs: what passed is let go, or, where it may be sent again,
-    /// copied. A chunk is a window into the whole buffer that it was read into,
-    /// which would live as long as the answer.
-    pub fn settle(&self, keep: bool) {
+    /// Releases the buffered chunks once the request runs, or replaces them by copies if the
+    /// request may be sent again. A chunk is a slice of the whole buffer that it was read into,
+    /// which would otherwise live as long as the answer.
+    pub fn release_buffer(&self, keep_copy: bool) {
         let mut inner = self.0.borrow_mut();
-        let kept = inner.kept.take();
-        if keep {
-            let copied = |kept: Vec<Bytes>| kept.iter().map(|data| data.to_vec().into()).collect();
-            inner.kept = kept.map(copied);
+        let buffer = inner.replay_buffer.take();
+        if keep_copy {
+            let copied =
+                |chunks: Vec<Bytes>| chunks.iter().map(|data| data.to_vec().into()).collect();
+            inner.replay_buffer = buffer.map(copied);
         }
     }
 
-    /// What has passed so far and is kept.
+    /// The chunks read so far, if they are still buffered.
     #[must_use]
-    pub fn kept(&self) -> Vec<Bytes> {
-        self.0.borrow().kept.clone().unwrap_or_default()
+    pub fn buffered(&self) -> Vec<Bytes> {
+        self.0.borrow().replay_buffer.clone().unwrap_or_default()
     }
 
-    /// The first chunk, which stays part of the body; none for an empty body.
+    /// Reads the first chunk, which stays part of the body. Returns none for an empty body.
     ///
     /// # Errors
-    /// The body is faulty from the start.
-    pub async fn first(&self) -> Result<Option<Bytes>, Fault> {
+    /// The body failed before its first chunk.
+    pub async fn first_chunk(&self) -> Result<Option<Bytes>, Fault> {
         let mut view = self.body();
         loop {
             match std::future::poll_fn(|cx| Pin::new(&mut view).poll_frame(cx)).await {
@@ -139,12 +140,11 @@
         }
     }
 
-    /// Waits until all of the body is here, and gives it. To be asked only of a body that is
-    /// small enough to be kept.
+    /// Waits for the whole body and returns it. The body must be small enough to be buffered.
     ///
     /// # Errors
-    /// The body is faulty.
-    pub async fn whole(&self) -> Result<Vec<Bytes>, Fault> {
+    /// The body failed.
+    pub async fn read_to_end(&self) -> Result<Vec<Bytes>, Fault> {
         let mut view = self.body();
         while let Some(frame) = std::future::poll_fn(|cx| Pin::new(&mut view).poll_frame(cx)).await
         {
@@ -152,74 +152,75 @@
                 return Err(self.fault().unwrap_or(Fault::Broken));
             }
         }
-        Ok(self.kept())
+        Ok(self.buffered())
     }
 
-    /// The body from its start, for one attempt.
+    /// Returns a view of the body from its start, for one attempt. Earlier views can't read any
+    /// more.
     #[must_use]
     pub fn body(&self) -> View {
         let mut inner = self.0.borrow_mut();
-        inner.reader += 1;
+        inner.active_view += 1;
         View {
             upload: self.0.clone(),
-            reader: inner.reader,
-            next: 0,
+            number: inner.active_view,
+            next_chunk: 0,
         }
     }
 }
 
 impl Inner {
-    /// The next chunk from the caller.
-    fn pull(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    /// Reads the next chunk from the caller.
+    fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.source).poll_frame(cx) else {
-                return self.wait(cx);
+                return self.poll_pause(cx);
             };
-            self.pause = None;
+            self.pause_timer = None;
             match frame {
                 None => return Poll::Ready(None),
                 Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Broken))),
                 Some(Ok(frame)) => {
-                    // Trailers are dropped: nothing behind us reads them.
+                    // Trailers are dropped: agents and upstreams don't read them.
                     if let Ok(data) = frame.into_data() {
-                        return Poll::Ready(Some(self.take(data)));
+                        return Poll::Ready(Some(self.record_chunk(data)));
                     }
                 }
             }
         }
     }
 
-    /// Ends a sender that pauses too long: it would hold a slot of the upstream
-    /// with hardly a byte sent.
-    fn wait(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
-        let pause = self
-            .pause
-            .get_or_insert_with(|| self.clock.sleep(self.bounds.pause));
-        ready!(pause.as_mut().poll(cx));
+    /// Fails once the sender has paused for too long: it would hold a slot of the upstream
+    /// while it sends hardly anything.
+    fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+        let timer = self
+            .pause_timer
+            .get_or_insert_with(|| self.clock.sleep(self.bounds.max_pause));
+        ready!(timer.as_mut().poll(cx));
         Poll::Ready(Some(Err(Fault::Slow)))
     }
 
-    /// Counts and keeps a chunk.
-    fn take(&mut self, data: Bytes) -> Result<Bytes, Fault> {
-        self.passed += data.len() as u64;
-        if self.passed > self.bounds.bytes {
+    /// Checks the size limit and buffers a chunk.
+    fn record_chunk(&mut self, data: Bytes) -> Result<Bytes, Fault> {
+        self.bytes_read += data.len() as u64;
+        if self.bytes_read > self.bounds.max_bytes {
             return Err(Fault::TooLarge);
         }
-        if self.passed > MAX_REPLAY_BYTES as u64 {
-            self.kept = None;
+        if self.bytes_read > MAX_REPLAY_BYTES as u64 {
+            self.replay_buffer = None;
         }
-        if let Some(kept) = &mut self.kept {
-            kept.push(data.clone());
+        if let Some(buffer) = &mut self.replay_buffer {
+            buffer.push(data.clone());
         }
         Ok(data)
     }
 }
 
-/// The body as one attempt reads it.
+/// The body as read by one attempt.
 pub struct View {
     upload: Rc<RefCell<Inner>>,
-    reader: u64,
-    next: usize,
+    number: u64,
+    next_chunk: usize,
 }
 
 impl http_body::Body for View {
@@ -235,18 +236,21 @@
         if let Some(fault) = inner.fault {
             return Poll::Ready(Some(Err(fault.into())));
         }
-        if inner.reader != self.reader {
-            return Poll::Ready(Some(Err(Fault::Gone.into())));
+        if inner.active_view != self.number {
+            return Poll::Ready(Some(Err(Fault::NotReplayable.into())));
         }
-        let kept = inner.kept.as_ref().and_then(|kept| kept.get(self.next));
-        if let Some(data) = kept.cloned() {
-            self.next += 1;
+        let buffered = inner
+            .replay_buffer
+            .as_ref()
+            .and_then(|chunks| chunks.get(self.next_chunk));
+        if let Some(data) = buffered.cloned() {
+            self.next_chunk += 1;
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        match ready!(inner.pull(cx)) {
+        match ready!(inner.poll_source(cx)) {
             None => Poll::Ready(None),
             Some(Ok(data)) => {
-                self.next += 1;
+                self.next_chunk += 1;
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Some(Err(fault)) => {
@@ -258,8 +262,8 @@
 
     fn is_end_stream(&self) -> bool {
         let inner = self.upload.borrow();
-        let kept = inner.kept.as_ref().map_or(0, Vec::len);
-        inner.fault.is_none() && self.next >= kept && inner.source.is_end_stream()
+        let buffered = inner.replay_buffer.as_ref().map_or(0, Vec::len);
+        inner.fault.is_none() && self.next_chunk >= buffered && inner.source.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -267,10 +271,9 @@
         let Some(rest) = inner.source.size_hint().exact() else {
             return SizeHint::default();
         };
-        let unread: usize = inner
-            .kept
-            .as_ref()
-            .map_or(0, |kept| kept[self.next..].iter().map(Bytes::len).sum());
+        let unread: usize = inner.replay_buffer.as_ref().map_or(0, |chunks| {
+            chunks[self.next_chunk..].iter().map(Bytes::len).sum()
+        });
         SizeHint::with_exact(rest + unread as u64)
     }
 }
--- a/verbenaspool/src/entry/upstreams.rs
+++ b/verbenaspool/src/entry/upstreams.rs
@@ -1,4 +1,4 @@
-//! Where upstreams are, and which agent process answers beside each.
+//! The addresses of upstreams and the agent process of each.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -11,37 +11,38 @@
     upstream::{State, Upstream},
 };
 
-/// How to reach an upstream.
+/// The addresses of an upstream's agent.
 #[derive(Debug, Clone)]
 pub struct Address {
-    /// Where its agent takes requests.
+    /// The agent's address for requests.
     pub agent: SocketAddr,
-    /// The same as a header's value.
+    /// The agent's address as a `Host` header value.
     pub host: HeaderValue,
-    /// Where its agent takes control calls.
+    /// The agent's address for control calls.
     pub control: SocketAddr,
-    /// The instance, `firm/instance`, as a header's value.
+    /// The instance as a header value: `firm/instance`.
     pub instance: HeaderValue,
-    /// The agent process, once it was heard from.
+    /// The id of the agent process, known once the agent has answered.
     pub process: Option<u64>,
 }
 
-/// The upstreams that the entry knows.
+/// The upstreams known to the entry, by name.
 #[derive(Debug, Default)]
-pub struct Directory(RefCell<HashMap<Name, Known>>);
+pub struct Directory(RefCell<HashMap<Name, KnownUpstream>>);
 
 #[derive(Debug)]
-struct Known {
+struct KnownUpstream {
     upstream: Upstream,
     address: Address,
-    /// When the agent was last asked or heard from.
-    at: Option<Duration>,
-    /// The number of the last cache event heard.
-    events: u64,
+    /// When the agent was last asked for a report.
+    last_asked: Option<Duration>,
+    /// The sequence number of the last cache event received.
+    last_cache_event: u64,
 }
 
 impl Directory {
-    /// Takes the firm's whole list of upstreams.
+    /// Replaces the list of the firm's upstreams. What is known of an upstream is kept while
+    /// its incarnation stays the same.
     ///
     /// ```
     /// let firm = "quetzal".parse().unwrap();
@@ -49,9 +50,9 @@
     /// ```
     pub fn replace(&self, firm: &Name, upstreams: &[Upstream]) {
         let mut directory = self.0.borrow_mut();
-        let mut before = std::mem::take(&mut *directory);
+        let mut previous = std::mem::take(&mut *directory);
         for upstream in upstreams {
-            // Addresses and names are plain ASCII, so this holds for every upstream.
+            // Addresses and names are ASCII, so both conversions always succeed.
             let identity = format!("{firm}/{}", upstream.name);
             let (Ok(host), Ok(instance)) = (
                 HeaderValue::from_str(&upstream.agent.to_string()),
@@ -59,87 +60,90 @@
             ) else {
                 continue;
             };
-            let kept = before
+            let existing = previous
                 .remove(&upstream.name)
                 .filter(|known| known.upstream.incarnation == upstream.incarnation);
-            let known = Known {
+            let known = KnownUpstream {
                 upstream: upstream.clone(),
                 address: Address {
                     agent: upstream.agent,
                     host,
                     control: upstream.control,
                     instance,
-                    process: kept.as_ref().and_then(|known| known.address.process),
+                    process: existing.as_ref().and_then(|known| known.address.process),
                 },
-                at: kept.as_ref().and_then(|known| known.at),
-                events: kept.map_or(0, |known| known.events),
+                last_asked: existing.as_ref().and_then(|known| known.last_asked),
+                last_cache_event: existing.map_or(0, |known| known.last_cache_event),
             };
             directory.insert(upstream.name.clone(), known);
         }
     }
 
-    /// How to reach an upstream, while it is listed.
+    /// The addresses of an upstream, or none if it isn't listed.
     #[must_use]
     pub fn address(&self, name: &Name) -> Option<Address> {
         Some(self.0.borrow().get(name)?.address.clone())
     }
 
-    /// The upstream of these that was not heard from for the longest time, if
-    /// that is longer than `age`.
+    /// Returns the upstream among `names` that was asked longest ago, if that was at least
+    /// `min_age` ago or never.
     #[must_use]
-    pub fn oldest(&self, names: &[Name], now: Duration, age: Duration) -> Option<Name> {
+    pub fn stalest(&self, names: &[Name], now: Duration, min_age: Duration) -> Option<Name> {
         let directory = self.0.borrow();
         let known = names.iter().filter_map(|name| directory.get(name));
-        let oldest = known.min_by_key(|known| known.at)?;
-        let due = oldest.at.is_none_or(|at| now.saturating_sub(at) >= age);
-        due.then(|| oldest.upstream.name.clone())
+        let stalest = known.min_by_key(|known| known.last_asked)?;
+        let due = stalest
+            .last_asked
+            .is_none_or(|at| now.saturating_sub(at) >= min_age);
+        due.then(|| stalest.upstream.name.clone())
     }
 
-    /// Notes that an upstream's agent is asked for its report; gives where, and
-    /// the last cache event heard.
+    /// Records that an upstream's agent is asked for its report. Returns its addresses and the
+    /// sequence number of the last cache event received.
     #[must_use]
-    pub fn asked(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
+    pub fn record_report_request(&self, name: &Name, now: Duration) -> Option<(Address, u64)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
-        known.at = Some(now);
-        Some((known.address.clone(), known.events))
+        known.last_asked = Some(now);
+        Some((known.address.clone(), known.last_cache_event))
     }
 
-    /// Takes in an agent's word: notes which process answers, and gives the
-    /// upstream's service and the load in the balancer's terms.
+    /// Records the agent process that reported a load. Returns the upstream's service and the
+    /// load in the balancer's terms.
     #[must_use]
-    pub fn heard(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
+    pub fn record_load(&self, name: &Name, load: &load::Load) -> Option<(Name, Report)> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
         known.address.process = Some(load.agent);
-        let load = Report {
+        let report = Report {
             incarnation: known.upstream.incarnation,
             sequence: load.sequence,
             running: load.running,
             waiting: load.queued,
             leaving: load.leaving,
         };
-        Some((known.upstream.service.clone(), load))
+        Some((known.upstream.service.clone(), report))
     }
 
-    /// Notes the last cache event heard; gives the upstream's service.
+    /// Records the sequence number of the last cache event received. Returns the upstream's
+    /// service.
     #[must_use]
-    pub fn cached(&self, name: &Name, last: u64) -> Option<Name> {
+    pub fn record_cache_event(&self, name: &Name, last: u64) -> Option<Name> {
         let mut directory = self.0.borrow_mut();
         let known = directory.get_mut(name)?;
-        known.events = last;
+        known.last_cache_event = last;
         Some(known.upstream.service.clone())
     }
 
-    /// The upstreams of a service as the balancer sees them.
+    /// The upstreams of a service in the balancer's terms, limited to the service's zones.
     #[must_use]
     pub fn members(&self, service: &Service) -> Vec<Member> {
-        let within = |zone: &Name| service.zones.is_empty() || service.zones.contains(zone);
+        let in_zones = |zone: &Name| service.zones.is_empty() || service.zones.contains(zone);
         let directory = self.0.borrow();
         let mut members: Vec<_> = directory
             .values()
             .map(|known| &known.upstream)
-            .filter(|upstream| upstream.service == service.name && within(&upstream.zone))
+            .filter(|upstream| upstream.service == service.name && in_zones(&upstream.zone))
             .map(member)
             .collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
@@ -147,7 +151,7 @@
     }
 }
 
-/// An upstream as the balancer sees it.
+/// Converts an upstream to the balancer's terms.
 fn member(upstream: &Upstream) -> Member {
     Member {
         name: upstream.name.clone(),
--- a/verbenaspool/tests/entry/site.rs
+++ b/verbenaspool/tests/entry/deployment.rs
@@ -1,4 +1,4 @@
-//! A small site: one entry, played agents, and callers.
+//! A small deployment: one entry, its upstreams and a caller.
 
 use std::{future::Future, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -9,7 +9,7 @@
     net::{TcpListener, TcpStream},
 };
 use verbenaspool::{
-    entry::{Entry, Surroundings},
+    entry::{Dependencies, Entry},
     settings::{Bound, Settings},
 };
 use verbenaspool_protocol::{header, problem::Problem};
@@ -26,13 +26,13 @@
     shutdown::{self, Signal},
 };
 
-use crate::agent::Agent;
+use crate::agent::FakeAgent;
 
-/// The credential of the one customer.
+/// The credential of the customer that may use all services.
 pub const CREDENTIAL: &str = "a-long-random-token";
 
-/// A started site.
-pub struct Site {
+/// A running entry and a client for it.
+pub struct Deployment {
     pub entry: Rc<Entry>,
     pub address: SocketAddr,
     pub client: Client,
@@ -64,13 +64,18 @@
     settings::parse("tidewater.yaml".as_ref(), &text).unwrap()
 }
 
-/// An upstream of a service, beside a played agent.
-pub fn played(name: &str, service: &str, agent: &Rc<Agent>, signal: &Signal) -> Upstream {
-    let control = agent.control(signal.clone());
+/// An upstream of a service with a fake agent, which is started.
+pub fn fake_upstream(
+    name: &str,
+    service: &str,
+    agent: &Rc<FakeAgent>,
+    signal: &Signal,
+) -> Upstream {
+    let control = agent.start_control(signal.clone());
     upstream(name, service, agent.start(signal.clone()), control)
 }
 
-/// An upstream of a service at its agent's addresses.
+/// An upstream of a service whose agent has the given addresses.
 pub fn upstream(name: &str, service: &str, agent: SocketAddr, control: SocketAddr) -> Upstream {
     Upstream {
         name: name.parse().unwrap(),
@@ -84,8 +89,8 @@
     }
 }
 
-/// The settings of the site's entry.
-fn options(limits: Bound) -> Settings {
+/// The settings of the entry.
+fn entry_settings(limits: Bound) -> Settings {
     let text = "firm: tidewater
 name: entry-1
 zone: bowen-a
@@ -96,15 +101,15 @@
     Settings { limits, ..settings }
 }
 
-impl Site {
-    /// Starts an entry without configuration.
-    pub fn bare(limits: Bound) -> Self {
-        Self::around(limits, Surroundings::bare(Monotonic::start()))
+impl Deployment {
+    /// Starts an entry without a configuration.
+    pub fn unconfigured(limits: Bound) -> Self {
+        Self::with_dependencies(limits, Dependencies::minimal(Monotonic::start()))
     }
 
-    /// The same with other surroundings.
-    pub fn around(limits: Bound, around: Surroundings) -> Self {
-        let entry = Entry::with(options(limits).options(), around);
+    /// Starts an entry without a configuration, with the given dependencies.
+    pub fn with_dependencies(limits: Bound, dependencies: Dependencies) -> Self {
+        let entry = Entry::with_dependencies(entry_settings(limits).options(), dependencies);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (stop, signal) = shutdown::channel();
@@ -117,35 +122,34 @@
         }
     }
 
-    /// Starts an entry with the file and these upstreams.
+    /// Starts an entry with the file and the given upstreams.
     pub fn start(upstreams: &[Upstream]) -> Self {
-        Self::limited(Bound::default(), upstreams)
+        Self::with_limits(Bound::default(), upstreams)
     }
 
-    /// The same with other limits.
-    pub fn limited(limits: Bound, upstreams: &[Upstream]) -> Self {
-        let site = Self::bare(limits);
-        site.entry.adopt(Version(1), &file());
-        site.entry.members(upstreams);
-        site
+    /// Starts an entry with the file, the given upstreams and limits.
+    pub fn with_limits(limits: Bound, upstreams: &[Upstream]) -> Self {
+        let deployment = Self::unconfigured(limits);
+        deployment.entry.apply_configuration(Version(1), &file());
+        deployment.entry.set_upstreams(upstreams);
+        deployment
     }
 
-    /// Sends a request as the customer.
+    /// Sends a request.
     pub async fn send(&self, request: Request<Body>) -> Response<Body> {
         self.client.send(self.address, request).await.unwrap()
     }
 
-    /// Sends bytes on a connection of their own and reads what comes back until
-    /// the entry closes it or has answered and waits.
-    pub async fn raw(&self, bytes: impl Into<Vec<u8>>) -> String {
+    /// Sends bytes on a new connection and reads until the entry closes it or is idle.
+    pub async fn send_raw(&self, bytes: impl Into<Vec<u8>>) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let _ = stream.write_all(bytes.into()).await;
-        read(&mut stream, Duration::from_millis(400)).await
+        read_until_idle(&mut stream, Duration::from_millis(400)).await
     }
 }
 
-/// Reads until the end, or until nothing comes for a while.
-pub async fn read(stream: &mut TcpStream, pause: Duration) -> String {
+/// Reads until the end of the stream, or until nothing arrives for `pause`.
+pub async fn read_until_idle(stream: &mut TcpStream, pause: Duration) -> String {
     let mut text = Vec::new();
     loop {
         match monoio::time::timeout(pause, stream.read(vec![0; 4096])).await {
@@ -155,7 +159,7 @@
     }
 }
 
-/// A request of the customer.
+/// A request with the customer's credential.
 pub fn request(method: Method, path: &str, body: &'static str) -> Request<Body> {
     Request::builder()
         .method(method)
@@ -166,8 +170,8 @@
         .unwrap()
 }
 
-/// A response, read whole.
-pub async fn whole(response: Response<Body>) -> (StatusCode, String, String) {
+/// Reads a whole response; returns its status, outcome and body.
+pub async fn read_response(response: Response<Body>) -> (StatusCode, String, String) {
     let status = response.status();
     let outcome = response.headers()[header::OUTCOME]
         .to_str()
@@ -177,8 +181,8 @@
     (status, outcome, String::from_utf8(body.to_vec()).unwrap())
 }
 
-/// A problem's code as callers read it.
-pub fn code(body: &str) -> String {
+/// The code of a problem as callers read it.
+pub fn problem_code(body: &str) -> String {
     let problem: Problem = serde_json::from_str(body).unwrap();
     serde_json::to_value(problem.code)
         .unwrap()
@@ -187,8 +191,8 @@
         .to_owned()
 }
 
-/// Runs a test, bounded in time.
-pub fn run<F: Future<Output = ()>>(test: F) {
+/// Runs a test with a time limit.
+pub fn run_test<F: Future<Output = ()>>(test: F) {
     let bounded = async { monoio::time::timeout(Duration::from_secs(20), test).await };
     runtime::run(bounded)
         .unwrap()
--- a/verbenaspool/tests/entry/main.rs
+++ b/verbenaspool/tests/entry/main.rs
@@ -1,10 +1,10 @@
-//! The entry on real sockets, with an agent that the test plays.
+//! Tests of the entry over real sockets, with fake or real agents.
 
 mod agent;
 mod bad_input;
 mod crashes;
+mod deployment;
 mod path;
 mod process;
-mod repeats;
-mod site;
+mod retries;
 mod subsets;
