--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -22,13 +22,13 @@
 use verbenaspool_transport::{clock::Clock, http::client::Client};
 
 use super::{
+    assembly::{MapCache, PartialDifference, PartialMap},
     lead::Lead,
-    listeners::Listeners,
     membership::Membership,
-    partial::{Known, Partial, Parts},
     progress::Progress,
     rank::Rank,
     settings::Settings,
+    subscribers::Subscribers,
 };
 
 /// The steps in which a rank's pace is told, so that messages about it are few.
@@ -59,9 +59,9 @@
     /// The entry that was asked last what the store says of the service, and when.
     pub(super) asked: Cell<Option<(IpAddr, Duration)>>,
     /// The parts of a map that have come.
-    pub(super) map: RefCell<Option<Partial>>,
+    pub(super) map: RefCell<Option<PartialMap>>,
     /// The parts of a difference that have come.
-    pub(super) differences: RefCell<Option<Parts>>,
+    pub(super) differences: RefCell<Option<PartialDifference>>,
     /// Messages that wait until the link has room.
     pub(super) outbox: RefCell<VecDeque<(IpAddr, Vec<u8>)>>,
     /// When choices were told last, and in which round.
@@ -74,7 +74,7 @@
     /// How many messages about choices were of no use.
     pub(super) dropped: Cell<u64>,
     /// Maps that are known whole.
-    pub(super) known: RefCell<Known>,
+    pub(super) known: RefCell<MapCache>,
     /// The counts that were last read, and of which incarnation of the rank.
     pub(super) counted: RefCell<(u64, Vec<u64>)>,
     /// The short name of the group that the rank last sat in.
@@ -92,7 +92,7 @@
     /// The order that the rank is being given.
     pub(super) giving: RefCell<Option<order::Order>>,
     /// Entries that want to hear how the rank stands.
-    pub(super) listeners: RefCell<Listeners>,
+    pub(super) subscribers: RefCell<Subscribers>,
     /// The rank's slots.
     pub(super) slots: RefCell<Slots>,
     /// How many slots the rank has, as the registry says.
@@ -148,7 +148,7 @@
             progress: Cell::default(),
             stalled: Cell::default(),
             giving: RefCell::default(),
-            listeners: RefCell::default(),
+            subscribers: RefCell::default(),
             slots: RefCell::default(),
             limit: Cell::default(),
             told: Cell::default(),
@@ -313,7 +313,7 @@
             Message::Subscribe(subscription) => {
                 let now = self.clock.now();
                 let near = subscription.same_zone;
-                self.listeners.borrow_mut().subscribe(now, agent, near);
+                self.subscribers.borrow_mut().subscribe(now, agent, near);
                 self.look_up(agent, near).await;
                 return;
             }
--- a/verbenaspool_agent/src/direct/partial.rs
+++ b/verbenaspool_agent/src/direct/assembly.rs
@@ -5,7 +5,7 @@
 
 /// A map of which some parts have come.
 #[derive(Debug)]
-pub struct Partial {
+pub struct PartialMap {
     /// The map's version.
     pub version: u64,
     /// The experts by set and rank, as far as they have come.
@@ -17,34 +17,34 @@
 const MAX_KNOWN_MAPS: usize = 3;
 
 /// The version of the map that a group forms with.
-pub const FIRST_VERSION: u64 = 0;
+pub const INITIAL_VERSION: u64 = 0;
 
 /// The map that a group of so many ranks forms with, by set and rank: experts in turn.
-pub fn first(ranks: u16, experts: &Experts) -> Vec<Vec<Vec<u16>>> {
-    let rank = |rank: u16| (rank..experts.count).step_by(ranks.max(1).into());
-    let set: Vec<Vec<u16>> = (0..ranks).map(|number| rank(number).collect()).collect();
+pub fn initial_placement(ranks: u16, experts: &Experts) -> Vec<Vec<Vec<u16>>> {
+    let experts_on = |rank: u16| (rank..experts.count).step_by(ranks.max(1).into());
+    let set: Vec<Vec<u16>> = (0..ranks).map(|rank| experts_on(rank).collect()).collect();
     vec![set; experts.layers.into()]
 }
 
 /// A map that an agent knows whole.
 #[derive(Debug, Clone)]
-struct Whole {
+struct KnownMap {
     epoch: u64,
     version: u64,
-    places: Vec<Vec<Vec<u16>>>,
+    placement: Vec<Vec<Vec<u16>>>,
 }
 
 /// A difference of which some parts have come.
 #[derive(Debug)]
-pub struct Parts {
+pub struct PartialDifference {
     epoch: u64,
     version: u64,
     moves: Vec<Option<Vec<Move>>>,
 }
 
-impl Parts {
+impl PartialDifference {
     /// The parts of one difference; a part of another one begins anew.
-    pub fn of(known: Option<Self>, part: &Difference) -> Self {
+    pub fn for_part(known: Option<Self>, part: &Difference) -> Self {
         let same = |known: &Self| {
             (known.epoch, known.version) == (part.epoch, part.version)
                 && known.moves.len() == usize::from(part.part_count)
@@ -73,20 +73,20 @@
 
 /// The maps that an agent knows whole, the newest last.
 #[derive(Debug, Default)]
-pub struct Known(Vec<Whole>);
+pub struct MapCache(Vec<KnownMap>);
 
-impl Known {
+impl MapCache {
     /// Remembers a map.
-    pub fn add(&mut self, epoch: u64, version: u64, places: Vec<Vec<Vec<u16>>>) {
+    pub fn add(&mut self, epoch: u64, version: u64, placement: Vec<Vec<Vec<u16>>>) {
         self.0
             .retain(|known| known.epoch == epoch && known.version != version);
         if self.0.len() >= MAX_KNOWN_MAPS {
             self.0.remove(0);
         }
-        self.0.push(Whole {
+        self.0.push(KnownMap {
             epoch,
             version,
-            places,
+            placement,
         });
     }
 
@@ -94,11 +94,11 @@
     ///
     /// Were it another one, the hash of what differs from it wouldn't fit, and the map
     /// would be asked for whole.
-    pub fn add_first(&mut self, epoch: u64, ranks: u16, experts: &Experts) {
+    pub fn add_initial(&mut self, epoch: u64, ranks: u16, experts: &Experts) {
         if self.0.iter().any(|known| known.epoch == epoch) {
             return;
         }
-        self.add(epoch, FIRST_VERSION, first(ranks, experts));
+        self.add(epoch, INITIAL_VERSION, initial_placement(ranks, experts));
     }
 
     /// The map that a difference leads to, where the one before is known.
@@ -107,40 +107,40 @@
     /// that isn't the lead's to the letter, whatever went wrong between, is none.
     pub fn apply(&self, difference: &Difference) -> Option<Vec<Vec<Vec<u16>>>> {
         let base =
-            |known: &&Whole| (known.epoch, known.version) == (difference.epoch, difference.base);
-        let mut places = self.0.iter().find(base)?.places.clone();
+            |known: &&KnownMap| (known.epoch, known.version) == (difference.epoch, difference.base);
+        let mut placement = self.0.iter().find(base)?.placement.clone();
         for change in &difference.moves {
-            let set = places.get_mut(usize::from(change.set))?;
+            let set = placement.get_mut(usize::from(change.set))?;
             let rank = set.get_mut(usize::from(change.rank))?;
-            if let Some(out) = change.removed {
-                rank.retain(|expert| *expert != out);
+            if let Some(removed) = change.removed {
+                rank.retain(|expert| *expert != removed);
             }
             rank.extend(change.added);
         }
-        for rank in places.iter_mut().flatten() {
+        for rank in placement.iter_mut().flatten() {
             rank.sort_unstable();
         }
-        (placement_hash(&places) == difference.hash).then_some(places)
+        (placement_hash(&placement) == difference.hash).then_some(placement)
     }
 }
 
 /// The places in which two maps differ, each given by set and rank.
-pub fn moves(before: &[Vec<Vec<u16>>], after: &[Vec<Vec<u16>>]) -> Vec<Move> {
+pub fn diff(before: &[Vec<Vec<u16>>], after: &[Vec<Vec<u16>>]) -> Vec<Move> {
     let mut moves = Vec::new();
     for (set, (before, after)) in (0..).zip(before.iter().zip(after)) {
         for (rank, (before, after)) in (0..).zip(before.iter().zip(after)) {
-            let mut out = before.iter().filter(|expert| !after.contains(expert));
-            let mut new = after.iter().filter(|expert| !before.contains(expert));
+            let mut removed = before.iter().filter(|expert| !after.contains(expert));
+            let mut added = after.iter().filter(|expert| !before.contains(expert));
             loop {
-                let (out, new) = (out.next().copied(), new.next().copied());
-                if out.is_none() && new.is_none() {
+                let (removed, added) = (removed.next().copied(), added.next().copied());
+                if removed.is_none() && added.is_none() {
                     break;
                 }
                 moves.push(Move {
                     set,
                     rank,
-                    removed: out,
-                    added: new,
+                    removed,
+                    added,
                 });
             }
         }
--- a/verbenaspool_agent/src/direct/partial/tests.rs
+++ b/verbenaspool_agent/src/direct/assembly/tests.rs
@@ -3,13 +3,13 @@
 use verbenaspool_protocol::member::{Difference, Move, placement_hash};
 use verbenaspool_state::engine::Experts;
 
-use super::{FIRST_VERSION, Known, Parts, moves};
+use super::{INITIAL_VERSION, MapCache, PartialDifference, diff};
 
 /// A group changes its map by a few places; an agent that knows the map before
 /// makes the same map of them as the lead, and one that doesn't asks for it whole.
 #[test]
 fn a_difference_leads_to_the_same_map() {
-    let mut known = Known::default();
+    let mut known = MapCache::default();
     known.add(1, 7, vec![vec![vec![0, 1], vec![2]]]);
     let difference = Difference {
         epoch: 1,
@@ -51,7 +51,7 @@
 /// A group forms anew and its versions begin again: what was known is void.
 #[test]
 fn a_new_epoch_forgets_maps() {
-    let mut known = Known::default();
+    let mut known = MapCache::default();
     known.add(1, 7, vec![vec![vec![0]]]);
     known.add(2, 9, vec![vec![vec![1]]]);
     let old = Difference {
@@ -74,13 +74,13 @@
 fn a_rank_may_lose_an_expert_for_nothing() {
     let before = vec![vec![vec![0, 1, 2], vec![2, 3], vec![3]]];
     let after = vec![vec![vec![0, 1], vec![2], vec![2, 3]]];
-    let mut known = Known::default();
+    let mut known = MapCache::default();
     known.add(1, 7, before.clone());
     let difference = Difference {
         epoch: 1,
         version: 8,
         base: 7,
-        moves: moves(&before, &after),
+        moves: diff(&before, &after),
         hash: placement_hash(&after),
         part: 0,
         part_count: 1,
@@ -98,13 +98,13 @@
         vec![vec![vec![0], vec![1]]],
         vec![vec![vec![0], vec![0, 1]]],
     );
-    let mut known = Known::default();
+    let mut known = MapCache::default();
     known.add(1, 7, vec![vec![vec![0, 1], vec![1]]]);
     let difference = Difference {
         epoch: 1,
         version: 8,
         base: 7,
-        moves: moves(&theirs, &after),
+        moves: diff(&theirs, &after),
         hash: placement_hash(&after),
         part: 0,
         part_count: 1,
@@ -118,7 +118,7 @@
     Difference {
         epoch: 1,
         version,
-        base: FIRST_VERSION,
+        base: INITIAL_VERSION,
         moves: vec![Move {
             set: part,
             rank: 0,
@@ -136,13 +136,13 @@
 /// mixed with those of the change before. Only all parts of one change are a map.
 #[test]
 fn parts_of_one_change_make_a_difference() {
-    let mut parts = Parts::of(None, &part(8, 0, 2));
+    let mut parts = PartialDifference::for_part(None, &part(8, 0, 2));
     assert_eq!(parts.add(&part(8, 1, 2)), None);
     assert_eq!(parts.add(&part(8, 1, 2)), None);
     assert_eq!(parts.add(&part(8, 7, 2)), None);
-    let mut later = Parts::of(Some(parts), &part(9, 0, 2));
+    let mut later = PartialDifference::for_part(Some(parts), &part(9, 0, 2));
     assert_eq!(later.add(&part(9, 0, 2)), None);
-    let mut same = Parts::of(Some(later), &part(9, 1, 2));
+    let mut same = PartialDifference::for_part(Some(later), &part(9, 1, 2));
     let whole = same.add(&part(9, 1, 2)).expect("both parts came");
     let sets: Vec<u16> = whole.moves.iter().map(|change| change.set).collect();
     assert_eq!(sets, [0, 1]);
@@ -160,8 +160,8 @@
         work_share: 0.8,
         copy_time: Duration::from_millis(40),
     };
-    let mut known = Known::default();
-    known.add_first(1, 2, &experts);
+    let mut known = MapCache::default();
+    known.add_initial(1, 2, &experts);
     let first = vec![vec![0, 2, 4], vec![1, 3]];
     let change = Difference {
         moves: Vec::new(),
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -8,7 +8,7 @@
 use verbenaspool_protocol::member::{Choices, Difference, Map, Move, RankExperts, placement_hash};
 use verbenaspool_state::{engine::Experts, expert_map::Layer};
 
-use super::partial::{FIRST_VERSION, first, moves};
+use super::assembly::{INITIAL_VERSION, diff, initial_placement};
 
 /// Time constant by which older expert counts count less.
 const EXPERT_LOAD_WINDOW: Duration = Duration::from_millis(150);
@@ -157,7 +157,7 @@
         let forming = self
             .formed
             .is_some_and(|formed| now < formed + FORMING_TIME);
-        let first = version == FIRST_VERSION || forming;
+        let first = version == INITIAL_VERSION || forming;
         let slow = self.paces.iter().any(|pace| *pace >= SLOW_RANK_PACE);
         let places = |rank: usize| layers.iter().map(|l| l.ranks[rank].len()).sum::<usize>();
         let all: usize = (0..self.ranks).map(places).sum();
@@ -235,10 +235,10 @@
     /// long: everybody who waited for the group comes at once, and passes on this map are
     /// the longest there are.
     fn layers(&self, experts: &Experts) -> Option<(u64, Vec<Layer>)> {
-        if self.switch.map_version() == Some(FIRST_VERSION) {
+        if self.switch.map_version() == Some(INITIAL_VERSION) {
             let ranks = u16::try_from(self.ranks).ok()?;
-            let sets = first(ranks, experts).into_iter();
-            return Some((FIRST_VERSION, sets.map(|ranks| Layer { ranks }).collect()));
+            let sets = initial_placement(ranks, experts).into_iter();
+            return Some((INITIAL_VERSION, sets.map(|ranks| Layer { ranks }).collect()));
         }
         let first = self.held.get(&0)?;
         let complete = self.held.len() == self.ranks
@@ -310,7 +310,7 @@
         self.plan = Some(Plan {
             version,
             base,
-            moves: moves(&before, &after),
+            moves: diff(&before, &after),
             hash: placement_hash(&after),
             places: after,
         });
--- a/verbenaspool_agent/src/direct/mod.rs
+++ b/verbenaspool_agent/src/direct/mod.rs
@@ -6,17 +6,17 @@
 //! the ranks use next and brings it in use.
 
 mod agent_state;
+mod assembly;
 mod choices;
+mod distribution;
 mod lead;
-mod listeners;
 mod lookup;
 mod membership;
 mod orders;
-mod partial;
 pub mod progress;
 mod rank;
+mod reporting;
 pub mod run;
 pub mod settings;
-mod spread;
 mod standin;
-mod tell;
+mod subscribers;
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -13,7 +13,7 @@
 
 use super::{
     agent_state::AgentState,
-    partial::{FIRST_VERSION, Partial, Parts},
+    assembly::{INITIAL_VERSION, PartialDifference, PartialMap},
     rank::{self, Outcome, Rank},
 };
 
@@ -134,7 +134,7 @@
                 .as_ref()
                 .is_none_or(|known| known.version != map.version)
             {
-                *partial = Some(Partial {
+                *partial = Some(PartialMap {
                     version: map.version,
                     sets: vec![None; map.set_count.into()],
                 });
@@ -166,7 +166,7 @@
         let (epoch, version) = (difference.epoch, difference.version);
         let whole = {
             let mut known = self.differences.borrow_mut();
-            let mut parts = Parts::of(known.take(), &difference);
+            let mut parts = PartialDifference::for_part(known.take(), &difference);
             let whole = parts.add(&difference);
             *known = whole.is_none().then_some(parts);
             whole
@@ -174,11 +174,11 @@
         let Some(whole) = whole else {
             return;
         };
-        if let (FIRST_VERSION, Some(state), Some(experts)) =
+        if let (INITIAL_VERSION, Some(state), Some(experts)) =
             (whole.base, self.state(), self.experts.get())
         {
             let mut known = self.known.borrow_mut();
-            known.add_first(epoch, state.group_size, &experts);
+            known.add_initial(epoch, state.group_size, &experts);
         }
         let places = self.known.borrow().apply(&whole);
         if let Some(places) = places {
--- a/verbenaspool_agent/src/direct/tell.rs
+++ b/verbenaspool_agent/src/direct/reporting.rs
@@ -9,7 +9,7 @@
     reservation::{Answer, Request},
 };
 
-use super::{agent_state::AgentState, listeners::Standing};
+use super::{agent_state::AgentState, subscribers::Snapshot};
 
 impl AgentState {
     /// Tells other agents how the rank stands: those that act on it, or all of the
@@ -51,11 +51,11 @@
     /// Tells entries how the rank stands, as far as each is to hear of it now.
     pub async fn tell_entries(&self) {
         let now = self.clock.now();
-        let standing = Standing {
+        let snapshot = Snapshot {
             pace: self.running_pace(),
             requests: self.slots.borrow().requests(),
         };
-        let entries = self.listeners.borrow_mut().due(now, standing);
+        let entries = self.subscribers.borrow_mut().due(now, snapshot);
         if entries.is_empty() {
             return;
         }
--- a/verbenaspool_agent/src/direct/listeners.rs
+++ b/verbenaspool_agent/src/direct/subscribers.rs
@@ -22,7 +22,7 @@
 
 /// What entries are told.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct Snapshot {
     /// The rank's pace; none while its group runs nothing.
     pub pace: Option<f32>,
     /// Requests that it has.
@@ -31,24 +31,24 @@
 
 /// One entry.
 #[derive(Debug, Clone, Copy)]
-struct Listener {
-    until: Duration,
-    near: bool,
+struct Subscriber {
+    expires_at: Duration,
+    same_zone: bool,
     /// What it was told last, and when; none before the first time.
-    told: Option<(Standing, Duration)>,
+    last_sent: Option<(Snapshot, Duration)>,
 }
 
-impl Listener {
+impl Subscriber {
     /// Whether it is to be told how the rank stands now.
-    fn is_due(&self, now: Duration, standing: Standing) -> bool {
-        let Some((told, at)) = self.told else {
+    fn is_due(&self, now: Duration, snapshot: Snapshot) -> bool {
+        let Some((last_sent, at)) = self.last_sent else {
             return true;
         };
-        if told.pace != standing.pace {
+        if last_sent.pace != snapshot.pace {
             return true;
         }
-        let pause = match (standing.pace, self.near) {
-            (Some(_), true) if told.requests != standing.requests => MIN_REPORT_INTERVAL,
+        let pause = match (snapshot.pace, self.same_zone) {
+            (Some(_), true) if last_sent.requests != snapshot.requests => MIN_REPORT_INTERVAL,
             (Some(_), false) => CROSS_ZONE_REPORT_INTERVAL,
             _ => MAX_REPORT_INTERVAL,
         };
@@ -58,28 +58,28 @@
 
 /// The entries that hear how a rank stands.
 #[derive(Debug, Default)]
-pub struct Listeners(BTreeMap<IpAddr, Listener>);
+pub struct Subscribers(BTreeMap<IpAddr, Subscriber>);
 
-impl Listeners {
+impl Subscribers {
     /// An entry wants to hear, which is in the rank's zone or not.
-    pub fn subscribe(&mut self, now: Duration, entry: IpAddr, near: bool) {
-        let until = now + SUBSCRIPTION_TTL;
-        let listener = self.0.entry(entry).or_insert(Listener {
-            until,
-            near,
-            told: None,
+    pub fn subscribe(&mut self, now: Duration, entry: IpAddr, same_zone: bool) {
+        let expires_at = now + SUBSCRIPTION_TTL;
+        let subscriber = self.0.entry(entry).or_insert(Subscriber {
+            expires_at,
+            same_zone,
+            last_sent: None,
         });
-        listener.until = until;
-        listener.near = near;
+        subscriber.expires_at = expires_at;
+        subscriber.same_zone = same_zone;
     }
 
     /// The entries that are to be told how the rank stands now; they count as told.
-    pub fn due(&mut self, now: Duration, standing: Standing) -> Vec<IpAddr> {
-        self.0.retain(|_, listener| now < listener.until);
+    pub fn due(&mut self, now: Duration, snapshot: Snapshot) -> Vec<IpAddr> {
+        self.0.retain(|_, subscriber| now < subscriber.expires_at);
         let mut due = Vec::new();
-        for (entry, listener) in &mut self.0 {
-            if listener.is_due(now, standing) {
-                listener.told = Some((standing, now));
+        for (entry, subscriber) in &mut self.0 {
+            if subscriber.is_due(now, snapshot) {
+                subscriber.last_sent = Some((snapshot, now));
                 due.push(*entry);
             }
         }
--- /dev/null
+++ b/verbenaspool_agent/src/direct/subscribers/tests.rs
@@ -0,0 +1,58 @@
+//! When entries are told how a rank stands.
+
+use std::{net::IpAddr, time::Duration};
+
+use super::{Snapshot, Subscribers};
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+fn entry(number: u8) -> IpAddr {
+    IpAddr::from([10, 0, 0, number])
+}
+
+fn snapshot(requests: u32) -> Snapshot {
+    Snapshot {
+        pace: Some(1.0),
+        requests,
+    }
+}
+
+#[test]
+fn entries_nearby_hear_of_requests_and_the_others_of_changes_of_the_group() {
+    let mut subscribers = Subscribers::default();
+    subscribers.subscribe(ms(0), entry(1), true);
+    subscribers.subscribe(ms(0), entry(2), false);
+    assert_eq!(subscribers.due(ms(0), snapshot(1)), [entry(1), entry(2)]);
+    assert!(subscribers.due(ms(50), snapshot(2)).is_empty());
+    assert_eq!(subscribers.due(ms(100), snapshot(2)), [entry(1)]);
+    assert!(subscribers.due(ms(599), snapshot(2)).is_empty());
+    assert_eq!(subscribers.due(ms(600), snapshot(2)), [entry(1)]);
+    let closed = Snapshot {
+        pace: None,
+        requests: 2,
+    };
+    assert_eq!(subscribers.due(ms(610), closed), [entry(1), entry(2)]);
+}
+
+/// A group breaks while the messages of its agents are lost. Entries forget within 1.6 s
+/// that a group is closed, so they are told again until it opens, far ones as well.
+#[test]
+fn a_closed_group_is_told_again_and_again() {
+    let mut subscribers = Subscribers::default();
+    subscribers.subscribe(ms(0), entry(2), false);
+    let closed = Snapshot {
+        pace: None,
+        requests: 0,
+    };
+    let told = (0..20).filter(|tick| !subscribers.due(ms(tick * 100), closed).is_empty());
+    assert_eq!(told.count(), 4);
+}
+
+#[test]
+fn an_entry_that_went_away_is_told_no_more() {
+    let mut subscribers = Subscribers::default();
+    subscribers.subscribe(ms(0), entry(1), true);
+    assert!(subscribers.due(ms(9_000), snapshot(1)).is_empty());
+}
