--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -43,9 +43,9 @@
     pub client: Client,
     pub socket: UdpSocket,
     /// Counts this agent's messages.
-    pub(super) number: Cell<u64>,
+    pub(super) sequence: Cell<u64>,
     /// Counts its messages to entries.
-    pub(super) statuses: Cell<u64>,
+    pub(super) status_sequence: Cell<u64>,
     /// How the own rank stands.
     pub(super) state: RefCell<Option<State>>,
     pub(super) membership: RefCell<Membership>,
@@ -53,56 +53,56 @@
     /// The experts of the service, as the configuration tells.
     pub experts: Cell<Option<Experts>>,
     /// The least time that a pass takes, as the configuration tells.
-    pub pass: Cell<Duration>,
+    pub min_pass_time: Cell<Duration>,
     /// The instances of the service's upstreams.
     pub instances: RefCell<BTreeSet<IpAddr>>,
     /// The entry that was asked last what the store says of the service, and when.
-    pub(super) asked: Cell<Option<(IpAddr, Duration)>>,
+    pub(super) last_lookup: Cell<Option<(IpAddr, Duration)>>,
     /// The parts of a map that have come.
-    pub(super) map: RefCell<Option<PartialMap>>,
+    pub(super) partial_map: RefCell<Option<PartialMap>>,
     /// The parts of a difference that have come.
-    pub(super) differences: RefCell<Option<PartialDifference>>,
+    pub(super) partial_difference: RefCell<Option<PartialDifference>>,
     /// Messages that wait until the link has room.
     pub(super) outbox: RefCell<VecDeque<(IpAddr, Vec<u8>)>>,
     /// When choices were told last, and in which round.
-    pub(super) chosen: Cell<Duration>,
-    pub(super) sampled: Cell<Option<Round>>,
+    pub(super) choices_read_at: Cell<Duration>,
+    pub(super) last_round: Cell<Option<Round>>,
     /// Wakes whoever reads choices.
-    pub woken: Notify,
+    pub round_ended: Notify,
     /// What other ranks chose, to be passed on to the lead.
     pub(super) sums: RefCell<RoundSums>,
     /// How many messages about choices were of no use.
-    pub(super) dropped: Cell<u64>,
+    pub(super) dropped_choices: Cell<u64>,
     /// Maps that are known whole.
-    pub(super) known: RefCell<MapCache>,
+    pub(super) map_cache: RefCell<MapCache>,
     /// The counts that were last read, and of which incarnation of the rank.
-    pub(super) counted: RefCell<(u64, Vec<u64>)>,
+    pub(super) last_counts: RefCell<(u64, Vec<u64>)>,
     /// The short name of the group that the rank last sat in.
     pub(super) group: Cell<u32>,
     /// Up to which pass of which epoch no order of a lead to arm is given.
-    pub(super) bar: Cell<(u64, u64)>,
+    pub(super) arming_block: Cell<(u64, u64)>,
     /// The last pass of which epoch for which an order to arm was given.
-    pub(super) gave: Cell<(u64, u64)>,
+    pub(super) last_arm: Cell<(u64, u64)>,
     /// The number with which this process's messages begin.
-    pub(super) first: u64,
+    pub(super) first_sequence: u64,
     /// The passes of the rank's group.
     pub(super) progress: Cell<Progress>,
     /// Whether the group had stopped when the rank's report was last read.
     stalled: Cell<bool>,
     /// The order that the rank is being given.
-    pub(super) giving: RefCell<Option<order::Order>>,
+    pub(super) pending_order: RefCell<Option<order::Order>>,
     /// Entries that want to hear how the rank stands.
     pub(super) subscribers: RefCell<Subscribers>,
     /// The rank's slots.
     pub(super) slots: RefCell<Slots>,
     /// How many slots the rank has, as the registry says.
-    pub limit: Cell<Option<u32>>,
+    pub slot_count: Cell<Option<u32>>,
     /// What was last told of the experts held.
-    pub(super) told: Cell<(u64, u64, Duration)>,
+    pub(super) last_experts_report: Cell<(u64, u64, Duration)>,
     /// Whether the ranks had a place for each expert when that was last looked at.
-    fits: Cell<bool>,
+    experts_fit: Cell<bool>,
     /// The rank's pace, and whether what it said of that made sense.
-    told_pace: Cell<(f32, bool)>,
+    last_pace: Cell<(f32, bool)>,
 }
 
 impl AgentState {
@@ -113,7 +113,7 @@
         log: Logger,
         client: Client,
         socket: UdpSocket,
-        number: u64,
+        first_sequence: u64,
     ) -> Rc<Self> {
         Rc::new(Self {
             rank: Rank::new(client.clone(), settings.upstream),
@@ -122,38 +122,38 @@
             log,
             client,
             socket,
-            number: Cell::new(number),
-            statuses: Cell::new(number),
+            sequence: Cell::new(first_sequence),
+            status_sequence: Cell::new(first_sequence),
             state: RefCell::default(),
             membership: RefCell::default(),
             lead: RefCell::default(),
             experts: Cell::default(),
-            pass: Cell::default(),
+            min_pass_time: Cell::default(),
             instances: RefCell::default(),
-            asked: Cell::default(),
-            map: RefCell::default(),
-            differences: RefCell::default(),
+            last_lookup: Cell::default(),
+            partial_map: RefCell::default(),
+            partial_difference: RefCell::default(),
             outbox: RefCell::default(),
-            chosen: Cell::default(),
-            sampled: Cell::default(),
-            woken: Notify::new(),
+            choices_read_at: Cell::default(),
+            last_round: Cell::default(),
+            round_ended: Notify::new(),
             sums: RefCell::default(),
-            dropped: Cell::default(),
-            known: RefCell::default(),
-            counted: RefCell::default(),
+            dropped_choices: Cell::default(),
+            map_cache: RefCell::default(),
+            last_counts: RefCell::default(),
             group: Cell::default(),
-            bar: Cell::default(),
-            gave: Cell::default(),
-            first: number,
+            arming_block: Cell::default(),
+            last_arm: Cell::default(),
+            first_sequence,
             progress: Cell::default(),
             stalled: Cell::default(),
-            giving: RefCell::default(),
+            pending_order: RefCell::default(),
             subscribers: RefCell::default(),
             slots: RefCell::default(),
-            limit: Cell::default(),
-            told: Cell::default(),
-            fits: Cell::new(true),
-            told_pace: Cell::new((1.0, true)),
+            slot_count: Cell::default(),
+            last_experts_report: Cell::default(),
+            experts_fit: Cell::new(true),
+            last_pace: Cell::new((1.0, true)),
         })
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Whether the agents of all ranks of the group were heard.
-    pub fn is_complete(&self) -> bool {
+    pub fn knows_whole_group(&self) -> bool {
         let Some(state) = self.state() else {
             return false;
         };
@@ -172,22 +172,22 @@
     }
 
     /// Reads the own rank's report; none where it can't be had.
-    pub async fn read(&self) -> Option<Report> {
-        let asked = self.clock.now();
+    pub async fn read_report(&self) -> Option<Report> {
+        let requested_at = self.clock.now();
         let report = self.rank.report().await?;
         let requests = report.running.saturating_add(report.waiting);
-        self.slots.borrow_mut().report(asked, requests);
+        self.slots.borrow_mut().report(requested_at, requests);
         Some(report)
     }
 
     /// Takes the own rank's report in; tells whether others should hear of it now.
-    pub fn observe(&self, report: &Report) -> bool {
+    pub fn handle_report(&self, report: &Report) -> bool {
         let Some(member) = report.member.as_ref().filter(|member| member.open) else {
             self.state.replace(None);
             return false;
         };
-        self.inherit(member.epoch, report.step);
-        self.number.set(self.number.get() + 1);
+        self.assume_predecessor_orders(member.epoch, report.step);
+        self.sequence.set(self.sequence.get() + 1);
         let group = digest::hash(&member.group);
         let before = self.group.replace(group);
         if before != group {
@@ -198,7 +198,7 @@
             self.sums.take();
         }
         let state = State {
-            sequence: self.number.get(),
+            sequence: self.sequence.get(),
             group,
             rank: member.rank,
             group_size: member.size,
@@ -210,14 +210,14 @@
                 prepared: report.prepared,
                 armed: report.armed,
                 held: report.held,
-                arming_blocked_through: self.barred(member.epoch),
-                last_arm_step: self.given(member.epoch),
+                arming_blocked_through: self.arming_blocked_through(member.epoch),
+                last_arm_step: self.last_arm_step(member.epoch),
             },
-            pace: self.pace(report),
+            pace: self.rounded_pace(report),
             zone: digest::hash(&self.settings.zone),
         };
         let before = self.state.replace(Some(state.clone()));
-        let place = |state: &State| {
+        let position = |state: &State| {
             (
                 state.group,
                 state.report.epoch,
@@ -225,7 +225,7 @@
                 state.group_size,
             )
         };
-        if before.as_ref().map(place) != Some(place(&state)) {
+        if before.as_ref().map(position) != Some(position(&state)) {
             info!(self.log, "Agent: The rank sits in a group."; "group" => &member.group,
                 "epoch" => member.epoch, "rank" => state.rank, "size" => state.group_size);
             let mut lead = (state.rank == 0).then(|| Lead::new(state.group_size.into()));
@@ -235,11 +235,11 @@
             }
             self.lead.replace(lead);
         }
-        self.note_round(&state);
-        self.hear_state(self.settings.address, state);
-        self.observe_progress(report);
+        self.notify_round_end(&state);
+        self.handle_state(self.settings.address, state);
+        self.update_progress(report);
         let now = self.state();
-        let what = |state: &State| {
+        let essentials = |state: &State| {
             let report = &state.report;
             (
                 report.map,
@@ -249,15 +249,15 @@
                 state.pace,
             )
         };
-        let changed = |before: &State| now.as_ref().map(what) != Some(what(before));
+        let changed = |before: &State| now.as_ref().map(essentials) != Some(essentials(before));
         before.as_ref().is_none_or(changed)
     }
 
     /// Takes in whether the group makes passes.
-    fn observe_progress(&self, report: &Report) {
+    fn update_progress(&self, report: &Report) {
         let now = self.clock.now();
         let mut progress = self.progress.get();
-        let stood = progress.stood(now);
+        let stalled_for = progress.time_without_pass(now);
         progress.observe(now, report.step, report.running > 0);
         self.progress.set(progress);
         let stalled = progress.is_stalled(now);
@@ -266,7 +266,7 @@
             warn!(self.log, "group stalled"; "step" => report.step, "running" => report.running);
         } else if was_stalled && !stalled {
             info!(self.log, "group makes passes again"; "step" => report.step,
-                "stood_ms" => stood.as_secs_f64() * 1e3);
+                "stood_ms" => stalled_for.as_secs_f64() * 1e3);
         }
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// Takes a rank's state in.
-    pub(super) fn hear_state(&self, agent: IpAddr, state: State) {
+    pub(super) fn handle_state(&self, agent: IpAddr, state: State) {
         // A rank whose own group is forming still takes in those that have joined it.
         if self.group.get() != state.group {
             return;
@@ -284,78 +284,80 @@
         let now = self.clock.now();
         let rank = usize::from(state.rank);
         let (report, pace) = (state.report, state.pace);
-        if !self.membership.borrow_mut().hear(now, agent, state) {
+        if !self.membership.borrow_mut().update(now, agent, state) {
             return;
         }
         if let Some(lead) = &mut *self.lead.borrow_mut() {
             lead.switch.report(now, rank, report);
-            lead.pace(rank, pace);
+            lead.set_pace(rank, pace);
         }
     }
 
     /// The pace that a report tells, in steps; one line of log for each change.
-    fn pace(&self, report: &Report) -> f32 {
-        let told = report.pace;
+    fn rounded_pace(&self, report: &Report) -> f32 {
+        let reported = report.pace;
         #[allow(clippy::cast_possible_truncation)] // It is small.
-        let pace = ((told.unwrap_or(1.0) / PACE_STEP).round() * PACE_STEP) as f32;
-        let before = self.told_pace.replace((pace, told.is_some()));
-        if before != (pace, told.is_some()) {
+        let pace = ((reported.unwrap_or(1.0) / PACE_STEP).round() * PACE_STEP) as f32;
+        let before = self.last_pace.replace((pace, reported.is_some()));
+        if before != (pace, reported.is_some()) {
             info!(self.log, "Agent: The rank's pace changed.";
-                "pace" => pace, "before" => before.0, "makes_sense" => told.is_some());
+                "pace" => pace, "before" => before.0, "makes_sense" => reported.is_some());
         }
         pace
     }
 
     /// Hears a message of another agent.
-    pub async fn hear(self: &Rc<Self>, agent: IpAddr, message: Message) {
+    pub async fn handle_message(self: &Rc<Self>, agent: IpAddr, message: Message) {
         let own = self.state().map(|state| (state.group, state.report.epoch));
         match message {
             Message::Subscribe(subscription) => {
                 let now = self.clock.now();
-                let near = subscription.same_zone;
-                self.subscribers.borrow_mut().subscribe(now, agent, near);
-                self.look_up(agent, near).await;
+                let same_zone = subscription.same_zone;
+                self.subscribers
+                    .borrow_mut()
+                    .subscribe(now, agent, same_zone);
+                self.request_service_info(agent, same_zone).await;
                 return;
             }
-            Message::ServiceInfo(members) => {
-                self.learn(agent, &members);
+            Message::ServiceInfo(info) => {
+                self.handle_service_info(agent, &info);
                 return;
             }
-            Message::ReservationRequest(ask) => {
-                self.grant(agent, ask).await;
+            Message::ReservationRequest(request) => {
+                self.handle_reservation(agent, request).await;
                 return;
             }
-            Message::State(state) => self.hear_state(agent, state),
+            Message::State(state) => self.handle_state(agent, state),
             Message::Choices(choices) if own == Some((choices.group, choices.epoch)) => {
-                self.hear_choices(&choices);
+                self.handle_choices(&choices);
                 return;
             }
-            Message::RankExperts(held) if own == Some((held.group, held.epoch)) => {
+            Message::RankExperts(experts) if own == Some((experts.group, experts.epoch)) => {
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
-                    lead.held(held);
+                    lead.record_experts(experts);
                 }
             }
             Message::Order(order) if own.map(|own| own.1) == Some(order.epoch) => {
-                self.obey(agent, order).await;
+                self.execute_order(agent, order).await;
             }
             Message::Difference(difference) if own.map(|own| own.1) == Some(difference.epoch) => {
-                self.differ(difference).await;
+                self.handle_difference(difference).await;
             }
-            Message::MapRequest(lack) if own.map(|own| own.1) == Some(lack.epoch) => {
-                self.complete(agent, lack);
+            Message::MapRequest(request) if own.map(|own| own.1) == Some(request.epoch) => {
+                self.send_whole_map(agent, request);
             }
             Message::Map(map) if own.map(|own| own.1) == Some(map.epoch) => {
-                self.collect(agent, map).await;
+                self.handle_map_part(agent, map).await;
             }
             _ => {}
         }
-        self.drive().await;
+        self.advance_change().await;
     }
 
     /// Reads the own rank's report and tells an agent of it.
-    pub(super) async fn answer(&self, agent: IpAddr) {
-        if let Some(report) = self.read().await {
-            self.observe(&report);
+    pub(super) async fn send_current_state(&self, agent: IpAddr) {
+        if let Some(report) = self.read_report().await {
+            self.handle_report(&report);
             if let Some(state) = self.state()
                 && agent != self.settings.address
             {
@@ -378,10 +380,10 @@
     /// Begins a change of map where one is worth it, as the lead.
     pub async fn decide(self: &Rc<Self>) {
         let now = self.clock.now();
-        let relief = match (&mut *self.lead.borrow_mut(), self.experts.get()) {
+        let change = match (&mut *self.lead.borrow_mut(), self.experts.get()) {
             (Some(lead), Some(experts)) => {
                 let fits = lead.fits(&experts);
-                if self.fits.replace(fits) && !fits {
+                if self.experts_fit.replace(fits) && !fits {
                     warn!(self.log, "Agent: The ranks have no place for all experts; no map is changed.";
                         "experts" => experts.count, "places" => experts.max_slots_per_rank);
                 }
@@ -389,16 +391,16 @@
             }
             _ => return,
         };
-        if let Some(relief) = relief {
+        if let Some(change) = change {
             info!(self.log, "Agent: The map of experts is to change.";
-                "before" => relief.imbalance_before, "after" => relief.imbalance_after,
-                "copies" => relief.copies, "longest" => relief.max_rank_copies);
+                "before" => change.imbalance_before, "after" => change.imbalance_after,
+                "copies" => change.copies, "longest" => change.max_rank_copies);
         }
-        self.drive().await;
+        self.advance_change().await;
     }
 
     /// Carries on with the change under way, as the lead.
-    pub async fn drive(self: &Rc<Self>) {
+    pub async fn advance_change(self: &Rc<Self>) {
         let now = self.clock.now();
         let (orders, ended, epoch) = match &mut *self.lead.borrow_mut() {
             Some(lead) => {
@@ -411,27 +413,27 @@
             Some(SwitchOutcome::Completed(version)) => {
                 info!(self.log, "Agent: A map of experts is in use."; "version" => version);
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
-                    lead.brought(version);
+                    lead.record_completed(version);
                 }
             }
             Some(SwitchOutcome::Abandoned(version)) => {
                 let lead = self.lead.borrow();
-                let lacking = lead.as_ref().map(|lead| lead.switch.unprepared_ranks());
+                let unprepared = lead.as_ref().map(|lead| lead.switch.unprepared_ranks());
                 warn!(self.log, "Agent: A change of map is given up; not all ranks have copied.";
-                    "version" => version, "lacking" => format!("{:?}", lacking.unwrap_or_default()));
+                    "version" => version, "lacking" => format!("{:?}", unprepared.unwrap_or_default()));
             }
             None => {}
         }
-        let mut copying = Vec::new();
+        let mut preparing = Vec::new();
         for send in orders {
             match send.order {
                 switch::Order::Prepare { version } if send.rank > 0 => {
-                    copying.push((version, send.rank));
+                    preparing.push((version, send.rank));
                 }
-                _ => self.order(send, epoch).await,
+                _ => self.send_order(send, epoch).await,
             }
         }
-        self.spread(&copying, epoch);
+        self.distribute_map(&preparing, epoch);
     }
 }
 
--- a/verbenaspool_agent/src/direct/agent_state/tests.rs
+++ b/verbenaspool_agent/src/direct/agent_state/tests.rs
@@ -10,7 +10,7 @@
 use super::{super::settings::Settings, AgentState};
 
 /// The state of the agent beside the first of two ranks.
-fn shared() -> Rc<AgentState> {
+fn agent_state() -> Rc<AgentState> {
     let settings = "path: direct\nname: a\naddress: 127.0.0.1\nupstream: '127.0.0.1:9'\n\
                     service: s\npeer_port: 9\n";
     let settings: Settings = serde_norway::from_str(settings).expect("settings");
@@ -41,8 +41,8 @@
 #[test]
 fn agents_remember_each_other_while_their_group_is_broken() {
     let run = async {
-        let shared = shared();
-        shared.observe(&report("g", 1, true));
+        let shared = agent_state();
+        shared.handle_report(&report("g", 1, true));
         let other = State {
             sequence: 1,
             group: shared.group.get(),
@@ -53,21 +53,21 @@
             pace: 1.0,
             zone: 1,
         };
-        shared.hear_state("127.0.0.2".parse().expect("an address"), other);
-        shared.observe(&report("g", 1, false));
-        shared.observe(&report("g", 2, true));
+        shared.handle_state("127.0.0.2".parse().expect("an address"), other);
+        shared.handle_report(&report("g", 1, false));
+        shared.handle_report(&report("g", 2, true));
         assert!(
             shared.membership.borrow().get(1).is_some(),
             "the same agents"
         );
-        shared.observe(&report("h", 3, true));
+        shared.handle_report(&report("h", 3, true));
         assert!(shared.membership.borrow().get(1).is_none(), "another group");
     };
     runtime::run(run).expect("the loop runs");
 }
 
 /// What an entry says of the service, as one that lies would.
-fn members(slots: u32) -> ServiceInfo {
+fn service_info(slots: u32) -> ServiceInfo {
     ServiceInfo {
         instances: vec!["127.0.0.2".parse().expect("an address")],
         slots,
@@ -81,21 +81,21 @@
 #[test]
 fn only_the_entry_that_was_asked_says_what_the_store_holds() {
     let run = async {
-        let shared = shared();
+        let shared = agent_state();
         let [entry, other] = ["127.0.0.3", "127.0.0.4"].map(|ip| ip.parse().expect("an address"));
-        shared.learn(entry, &members(99));
-        assert_eq!(shared.limit.get(), None);
-        shared.look_up(entry, true).await;
-        shared.learn(other, &members(99));
-        assert_eq!(shared.limit.get(), None);
-        shared.learn(entry, &members(6));
-        assert_eq!(shared.limit.get(), Some(6));
+        shared.handle_service_info(entry, &service_info(99));
+        assert_eq!(shared.slot_count.get(), None);
+        shared.request_service_info(entry, true).await;
+        shared.handle_service_info(other, &service_info(99));
+        assert_eq!(shared.slot_count.get(), None);
+        shared.handle_service_info(entry, &service_info(6));
+        assert_eq!(shared.slot_count.get(), Some(6));
         shared
             .clock
             .sleep(std::time::Duration::from_millis(260))
             .await;
-        shared.learn(entry, &members(99));
-        assert_eq!(shared.limit.get(), Some(6));
+        shared.handle_service_info(entry, &service_info(99));
+        assert_eq!(shared.slot_count.get(), Some(6));
     };
     runtime::run(run).expect("a loop");
 }
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -21,7 +21,7 @@
 
 /// How often every rank may tell the lead by itself at least; where its link doesn't
 /// bear that, messages are summed on the way.
-const DIRECT_REPORT_INTERVAL: Duration = Duration::from_millis(150);
+const MAX_DIRECT_REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How long the sum of a round is waited for. Agents see each 0.05 s that a round is
 /// over, and read the choices then, which takes some 10 ms.
@@ -32,7 +32,7 @@
 
 /// The part of a link that the messages of a circle may take while passes are as short as
 /// they can be. Usual ones take twice as long.
-const GROUP_LINK_RATIO: f64 = 0.8;
+const AGGREGATION_LINK_RATIO: f64 = 0.8;
 
 /// The same while passes are long, and messages the more seldom.
 const LONG_PASS_LINK_RATIO: f64 = 0.4;
@@ -45,27 +45,27 @@
 
 impl AgentState {
     /// Whether messages about choices are summed on their way to the lead.
-    fn gathers(&self) -> bool {
-        self.choices_every() > DIRECT_REPORT_INTERVAL
+    fn aggregates_choices(&self) -> bool {
+        self.choices_interval() > MAX_DIRECT_REPORT_INTERVAL
     }
 
     /// How many counts the choices of a rank have; none while its experts aren't known.
-    pub(super) fn counts(&self) -> usize {
+    pub(super) fn counts_per_rank(&self) -> usize {
         let experts = self.experts.get();
         experts.map_or(0, |e| usize::from(e.layers) * usize::from(e.count))
     }
 
     /// Wakes whoever reads choices where a round is over.
-    pub(super) fn note_round(&self, state: &State) {
-        if self.gathers() && self.over(state).is_some() {
-            self.woken.notify_one();
+    pub(super) fn notify_round_end(&self, state: &State) {
+        if self.aggregates_choices() && self.ended_round(state).is_some() {
+            self.round_ended.notify_one();
         }
     }
 
     /// How many passes a round has at most.
-    fn passes(&self) -> u64 {
-        let time = self.time_of_choices(AGGREGATION_GROUP_SIZE, GROUP_LINK_RATIO);
-        let pass = self.pass.get().max(Duration::from_millis(1));
+    fn passes_per_round(&self) -> u64 {
+        let time = self.choices_transfer_time(AGGREGATION_GROUP_SIZE, AGGREGATION_LINK_RATIO);
+        let pass = self.min_pass_time.get().max(Duration::from_millis(1));
         let passes = u64::try_from(time.as_nanos().div_ceil(pass.as_nanos()));
         passes.unwrap_or(u64::MAX).max(MIN_ROUND_PASSES)
     }
@@ -75,17 +75,21 @@
     /// Every few passes a round ends, which all ranks count alike. Where passes are long,
     /// as after a shift of popularity, each one does, as far as the link bears it: that
     /// is when the lead has to know, and all ranks see that passes are long.
-    fn over(&self, state: &State) -> Option<Round> {
-        let (epoch, step, passes) = (state.report.epoch, state.report.step, self.passes());
+    fn ended_round(&self, state: &State) -> Option<Round> {
+        let (epoch, step, passes) = (
+            state.report.epoch,
+            state.report.step,
+            self.passes_per_round(),
+        );
         let round = |number| Some(Round { epoch, number });
-        let Some(last) = self.sampled.get().filter(|last| last.epoch == epoch) else {
+        let Some(last) = self.last_round.get().filter(|last| last.epoch == epoch) else {
             return round(step / passes * passes);
         };
-        let since = self.clock.now().saturating_sub(self.chosen.get());
+        let since = self.clock.now().saturating_sub(self.choices_read_at.get());
         if step / passes > last.number / passes {
             round(step / passes * passes)
         } else if step > last.number
-            && since >= self.time_of_choices(AGGREGATION_GROUP_SIZE, LONG_PASS_LINK_RATIO)
+            && since >= self.choices_transfer_time(AGGREGATION_GROUP_SIZE, LONG_PASS_LINK_RATIO)
         {
             round(step)
         } else {
@@ -94,53 +98,53 @@
     }
 
     /// Reads what the own rank's requests chose, if it is time, and tells it.
-    pub async fn sample(self: &Rc<Self>, born: u64) {
+    pub async fn sample_choices(self: &Rc<Self>, incarnation: u64) {
         let Some(state) = self.state() else {
             return;
         };
-        if self.gathers() {
-            let Some(round) = self.over(&state) else {
+        if self.aggregates_choices() {
+            let Some(round) = self.ended_round(&state) else {
                 return;
             };
-            self.sampled.set(Some(round));
-            if let Some(counts) = self.newly(born, round.epoch).await {
-                let group_members = self.circle(&state);
-                let turn = round.number / self.passes();
+            self.last_round.set(Some(round));
+            if let Some(counts) = self.read_new_counts(incarnation, round.epoch).await {
+                let group_members = self.aggregation_group(&state);
+                let turn = round.number / self.passes_per_round();
                 let collector = gather::collector(&group_members, turn).unwrap_or(state.rank);
-                self.tell_choices(&state, collector, round.number, &counts)
+                self.send_choices(&state, collector, round.number, &counts)
                     .await;
             }
             return;
         }
-        let since = self.clock.now().saturating_sub(self.chosen.get());
-        if since >= self.choices_every().max(MIN_SAMPLE_INTERVAL)
-            && let Some(counts) = self.newly(born, state.report.epoch).await
+        let since = self.clock.now().saturating_sub(self.choices_read_at.get());
+        if since >= self.choices_interval().max(MIN_SAMPLE_INTERVAL)
+            && let Some(counts) = self.read_new_counts(incarnation, state.report.epoch).await
         {
-            self.tell_choices(&state, 0, state.sequence, &counts).await;
+            self.send_choices(&state, 0, state.sequence, &counts).await;
         }
     }
 
     /// Reads what was chosen since the last reading; none where that can't be told, or
     /// nothing was.
-    async fn newly(&self, born: u64, epoch: u64) -> Option<Vec<u32>> {
+    async fn read_new_counts(&self, incarnation: u64, epoch: u64) -> Option<Vec<u32>> {
         let choice = self.rank.choices().await;
         let choice = choice.filter(|choice| choice.epoch == epoch)?;
-        self.chosen.set(self.clock.now());
+        self.choices_read_at.set(self.clock.now());
         let now = choice.counts.clone();
-        let (incarnation, before) = self.counted.replace((born, choice.counts));
-        if incarnation != born || before.len() != now.len() {
+        let (last_incarnation, before) = self.last_counts.replace((incarnation, choice.counts));
+        if last_incarnation != incarnation || before.len() != now.len() {
             // Counts begin anew with the rank; there is nothing to compare with.
             return None;
         }
-        let more = |(now, before): (&u64, &u64)| {
+        let increase = |(now, before): (&u64, &u64)| {
             u32::try_from(now.saturating_sub(*before)).unwrap_or(u32::MAX)
         };
-        let counts: Vec<u32> = now.iter().zip(&before).map(more).collect();
+        let counts: Vec<u32> = now.iter().zip(&before).map(increase).collect();
         counts.iter().any(|count| *count > 0).then_some(counts)
     }
 
     /// The ranks whose choices are summed together with the own rank's.
-    fn circle(&self, state: &State) -> Vec<u16> {
+    fn aggregation_group(&self, state: &State) -> Vec<u16> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
         let zones = membership.iter(now);
@@ -149,7 +153,7 @@
     }
 
     /// Tells a rank what was chosen, in datagrams.
-    async fn tell_choices(self: &Rc<Self>, state: &State, to: u16, round: u64, counts: &[u32]) {
+    async fn send_choices(self: &Rc<Self>, state: &State, to: u16, round: u64, counts: &[u32]) {
         for (number, counts) in counts.chunks(COUNTS_PER_DATAGRAM).enumerate() {
             let choices = Choices {
                 group: state.group,
@@ -160,7 +164,7 @@
                 counts: counts.to_vec(),
             };
             if to == state.rank {
-                self.hear_choices(&choices);
+                self.handle_choices(&choices);
                 continue;
             }
             let agent = self.membership.borrow().get(to).map(|member| member.agent);
@@ -171,11 +175,11 @@
     }
 
     /// Takes in what requests chose: as the lead to decide by it, otherwise to sum it.
-    pub(super) fn hear_choices(self: &Rc<Self>, choices: &Choices) {
-        let (now, counts) = (self.clock.now(), self.counts());
+    pub(super) fn handle_choices(self: &Rc<Self>, choices: &Choices) {
+        let (now, counts) = (self.clock.now(), self.counts_per_rank());
         if let Some(lead) = &mut *self.lead.borrow_mut() {
-            if !lead.stands_in && !lead.choices(now, choices, counts) {
-                self.drop_word(choices);
+            if !lead.stands_in && !lead.add_choices(now, choices, counts) {
+                self.record_dropped_choices(choices);
             }
             return;
         }
@@ -191,38 +195,38 @@
             offset: usize::try_from(choices.offset).unwrap_or(usize::MAX),
             counts: &choices.counts,
         };
-        let apart = state.report.step.abs_diff(round.number) / self.passes();
-        let taken = if state.report.epoch == round.epoch && apart <= MAX_ROUND_SKEW {
-            let group_members = self.circle(&state).len();
+        let rounds_apart = state.report.step.abs_diff(round.number) / self.passes_per_round();
+        let outcome = if state.report.epoch == round.epoch && rounds_apart <= MAX_ROUND_SKEW {
+            let group_members = self.aggregation_group(&state).len();
             self.sums
                 .borrow_mut()
                 .add(round, &part, group_members, counts)
         } else {
             AddOutcome::Dropped
         };
-        match taken {
+        match outcome {
             AddOutcome::First => {
                 let shared = self.clone();
                 monoio::spawn(async move {
                     shared.clock.sleep(ROUND_TIMEOUT).await;
-                    shared.pass_sum_on(round).await;
+                    shared.forward_sum(round).await;
                 });
             }
             AddOutcome::Complete => {
                 let shared = self.clone();
-                monoio::spawn(async move { shared.pass_sum_on(round).await });
+                monoio::spawn(async move { shared.forward_sum(round).await });
             }
             AddOutcome::Added => {}
-            AddOutcome::Late => self.pass_part_on(choices),
-            AddOutcome::Dropped => self.drop_word(choices),
+            AddOutcome::Late => self.forward_part(choices),
+            AddOutcome::Dropped => self.record_dropped_choices(choices),
         }
     }
 
     /// Notes messages about choices that are of no use; one line of log where there were
     /// none before.
-    fn drop_word(&self, choices: &Choices) {
-        let dropped = self.dropped.get();
-        self.dropped.set(dropped + 1);
+    fn record_dropped_choices(&self, choices: &Choices) {
+        let dropped = self.dropped_choices.get();
+        self.dropped_choices.set(dropped + 1);
         if dropped == 0 {
             warn!(self.log, "Agent: A message about choices came twice, too late or doesn't fit; such messages are dropped.";
                 "rank" => choices.rank, "epoch" => choices.epoch, "round" => choices.round,
@@ -231,7 +235,7 @@
     }
 
     /// Passes a part on to the lead that came too late for its sum.
-    fn pass_part_on(self: &Rc<Self>, choices: &Choices) {
+    fn forward_part(self: &Rc<Self>, choices: &Choices) {
         if let Some(lead) = self.lead_agent() {
             let (shared, message) = (self.clone(), Message::Choices(choices.clone()));
             monoio::spawn(async move { shared.send(lead, &message).await });
@@ -239,12 +243,12 @@
     }
 
     /// Passes the sum of a round on to the lead.
-    async fn pass_sum_on(self: &Rc<Self>, round: Round) {
+    async fn forward_sum(self: &Rc<Self>, round: Round) {
         let sum = self.sums.borrow_mut().close(round);
         let state = self.state();
         let state = state.filter(|state| state.report.epoch == round.epoch);
         if let (Some(sum), Some(state)) = (sum, state) {
-            Box::pin(self.tell_choices(&state, 0, round.number, &sum)).await;
+            Box::pin(self.send_choices(&state, 0, round.number, &sum)).await;
         }
     }
 }
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -55,7 +55,7 @@
 
 /// The map of the group as its ranks hold it.
 #[derive(Debug, Clone, Default)]
-struct Holding {
+struct RankMap {
     version: u64,
     experts: Vec<Vec<u16>>,
 }
@@ -66,7 +66,7 @@
     /// Its version.
     pub version: u64,
     /// The experts by set and rank.
-    pub places: Vec<Vec<Vec<u16>>>,
+    pub placement: Vec<Vec<Vec<u16>>>,
     /// The version that it differs from, and by what.
     pub base: u64,
     /// The places that change.
@@ -85,15 +85,15 @@
     /// Whether it only stands in for a lead that is silent, to let a pass begin
     /// that is held.
     pub stands_in: bool,
-    ranks: usize,
+    rank_count: usize,
     epoch: u64,
-    held: BTreeMap<u16, Holding>,
-    loads: Vec<f64>,
-    at: Duration,
+    rank_maps: BTreeMap<u16, RankMap>,
+    expert_loads: Vec<f64>,
+    loads_updated_at: Duration,
     /// When the group was first seen to run.
-    formed: Option<Duration>,
+    running_since: Option<Duration>,
     /// The last round of each part of a rank's messages about choices, and when it came.
-    heard: BTreeMap<(u16, u32), (u64, Duration)>,
+    received_rounds: BTreeMap<(u16, u32), (u64, Duration)>,
     /// How many times longer than usual each rank takes for its work.
     paces: Vec<f64>,
 }
@@ -105,13 +105,13 @@
             switch: Switch::new(ranks),
             plan: None,
             stands_in: false,
-            ranks,
+            rank_count: ranks,
             epoch: 0,
-            held: BTreeMap::new(),
-            loads: Vec::new(),
-            at: Duration::ZERO,
-            formed: None,
-            heard: BTreeMap::new(),
+            rank_maps: BTreeMap::new(),
+            expert_loads: Vec::new(),
+            loads_updated_at: Duration::ZERO,
+            running_since: None,
+            received_rounds: BTreeMap::new(),
             paces: vec![1.0; ranks],
         }
     }
@@ -124,11 +124,11 @@
     ///
     /// Other ranks may have reported of the new epoch before the own one did.
     pub fn inherit(&mut self, before: Self, epoch: u64) {
-        if before.ranks != self.ranks {
+        if before.rank_count != self.rank_count {
             return;
         }
-        self.loads = before.loads;
-        self.at = before.at;
+        self.expert_loads = before.expert_loads;
+        self.loads_updated_at = before.loads_updated_at;
         if before.switch.epoch() == epoch {
             self.switch = before.switch;
         }
@@ -137,11 +137,11 @@
     /// Whether each expert has a place on the group's ranks. Where not, no map is one
     /// that engines take, and none is ordered.
     pub fn fits(&self, experts: &Experts) -> bool {
-        experts.fits(self.ranks)
+        experts.fits(self.rank_count)
     }
 
     /// Takes in how slow a rank is.
-    pub fn pace(&mut self, rank: usize, pace: f32) {
+    pub fn set_pace(&mut self, rank: usize, pace: f32) {
         if let Some(known) = self.paces.get_mut(rank) {
             *known = pace.into();
         }
@@ -153,16 +153,16 @@
     /// are to leave it in one change, where one copy a rank and change took three
     /// changes of a second each. Likewise when it is well again and holds hardly any, and
     /// on the map that a group forms with, which is about as bad.
-    fn copying(&self, now: Duration, layers: &[Layer], version: u64) -> Duration {
-        let forming = self
-            .formed
-            .is_some_and(|formed| now < formed + FORMING_TIME);
-        let first = version == INITIAL_VERSION || forming;
+    fn max_copy_time(&self, now: Duration, layers: &[Layer], version: u64) -> Duration {
+        let newly_formed = self
+            .running_since
+            .is_some_and(|since| now < since + FORMING_TIME);
+        let initial = version == INITIAL_VERSION || newly_formed;
         let slow = self.paces.iter().any(|pace| *pace >= SLOW_RANK_PACE);
-        let places = |rank: usize| layers.iter().map(|l| l.ranks[rank].len()).sum::<usize>();
-        let all: usize = (0..self.ranks).map(places).sum();
-        let empty = (0..self.ranks).any(|rank| places(rank) * self.ranks * 2 < all);
-        if first || slow || empty {
+        let slots = |rank: usize| layers.iter().map(|l| l.ranks[rank].len()).sum::<usize>();
+        let all: usize = (0..self.rank_count).map(slots).sum();
+        let empty = (0..self.rank_count).any(|rank| slots(rank) * self.rank_count * 2 < all);
+        if initial || slow || empty {
             REBUILD_COPY_TIME
         } else {
             COPY_TIME
@@ -173,59 +173,60 @@
     /// fits and is new.
     ///
     /// A message that came twice would count double.
-    pub fn choices(&mut self, now: Duration, choices: &Choices, counts: usize) -> bool {
+    pub fn add_choices(&mut self, now: Duration, choices: &Choices, counts: usize) -> bool {
         let from = choices.offset as usize;
         let end = from.saturating_add(choices.counts.len());
-        let twice = |(round, at): &(u64, Duration)| {
+        let is_duplicate = |(round, at): &(u64, Duration)| {
             choices.round <= *round && now.saturating_sub(*at) < REORDER_WINDOW
         };
         let part = (choices.rank, choices.offset);
-        if end > counts || self.heard.get(&part).is_some_and(twice) {
+        if end > counts || self.received_rounds.get(&part).is_some_and(is_duplicate) {
             return false;
         }
-        self.heard.insert(part, (choices.round, now));
-        let age = now.saturating_sub(self.at).as_secs_f64() / EXPERT_LOAD_WINDOW.as_secs_f64();
-        self.at = now;
-        let fade = (-age).exp();
-        self.loads.iter_mut().for_each(|load| *load *= fade);
-        self.loads.resize(counts, 0.0);
-        for (load, count) in self.loads[from..end].iter_mut().zip(&choices.counts) {
+        self.received_rounds.insert(part, (choices.round, now));
+        let age = now.saturating_sub(self.loads_updated_at).as_secs_f64()
+            / EXPERT_LOAD_WINDOW.as_secs_f64();
+        self.loads_updated_at = now;
+        let decay = (-age).exp();
+        self.expert_loads.iter_mut().for_each(|load| *load *= decay);
+        self.expert_loads.resize(counts, 0.0);
+        for (load, count) in self.expert_loads[from..end].iter_mut().zip(&choices.counts) {
             *load += f64::from(*count);
         }
         true
     }
 
     /// Takes in what a rank holds.
-    pub fn held(&mut self, held: RankExperts) {
-        if held.epoch > self.epoch {
-            self.epoch = held.epoch;
-            self.held.clear();
+    pub fn record_experts(&mut self, experts: RankExperts) {
+        if experts.epoch > self.epoch {
+            self.epoch = experts.epoch;
+            self.rank_maps.clear();
         }
         // A message from before the last change comes too late.
-        let newer = |known: &Holding| held.version >= known.version;
-        if held.epoch == self.epoch && self.held.get(&held.rank).is_none_or(newer) {
-            let holding = Holding {
-                version: held.version,
-                experts: held.experts,
+        let newer = |known: &RankMap| experts.version >= known.version;
+        if experts.epoch == self.epoch && self.rank_maps.get(&experts.rank).is_none_or(newer) {
+            let rank_map = RankMap {
+                version: experts.version,
+                experts: experts.experts,
             };
-            self.held.insert(held.rank, holding);
+            self.rank_maps.insert(experts.rank, rank_map);
         }
     }
 
     /// A map is in use that this lead brought there: what ranks hold is known
     /// without their message, which takes up to 0.2 s.
-    pub fn brought(&mut self, version: u64) {
+    pub fn record_completed(&mut self, version: u64) {
         let Some(plan) = self.plan.as_ref().filter(|plan| plan.version == version) else {
             return;
         };
-        for rank in 0..self.ranks {
-            let experts = plan.places.iter().map(|ranks| ranks[rank].clone());
-            let holding = Holding {
+        for rank in 0..self.rank_count {
+            let experts = plan.placement.iter().map(|ranks| ranks[rank].clone());
+            let rank_map = RankMap {
                 version,
                 experts: experts.collect(),
             };
-            self.held
-                .insert(u16::try_from(rank).unwrap_or(u16::MAX), holding);
+            self.rank_maps
+                .insert(u16::try_from(rank).unwrap_or(u16::MAX), rank_map);
         }
     }
 
@@ -234,23 +235,26 @@
     /// The map that a group forms with is known without their messages, which take too
     /// long: everybody who waited for the group comes at once, and passes on this map are
     /// the longest there are.
-    fn layers(&self, experts: &Experts) -> Option<(u64, Vec<Layer>)> {
+    fn current_map(&self, experts: &Experts) -> Option<(u64, Vec<Layer>)> {
         if self.switch.map_version() == Some(INITIAL_VERSION) {
-            let ranks = u16::try_from(self.ranks).ok()?;
+            let ranks = u16::try_from(self.rank_count).ok()?;
             let sets = initial_placement(ranks, experts).into_iter();
             return Some((INITIAL_VERSION, sets.map(|ranks| Layer { ranks }).collect()));
         }
-        let first = self.held.get(&0)?;
-        let complete = self.held.len() == self.ranks
-            && self.held.values().all(|held| held.version == first.version)
+        let first = self.rank_maps.get(&0)?;
+        let complete = self.rank_maps.len() == self.rank_count
+            && self
+                .rank_maps
+                .values()
+                .all(|map| map.version == first.version)
             && self.epoch == self.switch.epoch();
         if !complete {
             return None;
         }
         let sets = usize::from(experts.layers);
         let ranks = |set: usize| {
-            let ranks = self.held.values();
-            ranks.map(move |held| held.experts.get(set).cloned().unwrap_or_default())
+            let ranks = self.rank_maps.values();
+            ranks.map(move |map| map.experts.get(set).cloned().unwrap_or_default())
         };
         let layer = |set| Layer {
             ranks: ranks(set).collect(),
@@ -259,14 +263,18 @@
     }
 
     /// The loads by set.
-    fn loads(&self, experts: &Experts) -> Option<Vec<Vec<f64>>> {
+    fn layer_loads(&self, experts: &Experts) -> Option<Vec<Vec<f64>>> {
         let count = usize::from(experts.count);
-        let sets: Vec<Vec<f64>> = self.loads.chunks(count).map(<[f64]>::to_vec).collect();
-        let whole = sets.len() == usize::from(experts.layers);
+        let sets: Vec<Vec<f64>> = self
+            .expert_loads
+            .chunks(count)
+            .map(<[f64]>::to_vec)
+            .collect();
+        let complete = sets.len() == usize::from(experts.layers);
         let enough = sets
             .iter()
             .all(|set| set.iter().sum::<f64>() >= MIN_SAMPLES);
-        (whole && enough).then_some(sets)
+        (complete && enough).then_some(sets)
     }
 
     /// Begins a change, if one is worth it now.
@@ -274,54 +282,58 @@
         if self.stands_in || !self.switch.is_ready(now) || !self.fits(experts) {
             return None;
         }
-        self.formed.get_or_insert(now);
-        if now.saturating_sub(self.at) > STALE_AFTER {
+        self.running_since.get_or_insert(now);
+        if now.saturating_sub(self.loads_updated_at) > STALE_AFTER {
             return None;
         }
-        let (base, layers) = self.layers(experts)?;
+        let (base, layers) = self.current_map(experts)?;
         #[allow(clippy::cast_precision_loss)] // Groups are small.
-        let bound = ChangeLimits {
+        let limits = ChangeLimits {
             max_slots_per_rank: experts.max_slots_per_rank.into(),
             max_new_per_layer: experts.max_new_per_layer.into(),
-            max_copies_per_rank: copies(self.copying(now, &layers, base), experts.copy_time),
+            max_copies_per_rank: copies_within(
+                self.max_copy_time(now, &layers, base),
+                experts.copy_time,
+            ),
             min_gain_per_copy: MIN_GAIN_PER_COPY_SECOND * experts.copy_time.as_secs_f64()
-                / self.ranks.max(1) as f64,
+                / self.rank_count.max(1) as f64,
         };
-        let relief = incremental::plan_change(&layers, &self.loads(experts)?, &self.paces, &bound)?;
+        let change =
+            incremental::plan_change(&layers, &self.layer_loads(experts)?, &self.paces, &limits)?;
         let highest = self
             .switch
             .highest_version()
             .max(self.plan.as_ref().map_or(0, |p| p.version));
-        let drawn = rand::rng().random_range(0..1 << RANDOM_VERSION_BITS);
-        let version = (((highest >> RANDOM_VERSION_BITS) + 1) << RANDOM_VERSION_BITS) + drawn;
+        let random = rand::rng().random_range(0..1 << RANDOM_VERSION_BITS);
+        let version = (((highest >> RANDOM_VERSION_BITS) + 1) << RANDOM_VERSION_BITS) + random;
         // Every rank must get the same map to the letter, whichever way it comes.
         let sorted = |experts: &Vec<u16>| {
             let mut experts = experts.clone();
             experts.sort_unstable();
             experts
         };
-        let places = |layers: &[Layer]| -> Vec<Vec<Vec<u16>>> {
+        let placement = |layers: &[Layer]| -> Vec<Vec<Vec<u16>>> {
             let layers = layers.iter();
             layers
                 .map(|layer| layer.ranks.iter().map(sorted).collect())
                 .collect()
         };
-        let (before, after) = (places(&layers), places(&relief.layers));
+        let (before, after) = (placement(&layers), placement(&change.layers));
         self.plan = Some(Plan {
             version,
             base,
             moves: diff(&before, &after),
             hash: placement_hash(&after),
-            places: after,
+            placement: after,
         });
-        let longest = u32::try_from(relief.max_rank_copies).unwrap_or(u32::MAX);
+        let longest = u32::try_from(change.max_rank_copies).unwrap_or(u32::MAX);
         self.switch.start(now, version, experts.copy_time * longest);
-        Some(relief)
+        Some(change)
     }
 
     /// The map of a version as what differs from the one in use, in parts that fit in
     /// datagrams.
-    pub fn differences(&self, version: u64, epoch: u64) -> Vec<Difference> {
+    pub fn difference_parts(&self, version: u64, epoch: u64) -> Vec<Difference> {
         let plan = self.plan.as_ref().filter(|plan| plan.version == version);
         let Some(plan) = plan else {
             return Vec::new();
@@ -342,37 +354,37 @@
     }
 
     /// The map of a version in parts that fit in datagrams.
-    pub fn parts(&self, version: u64, epoch: u64) -> Vec<Map> {
+    pub fn map_parts(&self, version: u64, epoch: u64) -> Vec<Map> {
         let Some(plan) = self.plan.as_ref().filter(|plan| plan.version == version) else {
             return Vec::new();
         };
         let numbers: usize = plan
-            .places
+            .placement
             .iter()
             .flatten()
             .map(|ranks| ranks.len() + 1)
             .sum();
-        let sets = plan.places.len();
+        let sets = plan.placement.len();
         // Numbers take one byte or two.
         let parts = (numbers * 2).div_ceil(1_000).clamp(1, sets.max(1));
-        let each = sets.div_ceil(parts).max(1);
-        let chunks = plan.places.chunks(each).enumerate();
+        let sets_per_part = sets.div_ceil(parts).max(1);
+        let chunks = plan.placement.chunks(sets_per_part).enumerate();
         let count = |number: usize| u16::try_from(number).unwrap_or(u16::MAX);
         chunks
-            .map(|(number, places)| Map {
+            .map(|(number, placement)| Map {
                 epoch,
                 version,
                 set_count: count(sets),
-                first_set: count(number * each),
-                placement: places.to_vec(),
+                first_set: count(number * sets_per_part),
+                placement: placement.to_vec(),
             })
             .collect()
     }
 }
 
 /// How many copies a rank makes in the time for one change.
-fn copies(time: Duration, copy: Duration) -> usize {
-    let copies = time.as_micros() / copy.as_micros().max(1);
+fn copies_within(time: Duration, copy_time: Duration) -> usize {
+    let copies = time.as_micros() / copy_time.as_micros().max(1);
     usize::try_from(copies)
         .unwrap_or(usize::MAX)
         .clamp(1, MAX_COPIES_PER_RANK)
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -27,7 +27,7 @@
             ..Report::default()
         };
         lead.switch.report(NOW, rank.into(), report);
-        lead.held(RankExperts {
+        lead.record_experts(RankExperts {
             group: 7,
             epoch,
             rank,
@@ -56,12 +56,12 @@
 #[test]
 fn popularity_outlives_a_break() {
     let mut before = formed(1);
-    before.choices(NOW, &choices(), 4);
+    before.add_choices(NOW, &choices(), 4);
     let mut lead = formed(2);
     assert_eq!(lead.decide(NOW, &EXPERTS), None, "nothing is known");
     lead.inherit(before, 2);
-    let relief = lead.decide(NOW, &EXPERTS).expect("a change");
-    assert!(relief.imbalance_after < 1.2, "{relief:?}");
+    let change = lead.decide(NOW, &EXPERTS).expect("a change");
+    assert!(change.imbalance_after < 1.2, "{change:?}");
 }
 
 /// Guards against a lead that waits for what ranks hold, or for reports that came before
@@ -83,7 +83,7 @@
         epoch: 2,
         ..choices()
     };
-    lead.choices(NOW, &choices, 4);
+    lead.add_choices(NOW, &choices, 4);
     assert!(lead.decide(NOW, &EXPERTS).is_some());
 }
 
@@ -91,7 +91,7 @@
 #[test]
 fn what_was_chosen_long_ago_decides_nothing() {
     let mut lead = formed(1);
-    lead.choices(Duration::from_secs(1), &choices(), 4);
+    lead.add_choices(Duration::from_secs(1), &choices(), 4);
     assert_eq!(lead.decide(NOW, &EXPERTS), None);
 }
 
@@ -100,15 +100,15 @@
 #[test]
 fn a_bad_map_is_left_in_fewer_changes() {
     let mut lead = formed(1);
-    let (_, layers) = lead.layers(&EXPERTS).expect("both ranks said it");
+    let (_, layers) = lead.current_map(&EXPERTS).expect("both ranks said it");
     let copies = |lead: &Lead, layers: &[Layer], version| {
-        super::copies(lead.copying(NOW, layers, version), EXPERTS.copy_time)
+        super::copies_within(lead.max_copy_time(NOW, layers, version), EXPERTS.copy_time)
     };
     assert_eq!(copies(&lead, &layers, 0), 3, "the first map");
     assert_eq!(copies(&lead, &layers, 9), 1, "a map that was searched");
-    lead.pace(1, 4.0);
+    lead.set_pace(1, 4.0);
     assert_eq!(copies(&lead, &layers, 9), 3, "a slow rank");
-    lead.pace(1, 1.0);
+    lead.set_pace(1, 1.0);
     let mut empty = layers.clone();
     empty[0].ranks = vec![vec![0, 1, 2, 3], Vec::new()];
     assert_eq!(copies(&lead, &empty, 9), 3, "a rank that is well again");
@@ -119,7 +119,7 @@
 #[test]
 fn experts_without_a_place_change_no_map() {
     let mut lead = formed(1);
-    lead.choices(NOW, &choices(), 4);
+    lead.add_choices(NOW, &choices(), 4);
     let narrow = Experts {
         max_slots_per_rank: 1,
         ..EXPERTS
--- a/verbenaspool_agent/src/direct/lookup.rs
+++ b/verbenaspool_agent/src/direct/lookup.rs
@@ -24,35 +24,39 @@
 
 impl AgentState {
     /// Asks an entry that has just spoken, if it is time.
-    pub(super) async fn look_up(&self, entry: IpAddr, near: bool) {
+    pub(super) async fn request_service_info(&self, entry: IpAddr, same_zone: bool) {
         let now = self.clock.now();
-        let known = self.is_complete() && self.experts.get().is_some();
-        let pause = LOOKUP_INTERVALS[usize::from(known)]
-            * if near { 1 } else { CROSS_ZONE_INTERVAL_FACTOR };
-        let waits = |(_, at): (IpAddr, Duration)| now.saturating_sub(at) < pause;
-        if self.asked.get().is_some_and(waits) {
+        let complete = self.knows_whole_group() && self.experts.get().is_some();
+        let interval = LOOKUP_INTERVALS[usize::from(complete)]
+            * if same_zone {
+                1
+            } else {
+                CROSS_ZONE_INTERVAL_FACTOR
+            };
+        let is_recent = |(_, at): (IpAddr, Duration)| now.saturating_sub(at) < interval;
+        if self.last_lookup.get().is_some_and(is_recent) {
             return;
         }
-        self.asked.set(Some((entry, now)));
+        self.last_lookup.set(Some((entry, now)));
         self.send(entry, &Message::Lookup).await;
     }
 
     /// Takes in what an entry says that was asked.
-    pub(super) fn learn(&self, entry: IpAddr, members: &ServiceInfo) {
+    pub(super) fn handle_service_info(&self, entry: IpAddr, info: &ServiceInfo) {
         let now = self.clock.now();
         let expected = |(asked, at): (IpAddr, Duration)| {
             asked == entry && now.saturating_sub(at) < LOOKUP_TIMEOUT
         };
-        if !self.asked.get().is_some_and(expected) {
+        if !self.last_lookup.get().is_some_and(expected) {
             return;
         }
         self.instances
-            .replace(members.instances.iter().copied().collect());
-        self.limit.set(Some(members.slots));
-        self.pass.set(members.min_pass_time);
-        if self.experts.replace(members.experts) != members.experts {
+            .replace(info.instances.iter().copied().collect());
+        self.slot_count.set(Some(info.slots));
+        self.min_pass_time.set(info.min_pass_time);
+        if self.experts.replace(info.experts) != info.experts {
             info!(self.log, "Agent: The experts of the service are known.";
-                "experts" => format!("{:?}", members.experts), "from" => entry.to_string());
+                "experts" => format!("{:?}", info.experts), "from" => entry.to_string());
         }
     }
 }
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -27,7 +27,7 @@
     /// What it said last.
     pub state: State,
     /// When.
-    pub heard: Duration,
+    pub received_at: Duration,
 }
 
 /// The agents of a group by rank.
@@ -36,23 +36,23 @@
 
 impl Membership {
     /// Takes a state in; tells whether it is news.
-    pub fn hear(&mut self, now: Duration, agent: IpAddr, state: State) -> bool {
+    pub fn update(&mut self, now: Duration, agent: IpAddr, state: State) -> bool {
         if let Some(known) = self.0.get(&state.rank) {
-            let lately = now.saturating_sub(known.heard) < REORDER_WINDOW;
-            let place = |state: &State| (state.report.epoch, state.sequence);
-            let older = place(&state) <= place(&known.state);
-            if known.agent == agent && lately && older {
+            let recent = now.saturating_sub(known.received_at) < REORDER_WINDOW;
+            let position = |state: &State| (state.report.epoch, state.sequence);
+            let older = position(&state) <= position(&known.state);
+            if known.agent == agent && recent && older {
                 return false;
             }
             if known.state.report.epoch > state.report.epoch && known.state.group == state.group {
                 return false;
             }
         }
-        let heard = now;
+        let received_at = now;
         let member = Member {
             agent,
             state,
-            heard,
+            received_at,
         };
         self.0.insert(member.state.rank, member);
         true
@@ -65,8 +65,8 @@
 
     /// All membership that were heard not too long ago.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Member> {
-        let lately = move |member: &&Member| now.saturating_sub(member.heard) < FORGET_AFTER;
-        self.0.values().filter(lately)
+        let recent = move |member: &&Member| now.saturating_sub(member.received_at) < FORGET_AFTER;
+        self.0.values().filter(recent)
     }
 
     /// The agents that hear many times a second how a rank stands.
@@ -76,13 +76,13 @@
     /// these two, to see whether a lead is silent and a pass is held. With all ranks
     /// telling all others a group of 32 would send 9,900 datagrams a second, two in three
     /// between zones.
-    pub fn audience(&self, now: Duration, rank: u16) -> BTreeSet<IpAddr> {
-        let hears = |member: &&Member| {
+    pub fn state_recipients(&self, now: Duration, rank: u16) -> BTreeSet<IpAddr> {
+        let is_recipient = |member: &&Member| {
             let member = member.state.rank;
             member <= HOLDER_RANK || rank <= HOLDER_RANK && member < MAX_STAND_INS
         };
         self.iter(now)
-            .filter(hears)
+            .filter(is_recipient)
             .map(|member| member.agent)
             .collect()
     }
--- a/verbenaspool_agent/src/direct/membership/tests.rs
+++ b/verbenaspool_agent/src/direct/membership/tests.rs
@@ -22,7 +22,7 @@
             pace: 1.0,
             zone: 1,
         };
-        membership.hear(Duration::ZERO, agent(rank), state);
+        membership.update(Duration::ZERO, agent(rank), state);
     }
     membership
 }
@@ -34,12 +34,12 @@
     let membership = membership(32);
     let now = Duration::from_millis(10);
     for rank in 2..32 {
-        let audience = membership.audience(now, rank);
-        assert_eq!(audience, [agent(0), agent(1)].into(), "rank {rank}");
+        let recipients = membership.state_recipients(now, rank);
+        assert_eq!(recipients, [agent(0), agent(1)].into(), "rank {rank}");
     }
     for rank in 0..2 {
-        let audience: Vec<IpAddr> = membership.audience(now, rank).into_iter().collect();
+        let recipients: Vec<IpAddr> = membership.state_recipients(now, rank).into_iter().collect();
         let standins: Vec<IpAddr> = (0..MAX_STAND_INS).map(agent).collect();
-        assert_eq!(audience, standins, "rank {rank}");
+        assert_eq!(recipients, standins, "rank {rank}");
     }
 }
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -19,7 +19,7 @@
 
 /// How many passes ahead a forerunner of this process may have given orders for.
 /// Passes are held two ahead; the others make up for passes begun since.
-const INHERITED_PASSES: u64 = 4;
+const PREDECESSOR_PASSES: u64 = 4;
 
 /// How often an order is given that gets no answer. With one in three lost, ten
 /// in a row are lost less than once in 50,000 times.
@@ -27,68 +27,69 @@
 
 impl AgentState {
     /// Up to which pass of an epoch no order of a lead to arm is given.
-    pub(super) fn barred(&self, epoch: u64) -> u64 {
-        let (barred_epoch, step) = self.bar.get();
-        if barred_epoch == epoch { step } else { 0 }
+    pub(super) fn arming_blocked_through(&self, epoch: u64) -> u64 {
+        let (blocked_epoch, step) = self.arming_block.get();
+        if blocked_epoch == epoch { step } else { 0 }
     }
 
     /// The last pass of an epoch for which an order to arm was given.
-    pub(super) fn given(&self, epoch: u64) -> u64 {
-        let (given_epoch, step) = self.gave.get();
-        if given_epoch == epoch { step } else { 0 }
+    pub(super) fn last_arm_step(&self, epoch: u64) -> u64 {
+        let (arm_epoch, step) = self.last_arm.get();
+        if arm_epoch == epoch { step } else { 0 }
     }
 
     /// Gives no order of a lead to arm for a pass up to this one from here on.
-    pub(super) fn bar(&self, epoch: u64, step: u64) {
-        if self.barred(epoch) < step {
-            self.bar.set((epoch, step));
+    pub(super) fn block_arming(&self, epoch: u64, step: u64) {
+        if self.arming_blocked_through(epoch) < step {
+            self.arming_block.set((epoch, step));
             info!(self.log, "Agent: No order of a lead to arm is given any more.";
-                "epoch" => epoch, "step" => step, "given" => self.given(epoch));
+                "epoch" => epoch, "step" => step, "given" => self.last_arm_step(epoch));
         }
     }
 
     /// Notes that an order to arm is about to be given.
-    pub(super) fn note_given(&self, epoch: u64, step: u64) {
-        self.gave.set((epoch, self.given(epoch).max(step)));
+    pub(super) fn record_arm(&self, epoch: u64, step: u64) {
+        self.last_arm
+            .set((epoch, self.last_arm_step(epoch).max(step)));
     }
 
     /// A process that has just started doesn't know what its forerunner did: it
     /// may have given any order for the passes to come, and promised any bar.
-    pub(super) fn inherit(&self, epoch: u64, step: u64) {
-        if self.state.borrow().is_none() && self.number.get() == self.first {
-            let ahead = step + INHERITED_PASSES;
-            self.bar.set((epoch, ahead));
-            self.gave.set((epoch, ahead));
+    pub(super) fn assume_predecessor_orders(&self, epoch: u64, step: u64) {
+        if self.state.borrow().is_none() && self.sequence.get() == self.first_sequence {
+            let ahead = step + PREDECESSOR_PASSES;
+            self.arming_block.set((epoch, ahead));
+            self.last_arm.set((epoch, ahead));
         }
     }
 
     /// Carries out an order of the lead, and tells it how the rank stands then.
-    pub(super) async fn obey(self: &Rc<Self>, agent: IpAddr, order: Order) {
+    pub(super) async fn execute_order(self: &Rc<Self>, agent: IpAddr, order: Order) {
         let Action::Change(change) = order.action else {
-            self.answer(agent).await;
+            self.send_current_state(agent).await;
             return;
         };
-        let what = match change {
+        let engine_order = match change {
             Change::Hold { step } => order::Order::Hold { step },
-            Change::Arm { step, .. } if step <= self.barred(order.epoch) => {
-                self.answer(agent).await;
+            Change::Arm { step, .. } if step <= self.arming_blocked_through(order.epoch) => {
+                self.send_current_state(agent).await;
                 return;
             }
             Change::Arm { version, step } | Change::Finish { version, step } => {
-                self.note_given(order.epoch, step);
+                self.record_arm(order.epoch, step);
                 order::Order::Arm { version, step }
             }
             Change::Go { step } => order::Order::Go { step },
             Change::BlockArming { step } => {
-                self.bar(order.epoch, step);
-                self.answer(agent).await;
+                self.block_arming(order.epoch, step);
+                self.send_current_state(agent).await;
                 return;
             }
             // Maps come by themselves, whole or as what differs.
             Change::Prepare { .. } => return,
         };
-        self.give(&what, order.epoch).await;
-        self.answer(agent).await;
+        self.order_own_rank(&engine_order, order.epoch).await;
+        self.send_current_state(agent).await;
     }
 
     /// Gives the own rank an order, again and again until it is answered or its
@@ -97,39 +98,39 @@
     /// An order may get no answer and be carried out seconds later. All orders
     /// bear being given twice: they name the version or the pass that they are
     /// for, and a late one is refused because that pass has begun by then.
-    pub(super) async fn give(&self, what: &order::Order, epoch: u64) {
-        if self.giving.borrow().as_ref() == Some(what) {
+    pub(super) async fn order_own_rank(&self, order: &order::Order, epoch: u64) {
+        if self.pending_order.borrow().as_ref() == Some(order) {
             return;
         }
-        self.giving.replace(Some(what.clone()));
-        for tries in 1..=MAX_ORDER_ATTEMPTS {
+        self.pending_order.replace(Some(order.clone()));
+        for attempt in 1..=MAX_ORDER_ATTEMPTS {
             let outcome = self
                 .rank
-                .order(what, epoch, rank::LOCAL_ORDER_TIMEOUT)
+                .order(order, epoch, rank::LOCAL_ORDER_TIMEOUT)
                 .await;
             if outcome == Outcome::Taken {
                 debug!(self.log, "Agent: The rank took an order.";
-                    "order" => name(what), "epoch" => epoch, "tries" => tries);
+                    "order" => order_name(order), "epoch" => epoch, "tries" => attempt);
                 break;
             }
             info!(self.log, "Agent: The rank didn't take an order.";
-                "order" => name(what), "epoch" => epoch, "tries" => tries,
+                "order" => order_name(order), "epoch" => epoch, "tries" => attempt,
                 "outcome" => format!("{outcome:?}"));
             if outcome != Outcome::Unknown {
                 break;
             }
             let report = self.rank.report().await;
-            if report.is_some_and(|report| shows(&report, what)) {
+            if report.is_some_and(|report| shows_effect(&report, order)) {
                 break;
             }
         }
-        self.giving.replace(None);
+        self.pending_order.replace(None);
     }
 
     /// Takes a part of a map in; with the last part, has the rank prepare it.
-    pub(super) async fn collect(self: &Rc<Self>, agent: IpAddr, map: Map) {
+    pub(super) async fn handle_map_part(self: &Rc<Self>, agent: IpAddr, map: Map) {
         let whole = {
-            let mut partial = self.map.borrow_mut();
+            let mut partial = self.partial_map.borrow_mut();
             if partial
                 .as_ref()
                 .is_none_or(|known| known.version != map.version)
@@ -143,32 +144,32 @@
                 return;
             };
             for (number, set) in map.placement.into_iter().enumerate() {
-                if let Some(place) = partial.sets.get_mut(usize::from(map.first_set) + number) {
-                    *place = Some(set);
+                if let Some(slot) = partial.sets.get_mut(usize::from(map.first_set) + number) {
+                    *slot = Some(set);
                 }
             }
             partial.sets.iter().cloned().collect::<Option<Vec<_>>>()
         };
-        let Some(places) = whole else {
+        let Some(placement) = whole else {
             return;
         };
-        self.map.replace(None);
-        self.prepare(agent, map.epoch, map.version, places).await;
+        self.partial_map.replace(None);
+        self.prepare(agent, map.epoch, map.version, placement).await;
     }
 
     /// Takes in a map, or a part of it, by what differs from one before, and passes it
     /// on; asks the lead for the whole map where the one before isn't known.
-    pub(super) async fn differ(self: &Rc<Self>, difference: Difference) {
+    pub(super) async fn handle_difference(self: &Rc<Self>, difference: Difference) {
         self.relay(&difference);
         let Some(lead) = self.lead_agent() else {
             return;
         };
         let (epoch, version) = (difference.epoch, difference.version);
         let whole = {
-            let mut known = self.differences.borrow_mut();
-            let mut parts = PartialDifference::for_part(known.take(), &difference);
+            let mut partial = self.partial_difference.borrow_mut();
+            let mut parts = PartialDifference::for_part(partial.take(), &difference);
             let whole = parts.add(&difference);
-            *known = whole.is_none().then_some(parts);
+            *partial = whole.is_none().then_some(parts);
             whole
         };
         let Some(whole) = whole else {
@@ -177,12 +178,12 @@
         if let (INITIAL_VERSION, Some(state), Some(experts)) =
             (whole.base, self.state(), self.experts.get())
         {
-            let mut known = self.known.borrow_mut();
-            known.add_initial(epoch, state.group_size, &experts);
+            let mut cache = self.map_cache.borrow_mut();
+            cache.add_initial(epoch, state.group_size, &experts);
         }
-        let places = self.known.borrow().apply(&whole);
-        if let Some(places) = places {
-            self.prepare(lead, epoch, version, places).await;
+        let placement = self.map_cache.borrow().apply(&whole);
+        if let Some(placement) = placement {
+            self.prepare(lead, epoch, version, placement).await;
             return;
         }
         info!(self.log, "Agent: The map before isn't known; asking for the whole one.";
@@ -192,9 +193,9 @@
     }
 
     /// Sends the whole map to an agent that lacks it, as the lead.
-    pub(super) fn complete(self: &Rc<Self>, agent: IpAddr, lack: MapRequest) {
+    pub(super) fn send_whole_map(self: &Rc<Self>, agent: IpAddr, request: MapRequest) {
         let parts = match &*self.lead.borrow() {
-            Some(lead) => lead.parts(lack.version, lack.epoch),
+            Some(lead) => lead.map_parts(request.version, request.epoch),
             None => return,
         };
         for part in parts {
@@ -203,14 +204,22 @@
     }
 
     /// Has the own rank prepare a map, and tells the lead how it stands then.
-    async fn prepare(&self, agent: IpAddr, epoch: u64, version: u64, places: Vec<Vec<Vec<u16>>>) {
-        self.known.borrow_mut().add(epoch, version, places.clone());
+    async fn prepare(
+        &self,
+        agent: IpAddr,
+        epoch: u64,
+        version: u64,
+        placement: Vec<Vec<Vec<u16>>>,
+    ) {
+        self.map_cache
+            .borrow_mut()
+            .add(epoch, version, placement.clone());
         let prepare = order::Order::Prepare {
             version,
-            map: places,
+            map: placement,
         };
-        self.give(&prepare, epoch).await;
-        self.answer(agent).await;
+        self.order_own_rank(&prepare, epoch).await;
+        self.send_current_state(agent).await;
     }
 
     /// Sends an order to a rank, by its agent.
@@ -219,37 +228,33 @@
     /// go by no other way, however long it is silent. A pass is held and let go
     /// straight from here: an agent that froze right behind its order to hold
     /// would take the held rank with it.
-    pub(super) async fn order(self: &Rc<Self>, send: RankOrder, epoch: u64) {
-        let rank = u16::try_from(send.rank).unwrap_or(u16::MAX);
+    pub(super) async fn send_order(self: &Rc<Self>, rank_order: RankOrder, epoch: u64) {
+        let rank = u16::try_from(rank_order.rank).unwrap_or(u16::MAX);
         let Some(member) = self.membership.borrow().get(rank).cloned() else {
             return;
         };
         let shared = self.clone();
         if member.agent == self.settings.address {
             monoio::spawn(async move {
-                shared.give_own(send.order, epoch).await;
+                shared.execute_own_order(rank_order.order, epoch).await;
             });
             return;
         }
-        if matches!(send.order, Change::Hold { .. } | Change::Go { .. }) {
+        if matches!(rank_order.order, Change::Hold { .. } | Change::Go { .. }) {
             monoio::spawn(async move {
-                shared.give_far(&member.state, send.order, epoch).await;
+                shared
+                    .order_remote_rank(&member.state, rank_order.order, epoch)
+                    .await;
             });
             return;
         }
-        let what = Action::Change(send.order);
-        self.send(
-            member.agent,
-            &Message::Order(Order {
-                epoch,
-                action: what,
-            }),
-        )
-        .await;
+        let action = Action::Change(rank_order.order);
+        self.send(member.agent, &Message::Order(Order { epoch, action }))
+            .await;
     }
 
     /// An order as a rank takes it.
-    pub(super) fn direct(&self, order: Change) -> Option<order::Order> {
+    pub(super) fn engine_order(&self, order: Change) -> Option<order::Order> {
         Some(match order {
             Change::Prepare { version } => {
                 let lead = self.lead.borrow();
@@ -257,7 +262,7 @@
                 let plan = plan.filter(|plan| plan.version == version)?;
                 order::Order::Prepare {
                     version,
-                    map: plan.places,
+                    map: plan.placement,
                 }
             }
             Change::Hold { step } => order::Order::Hold { step },
@@ -271,31 +276,38 @@
     }
 
     /// Gives the own rank an order and goes on with what its report then says.
-    pub(super) async fn give_own(self: Rc<Self>, order: Change, epoch: u64) {
+    pub(super) async fn execute_own_order(self: Rc<Self>, order: Change, epoch: u64) {
         match order {
-            Change::BlockArming { step } => self.bar(epoch, step),
-            Change::Arm { step, .. } | Change::Finish { step, .. } => self.note_given(epoch, step),
+            Change::BlockArming { step } => self.block_arming(epoch, step),
+            Change::Arm { step, .. } | Change::Finish { step, .. } => self.record_arm(epoch, step),
             _ => {}
         }
-        let Some(order) = self.direct(order) else {
+        let Some(engine_order) = self.engine_order(order) else {
             return;
         };
-        self.give(&order, epoch).await;
-        self.answer(self.settings.address).await;
-        Box::pin(self.drive()).await;
+        self.order_own_rank(&engine_order, epoch).await;
+        self.send_current_state(self.settings.address).await;
+        Box::pin(self.advance_change()).await;
     }
 
     /// Gives another rank an order straight, and goes on with what its report
     /// then says.
-    pub(super) async fn give_far(self: Rc<Self>, state: &State, order: Change, epoch: u64) {
-        let Some(order) = self.direct(order) else {
+    pub(super) async fn order_remote_rank(
+        self: Rc<Self>,
+        state: &State,
+        order: Change,
+        epoch: u64,
+    ) {
+        let Some(engine_order) = self.engine_order(order) else {
             return;
         };
-        let far = Rank::new(self.client.clone(), state.upstream);
-        let outcome = far.order(&order, epoch, rank::REMOTE_ORDER_TIMEOUT).await;
+        let remote = Rank::new(self.client.clone(), state.upstream);
+        let outcome = remote
+            .order(&engine_order, epoch, rank::REMOTE_ORDER_TIMEOUT)
+            .await;
         if outcome != Outcome::Taken {
             info!(self.log, "Agent: Another rank didn't take an order.";
-                "rank" => state.rank, "order" => name(&order), "outcome" => format!("{outcome:?}"));
+                "rank" => state.rank, "order" => order_name(&engine_order), "outcome" => format!("{outcome:?}"));
         }
         // What a rank says to another instance is some hundred milliseconds old;
         // its agent knows better.
@@ -305,17 +317,17 @@
             .get(state.rank)
             .map(|member| member.agent);
         if let Some(agent) = agent {
-            let look = Order {
+            let report_state = Order {
                 epoch,
                 action: Action::ReportState,
             };
-            self.send(agent, &Message::Order(look)).await;
+            self.send(agent, &Message::Order(report_state)).await;
         }
     }
 }
 
 /// Whether a rank's report shows the effect of an order.
-fn shows(report: &Report, order: &order::Order) -> bool {
+fn shows_effect(report: &Report, order: &order::Order) -> bool {
     match order {
         order::Order::Prepare { version, .. } => report.busy || report.prepared == Some(*version),
         order::Order::Arm { version, .. } => {
@@ -327,7 +339,7 @@
 }
 
 /// The name of an order in logs.
-fn name(order: &order::Order) -> &'static str {
+fn order_name(order: &order::Order) -> &'static str {
     match order {
         order::Order::Prepare { .. } => "prepare",
         order::Order::Arm { .. } => "arm",
--- a/verbenaspool_agent/src/direct/progress.rs
+++ b/verbenaspool_agent/src/direct/progress.rs
@@ -23,9 +23,9 @@
     /// The last pass that the rank began.
     step: u64,
     /// Since when that is the last, while the rank has requests.
-    since: Duration,
+    step_changed_at: Duration,
     /// How long passes take lately.
-    pass: Duration,
+    pass_time: Duration,
 }
 
 impl Progress {
@@ -51,28 +51,29 @@
         if busy && self.step > 0 && passes > 0 {
             let passes = u32::try_from(passes).unwrap_or(u32::MAX);
             // A stall is no pass; one long pass may be the first of many.
-            let pass = self.stood(now).min(self.stall_time() * 2) / passes;
-            self.pass = self.pass.mul_f64(1.0 - NEWEST_WEIGHT) + pass.mul_f64(NEWEST_WEIGHT);
+            let pass_time = self.time_without_pass(now).min(self.stall_time() * 2) / passes;
+            self.pass_time =
+                self.pass_time.mul_f64(1.0 - NEWEST_WEIGHT) + pass_time.mul_f64(NEWEST_WEIGHT);
         }
         self.step = step;
-        self.since = now;
+        self.step_changed_at = now;
     }
 
     /// For how long the group has begun no pass though the rank has requests.
     #[must_use]
-    pub fn stood(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.since)
+    pub fn time_without_pass(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.step_changed_at)
     }
 
     /// Whether the group has stopped, as far as passes tell.
     #[must_use]
     pub fn is_stalled(&self, now: Duration) -> bool {
-        self.stood(now) >= self.stall_time()
+        self.time_without_pass(now) >= self.stall_time()
     }
 
     /// How long no pass begins before the group counts as stalled.
     fn stall_time(&self) -> Duration {
-        (self.pass * MAX_MISSED_PASSES).max(MIN_STALL_TIME)
+        (self.pass_time * MAX_MISSED_PASSES).max(MIN_STALL_TIME)
     }
 }
 
--- a/verbenaspool_agent/src/direct/progress/tests.rs
+++ b/verbenaspool_agent/src/direct/progress/tests.rs
@@ -7,18 +7,18 @@
 }
 
 /// A rank that has begun so many passes of a length, one behind the other.
-fn passes(count: u64, length: u64) -> (Progress, Duration) {
+fn progress_after(count: u64, pass_ms: u64) -> (Progress, Duration) {
     let mut progress = Progress::default();
     for step in 1..=count {
-        progress.observe(ms(step * length), step, true);
+        progress.observe(ms(step * pass_ms), step, true);
     }
-    (progress, ms(count * length))
+    (progress, ms(count * pass_ms))
 }
 
 /// Guards against requests that are sent to a group that stands still while it counts as open.
 #[test]
 fn a_group_without_passes_is_stalled_until_one_begins() {
-    let (mut progress, mut now) = passes(50, 60);
+    let (mut progress, mut now) = progress_after(50, 60);
     for _ in 0..7 {
         now += ms(50);
         progress.observe(now, 50, true);
@@ -33,7 +33,7 @@
 /// Guards against a service that idles and is taken for one that stands still.
 #[test]
 fn an_idle_group_is_never_stalled() {
-    let (mut progress, now) = passes(50, 60);
+    let (mut progress, now) = progress_after(50, 60);
     progress.observe(now + ms(10), 50, false);
     progress.observe(now + ms(60_000), 50, false);
     progress.observe(now + ms(60_050), 50, true);
@@ -43,7 +43,7 @@
 /// Guards against a group with a slow rank that is kept from requests between its passes.
 #[test]
 fn a_group_with_long_passes_runs() {
-    let (mut progress, mut now) = passes(50, 60);
+    let (mut progress, mut now) = progress_after(50, 60);
     let mut stalls = 0;
     for step in 51..80 {
         for _ in 0..14 {
@@ -59,7 +59,7 @@
 /// A rank that starts anew counts its passes from the beginning.
 #[test]
 fn a_rank_that_started_anew_makes_passes() {
-    let (mut progress, now) = passes(50, 60);
+    let (mut progress, now) = progress_after(50, 60);
     progress.observe(now + ms(5_000), 1, true);
     assert!(!progress.is_stalled(now + ms(5_100)));
 }
--- a/verbenaspool_agent/src/direct/rank.rs
+++ b/verbenaspool_agent/src/direct/rank.rs
@@ -24,7 +24,7 @@
 pub const REMOTE_ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// The largest answer: the choices of some hundred sets.
-const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A rank and the way to it.
 #[derive(Debug, Clone)]
@@ -68,14 +68,14 @@
         let exchange = async {
             let response = self.client.send(self.address, request).await.ok()?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
             Some((status, body.await.ok()?.to_bytes()))
         };
         monoio::time::timeout(timeout, exchange).await.ok()?
     }
 
     /// Reads a page of the rank.
-    async fn page(&self, path: &str) -> Option<Bytes> {
+    async fn get(&self, path: &str) -> Option<Bytes> {
         let (status, body) = self
             .call(Method::GET, path, String::new(), READ_TIMEOUT)
             .await?;
@@ -84,17 +84,17 @@
 
     /// The rank's report.
     pub async fn report(&self) -> Option<Report> {
-        report::decode(&self.page(report::REPORT).await?)
+        report::decode(&self.get(report::REPORT).await?)
     }
 
     /// What the rank's requests chose since it started.
     pub async fn choices(&self) -> Option<Choice> {
-        report::choices(&self.page(report::CHOICES).await?)
+        report::choices(&self.get(report::CHOICES).await?)
     }
 
     /// The experts that the rank holds, by set, under the map in use.
     pub async fn experts(&self) -> Option<report::Held> {
-        report::held(&self.page(report::MAPS).await?)
+        report::held(&self.get(report::MAPS).await?)
     }
 
     /// Gives the rank an order.
--- a/verbenaspool_agent/src/direct/reporting.rs
+++ b/verbenaspool_agent/src/direct/reporting.rs
@@ -14,13 +14,14 @@
 impl AgentState {
     /// Tells other agents how the rank stands: those that act on it, or all of the
     /// group, and of the service while some of the group are unknown.
-    pub async fn tell(&self, everybody: bool) {
+    pub async fn broadcast_state(&self, to_all: bool) {
         let Some(state) = self.state() else {
             return;
         };
         let now = self.clock.now();
-        let mut agents: BTreeSet<IpAddr> = self.membership.borrow().audience(now, state.rank);
-        if everybody {
+        let mut agents: BTreeSet<IpAddr> =
+            self.membership.borrow().state_recipients(now, state.rank);
+        if to_all {
             agents.extend(
                 self.membership
                     .borrow()
@@ -29,7 +30,7 @@
             );
             // An agent that is new tells all of the service until it knows its group,
             // so the others needn't: they were agents squared once a second.
-            if !self.is_complete() {
+            if !self.knows_whole_group() {
                 agents.extend(self.instances.borrow().iter());
             }
         }
@@ -41,7 +42,7 @@
     }
 
     /// Whether the rank is the first or holds passes, so that others wait for its messages.
-    pub fn is_central(&self) -> bool {
+    pub fn is_lead_or_holder(&self) -> bool {
         let state = self.state.borrow();
         state
             .as_ref()
@@ -49,7 +50,7 @@
     }
 
     /// Tells entries how the rank stands, as far as each is to hear of it now.
-    pub async fn tell_entries(&self) {
+    pub async fn notify_entries(&self) {
         let now = self.clock.now();
         let snapshot = Snapshot {
             pace: self.running_pace(),
@@ -74,10 +75,10 @@
 
     /// How the rank stands, for entries.
     fn status(&self) -> Status {
-        self.statuses.set(self.statuses.get() + 1);
+        self.status_sequence.set(self.status_sequence.get() + 1);
         let pace = self.running_pace();
         Status {
-            sequence: self.statuses.get(),
+            sequence: self.status_sequence.get(),
             upstream: self.settings.upstream,
             group: self.group.get(),
             group_complete: pace.is_some(),
@@ -90,11 +91,11 @@
     ///
     /// The registry's message on how many there are goes before the entry's: one that
     /// asked for more could fill the rank's line.
-    pub(super) async fn grant(&self, entry: IpAddr, ask: Request) {
-        let slots = self.limit.get().unwrap_or(ask.slots);
+    pub(super) async fn handle_reservation(&self, entry: IpAddr, request: Request) {
+        let slots = self.slot_count.get().unwrap_or(request.slots);
         let granted = self.is_running() && self.slots.borrow_mut().grant(self.clock.now(), slots);
         let answer = Answer {
-            ticket: ask.ticket,
+            ticket: request.ticket,
             granted,
             status: self.status(),
         };
@@ -108,24 +109,24 @@
 
     /// Tells the lead what the own rank holds, where that changed or was told
     /// long ago.
-    pub async fn tell_held(&self, again: Duration) {
+    pub async fn report_experts(&self, interval: Duration) {
         let Some(state) = self.state() else {
             return;
         };
         let now = self.clock.now();
-        let (epoch, map, at) = self.told.get();
+        let (epoch, map, at) = self.last_experts_report.get();
         let Report {
             epoch: now_epoch,
             map: now_map,
             ..
         } = state.report;
-        if (epoch, map) == (now_epoch, now_map) && now.saturating_sub(at) < again {
+        if (epoch, map) == (now_epoch, now_map) && now.saturating_sub(at) < interval {
             return;
         }
         let Some(held) = self.rank.experts().await else {
             return;
         };
-        self.told.set((now_epoch, held.version, now));
+        self.last_experts_report.set((now_epoch, held.version, now));
         let held = RankExperts {
             group: state.group,
             epoch: now_epoch,
@@ -133,11 +134,11 @@
             version: held.version,
             experts: held.experts,
         };
-        self.to_lead(Message::RankExperts(held)).await;
+        self.send_to_lead(Message::RankExperts(held)).await;
     }
 
     /// Gives the lead a message, who may be this agent itself.
-    pub(super) async fn to_lead(&self, message: Message) {
+    pub(super) async fn send_to_lead(&self, message: Message) {
         let Some(agent) = self.lead_agent() else {
             return;
         };
@@ -145,8 +146,9 @@
             self.send(agent, &message).await;
             return;
         }
-        if let (Message::RankExperts(held), Some(lead)) = (message, &mut *self.lead.borrow_mut()) {
-            lead.held(held);
+        if let (Message::RankExperts(experts), Some(lead)) = (message, &mut *self.lead.borrow_mut())
+        {
+            lead.record_experts(experts);
         }
     }
 }
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -38,10 +38,10 @@
 /// how many ranks. In larger ones it is the more seldom, or signals would grow with the
 /// ranks squared; those who act on a state hear it many times a second anyhow.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
-const HELLO_RANKS: u32 = 16;
+const MAX_HELLO_INTERVAL_RANKS: u32 = 16;
 
 /// How often the lead hears what the rank holds, if nothing changes.
-const HELD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const EXPERTS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a new connection to the rank may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -50,12 +50,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The port isn't free.
-    #[error("{address} can't be listened at: {why}")]
+    #[error("{address} can't be listened at: {reason}")]
     Listen {
         /// The address.
         address: SocketAddr,
         /// Why not.
-        why: std::io::Error,
+        reason: std::io::Error,
     },
     /// The loop can't start, or signals can't be heard.
     #[error("the loop can't start: {0}")]
@@ -78,83 +78,83 @@
 async fn serve(settings: Settings, log: Logger, signals: Signals) -> Result<(), Error> {
     let clock: Rc<dyn Clock> = Monotonic::start();
     let address = SocketAddr::new(settings.address, settings.peer_port);
-    let socket = UdpSocket::bind(address).map_err(|why| Error::Listen { address, why })?;
+    let socket = UdpSocket::bind(address).map_err(|reason| Error::Listen { address, reason })?;
     info!(log, "Agent: Started."; "name" => &settings.name, "upstream" => settings.upstream.to_string());
     let client = Client::new(CONNECT_TIMEOUT).keep_for(Duration::from_millis(700));
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let number = since.map_or(0, |since| since.as_secs()) << 20;
-    let shared = AgentState::new(settings, clock, log.clone(), client, socket, number);
-    monoio::spawn(hear(shared.clone()));
-    let born = Rc::new(Cell::new(0));
-    monoio::spawn(sample(shared.clone(), born.clone()));
-    watch(&shared, &signals, &born).await;
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let first_sequence = since_epoch.map_or(0, |since| since.as_secs()) << 20;
+    let shared = AgentState::new(settings, clock, log.clone(), client, socket, first_sequence);
+    monoio::spawn(receive_messages(shared.clone()));
+    let incarnation = Rc::new(Cell::new(0));
+    monoio::spawn(sample_and_decide(shared.clone(), incarnation.clone()));
+    poll_rank(&shared, &signals, &incarnation).await;
     info!(log, "Agent: Stopped.");
     Ok(())
 }
 
 /// Reads the own rank's report, again and again.
-async fn watch(shared: &Rc<AgentState>, signals: &Signals, born: &Cell<u64>) {
+async fn poll_rank(shared: &Rc<AgentState>, signals: &Signals, incarnation: &Cell<u64>) {
     let clock = &shared.clock;
-    let (mut told, mut hello) = (Duration::ZERO, Duration::ZERO);
+    let (mut last_broadcast, mut last_hello) = (Duration::ZERO, Duration::ZERO);
     let mut reached = true;
     while !signals.stopped() {
-        let report = shared.read().await;
+        let report = shared.read_report().await;
         if report.is_some() != reached {
             reached = report.is_some();
             warn!(shared.log, "Agent: The rank's report changed its reach."; "reached" => reached);
         }
         let mut changing = false;
         if let Some(report) = report {
-            born.set(report.born);
-            let news = shared.observe(&report);
+            incarnation.set(report.born);
+            let changed = shared.handle_report(&report);
             changing = report.busy || report.armed.is_some() || report.held.is_some();
             let now = clock.now();
-            let everybody = now.saturating_sub(hello) >= hello_every(shared);
-            let tell = REPORT_INTERVALS[usize::from(!changing && !shared.is_central())];
-            if news || everybody || now.saturating_sub(told) >= tell {
-                told = now;
-                if everybody {
-                    hello = now;
+            let to_all = now.saturating_sub(last_hello) >= hello_interval(shared);
+            let interval = REPORT_INTERVALS[usize::from(!changing && !shared.is_lead_or_holder())];
+            if changed || to_all || now.saturating_sub(last_broadcast) >= interval {
+                last_broadcast = now;
+                if to_all {
+                    last_hello = now;
                 }
-                shared.tell(everybody).await;
+                shared.broadcast_state(to_all).await;
             }
-            shared.drive().await;
+            shared.advance_change().await;
             shared.stand_in().await;
-            shared.tell_entries().await;
+            shared.notify_entries().await;
         }
         clock.sleep(READ_INTERVALS[usize::from(!changing)]).await;
     }
 }
 
 /// How often all agents of the group hear of each other.
-fn hello_every(shared: &AgentState) -> Duration {
+fn hello_interval(shared: &AgentState) -> Duration {
     let size = shared
         .state()
         .map_or(0, |state| u32::from(state.group_size));
-    if shared.is_complete() {
-        HELLO_INTERVAL * size.max(HELLO_RANKS) / HELLO_RANKS
+    if shared.knows_whole_group() {
+        HELLO_INTERVAL * size.max(MAX_HELLO_INTERVAL_RANKS) / MAX_HELLO_INTERVAL_RANKS
     } else {
         HELLO_INTERVAL
     }
 }
 
 /// Passes choices on and, as the lead, decides.
-async fn sample(shared: Rc<AgentState>, born: Rc<Cell<u64>>) {
-    let mut decided = Duration::ZERO;
+async fn sample_and_decide(shared: Rc<AgentState>, incarnation: Rc<Cell<u64>>) {
+    let mut last_decision = Duration::ZERO;
     loop {
-        shared.sample(born.get()).await;
+        shared.sample_choices(incarnation.get()).await;
         let now = shared.clock.now();
-        if now.saturating_sub(decided) >= DECISION_INTERVAL {
-            decided = now;
-            shared.tell_held(HELD_REPORT_INTERVAL).await;
+        if now.saturating_sub(last_decision) >= DECISION_INTERVAL {
+            last_decision = now;
+            shared.report_experts(EXPERTS_REPORT_INTERVAL).await;
             shared.decide().await;
         }
-        let _ = monoio::time::timeout(SAMPLE_INTERVAL, shared.woken.notified()).await;
+        let _ = monoio::time::timeout(SAMPLE_INTERVAL, shared.round_ended.notified()).await;
     }
 }
 
 /// Hears other agents.
-async fn hear(shared: Rc<AgentState>) {
+async fn receive_messages(shared: Rc<AgentState>) {
     loop {
         let (received, buffer) = shared
             .socket
@@ -166,7 +166,7 @@
         };
         if let Some(message) = Message::decode(&buffer[..length]) {
             let shared = shared.clone();
-            monoio::spawn(async move { shared.hear(from.ip(), message).await });
+            monoio::spawn(async move { shared.handle_message(from.ip(), message).await });
         }
     }
 }
--- a/verbenaspool_agent/src/direct/settings.rs
+++ b/verbenaspool_agent/src/direct/settings.rs
@@ -26,7 +26,7 @@
     pub peer_port: u16,
     /// What the instance's link carries, in Mbit/s. Maps and choices leave most of it
     /// free, so that the states of ranks and orders get through.
-    #[serde(default = "narrow")]
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
     /// What is logged, and how.
     #[serde(default)]
@@ -35,7 +35,7 @@
 
 /// The link that is reckoned with where the settings name none, in Mbit/s: the narrowest
 /// that groups of ranks were run on.
-fn narrow() -> f64 {
+fn default_link_mbps() -> f64 {
     8.0
 }
 
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -21,7 +21,7 @@
 const STANDBY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How much longer each further rank's agent waits.
-const STOOD_PER_RANK: Duration = Duration::from_millis(250);
+const STANDBY_TIMEOUT_PER_RANK: Duration = Duration::from_millis(250);
 
 impl AgentState {
     /// Stands in for a lead that is silent while the group stands still.
@@ -33,18 +33,23 @@
     /// don't all do it. Two that do it at once, or a lead that wakes, only repeat
     /// each other's orders.
     pub async fn stand_in(self: &Rc<Self>) {
-        let standin = |state: &State| (1..MAX_STAND_INS).contains(&state.rank);
-        let Some(state) = self.state().filter(standin) else {
+        let may_stand_in = |state: &State| (1..MAX_STAND_INS).contains(&state.rank);
+        let Some(state) = self.state().filter(may_stand_in) else {
             return;
         };
         let now = self.clock.now();
-        let heard = self.membership.borrow().get(0).map(|member| member.heard);
-        let silent = heard.is_none_or(|heard| now.saturating_sub(heard) > LEAD_TIMEOUT);
-        let stood = self.progress.get().stood(now);
-        let patience = STANDBY_TIMEOUT + STOOD_PER_RANK * u32::from(state.rank - 1);
+        let received_at = self
+            .membership
+            .borrow()
+            .get(0)
+            .map(|member| member.received_at);
+        let silent =
+            received_at.is_none_or(|received_at| now.saturating_sub(received_at) > LEAD_TIMEOUT);
+        let stalled_for = self.progress.get().time_without_pass(now);
+        let timeout = STANDBY_TIMEOUT + STANDBY_TIMEOUT_PER_RANK * u32::from(state.rank - 1);
         let held = state.report.held.is_some();
-        let patience = if held { LEAD_TIMEOUT } else { patience };
-        if !silent || stood < patience {
+        let timeout = if held { LEAD_TIMEOUT } else { timeout };
+        if !silent || stalled_for < timeout {
             if self.lead.borrow_mut().take().is_some() {
                 info!(self.log, "Agent: No longer stands in for the lead.");
             }
@@ -52,23 +57,24 @@
         }
         if self.lead.borrow().is_none() {
             warn!(self.log, "Agent: The group stands still and its lead is silent; standing in.";
-                "rank" => state.rank, "step" => state.report.step, "for_ms" => stood.as_secs_f64() * 1e3);
+                "rank" => state.rank, "step" => state.report.step, "for_ms" => stalled_for.as_secs_f64() * 1e3);
             let mut lead = Lead::new(state.group_size.into());
             lead.stands_in = true;
             self.lead.replace(Some(lead));
         }
-        self.recall();
-        self.drive().await;
+        self.replay_reports();
+        self.advance_change().await;
     }
 
     /// Brings in what the agents of all ranks said so far.
-    pub(super) fn recall(&self) {
+    pub(super) fn replay_reports(&self) {
         let now = self.clock.now();
-        let membership: Vec<Member> = self.membership.borrow().iter(now).cloned().collect();
+        let members: Vec<Member> = self.membership.borrow().iter(now).cloned().collect();
         if let Some(lead) = &mut *self.lead.borrow_mut() {
-            for member in membership {
+            for member in members {
                 let rank = member.state.rank.into();
-                lead.switch.report(member.heard, rank, member.state.report);
+                lead.switch
+                    .report(member.received_at, rank, member.state.report);
             }
         }
     }
