--- a/verbenaspool_agent/src/direct/agent_state/tests.rs
+++ b/verbenaspool_agent/src/direct/agent_state/tests.rs
@@ -79,7 +79,7 @@
 /// Anybody can send an agent a datagram. What the store says of the service is taken from
 /// the entry that was asked, soon after that, and from nobody else.
 #[test]
-fn only_the_entry_that_was_asked_says_what_the_store_holds() {
+fn service_info_is_accepted_only_from_the_queried_entry() {
     let run = async {
         let shared = agent_state();
         let [entry, other] = ["127.0.0.3", "127.0.0.4"].map(|ip| ip.parse().expect("an address"));
--- a/verbenaspool_agent/src/direct/assembly.rs
+++ b/verbenaspool_agent/src/direct/assembly.rs
@@ -45,11 +45,11 @@
 impl PartialDifference {
     /// The parts of one difference; a part of another one begins anew.
     pub fn for_part(known: Option<Self>, part: &Difference) -> Self {
-        let same = |known: &Self| {
+        let matches = |known: &Self| {
             (known.epoch, known.version) == (part.epoch, part.version)
                 && known.moves.len() == usize::from(part.part_count)
         };
-        known.filter(same).unwrap_or_else(|| Self {
+        known.filter(matches).unwrap_or_else(|| Self {
             epoch: part.epoch,
             version: part.version,
             moves: vec![None; part.part_count.into()],
--- a/verbenaspool_agent/src/direct/assembly/tests.rs
+++ b/verbenaspool_agent/src/direct/assembly/tests.rs
@@ -71,7 +71,7 @@
 /// only tell of experts that came, so the rank's agent kept it, ranks were armed for
 /// maps of one version that weren't alike, and passes began on them.
 #[test]
-fn a_rank_may_lose_an_expert_for_nothing() {
+fn a_difference_may_only_remove_an_expert() {
     let before = vec![vec![vec![0, 1, 2], vec![2, 3], vec![3]]];
     let after = vec![vec![vec![0, 1], vec![2], vec![2, 3]]];
     let mut known = MapCache::default();
@@ -93,7 +93,7 @@
 /// of what differs from it, the next one would differ as well; it has to be asked
 /// for whole instead.
 #[test]
-fn a_map_that_isnt_the_leads_is_none() {
+fn a_difference_with_another_hash_is_rejected() {
     let (theirs, after) = (
         vec![vec![vec![0], vec![1]]],
         vec![vec![vec![0], vec![0, 1]]],
@@ -151,7 +151,7 @@
 /// The first change of a group's life had the whole map sent to each rank, 15 KB each
 /// in a group of 63. Every agent can tell the map that a group forms with.
 #[test]
-fn the_first_map_is_known_without_a_word() {
+fn the_initial_map_is_known_without_messages() {
     let experts = Experts {
         layers: 2,
         count: 5,
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -85,11 +85,11 @@
         let Some(last) = self.last_round.get().filter(|last| last.epoch == epoch) else {
             return round(step / passes * passes);
         };
-        let since = self.clock.now().saturating_sub(self.choices_read_at.get());
+        let elapsed = self.clock.now().saturating_sub(self.choices_read_at.get());
         if step / passes > last.number / passes {
             round(step / passes * passes)
         } else if step > last.number
-            && since >= self.choices_transfer_time(AGGREGATION_GROUP_SIZE, LONG_PASS_LINK_RATIO)
+            && elapsed >= self.choices_transfer_time(AGGREGATION_GROUP_SIZE, LONG_PASS_LINK_RATIO)
         {
             round(step)
         } else {
@@ -116,8 +116,8 @@
             }
             return;
         }
-        let since = self.clock.now().saturating_sub(self.choices_read_at.get());
-        if since >= self.choices_interval().max(MIN_SAMPLE_INTERVAL)
+        let elapsed = self.clock.now().saturating_sub(self.choices_read_at.get());
+        if elapsed >= self.choices_interval().max(MIN_SAMPLE_INTERVAL)
             && let Some(counts) = self.read_new_counts(incarnation, state.report.epoch).await
         {
             self.send_choices(&state, 0, state.sequence, &counts).await;
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -54,7 +54,7 @@
 /// the busiest rank kept them waiting until enough of them had run to tell which experts
 /// they choose. What they chose before tells it without them.
 #[test]
-fn popularity_outlives_a_break() {
+fn a_re_formed_group_keeps_expert_loads() {
     let mut before = formed(1);
     before.add_choices(NOW, &choices(), 4);
     let mut lead = formed(2);
@@ -67,7 +67,7 @@
 /// Guards against a lead that waits for what ranks hold, or for reports that came before
 /// its own rank had joined the group, while everybody's passes are at their longest.
 #[test]
-fn the_first_map_is_left_as_soon_as_all_ranks_reported() {
+fn the_initial_map_is_changed_as_soon_as_all_ranks_reported() {
     let report = Report {
         epoch: 2,
         step: 1,
@@ -89,7 +89,7 @@
 
 /// Guards against a first map that suits what requests chose before a long outage.
 #[test]
-fn what_was_chosen_long_ago_decides_nothing() {
+fn outdated_choices_change_no_map() {
     let mut lead = formed(1);
     lead.add_choices(Duration::from_secs(1), &choices(), 4);
     assert_eq!(lead.decide(NOW, &EXPERTS), None);
@@ -98,7 +98,7 @@
 /// One copy takes 0.1 s, more than a usual change may take: one a rank is made. On the
 /// first map, or where a rank is slow, three are, since passes are late until then.
 #[test]
-fn a_bad_map_is_left_in_fewer_changes() {
+fn a_bad_map_allows_more_copies_per_change() {
     let mut lead = formed(1);
     let (_, layers) = lead.current_map(&EXPERTS).expect("both ranks said it");
     let copies = |lead: &Lead, layers: &[Layer], version| {
@@ -117,7 +117,7 @@
 /// A configuration names more experts than the ranks have places for. Orders went out
 /// that no rank could take, one after the other; now there are none.
 #[test]
-fn experts_without_a_place_change_no_map() {
+fn experts_that_do_not_fit_change_no_map() {
     let mut lead = formed(1);
     lead.add_choices(NOW, &choices(), 4);
     let narrow = Experts {
--- a/verbenaspool_agent/src/direct/membership/tests.rs
+++ b/verbenaspool_agent/src/direct/membership/tests.rs
@@ -30,7 +30,7 @@
 /// In a group of 32 each rank told all others ten times a second how it stands, and
 /// agents were busy hearing X
 #[test]
-fn only_those_who_act_on_a_state_hear_it() {
+fn only_agents_that_act_on_a_state_receive_it() {
     let membership = membership(32);
     let now = Duration::from_millis(10);
     for rank in 2..32 {
--- a/verbenaspool_agent/src/direct/progress/tests.rs
+++ b/verbenaspool_agent/src/direct/progress/tests.rs
@@ -42,7 +42,7 @@
 
 /// Guards against a group with a slow rank that is kept from requests between its passes.
 #[test]
-fn a_group_with_long_passes_runs() {
+fn a_group_with_long_passes_is_not_stalled() {
     let (mut progress, mut now) = progress_after(50, 60);
     let mut stalls = 0;
     for step in 51..80 {
@@ -58,7 +58,7 @@
 
 /// A rank that starts anew counts its passes from the beginning.
 #[test]
-fn a_rank_that_started_anew_makes_passes() {
+fn a_restarted_rank_is_not_stalled() {
     let (mut progress, now) = progress_after(50, 60);
     progress.observe(now + ms(5_000), 1, true);
     assert!(!progress.is_stalled(now + ms(5_100)));
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -59,7 +59,7 @@
     },
     /// The loop can't start, or signals can't be heard.
     #[error("the loop can't start: {0}")]
-    Loop(#[from] std::io::Error),
+    EventLoop(#[from] std::io::Error),
 }
 
 /// Runs the agent until SIGTERM or SIGINT.
@@ -96,12 +96,12 @@
 async fn poll_rank(shared: &Rc<AgentState>, signals: &Signals, incarnation: &Cell<u64>) {
     let clock = &shared.clock;
     let (mut last_broadcast, mut last_hello) = (Duration::ZERO, Duration::ZERO);
-    let mut reached = true;
+    let mut reachable = true;
     while !signals.stopped() {
         let report = shared.read_report().await;
-        if report.is_some() != reached {
-            reached = report.is_some();
-            warn!(shared.log, "Agent: The rank's report changed its reach."; "reached" => reached);
+        if report.is_some() != reachable {
+            reachable = report.is_some();
+            warn!(shared.log, "Agent: The rank's report changed its reach."; "reached" => reachable);
         }
         let mut changing = false;
         if let Some(report) = report {
--- a/verbenaspool_agent/src/direct/subscribers/tests.rs
+++ b/verbenaspool_agent/src/direct/subscribers/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn entries_nearby_hear_of_requests_and_the_others_of_changes_of_the_group() {
+fn entries_in_the_zone_receive_request_counts_and_others_group_changes() {
     let mut subscribers = Subscribers::default();
     subscribers.subscribe(ms(0), entry(1), true);
     subscribers.subscribe(ms(0), entry(2), false);
@@ -39,7 +39,7 @@
 /// A group breaks while the messages of its agents are lost. Entries forget within 1.6 s
 /// that a group is closed, so they are told again until it opens, far ones as well.
 #[test]
-fn a_closed_group_is_told_again_and_again() {
+fn a_closed_group_is_reported_repeatedly() {
     let mut subscribers = Subscribers::default();
     subscribers.subscribe(ms(0), entry(2), false);
     let closed = Snapshot {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_entry_that_went_away_is_told_no_more() {
+fn an_expired_subscription_is_dropped() {
     let mut subscribers = Subscribers::default();
     subscribers.subscribe(ms(0), entry(1), true);
     assert!(subscribers.due(ms(9_000), snapshot(1)).is_empty());
