--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -38,7 +38,7 @@
 /// how many ranks. In larger ones it is the more seldom, or signals would grow with the
 /// ranks squared; those who act on a state hear it many times a second anyhow.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
-const MAX_HELLO_INTERVAL_RANKS: u32 = 16;
+const MAX_RANKS_AT_HELLO_INTERVAL: u32 = 16;
 
 /// How often the lead hears what the rank holds, if nothing changes.
 const EXPERTS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -132,7 +132,7 @@
         .state()
         .map_or(0, |state| u32::from(state.group_size));
     if shared.knows_whole_group() {
-        HELLO_INTERVAL * size.max(MAX_HELLO_INTERVAL_RANKS) / MAX_HELLO_INTERVAL_RANKS
+        HELLO_INTERVAL * size.max(MAX_RANKS_AT_HELLO_INTERVAL) / MAX_RANKS_AT_HELLO_INTERVAL
     } else {
         HELLO_INTERVAL
     }
