--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps, and how it answers what it hears.
+//! State of an agent, and how it handles messages.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,10 +31,10 @@
     subscribers::Subscribers,
 };
 
-/// The steps in which a rank's pace is told, so that messages about it are few.
+/// Granularity of a rank's reported pace, which limits the number of messages about it.
 const PACE_STEP: f64 = 0.25;
 
-/// What an agent keeps.
+/// State of an agent.
 pub struct AgentState {
     pub settings: Settings,
     pub clock: Rc<dyn Clock>,
@@ -42,71 +42,72 @@
     pub rank: Rank,
     pub client: Client,
     pub socket: UdpSocket,
-    /// Counts this agent's messages.
+    /// Sequence number of the last state sent to agents.
     pub(super) sequence: Cell<u64>,
-    /// Counts its messages to entries.
+    /// Sequence number of the last status sent to entries.
     pub(super) status_sequence: Cell<u64>,
-    /// How the own rank stands.
+    /// State of the own rank; `None` while its group is incomplete.
     pub(super) state: RefCell<Option<State>>,
     pub(super) membership: RefCell<Membership>,
     pub(super) lead: RefCell<Option<Lead>>,
-    /// The experts of the service, as the configuration tells.
+    /// The service's experts, according to the configuration.
     pub experts: Cell<Option<Experts>>,
-    /// The least time that a pass takes, as the configuration tells.
+    /// Minimum duration of a pass, according to the configuration.
     pub min_pass_time: Cell<Duration>,
-    /// The instances of the service's upstreams.
+    /// Instances of the service's upstreams.
     pub instances: RefCell<BTreeSet<IpAddr>>,
-    /// The entry that was asked last what the store says of the service, and when.
+    /// The entry from which service information was last requested, and when.
     pub(super) last_lookup: Cell<Option<(IpAddr, Duration)>>,
-    /// The parts of a map that have come.
+    /// The parts received of a complete map.
     pub(super) partial_map: RefCell<Option<PartialMap>>,
-    /// The parts of a difference that have come.
+    /// The parts received of a difference.
     pub(super) partial_difference: RefCell<Option<PartialDifference>>,
-    /// Messages that wait until the link has room.
+    /// Messages waiting for capacity of the link, with their receivers.
     pub(super) outbox: RefCell<VecDeque<(IpAddr, Vec<u8>)>>,
-    /// When choices were told last, and in which round.
+    /// When choices were last read.
     pub(super) choices_read_at: Cell<Duration>,
+    /// The round for which choices were last read.
     pub(super) last_round: Cell<Option<Round>>,
-    /// Wakes whoever reads choices.
+    /// Wakes the sampling task at the end of a round.
     pub round_ended: Notify,
-    /// What other ranks chose, to be passed on to the lead.
+    /// Sums of other ranks' choices, to be sent to the lead.
     pub(super) sums: RefCell<RoundSums>,
-    /// How many messages about choices were of no use.
+    /// Number of dropped messages of choices.
     pub(super) dropped_choices: Cell<u64>,
-    /// Maps that are known whole.
+    /// Maps that are known completely.
     pub(super) map_cache: RefCell<MapCache>,
-    /// The counts that were last read, and of which incarnation of the rank.
+    /// The counts last read, preceded by the incarnation of the rank that they belong to.
     pub(super) last_counts: RefCell<(u64, Vec<u64>)>,
-    /// The short name of the group that the rank last sat in.
+    /// Hash of the name of the group that the rank last belonged to.
     pub(super) group: Cell<u32>,
-    /// Up to which pass of which epoch no order of a lead to arm is given.
+    /// An epoch and its last pass for which the lead's arm orders are rejected.
     pub(super) arming_block: Cell<(u64, u64)>,
-    /// The last pass of which epoch for which an order to arm was given.
+    /// An epoch and its last pass for which an arm order was passed on to the rank.
     pub(super) last_arm: Cell<(u64, u64)>,
-    /// The number with which this process's messages begin.
+    /// Sequence number with which this process started.
     pub(super) first_sequence: u64,
-    /// The passes of the rank's group.
+    /// Passes of the rank's group.
     pub(super) progress: Cell<Progress>,
-    /// Whether the group had stopped when the rank's report was last read.
+    /// Whether the group was stalled when the rank's report was last read.
     stalled: Cell<bool>,
-    /// The order that the rank is being given.
+    /// The order that is being sent to the rank.
     pub(super) pending_order: RefCell<Option<order::Order>>,
-    /// Entries that want to hear how the rank stands.
+    /// Entries subscribed to the rank's status.
     pub(super) subscribers: RefCell<Subscribers>,
     /// The rank's slots.
     pub(super) slots: RefCell<Slots>,
-    /// How many slots the rank has, as the registry says.
+    /// Number of the rank's slots, according to the registry.
     pub slot_count: Cell<Option<u32>>,
-    /// What was last told of the experts held.
+    /// Epoch, map version and time of the last report of the rank's experts.
     pub(super) last_experts_report: Cell<(u64, u64, Duration)>,
-    /// Whether the ranks had a place for each expert when that was last looked at.
+    /// Whether the experts fit on the ranks when this was last checked.
     experts_fit: Cell<bool>,
-    /// The rank's pace, and whether what it said of that made sense.
+    /// The rank's last reported pace, and whether the report was valid.
     last_pace: Cell<(f32, bool)>,
 }
 
 impl AgentState {
-    /// The state of an agent that has heard nothing.
+    /// Creates the state of an agent that hasn't received any messages.
     pub fn new(
         settings: Settings,
         clock: Rc<dyn Clock>,
@@ -157,12 +158,12 @@
         })
     }
 
-    /// How the own rank stands.
+    /// State of the own rank.
     pub fn state(&self) -> Option<State> {
         self.state.borrow().clone()
     }
 
-    /// Whether the agents of all ranks of the group were heard.
+    /// Whether the states of all ranks of the group are known.
     pub fn knows_whole_group(&self) -> bool {
         let Some(state) = self.state() else {
             return false;
@@ -171,7 +172,7 @@
         self.membership.borrow().iter(now).count() >= usize::from(state.group_size)
     }
 
-    /// Reads the own rank's report; none where it can't be had.
+    /// Reads the own rank's report, or returns `None` if it can't be read.
     pub async fn read_report(&self) -> Option<Report> {
         let requested_at = self.clock.now();
         let report = self.rank.report().await?;
@@ -180,7 +181,8 @@
         Some(report)
     }
 
-    /// Takes the own rank's report in; tells whether others should hear of it now.
+    /// Processes a report of the own rank. Returns whether its state changed so that other
+    /// agents should receive it now.
     pub fn handle_report(&self, report: &Report) -> bool {
         let Some(member) = report.member.as_ref().filter(|member| member.open) else {
             self.state.replace(None);
@@ -191,9 +193,10 @@
         let group = digest::hash(&member.group);
         let before = self.group.replace(group);
         if before != group {
-            // Only of another group: one that breaks and forms anew has the same agents.
-            // Without them its ranks heard of each other seconds later, from the
-            // registry, and made passes on their first map until then.
+            // Only when the group is another one: a group that re-forms has the same
+            // agents. When they were discarded as well, its ranks learned of each other
+            // from the registry seconds later, and ran passes on the initial map until
+            // then.
             self.membership.borrow_mut().clear();
             self.sums.take();
         }
@@ -253,7 +256,7 @@
         before.as_ref().is_none_or(changed)
     }
 
-    /// Takes in whether the group makes passes.
+    /// Updates and logs whether the group is stalled.
     fn update_progress(&self, report: &Report) {
         let now = self.clock.now();
         let mut progress = self.progress.get();
@@ -270,14 +273,15 @@
         }
     }
 
-    /// Whether the rank sits in a group that makes passes.
+    /// Whether the rank belongs to a complete group that makes passes.
     pub(super) fn is_running(&self) -> bool {
         self.state.borrow().is_some() && !self.stalled.get()
     }
 
-    /// Takes a rank's state in.
+    /// Processes the state of a rank.
     pub(super) fn handle_state(&self, agent: IpAddr, state: State) {
-        // A rank whose own group is forming still takes in those that have joined it.
+        // A rank whose own group is still incomplete accepts the states of ranks that have
+        // joined.
         if self.group.get() != state.group {
             return;
         }
@@ -293,7 +297,7 @@
         }
     }
 
-    /// The pace that a report tells, in steps; one line of log for each change.
+    /// The reported pace, rounded to [`PACE_STEP`]. Logs each change.
     fn rounded_pace(&self, report: &Report) -> f32 {
         let reported = report.pace;
         #[allow(clippy::cast_possible_truncation)] // It is small.
@@ -306,7 +310,7 @@
         pace
     }
 
-    /// Hears a message of another agent.
+    /// Processes a message of another agent or of an entry.
     pub async fn handle_message(self: &Rc<Self>, agent: IpAddr, message: Message) {
         let own = self.state().map(|state| (state.group, state.report.epoch));
         match message {
@@ -354,7 +358,7 @@
         self.advance_change().await;
     }
 
-    /// Reads the own rank's report and tells an agent of it.
+    /// Reads the own rank's report and sends the resulting state to an agent.
     pub(super) async fn send_current_state(&self, agent: IpAddr) {
         if let Some(report) = self.read_report().await {
             self.handle_report(&report);
@@ -366,18 +370,19 @@
         }
     }
 
-    /// Sends a message to an agent. One that is lost is made up for by a later one.
+    /// Sends a message to an agent. Lost messages aren't resent; a later one replaces
+    /// them.
     pub async fn send(&self, agent: IpAddr, message: &Message) {
         self.send_bytes(agent, message.encode()).await;
     }
 
-    /// Sends a message that is encoded already.
+    /// Sends an encoded message to an agent.
     pub(super) async fn send_bytes(&self, agent: IpAddr, bytes: Vec<u8>) {
         let to = SocketAddr::new(agent, self.settings.peer_port);
         let _ = self.socket.send_to(bytes, to).await;
     }
 
-    /// Begins a change of map where one is worth it, as the lead.
+    /// As the lead, starts a map change if it is worth its cost.
     pub async fn decide(self: &Rc<Self>) {
         let now = self.clock.now();
         let change = match (&mut *self.lead.borrow_mut(), self.experts.get()) {
@@ -399,7 +404,7 @@
         self.advance_change().await;
     }
 
-    /// Carries on with the change under way, as the lead.
+    /// As the lead, advances the map change under way.
     pub async fn advance_change(self: &Rc<Self>) {
         let now = self.clock.now();
         let (orders, ended, epoch) = match &mut *self.lead.borrow_mut() {
--- a/verbenaspool_agent/src/direct/agent_state/tests.rs
+++ b/verbenaspool_agent/src/direct/agent_state/tests.rs
@@ -9,7 +9,7 @@
 
 use super::{super::settings::Settings, AgentState};
 
-/// The state of the agent beside the first of two ranks.
+/// State of the agent beside the first of two ranks.
 fn agent_state() -> Rc<AgentState> {
     let settings = "path: direct\nname: a\naddress: 127.0.0.1\nupstream: '127.0.0.1:9'\n\
                     service: s\npeer_port: 9\n";
@@ -20,7 +20,7 @@
     AgentState::new(settings, clock, log, client, socket, 1)
 }
 
-/// What the own rank says of its member in a group.
+/// Report of the own rank as a member of a group.
 fn report(group: &str, epoch: u64, open: bool) -> Report {
     let member = Member {
         group: group.to_owned(),
@@ -35,9 +35,10 @@
     }
 }
 
-/// A zone was cut off, its group broke, and formed anew when the zone was back. Agents
-/// had forgotten each other as it broke, heard of each other from the registry 3 s
-/// later, and until then callers had passes on the first map, three times as long.
+/// Guards against agents that forget each other when their group breaks, for example
+/// because a zone was cut off. They then learned of each other from the registry 3 s after
+/// the group had re-formed, and until then passes ran on the initial map and took three
+/// times as long.
 #[test]
 fn agents_remember_each_other_while_their_group_is_broken() {
     let run = async {
@@ -66,7 +67,7 @@
     runtime::run(run).expect("the loop runs");
 }
 
-/// What an entry says of the service, as one that lies would.
+/// Service information as sent by an entry; some of the tested values are forged.
 fn service_info(slots: u32) -> ServiceInfo {
     ServiceInfo {
         instances: vec!["127.0.0.2".parse().expect("an address")],
@@ -76,8 +77,8 @@
     }
 }
 
-/// Anybody can send an agent a datagram. What the store says of the service is taken from
-/// the entry that was asked, soon after that, and from nobody else.
+/// Guards against forged datagrams: service information is accepted only from the entry
+/// from which it was requested, and only soon after the request.
 #[test]
 fn service_info_is_accepted_only_from_the_queried_entry() {
     let run = async {
--- a/verbenaspool_agent/src/direct/assembly.rs
+++ b/verbenaspool_agent/src/direct/assembly.rs
@@ -1,32 +1,34 @@
-//! Maps that come in several datagrams, or as what differs from one before.
+//! Assembly of maps that arrive in several datagrams, or as differences from a previous
+//! map.
 
 use verbenaspool_protocol::member::{Difference, Move, placement_hash};
 use verbenaspool_state::engine::Experts;
 
-/// A map of which some parts have come.
+/// A map of which only some parts may have arrived.
 #[derive(Debug)]
 pub struct PartialMap {
-    /// The map's version.
+    /// Version of the map.
     pub version: u64,
-    /// The experts by set and rank, as far as they have come.
+    /// The experts by set of layers and rank, as far as they have arrived.
     pub sets: Vec<Option<Vec<Vec<u16>>>>,
 }
 
-/// How many maps an agent remembers: that in use, and those of changes that were
-/// given up since.
+/// Number of maps that an agent keeps: the one in use, and those of changes abandoned
+/// since.
 const MAX_KNOWN_MAPS: usize = 3;
 
-/// The version of the map that a group forms with.
+/// Version of the map that a group starts with.
 pub const INITIAL_VERSION: u64 = 0;
 
-/// The map that a group of so many ranks forms with, by set and rank: experts in turn.
+/// The map that a group of `ranks` ranks starts with, by set of layers and rank: experts
+/// are assigned round-robin.
 pub fn initial_placement(ranks: u16, experts: &Experts) -> Vec<Vec<Vec<u16>>> {
     let experts_on = |rank: u16| (rank..experts.count).step_by(ranks.max(1).into());
     let set: Vec<Vec<u16>> = (0..ranks).map(|rank| experts_on(rank).collect()).collect();
     vec![set; experts.layers.into()]
 }
 
-/// A map that an agent knows whole.
+/// A completely known map.
 #[derive(Debug, Clone)]
 struct KnownMap {
     epoch: u64,
@@ -34,7 +36,7 @@
     placement: Vec<Vec<Vec<u16>>>,
 }
 
-/// A difference of which some parts have come.
+/// A difference of which only some parts may have arrived.
 #[derive(Debug)]
 pub struct PartialDifference {
     epoch: u64,
@@ -43,7 +45,8 @@
 }
 
 impl PartialDifference {
-    /// The parts of one difference; a part of another one begins anew.
+    /// Returns `known` if the part belongs to the same difference, and otherwise an empty
+    /// one for the difference of the part.
     pub fn for_part(known: Option<Self>, part: &Difference) -> Self {
         let matches = |known: &Self| {
             (known.epoch, known.version) == (part.epoch, part.version)
@@ -56,10 +59,11 @@
         })
     }
 
-    /// Adds a part; the whole difference, once all have come.
+    /// Adds a part. Returns the complete difference once all parts have arrived.
     ///
-    /// A part whose number doesn't fit is dropped: the map that the others lead to has
-    /// another hash without it, or it is missing and asked for.
+    /// A part whose index is out of range is dropped. Without it the difference either
+    /// stays incomplete or leads to a map with another hash, and the complete map is
+    /// requested.
     pub fn add(&mut self, part: &Difference) -> Option<Difference> {
         *self.moves.get_mut(usize::from(part.part))? = Some(part.moves.clone());
         let moves = self.moves.iter().cloned().collect::<Option<Vec<_>>>()?;
@@ -71,12 +75,12 @@
     }
 }
 
-/// The maps that an agent knows whole, the newest last.
+/// The completely known maps, the newest last.
 #[derive(Debug, Default)]
 pub struct MapCache(Vec<KnownMap>);
 
 impl MapCache {
-    /// Remembers a map.
+    /// Adds a map.
     pub fn add(&mut self, epoch: u64, version: u64, placement: Vec<Vec<Vec<u16>>>) {
         self.0
             .retain(|known| known.epoch == epoch && known.version != version);
@@ -90,10 +94,11 @@
         });
     }
 
-    /// Remembers the first map of an epoch, which needn't be sent: experts in turn.
+    /// Adds the initial map of an epoch, which needn't be sent because every agent can
+    /// derive it.
     ///
-    /// Were it another one, the hash of what differs from it wouldn't fit, and the map
-    /// would be asked for whole.
+    /// If the group had another one, the hash of a map derived from it wouldn't match, and
+    /// the complete map would be requested.
     pub fn add_initial(&mut self, epoch: u64, ranks: u16, experts: &Experts) {
         if self.0.iter().any(|known| known.epoch == epoch) {
             return;
@@ -101,10 +106,12 @@
         self.add(epoch, INITIAL_VERSION, initial_placement(ranks, experts));
     }
 
-    /// The map that a difference leads to, where the one before is known.
+    /// Applies a difference. Returns `None` if its base isn't known or the result has
+    /// another hash.
     ///
-    /// Ranks on maps that differ garble answers without any sign of it. So a map
-    /// that isn't the lead's to the letter, whatever went wrong between, is none.
+    /// Ranks with different maps produce corrupt output without any error. Therefore a map
+    /// that isn't identical to the lead's is discarded, whatever the cause of the
+    /// difference.
     pub fn apply(&self, difference: &Difference) -> Option<Vec<Vec<Vec<u16>>>> {
         let base =
             |known: &&KnownMap| (known.epoch, known.version) == (difference.epoch, difference.base);
@@ -124,7 +131,7 @@
     }
 }
 
-/// The places in which two maps differ, each given by set and rank.
+/// The changed slots between two maps.
 pub fn diff(before: &[Vec<Vec<u16>>], after: &[Vec<Vec<u16>>]) -> Vec<Move> {
     let mut moves = Vec::new();
     for (set, (before, after)) in (0..).zip(before.iter().zip(after)) {
--- a/verbenaspool_agent/src/direct/assembly/tests.rs
+++ b/verbenaspool_agent/src/direct/assembly/tests.rs
@@ -5,8 +5,8 @@
 
 use super::{INITIAL_VERSION, MapCache, PartialDifference, diff};
 
-/// A group changes its map by a few places; an agent that knows the map before
-/// makes the same map of them as the lead, and one that doesn't asks for it whole.
+/// An agent that knows the base derives the same map from a difference as the lead; one
+/// that doesn't know it has to request the complete map.
 #[test]
 fn a_difference_leads_to_the_same_map() {
     let mut known = MapCache::default();
@@ -48,7 +48,7 @@
     assert_eq!(known.apply(&later), None);
 }
 
-/// A group forms anew and its versions begin again: what was known is void.
+/// A re-formed group starts its versions anew, so maps of the previous epoch don't apply.
 #[test]
 fn a_new_epoch_forgets_maps() {
     let mut known = MapCache::default();
@@ -67,9 +67,9 @@
     assert_eq!(known.apply(&old), None);
 }
 
-/// A change took an expert from a rank and brought none there. The difference could
-/// only tell of experts that came, so the rank's agent kept it, ranks were armed for
-/// maps of one version that weren't alike, and passes began on them.
+/// Guards against differences that can't express that a rank loses an expert and gets
+/// none. The rank's agent kept the expert, ranks were armed for different maps of one
+/// version, and passes ran on them.
 #[test]
 fn a_difference_may_only_remove_an_expert() {
     let before = vec![vec![vec![0, 1, 2], vec![2, 3], vec![3]]];
@@ -89,9 +89,8 @@
     assert_eq!(known.apply(&difference), Some(after));
 }
 
-/// An agent's map of a version differs from the lead's, whatever the reason. Made
-/// of what differs from it, the next one would differ as well; it has to be asked
-/// for whole instead.
+/// An agent's map of a version may differ from the lead's. A map derived from it would
+/// differ as well, so the complete map has to be requested.
 #[test]
 fn a_difference_with_another_hash_is_rejected() {
     let (theirs, after) = (
@@ -113,7 +112,7 @@
     assert_eq!(known.apply(&difference), None);
 }
 
-/// A part of a difference.
+/// One part of a difference.
 fn part(version: u64, part: u16, parts: u16) -> Difference {
     Difference {
         epoch: 1,
@@ -132,8 +131,8 @@
     }
 }
 
-/// A large group's change takes several datagrams, which come in any order, twice, or
-/// mixed with those of the change before. Only all parts of one change are a map.
+/// The change of a large group takes several datagrams, which may be reordered, duplicated
+/// or mixed with those of the previous change. Only all parts of one change make a map.
 #[test]
 fn parts_of_one_change_make_a_difference() {
     let mut parts = PartialDifference::for_part(None, &part(8, 0, 2));
@@ -148,8 +147,8 @@
     assert_eq!(sets, [0, 1]);
 }
 
-/// The first change of a group's life had the whole map sent to each rank, 15 KB each
-/// in a group of 63. Every agent can tell the map that a group forms with.
+/// Guards against sending the complete map to each rank, 15 KB each in a group of 63, for
+/// the first change of a group. Every agent can derive the initial map.
 #[test]
 fn the_initial_map_is_known_without_messages() {
     let experts = Experts {
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -1,7 +1,7 @@
-//! What the requests of a rank chose, on its way to the lead.
+//! Sends the expert choices of a rank's requests to the lead.
 //!
-//! In small groups every rank tells the lead. In large ones, where these messages would fill
-//! the lead's link, they are summed on the way, as [`gather`] tells.
+//! In small groups every rank sends them to the lead. In large ones, where these messages
+//! would fill the lead's link, they are aggregated on the way, see [`gather`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,53 +16,56 @@
 
 use super::agent_state::AgentState;
 
-/// How often choices are read at most: a shift of popularity shows within two readings.
+/// Minimum interval between reads of the choices. A shift of popularity shows within two
+/// reads.
 const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often every rank may tell the lead by itself at least; where its link doesn't
-/// bear that, messages are summed on the way.
+/// Maximum interval at which ranks send choices directly to the lead. If the lead's link
+/// requires a longer one, choices are aggregated instead.
 const MAX_DIRECT_REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long the sum of a round is waited for. Agents see each 0.05 s that a round is
-/// over, and read the choices then, which takes some 10 ms.
+/// Time allowed for all parts of a round to arrive before its sum is sent. Agents check
+/// every 0.05 s whether a round has ended, and then take some 10 ms to read the choices.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(70);
 
-/// How many counts go into one datagram.
+/// Maximum number of counts in one datagram.
 const COUNTS_PER_DATAGRAM: usize = 400;
 
-/// The part of a link that the messages of a circle may take while passes are as short as
-/// they can be. Usual ones take twice as long.
+/// Fraction of a link that the messages of an aggregation group may use if passes have
+/// their minimum duration. Usual passes take twice as long.
 const AGGREGATION_LINK_RATIO: f64 = 0.8;
 
-/// The same while passes are long, and messages the more seldom.
+/// As [`AGGREGATION_LINK_RATIO`], for the additional rounds while passes are long, which
+/// are less frequent.
 const LONG_PASS_LINK_RATIO: f64 = 0.4;
 
-/// Passes of a round at least, where they aren't long.
+/// Minimum number of passes in a round, unless passes are long.
 const MIN_ROUND_PASSES: u64 = 2;
 
-/// Rounds that a message may be ahead of its receiver or behind it.
+/// Maximum number of rounds by which a message may be ahead of its receiver or behind it.
 const MAX_ROUND_SKEW: u64 = 2;
 
 impl AgentState {
-    /// Whether messages about choices are summed on their way to the lead.
+    /// Whether choices are aggregated on their way to the lead.
     fn aggregates_choices(&self) -> bool {
         self.choices_interval() > MAX_DIRECT_REPORT_INTERVAL
     }
 
-    /// How many counts the choices of a rank have; none while its experts aren't known.
+    /// Number of counts that a rank sends: one per expert and set of layers, or 0 while
+    /// the service's experts are unknown.
     pub(super) fn counts_per_rank(&self) -> usize {
         let experts = self.experts.get();
         experts.map_or(0, |e| usize::from(e.layers) * usize::from(e.count))
     }
 
-    /// Wakes whoever reads choices where a round is over.
+    /// Wakes the sampling task if a round has ended.
     pub(super) fn notify_round_end(&self, state: &State) {
         if self.aggregates_choices() && self.ended_round(state).is_some() {
             self.round_ended.notify_one();
         }
     }
 
-    /// How many passes a round has at most.
+    /// Maximum number of passes in a round.
     fn passes_per_round(&self) -> u64 {
         let time = self.choices_transfer_time(AGGREGATION_GROUP_SIZE, AGGREGATION_LINK_RATIO);
         let pass = self.min_pass_time.get().max(Duration::from_millis(1));
@@ -70,11 +73,11 @@
         passes.unwrap_or(u64::MAX).max(MIN_ROUND_PASSES)
     }
 
-    /// The round that is over, if choices weren't read since.
+    /// The round that has ended since choices were last read, if any.
     ///
-    /// Every few passes a round ends, which all ranks count alike. Where passes are long,
-    /// as after a shift of popularity, each one does, as far as the link bears it: that
-    /// is when the lead has to know, and all ranks see that passes are long.
+    /// A round ends every few passes, which all ranks count alike. While passes are long,
+    /// as after a shift of popularity, each pass ends one as far as the link permits: that
+    /// is when the lead needs the data, and all ranks notice that passes are long.
     fn ended_round(&self, state: &State) -> Option<Round> {
         let (epoch, step, passes) = (
             state.report.epoch,
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Reads what the own rank's requests chose, if it is time, and tells it.
+    /// Reads and sends the choices of the own rank's requests, if they are due.
     pub async fn sample_choices(self: &Rc<Self>, incarnation: u64) {
         let Some(state) = self.state() else {
             return;
@@ -124,8 +127,8 @@
         }
     }
 
-    /// Reads what was chosen since the last reading; none where that can't be told, or
-    /// nothing was.
+    /// Returns the counts since the previous read, or `None` if they are unknown or all
+    /// zero.
     async fn read_new_counts(&self, incarnation: u64, epoch: u64) -> Option<Vec<u32>> {
         let choice = self.rank.choices().await;
         let choice = choice.filter(|choice| choice.epoch == epoch)?;
@@ -133,7 +136,7 @@
         let now = choice.counts.clone();
         let (last_incarnation, before) = self.last_counts.replace((incarnation, choice.counts));
         if last_incarnation != incarnation || before.len() != now.len() {
-            // Counts begin anew with the rank; there is nothing to compare with.
+            // A restarted rank counts from zero, so there is nothing to subtract yet.
             return None;
         }
         let increase = |(now, before): (&u64, &u64)| {
@@ -143,7 +146,7 @@
         counts.iter().any(|count| *count > 0).then_some(counts)
     }
 
-    /// The ranks whose choices are summed together with the own rank's.
+    /// The ranks of the own rank's aggregation group.
     fn aggregation_group(&self, state: &State) -> Vec<u16> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
@@ -152,7 +155,7 @@
         gather::aggregation_group(&zones, state.rank)
     }
 
-    /// Tells a rank what was chosen, in datagrams.
+    /// Sends choices to a rank, split into datagrams.
     async fn send_choices(self: &Rc<Self>, state: &State, to: u16, round: u64, counts: &[u32]) {
         for (number, counts) in counts.chunks(COUNTS_PER_DATAGRAM).enumerate() {
             let choices = Choices {
@@ -174,7 +177,8 @@
         }
     }
 
-    /// Takes in what requests chose: as the lead to decide by it, otherwise to sum it.
+    /// Processes choices of a rank: the lead adds them to its expert loads, other agents
+    /// add them to the sum of the round.
     pub(super) fn handle_choices(self: &Rc<Self>, choices: &Choices) {
         let (now, counts) = (self.clock.now(), self.counts_per_rank());
         if let Some(lead) = &mut *self.lead.borrow_mut() {
@@ -222,8 +226,7 @@
         }
     }
 
-    /// Notes messages about choices that are of no use; one line of log where there were
-    /// none before.
+    /// Counts a message of choices that was dropped, and logs the first one.
     fn record_dropped_choices(&self, choices: &Choices) {
         let dropped = self.dropped_choices.get();
         self.dropped_choices.set(dropped + 1);
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Passes a part on to the lead that came too late for its sum.
+    /// Forwards a part to the lead that arrived after the sum of its round was sent.
     fn forward_part(self: &Rc<Self>, choices: &Choices) {
         if let Some(lead) = self.lead_agent() {
             let (shared, message) = (self.clone(), Message::Choices(choices.clone()));
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Passes the sum of a round on to the lead.
+    /// Sends the sum of a round to the lead.
     async fn forward_sum(self: &Rc<Self>, round: Round) {
         let sum = self.sums.borrow_mut().close(round);
         let state = self.state();
--- a/verbenaspool_agent/src/direct/distribution.rs
+++ b/verbenaspool_agent/src/direct/distribution.rs
@@ -1,9 +1,10 @@
-//! Maps on their way from the lead to the other agents, and how much of a link the
-//! agents of a large group use.
+//! Distribution of maps from the lead to the other agents, and limits on the bandwidth
+//! that the agents of a large group use.
 //!
-//! Load: a group of 63 ranks or more on instances with links of 8 Mbit/s. Maps go by a
-//! tree of relays, as [`tree`] tells, and wait in an outbox until the link has room;
-//! choices, which all ranks send to the lead, come the less often the more there are.
+//! Load: a group of 63 ranks or more on instances with links of 8 Mbit/s. Maps are sent
+//! along a tree of relays, see [`tree`], and wait in an outbox until the link has
+//! capacity. All ranks send choices to the lead, at an interval that grows with their
+//! number.
 
 use std::{net::IpAddr, rc::Rc, time::Duration};
 
@@ -13,27 +14,27 @@
 
 use super::agent_state::AgentState;
 
-/// The part of the link that waiting messages are sent at. The rest is for states, orders
-/// and choices, which don't wait.
+/// Fraction of the link that messages in the outbox use. The rest is left to states,
+/// orders and choices, which are sent immediately.
 const PACED_LINK_RATIO: f64 = 0.5;
 
-/// The part of the lead's link that choices of all ranks may take. With 63 ranks and
-/// 2,016 counts each 0.1 s they would take 1.3 times a link of 8 Mbit/s, as reckoned.
+/// Fraction of the lead's link that the choices of all ranks may use. With 63 ranks and
+/// 2,016 counts per 0.1 s they would use 1.3 times a link of 8 Mbit/s, by calculation.
 const CHOICES_LINK_RATIO: f64 = 0.4;
 
-/// Bytes that one count takes, with its part of the datagram's head: most counts are
-/// below 128 and take one.
+/// Bytes per count, including its share of the datagram's header. Most counts are below
+/// 128 and are encoded in one byte.
 const BYTES_PER_COUNT: f64 = 1.2;
 
-/// What a datagram takes on the link beside its messages: the heads of IP and UDP.
+/// Size of the IP and UDP headers of a datagram.
 const DATAGRAM_HEADER_BYTES: usize = 28;
 
 impl AgentState {
-    /// Sends a map to the ranks that are to copy, by relays.
+    /// Sends a map to the ranks that have to prepare it, through relays.
     ///
-    /// Each time other ranks are relays: one that died, froze or is cut off would keep
-    /// the map from the same ranks for good. While messages of the time before still wait
-    /// for the link, nothing is added to them.
+    /// Each attempt chooses other relays at random: one that crashed, froze or is cut off
+    /// would otherwise keep the map from the same ranks forever. Nothing is added while
+    /// messages of the previous attempt still wait in the outbox.
     pub(super) fn distribute_map(self: &Rc<Self>, preparing: &[(u64, usize)], epoch: u64) {
         let Some(&(version, _)) = preparing.first() else {
             return;
@@ -44,7 +45,7 @@
         let ranks = preparing.iter().map(|(_, rank)| *rank);
         let mut ranks: Vec<u16> = ranks.filter_map(|rank| rank.try_into().ok()).collect();
         ranks.shuffle(&mut rand::rng());
-        // Ranks of one zone are next to each other, so that few messages cross zones.
+        // Ranks of the same zone are adjacent, so that few messages cross zones.
         ranks.sort_by_key(|rank| {
             self.membership
                 .borrow()
@@ -60,12 +61,12 @@
         }
     }
 
-    /// Passes a message of the lead on to the ranks that it names.
+    /// Relays a message of the lead to the ranks that it lists.
     pub(super) fn relay(self: &Rc<Self>, difference: &Difference) {
         self.send_to_branches(difference, &difference.descendants);
     }
 
-    /// Sends a message to some ranks, which pass it on to the others.
+    /// Sends a message to some of the ranks, which relay it to the others.
     fn send_to_branches(self: &Rc<Self>, difference: &Difference, ranks: &[u16]) {
         for branch in tree::branches(ranks) {
             let agent = self
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Sends a message once the link has room for it.
+    /// Sends a message as soon as the link has capacity for it.
     pub(super) fn send_paced(self: &Rc<Self>, agent: IpAddr, message: &Message) {
         let mut outbox = self.outbox.borrow_mut();
         outbox.push_back((agent, message.encode()));
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Sends what waits in the outbox, one message after the other. A message stays in it
-    /// until its time on the link is over.
+    /// Sends the messages in the outbox one by one. A message stays in the outbox until
+    /// its transfer time has elapsed.
     async fn drain_outbox(&self) {
         loop {
             let next = self.outbox.borrow().front().cloned();
@@ -109,7 +110,7 @@
         }
     }
 
-    /// How long so many bytes take on a part of the link.
+    /// Time to transfer a number of bytes with a fraction of the link's bandwidth.
     fn transfer_time(&self, bytes: usize, link_ratio: f64) -> Duration {
         let bits_per_second = (self.settings.link_mbps * 1e6 * link_ratio).max(1.0);
         #[allow(clippy::cast_precision_loss)] // Signals are short.
@@ -117,8 +118,9 @@
         Duration::from_secs_f64(bits / bits_per_second)
     }
 
-    /// How often choices are told, so that those of all ranks fit in their part of the
-    /// lead's link, which is taken to be like this one.
+    /// Interval at which a rank sends its choices, so that those of all ranks fit in their
+    /// share of the lead's link. The lead's link is assumed to have the same bandwidth as
+    /// the own one.
     pub(super) fn choices_interval(&self) -> Duration {
         let size = self
             .state()
@@ -126,7 +128,8 @@
         self.choices_transfer_time(size, CHOICES_LINK_RATIO)
     }
 
-    /// How long the choices of so many ranks take on a part of the link.
+    /// Time to transfer the choices of a number of ranks with a fraction of the link's
+    /// bandwidth.
     pub(super) fn choices_transfer_time(&self, ranks: usize, link_ratio: f64) -> Duration {
         #[allow(clippy::cast_precision_loss)] // Groups are small.
         let counts = self.counts_per_rank() as f64 * BYTES_PER_COUNT;
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -1,4 +1,4 @@
-//! What the agent beside the first rank knows of its group, and what it decides.
+//! The lead's view of its group, and its decisions on map changes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,96 +10,98 @@
 
 use super::assembly::{INITIAL_VERSION, diff, initial_placement};
 
-/// Time constant by which older expert counts count less.
+/// Time constant of the exponential decay of expert counts.
 const EXPERT_LOAD_WINDOW: Duration = Duration::from_millis(150);
 
-/// How long one message about choices may be overtaken by others.
+/// Maximum time by which a message of choices may arrive after later ones.
 const REORDER_WINDOW: Duration = Duration::from_millis(300);
 
-/// Choices a set that a decision rests on at least.
+/// Minimum number of choices per set of layers for a decision.
 const MIN_SAMPLES: f64 = 1_000.0;
 
-/// How long a rank may copy for one change. Passes take longer meanwhile, and just after a
-/// shift of popularity they are at their longest.
+/// Maximum time that a rank may spend copying for one change. Passes take longer in the
+/// meantime, and just after a shift of popularity they are longest.
 const COPY_TIME: Duration = Duration::from_millis(40);
 
-/// The same while a rank is slow, or is well again and holds hardly any experts, and on
-/// the map that a group forms with.
+/// As [`COPY_TIME`], while a rank is slow, while a recovered rank holds hardly any
+/// experts, and with the map that a group starts with.
 const REBUILD_COPY_TIME: Duration = Duration::from_millis(300);
 
-/// Age from which on choices say nothing of what requests choose now.
+/// Age from which choices no longer represent what requests choose.
 const STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a group counts as newly formed. The first changes rest on few requests.
+/// Time for which a group counts as newly formed. Its first changes are based on few
+/// requests.
 const FORMING_TIME: Duration = Duration::from_secs(1);
 
-/// The pace from which on a rank counts as slow: its part of a pass is half longer,
-/// more than the busiest rank is above the mean on a good map.
+/// Pace from which a rank counts as slow. Its part of a pass takes half as long again as
+/// usual, a larger difference than that between the busiest rank and the mean with a good
+/// map.
 const SLOW_RANK_PACE: f64 = 1.5;
 
-/// Copies a rank that one change makes at most, however fast they are.
+/// Maximum number of copies per rank in one change, however fast copying is.
 const MAX_COPIES_PER_RANK: usize = 4;
 
-/// The least part of the pass that a copy has to save, for each second that it takes,
-/// divided by the ranks: a shorter pass serves the streams of all of them.
+/// Minimum fraction of the pass time that a copy has to save per second of copying,
+/// divided by the number of ranks: a shorter pass benefits the streams of all ranks.
 const MIN_GAIN_PER_COPY_SECOND: f64 = 1.0;
 
-/// Places that change which are told in one datagram: each takes up to nine bytes, and
-/// the ranks that it is passed on to up to 200.
+/// Maximum number of changed slots in one datagram. Each takes up to nine bytes, and the
+/// list of ranks to relay to takes up to 200.
 const MOVES_PER_DATAGRAM: usize = 120;
 
-/// Bits of a version that are drawn: a lead that was started again can't know
-/// every version that its forerunner gave out, and an order for one of those may
-/// still come.
+/// Number of random bits in a version. A restarted lead can't know all versions that its
+/// predecessor issued, and an order for one of them may still arrive.
 const RANDOM_VERSION_BITS: u32 = 16;
 
-/// The map of the group as its ranks hold it.
+/// The experts of a rank, by set of layers, and the version of the map that they belong
+/// to.
 #[derive(Debug, Clone, Default)]
 struct RankMap {
     version: u64,
     experts: Vec<Vec<u16>>,
 }
 
-/// A map that is being brought in use.
+/// A map to switch to.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Its version.
+    /// Version of the map.
     pub version: u64,
-    /// The experts by set and rank.
+    /// The experts by set of layers and rank.
     pub placement: Vec<Vec<Vec<u16>>>,
-    /// The version that it differs from, and by what.
+    /// Version of the map in use, from which this one differs.
     pub base: u64,
-    /// The places that change.
+    /// The changed slots.
     pub moves: Vec<Move>,
-    /// Tells this map from others.
+    /// Hash of the placement, by which agents verify that their map is the same.
     pub hash: u32,
 }
 
-/// The group as its lead knows it.
+/// The lead's view of the group.
 #[derive(Debug)]
 pub struct Lead {
-    /// The change under way.
+    /// The map change under way.
     pub switch: Switch,
-    /// The map that it brings in use.
+    /// The map that the change switches to.
     pub plan: Option<Plan>,
-    /// Whether it only stands in for a lead that is silent, to let a pass begin
-    /// that is held.
+    /// Whether it only stands in for a silent lead, to release a held pass.
     pub stands_in: bool,
     rank_count: usize,
     epoch: u64,
     rank_maps: BTreeMap<u16, RankMap>,
     expert_loads: Vec<f64>,
     loads_updated_at: Duration,
-    /// When the group was first seen to run.
+    /// When the group was first ready for a change.
     running_since: Option<Duration>,
-    /// The last round of each part of a rank's messages about choices, and when it came.
+    /// Last round of each part of a rank's choices, by rank and offset, and when it was
+    /// received.
     received_rounds: BTreeMap<(u16, u32), (u64, Duration)>,
-    /// How many times longer than usual each rank takes for its work.
+    /// Ratio of each rank's time for its work to the usual one.
     paces: Vec<f64>,
 }
 
 impl Lead {
-    /// The lead of a group of so many ranks.
+    /// Creates the lead of a group with the given number of ranks.
     pub fn new(ranks: usize) -> Self {
         Self {
             switch: Switch::new(ranks),
@@ -116,13 +118,13 @@
         }
     }
 
-    /// Takes over what the lead of the group's epoch before knew of popularity.
+    /// Takes over the expert loads of the group's previous epoch.
     ///
-    /// A group that forms anew has its first map, on which passes take three times as
-    /// long as on even ranks, and all who waited for it come at once. Popularity is
-    /// much the same as before, so a better map can be copied before they come.
+    /// A re-formed group starts with the initial map, on which passes take three times as
+    /// long as with balanced ranks, and all waiting requests arrive at once. Popularity is
+    /// about the same as before, so a better map can be copied before they arrive.
     ///
-    /// Other ranks may have reported of the new epoch before the own one did.
+    /// The switch is taken over if other ranks have already reported the new epoch to it.
     pub fn inherit(&mut self, before: Self, epoch: u64) {
         if before.rank_count != self.rank_count {
             return;
@@ -134,25 +136,25 @@
         }
     }
 
-    /// Whether each expert has a place on the group's ranks. Where not, no map is one
-    /// that engines take, and none is ordered.
+    /// Whether all experts fit on the group's ranks. Otherwise engines accept no map, and
+    /// none is ordered.
     pub fn fits(&self, experts: &Experts) -> bool {
         experts.fits(self.rank_count)
     }
 
-    /// Takes in how slow a rank is.
+    /// Records the pace of a rank.
     pub fn set_pace(&mut self, rank: usize, pace: f32) {
         if let Some(known) = self.paces.get_mut(rank) {
             *known = pace.into();
         }
     }
 
-    /// How long ranks may copy for one change.
+    /// Maximum time that ranks may spend copying for one change.
     ///
-    /// A slow rank makes each pass late, whatever is copied meanwhile: all its experts
-    /// are to leave it in one change, where one copy a rank and change took three
-    /// changes of a second each. Likewise when it is well again and holds hardly any, and
-    /// on the map that a group forms with, which is about as bad.
+    /// A slow rank delays every pass, so all its experts should move in one change; with
+    /// one copy per rank and change this took three changes of a second each. The same
+    /// holds for a recovered rank with hardly any experts, and for the map that a group
+    /// starts with, which is about as bad.
     fn max_copy_time(&self, now: Duration, layers: &[Layer], version: u64) -> Duration {
         let newly_formed = self
             .running_since
@@ -169,10 +171,8 @@
         }
     }
 
-    /// Takes in what requests chose among so many experts of all sets; tells whether it
-    /// fits and is new.
-    ///
-    /// A message that came twice would count double.
+    /// Adds choices to the expert loads, of which there are `counts`. Returns false if the
+    /// message is a duplicate, which would count double, or out of range.
     pub fn add_choices(&mut self, now: Duration, choices: &Choices, counts: usize) -> bool {
         let from = choices.offset as usize;
         let end = from.saturating_add(choices.counts.len());
@@ -196,13 +196,13 @@
         true
     }
 
-    /// Takes in what a rank holds.
+    /// Records the experts of a rank.
     pub fn record_experts(&mut self, experts: RankExperts) {
         if experts.epoch > self.epoch {
             self.epoch = experts.epoch;
             self.rank_maps.clear();
         }
-        // A message from before the last change comes too late.
+        // Messages from before the last change are ignored.
         let newer = |known: &RankMap| experts.version >= known.version;
         if experts.epoch == self.epoch && self.rank_maps.get(&experts.rank).is_none_or(newer) {
             let rank_map = RankMap {
@@ -213,8 +213,8 @@
         }
     }
 
-    /// A map is in use that this lead brought there: what ranks hold is known
-    /// without their message, which takes up to 0.2 s.
+    /// Records that a map of this lead is in use. The experts of all ranks are then known
+    /// without their messages, which take up to 0.2 s.
     pub fn record_completed(&mut self, version: u64) {
         let Some(plan) = self.plan.as_ref().filter(|plan| plan.version == version) else {
             return;
@@ -230,11 +230,11 @@
         }
     }
 
-    /// The map in use and its version, where all ranks said that they hold the same one.
+    /// The map in use and its version, if all ranks have reported the same version.
     ///
-    /// The map that a group forms with is known without their messages, which take too
-    /// long: everybody who waited for the group comes at once, and passes on this map are
-    /// the longest there are.
+    /// The initial map is known without these messages. They would take too long: all
+    /// requests that waited for the group arrive at once, and passes are longest on this
+    /// map.
     fn current_map(&self, experts: &Experts) -> Option<(u64, Vec<Layer>)> {
         if self.switch.map_version() == Some(INITIAL_VERSION) {
             let ranks = u16::try_from(self.rank_count).ok()?;
@@ -262,7 +262,7 @@
         Some((first.version, (0..sets).map(layer).collect()))
     }
 
-    /// The loads by set.
+    /// The expert loads by set of layers, if there are enough choices.
     fn layer_loads(&self, experts: &Experts) -> Option<Vec<Vec<f64>>> {
         let count = usize::from(experts.count);
         let sets: Vec<Vec<f64>> = self
@@ -277,7 +277,7 @@
         (complete && enough).then_some(sets)
     }
 
-    /// Begins a change, if one is worth it now.
+    /// Starts a change, if one is worth its cost now.
     pub fn decide(&mut self, now: Duration, experts: &Experts) -> Option<PlacementChange> {
         if self.stands_in || !self.switch.is_ready(now) || !self.fits(experts) {
             return None;
@@ -306,7 +306,7 @@
             .max(self.plan.as_ref().map_or(0, |p| p.version));
         let random = rand::rng().random_range(0..1 << RANDOM_VERSION_BITS);
         let version = (((highest >> RANDOM_VERSION_BITS) + 1) << RANDOM_VERSION_BITS) + random;
-        // Every rank must get the same map to the letter, whichever way it comes.
+        // Every rank must get an identical map, in whichever form it is sent.
         let sorted = |experts: &Vec<u16>| {
             let mut experts = experts.clone();
             experts.sort_unstable();
@@ -331,8 +331,8 @@
         Some(change)
     }
 
-    /// The map of a version as what differs from the one in use, in parts that fit in
-    /// datagrams.
+    /// The differences between the map of a version and the one in use, in parts that fit
+    /// in datagrams.
     pub fn difference_parts(&self, version: u64, epoch: u64) -> Vec<Difference> {
         let plan = self.plan.as_ref().filter(|plan| plan.version == version);
         let Some(plan) = plan else {
@@ -353,7 +353,7 @@
         (0..).zip(&chunks).map(part).collect()
     }
 
-    /// The map of a version in parts that fit in datagrams.
+    /// The complete map of a version, in parts that fit in datagrams.
     pub fn map_parts(&self, version: u64, epoch: u64) -> Vec<Map> {
         let Some(plan) = self.plan.as_ref().filter(|plan| plan.version == version) else {
             return Vec::new();
@@ -365,7 +365,7 @@
             .map(|ranks| ranks.len() + 1)
             .sum();
         let sets = plan.placement.len();
-        // Numbers take one byte or two.
+        // A number is encoded in one or two bytes.
         let parts = (numbers * 2).div_ceil(1_000).clamp(1, sets.max(1));
         let sets_per_part = sets.div_ceil(parts).max(1);
         let chunks = plan.placement.chunks(sets_per_part).enumerate();
@@ -382,7 +382,7 @@
     }
 }
 
-/// How many copies a rank makes in the time for one change.
+/// Number of copies that a rank makes in the time for one change.
 fn copies_within(time: Duration, copy_time: Duration) -> usize {
     let copies = time.as_micros() / copy_time.as_micros().max(1);
     usize::try_from(copies)
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -17,7 +17,7 @@
     copy_time: Duration::from_millis(100),
 };
 
-/// The lead of two ranks that have just formed a group, on its first map.
+/// The lead of two ranks that have just formed a group and use the initial map.
 fn formed(epoch: u64) -> Lead {
     let mut lead = Lead::new(2);
     for rank in 0..2 {
@@ -38,7 +38,7 @@
     lead
 }
 
-/// What the requests of a rank chose: nearly all of them the first expert.
+/// Choices of a rank whose requests nearly always choose the first expert.
 fn choices() -> Choices {
     Choices {
         group: 7,
@@ -50,9 +50,9 @@
     }
 }
 
-/// A group forms anew, and all who waited for it come in one moment. On its first map
-/// the busiest rank kept them waiting until enough of them had run to tell which experts
-/// they choose. What they chose before tells it without them.
+/// Guards against a re-formed group that stays on its initial map, where the busiest rank
+/// delays all waiting requests, until enough of them have run to show which experts they
+/// choose. The choices before the break show it already.
 #[test]
 fn a_re_formed_group_keeps_expert_loads() {
     let mut before = formed(1);
@@ -64,8 +64,8 @@
     assert!(change.imbalance_after < 1.2, "{change:?}");
 }
 
-/// Guards against a lead that waits for what ranks hold, or for reports that came before
-/// its own rank had joined the group, while everybody's passes are at their longest.
+/// Guards against a lead that waits for the experts of ranks, or ignores reports received
+/// before its own rank joined the group, while passes are longest.
 #[test]
 fn the_initial_map_is_changed_as_soon_as_all_ranks_reported() {
     let report = Report {
@@ -87,7 +87,7 @@
     assert!(lead.decide(NOW, &EXPERTS).is_some());
 }
 
-/// Guards against a first map that suits what requests chose before a long outage.
+/// Guards against a first map change that is based on choices from before a long outage.
 #[test]
 fn outdated_choices_change_no_map() {
     let mut lead = formed(1);
@@ -95,8 +95,8 @@
     assert_eq!(lead.decide(NOW, &EXPERTS), None);
 }
 
-/// One copy takes 0.1 s, more than a usual change may take: one a rank is made. On the
-/// first map, or where a rank is slow, three are, since passes are late until then.
+/// A copy takes 0.1 s, longer than the usual time for a change, so each rank makes one. On
+/// the initial map, or with a slow rank, it makes three, since passes are slow until then.
 #[test]
 fn a_bad_map_allows_more_copies_per_change() {
     let mut lead = formed(1);
@@ -114,8 +114,8 @@
     assert_eq!(copies(&lead, &empty, 9), 3, "a rank that is well again");
 }
 
-/// A configuration names more experts than the ranks have places for. Orders went out
-/// that no rank could take, one after the other; now there are none.
+/// Guards against repeated orders that no rank can execute, when the configuration
+/// contains more experts than fit on the ranks.
 #[test]
 fn experts_that_do_not_fit_change_no_map() {
     let mut lead = formed(1);
--- a/verbenaspool_agent/src/direct/lookup.rs
+++ b/verbenaspool_agent/src/direct/lookup.rs
@@ -1,9 +1,10 @@
-//! What an agent learns from entries: who the other agents of its service are, and what
-//! the configuration says of its engines.
+//! Service information from entries: the instances of the service, and the configuration
+//! of its engines.
 //!
-//! Load: hundreds of agents. Each read the registry and the configuration from the store
-//! again and again until its group was whole, some hundred kilobytes a time. Entries
-//! follow both anyhow, and one datagram of theirs says all that an agent needs.
+//! Load: hundreds of agents. When each of them read the registry and the configuration
+//! from the store until its group was complete, every read transferred some hundred
+//! kilobytes. Entries follow both anyway, and one datagram from an entry contains all that
+//! an agent needs.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -12,18 +13,21 @@
 
 use super::agent_state::AgentState;
 
-/// How often an entry is asked: often while agents of the group are missing, seldom
-/// otherwise. Both change little for a group.
+/// Intervals between requests to an entry: the first while agents of the group are
+/// unknown, the second otherwise. The information rarely changes for a group.
 const LOOKUP_INTERVALS: [Duration; 2] = [Duration::from_millis(300), Duration::from_secs(20)];
 
-/// How long an entry has to answer. Whoever else sends such a message isn't believed.
+/// Time within which an entry has to answer. Service information that wasn't requested is
+/// ignored, since anyone can send a datagram.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How much longer an entry of another zone isn't asked, whose answer is paid for.
+/// Factor by which the interval is longer for entries of other zones, whose answers are
+/// charged as cross-zone traffic.
 const CROSS_ZONE_INTERVAL_FACTOR: u32 = 2;
 
 impl AgentState {
-    /// Asks an entry that has just spoken, if it is time.
+    /// Requests service information from an entry that has just sent a message, if the
+    /// interval has elapsed.
     pub(super) async fn request_service_info(&self, entry: IpAddr, same_zone: bool) {
         let now = self.clock.now();
         let complete = self.knows_whole_group() && self.experts.get().is_some();
@@ -41,7 +45,7 @@
         self.send(entry, &Message::Lookup).await;
     }
 
-    /// Takes in what an entry says that was asked.
+    /// Stores the service information, if it answers the last request.
     pub(super) fn handle_service_info(&self, entry: IpAddr, info: &ServiceInfo) {
         let now = self.clock.now();
         let expected = |(asked, at): (IpAddr, Duration)| {
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -1,4 +1,4 @@
-//! The agents beside the other ranks, as they were heard.
+//! The agents of the group's ranks, according to their messages.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,33 +9,33 @@
 use verbenaspool_coordination::switch::HOLDER_RANK;
 use verbenaspool_protocol::member::State;
 
-/// How long one datagram may be overtaken by others.
+/// Maximum time by which a datagram may arrive after later ones.
 const REORDER_WINDOW: Duration = Duration::from_millis(300);
 
-/// How long a member is remembered whose agent is silent.
+/// Time after which a member is removed whose agent sends no messages.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
 
-/// Ranks whose agents may stand in for a lead that is silent, itself included. A few are
-/// enough: all of them would have to be stopped at once.
+/// Number of ranks, the lead's included, whose agents may stand in for a silent lead. A
+/// few are enough, since the lead and all stand-ins would have to fail at once.
 pub const MAX_STAND_INS: u16 = 8;
 
-/// One agent and its rank.
+/// A rank and its agent.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Where its agent is.
+    /// Address of the agent.
     pub agent: IpAddr,
-    /// What it said last.
+    /// The last state received from it.
     pub state: State,
-    /// When.
+    /// When the state was received.
     pub received_at: Duration,
 }
 
-/// The agents of a group by rank.
+/// The members of a group, by rank.
 #[derive(Debug, Default)]
 pub struct Membership(BTreeMap<u16, Member>);
 
 impl Membership {
-    /// Takes a state in; tells whether it is news.
+    /// Records a state. Returns false if it is older than the known one.
     pub fn update(&mut self, now: Duration, agent: IpAddr, state: State) -> bool {
         if let Some(known) = self.0.get(&state.rank) {
             let recent = now.saturating_sub(known.received_at) < REORDER_WINDOW;
@@ -58,24 +58,24 @@
         true
     }
 
-    /// The member of a rank.
+    /// The member with a rank.
     pub fn get(&self, rank: u16) -> Option<&Member> {
         self.0.get(&rank)
     }
 
-    /// All membership that were heard not too long ago.
+    /// All members from which a state was received recently.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Member> {
         let recent = move |member: &&Member| now.saturating_sub(member.received_at) < FORGET_AFTER;
         self.0.values().filter(recent)
     }
 
-    /// The agents that hear many times a second how a rank stands.
+    /// The agents to which the state of a rank is sent many times a second.
     ///
     /// The lead decides by the messages of all ranks, and the rank that holds passes is
-    /// the first to stand in for it; those that may stand in behind it have to know of
-    /// these two, to see whether a lead is silent and a pass is held. With all ranks
-    /// telling all others a group of 32 would send 9,900 datagrams a second, two in three
-    /// between zones.
+    /// the first to stand in for it. The other possible stand-ins only need the states of
+    /// these two, to detect that the lead is silent or a pass is held. If all ranks sent
+    /// their states to all others, a group of 32 would send 9,900 datagrams a second, two
+    /// thirds of them between zones.
     pub fn state_recipients(&self, now: Duration, rank: u16) -> BTreeSet<IpAddr> {
         let is_recipient = |member: &&Member| {
             let member = member.state.rank;
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// Forgets all: the rank sits in another group.
+    /// Removes all members, when the rank joins another group.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/verbenaspool_agent/src/direct/membership/tests.rs
+++ b/verbenaspool_agent/src/direct/membership/tests.rs
@@ -27,8 +27,8 @@
     membership
 }
 
-/// In a group of 32 each rank told all others ten times a second how it stands, and
-/// agents were busy hearing X
+/// Guards against a group of 32 in which each rank sends its state to all others ten times
+/// a second, which keeps the agents busy receiving.
 #[test]
 fn only_agents_that_act_on_a_state_receive_it() {
     let membership = membership(32);
--- a/verbenaspool_agent/src/direct/mod.rs
+++ b/verbenaspool_agent/src/direct/mod.rs
@@ -1,9 +1,9 @@
-//! The agent beside a rank of a group of engines, on the direct path.
+//! The agent beside a rank of an engine group, when requests take the direct path.
 //!
-//! Requests don't pass through it. It reads its rank's report and choices, which
-//! costs the rank nothing from its own instance, and gives its rank orders. The
-//! agent beside the first rank leads the group: it decides which map of experts
-//! the ranks use next and brings it in use.
+//! Requests don't pass through this agent. It reads its rank's report and expert choices,
+//! which is cheap on the same instance, and sends orders to its rank. The agent of the
+//! first rank leads the group: it decides which expert map the ranks use next and
+//! coordinates the switch to it.
 
 mod agent_state;
 mod assembly;
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -1,5 +1,4 @@
-//! Orders to ranks: those that the lead sends, and those that an agent gives its
-//! own rank.
+//! Orders to ranks: those sent by the lead, and those that an agent sends to its own rank.
 
 use std::{net::IpAddr, rc::Rc};
 
@@ -17,28 +16,28 @@
     rank::{self, Outcome, Rank},
 };
 
-/// How many passes ahead a forerunner of this process may have given orders for.
-/// Passes are held two ahead; the others make up for passes begun since.
+/// Number of passes ahead for which a predecessor of this process may have passed on
+/// orders. Passes are held two ahead; the rest allows for passes begun since.
 const PREDECESSOR_PASSES: u64 = 4;
 
-/// How often an order is given that gets no answer. With one in three lost, ten
-/// in a row are lost less than once in 50,000 times.
+/// Maximum number of attempts to send an order that gets no answer. If a third of them are
+/// lost, all ten are lost less than once in 50,000 times.
 const MAX_ORDER_ATTEMPTS: u32 = 10;
 
 impl AgentState {
-    /// Up to which pass of an epoch no order of a lead to arm is given.
+    /// The last pass of an epoch for which the lead's arm orders are rejected.
     pub(super) fn arming_blocked_through(&self, epoch: u64) -> u64 {
         let (blocked_epoch, step) = self.arming_block.get();
         if blocked_epoch == epoch { step } else { 0 }
     }
 
-    /// The last pass of an epoch for which an order to arm was given.
+    /// The last pass of an epoch for which an arm order was passed on to the rank.
     pub(super) fn last_arm_step(&self, epoch: u64) -> u64 {
         let (arm_epoch, step) = self.last_arm.get();
         if arm_epoch == epoch { step } else { 0 }
     }
 
-    /// Gives no order of a lead to arm for a pass up to this one from here on.
+    /// Rejects the lead's arm orders for passes up to `step` from now on.
     pub(super) fn block_arming(&self, epoch: u64, step: u64) {
         if self.arming_blocked_through(epoch) < step {
             self.arming_block.set((epoch, step));
@@ -47,14 +46,15 @@
         }
     }
 
-    /// Notes that an order to arm is about to be given.
+    /// Records that an arm order is about to be passed on to the rank.
     pub(super) fn record_arm(&self, epoch: u64, step: u64) {
         self.last_arm
             .set((epoch, self.last_arm_step(epoch).max(step)));
     }
 
-    /// A process that has just started doesn't know what its forerunner did: it
-    /// may have given any order for the passes to come, and promised any bar.
+    /// Makes a process that has just started assume the worst about its predecessor, which
+    /// may have passed on any order for the next passes and promised to reject any of
+    /// them.
     pub(super) fn assume_predecessor_orders(&self, epoch: u64, step: u64) {
         if self.state.borrow().is_none() && self.sequence.get() == self.first_sequence {
             let ahead = step + PREDECESSOR_PASSES;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Carries out an order of the lead, and tells it how the rank stands then.
+    /// Executes an order of the lead and answers with the rank's resulting state.
     pub(super) async fn execute_order(self: &Rc<Self>, agent: IpAddr, order: Order) {
         let Action::Change(change) = order.action else {
             self.send_current_state(agent).await;
@@ -85,19 +85,19 @@
                 self.send_current_state(agent).await;
                 return;
             }
-            // Maps come by themselves, whole or as what differs.
+            // Maps are sent separately, completely or as differences.
             Change::Prepare { .. } => return,
         };
         self.order_own_rank(&engine_order, order.epoch).await;
         self.send_current_state(agent).await;
     }
 
-    /// Gives the own rank an order, again and again until it is answered or its
-    /// report shows the effect.
+    /// Sends an order to the own rank, repeatedly until it is answered or the rank's
+    /// report shows its effect.
     ///
-    /// An order may get no answer and be carried out seconds later. All orders
-    /// bear being given twice: they name the version or the pass that they are
-    /// for, and a late one is refused because that pass has begun by then.
+    /// An unanswered order may be executed seconds later. All orders can be repeated: they
+    /// name the version or the pass that they apply to, and a late one is rejected because
+    /// that pass has begun by then.
     pub(super) async fn order_own_rank(&self, order: &order::Order, epoch: u64) {
         if self.pending_order.borrow().as_ref() == Some(order) {
             return;
@@ -127,7 +127,8 @@
         self.pending_order.replace(None);
     }
 
-    /// Takes a part of a map in; with the last part, has the rank prepare it.
+    /// Adds a part of a complete map. With the last part, orders the rank to prepare the
+    /// map.
     pub(super) async fn handle_map_part(self: &Rc<Self>, agent: IpAddr, map: Map) {
         let whole = {
             let mut partial = self.partial_map.borrow_mut();
@@ -157,8 +158,8 @@
         self.prepare(agent, map.epoch, map.version, placement).await;
     }
 
-    /// Takes in a map, or a part of it, by what differs from one before, and passes it
-    /// on; asks the lead for the whole map where the one before isn't known.
+    /// Adds a part of a difference and relays it. Requests the complete map from the lead
+    /// if the difference can't be applied.
     pub(super) async fn handle_difference(self: &Rc<Self>, difference: Difference) {
         self.relay(&difference);
         let Some(lead) = self.lead_agent() else {
@@ -192,7 +193,7 @@
             .await;
     }
 
-    /// Sends the whole map to an agent that lacks it, as the lead.
+    /// As the lead, sends the complete map to an agent that lacks it.
     pub(super) fn send_whole_map(self: &Rc<Self>, agent: IpAddr, request: MapRequest) {
         let parts = match &*self.lead.borrow() {
             Some(lead) => lead.map_parts(request.version, request.epoch),
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Has the own rank prepare a map, and tells the lead how it stands then.
+    /// Orders the own rank to prepare a map, and answers with its resulting state.
     async fn prepare(
         &self,
         agent: IpAddr,
@@ -222,12 +223,12 @@
         self.send_current_state(agent).await;
     }
 
-    /// Sends an order to a rank, by its agent.
+    /// Sends an order to a rank.
     ///
-    /// An agent has to know of every order to arm that its rank may get, so these
-    /// go by no other way, however long it is silent. A pass is held and let go
-    /// straight from here: an agent that froze right behind its order to hold
-    /// would take the held rank with it.
+    /// Arm orders only go through the rank's agent, however long it is silent, because it
+    /// has to know of each one that its rank may get. Passes are held and released
+    /// directly from here: if the agent froze right after it passed on a hold order, the
+    /// held rank would depend on it.
     pub(super) async fn send_order(self: &Rc<Self>, rank_order: RankOrder, epoch: u64) {
         let rank = u16::try_from(rank_order.rank).unwrap_or(u16::MAX);
         let Some(member) = self.membership.borrow().get(rank).cloned() else {
@@ -253,7 +254,7 @@
             .await;
     }
 
-    /// An order as a rank takes it.
+    /// Converts an order of the switch to one for an engine.
     pub(super) fn engine_order(&self, order: Change) -> Option<order::Order> {
         Some(match order {
             Change::Prepare { version } => {
@@ -270,12 +271,12 @@
                 order::Order::Arm { version, step }
             }
             Change::Go { step } => order::Order::Go { step },
-            // This is for an agent, not for its rank.
+            // This order applies to agents, not to ranks.
             Change::BlockArming { .. } => return None,
         })
     }
 
-    /// Gives the own rank an order and goes on with what its report then says.
+    /// Sends an order to the own rank, and advances the change with the resulting report.
     pub(super) async fn execute_own_order(self: Rc<Self>, order: Change, epoch: u64) {
         match order {
             Change::BlockArming { step } => self.block_arming(epoch, step),
@@ -290,8 +291,8 @@
         Box::pin(self.advance_change()).await;
     }
 
-    /// Gives another rank an order straight, and goes on with what its report
-    /// then says.
+    /// Sends an order directly to another rank, and requests its resulting state from its
+    /// agent.
     pub(super) async fn order_remote_rank(
         self: Rc<Self>,
         state: &State,
@@ -309,8 +310,8 @@
             info!(self.log, "Agent: Another rank didn't take an order.";
                 "rank" => state.rank, "order" => order_name(&engine_order), "outcome" => format!("{outcome:?}"));
         }
-        // What a rank says to another instance is some hundred milliseconds old;
-        // its agent knows better.
+        // Reports read from another instance are some hundred milliseconds old; those that
+        // the rank's own agent reads are newer.
         let agent = self
             .membership
             .borrow()
@@ -338,7 +339,7 @@
     }
 }
 
-/// The name of an order in logs.
+/// Name of an order in the log.
 fn order_name(order: &order::Order) -> &'static str {
     match order {
         order::Order::Prepare { .. } => "prepare",
--- a/verbenaspool_agent/src/direct/progress.rs
+++ b/verbenaspool_agent/src/direct/progress.rs
@@ -1,36 +1,36 @@
-//! Whether the rank's group makes passes.
+//! Detects that the rank's group has stopped making passes.
 //!
-//! Load: a group whose passes stop while it counts as open, as when a pass is held at a rank
-//! whose instance doesn't answer, or until a rank that crashed is found missing. What is
-//! sent there meanwhile waits until its caller leaves, so entries hear of it like of a group
-//! that is broken.
+//! Load: a group whose passes stop although it reports itself complete, for example
+//! because a pass is held at a rank on an unreachable instance, or because a rank has
+//! crashed and isn't detected yet. Requests sent to it would wait until their callers
+//! leave, so the group is reported to entries as incomplete.
 
 use std::time::Duration;
 
-/// Passes, as long as they were lately, without which a group counts as stalled.
+/// Number of recent pass times without a pass after which a group counts as stalled.
 const MAX_MISSED_PASSES: u32 = 5;
 
-/// The least time without a pass after which a group counts as stalled. Changes of map hold
-/// passes for less.
+/// Minimum time without a pass after which a group counts as stalled. Map changes hold
+/// passes for less than that.
 const MIN_STALL_TIME: Duration = Duration::from_millis(400);
 
-/// The weight of the last pass in the mean time that passes take.
+/// Weight of the newest measurement in the moving average of the pass time.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// The passes of the rank's group, as the rank reports them.
+/// Passes of the rank's group, according to the rank's reports.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Progress {
-    /// The last pass that the rank began.
+    /// The latest pass that the rank has begun.
     step: u64,
-    /// Since when that is the last, while the rank has requests.
+    /// When `step` last changed, or when the rank last was idle.
     step_changed_at: Duration,
-    /// How long passes take lately.
+    /// Moving average of the time between passes.
     pass_time: Duration,
 }
 
 impl Progress {
-    /// Takes in the last pass that the rank began, and whether it has requests. An idle group
-    /// makes no passes.
+    /// Records the latest pass that the rank has begun, and whether the rank has requests.
+    /// An idle group makes no passes.
     ///
     /// ```
     /// use std::time::Duration;
@@ -47,10 +47,12 @@
             return;
         }
         let passes = step.saturating_sub(self.step);
-        // The first reading, an idle time and a rank that started anew tell of no pass.
+        // The first report, a report after an idle time and a restarted rank don't yield a
+        // pass time.
         if busy && self.step > 0 && passes > 0 {
             let passes = u32::try_from(passes).unwrap_or(u32::MAX);
-            // A stall is no pass; one long pass may be the first of many.
+            // Limited, so that a stall doesn't count as a pass time. Below the limit a
+            // long pass is taken into account, since it may be the first of many.
             let pass_time = self.time_without_pass(now).min(self.stall_time() * 2) / passes;
             self.pass_time =
                 self.pass_time.mul_f64(1.0 - NEWEST_WEIGHT) + pass_time.mul_f64(NEWEST_WEIGHT);
@@ -59,19 +61,19 @@
         self.step_changed_at = now;
     }
 
-    /// For how long the group has begun no pass though the rank has requests.
+    /// Time for which the group has begun no pass although the rank has requests.
     #[must_use]
     pub fn time_without_pass(&self, now: Duration) -> Duration {
         now.saturating_sub(self.step_changed_at)
     }
 
-    /// Whether the group has stopped, as far as passes tell.
+    /// Whether the group counts as stalled.
     #[must_use]
     pub fn is_stalled(&self, now: Duration) -> bool {
         self.time_without_pass(now) >= self.stall_time()
     }
 
-    /// How long no pass begins before the group counts as stalled.
+    /// Time without a pass after which the group counts as stalled.
     fn stall_time(&self) -> Duration {
         (self.pass_time * MAX_MISSED_PASSES).max(MIN_STALL_TIME)
     }
--- a/verbenaspool_agent/src/direct/progress/tests.rs
+++ b/verbenaspool_agent/src/direct/progress/tests.rs
@@ -6,7 +6,7 @@
     Duration::from_millis(ms)
 }
 
-/// A rank that has begun so many passes of a length, one behind the other.
+/// Progress after the given number of consecutive passes.
 fn progress_after(count: u64, pass_ms: u64) -> (Progress, Duration) {
     let mut progress = Progress::default();
     for step in 1..=count {
@@ -15,7 +15,7 @@
     (progress, ms(count * pass_ms))
 }
 
-/// Guards against requests that are sent to a group that stands still while it counts as open.
+/// Guards against requests being sent to a stalled group that reports itself complete.
 #[test]
 fn a_group_without_passes_is_stalled_until_one_begins() {
     let (mut progress, mut now) = progress_after(50, 60);
@@ -30,7 +30,7 @@
     assert!(!progress.is_stalled(now));
 }
 
-/// Guards against a service that idles and is taken for one that stands still.
+/// Guards against an idle service being mistaken for a stalled one.
 #[test]
 fn an_idle_group_is_never_stalled() {
     let (mut progress, now) = progress_after(50, 60);
@@ -40,7 +40,8 @@
     assert!(!progress.is_stalled(now + ms(60_060)));
 }
 
-/// Guards against a group with a slow rank that is kept from requests between its passes.
+/// Guards against a group with a slow rank being excluded from requests between its
+/// passes.
 #[test]
 fn a_group_with_long_passes_is_not_stalled() {
     let (mut progress, mut now) = progress_after(50, 60);
@@ -56,7 +57,7 @@
     assert!(!progress.is_stalled(now + ms(700)));
 }
 
-/// A rank that starts anew counts its passes from the beginning.
+/// A restarted rank counts its passes from the beginning.
 #[test]
 fn a_restarted_rank_is_not_stalled() {
     let (mut progress, now) = progress_after(50, 60);
--- a/verbenaspool_agent/src/direct/rank.rs
+++ b/verbenaspool_agent/src/direct/rank.rs
@@ -1,5 +1,5 @@
-//! One rank of the group, over HTTP: its report, what its requests chose, and
-//! orders to it.
+//! HTTP client for one rank of the group: its report, the expert choices of its requests,
+//! and orders to it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,45 +12,47 @@
 };
 use verbenaspool_transport::http::{body::Body, client::Client};
 
-/// How long a reading call may take.
+/// Timeout for reading from the rank.
 const READ_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long an order may take that is given on the rank's own instance, where
-/// it takes less than a millisecond; one that gets no answer never gets one, and
-/// a pass may be held until it is given again.
+/// Timeout for an order from the same instance, where it takes less than a millisecond. An
+/// order that isn't answered by then never is, and a pass may be held until the order is
+/// resent.
 pub const LOCAL_ORDER_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// How long an order may take that is given from another instance.
+/// Timeout for an order from another instance.
 pub const REMOTE_ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// The largest answer: the choices of some hundred sets.
+/// Maximum size of a response. The largest ones are the choices of some hundred sets of
+/// layers.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A rank and the way to it.
+/// Client for the rank at one address.
 #[derive(Debug, Clone)]
 pub struct Rank {
     client: Client,
     address: SocketAddr,
 }
 
-/// What became of an order.
+/// Result of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It has begun, or holds already.
+    /// The rank executes the order, or is in the requested state already.
     Taken,
-    /// It doesn't fit the rank's state.
+    /// The rank rejected the order with this status, because the order doesn't match its
+    /// state.
     Refused(u16),
-    /// Nobody knows; it may be carried out later.
+    /// No answer arrived. The order may still be executed later.
     Unknown,
 }
 
 impl Rank {
-    /// A rank at an address.
+    /// Creates a client for the rank at an address.
     pub fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// Makes a call; none where no answer came in time.
+    /// Sends a request. Returns `None` if no complete response arrived within the timeout.
     async fn call(
         &self,
         method: Method,
@@ -74,7 +76,7 @@
         monoio::time::timeout(timeout, exchange).await.ok()?
     }
 
-    /// Reads a page of the rank.
+    /// Reads the resource at a path.
     async fn get(&self, path: &str) -> Option<Bytes> {
         let (status, body) = self
             .call(Method::GET, path, String::new(), READ_TIMEOUT)
@@ -82,22 +84,22 @@
         (status == StatusCode::OK).then_some(body)
     }
 
-    /// The rank's report.
+    /// Reads the rank's report.
     pub async fn report(&self) -> Option<Report> {
         report::decode(&self.get(report::REPORT).await?)
     }
 
-    /// What the rank's requests chose since it started.
+    /// Reads how often requests have chosen each expert since the rank started.
     pub async fn choices(&self) -> Option<Choice> {
         report::choices(&self.get(report::CHOICES).await?)
     }
 
-    /// The experts that the rank holds, by set, under the map in use.
+    /// Reads the experts that the rank holds under the map in use, by set of layers.
     pub async fn experts(&self) -> Option<report::Held> {
         report::held(&self.get(report::MAPS).await?)
     }
 
-    /// Gives the rank an order.
+    /// Sends an order to the rank.
     pub async fn order(&self, order: &order::Order, epoch: u64, timeout: Duration) -> Outcome {
         let body = order::encode(order, epoch);
         match self.call(Method::POST, order::PATH, body, timeout).await {
--- a/verbenaspool_agent/src/direct/reporting.rs
+++ b/verbenaspool_agent/src/direct/reporting.rs
@@ -1,4 +1,4 @@
-//! What an agent tells the others, and entries.
+//! Messages about the own rank to other agents and to entries.
 
 use std::{collections::BTreeSet, net::IpAddr, time::Duration};
 
@@ -12,8 +12,8 @@
 use super::{agent_state::AgentState, subscribers::Snapshot};
 
 impl AgentState {
-    /// Tells other agents how the rank stands: those that act on it, or all of the
-    /// group, and of the service while some of the group are unknown.
+    /// Sends the rank's state to the agents that act on it, or with `to_all` to all agents
+    /// of the group, and to all of the service while some of the group are unknown.
     pub async fn broadcast_state(&self, to_all: bool) {
         let Some(state) = self.state() else {
             return;
@@ -28,8 +28,9 @@
                     .iter(now)
                     .map(|member| member.agent),
             );
-            // An agent that is new tells all of the service until it knows its group,
-            // so the others needn't: they were agents squared once a second.
+            // A new agent sends its state to all agents of the service until it knows its
+            // group, so the others needn't. If they did, the number of messages a second
+            // would be the square of the number of agents.
             if !self.knows_whole_group() {
                 agents.extend(self.instances.borrow().iter());
             }
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Whether the rank is the first or holds passes, so that others wait for its messages.
+    /// Whether the rank is the lead's or holds passes, so that others wait for its
+    /// messages.
     pub fn is_lead_or_holder(&self) -> bool {
         let state = self.state.borrow();
         state
@@ -49,7 +51,7 @@
             .is_some_and(|state| state.rank <= HOLDER_RANK)
     }
 
-    /// Tells entries how the rank stands, as far as each is to hear of it now.
+    /// Sends the rank's status to the subscribed entries that are due.
     pub async fn notify_entries(&self) {
         let now = self.clock.now();
         let snapshot = Snapshot {
@@ -66,14 +68,14 @@
         }
     }
 
-    /// The rank's pace; none while its group runs nothing.
+    /// The rank's pace; `None` while its group is incomplete or stalled.
     fn running_pace(&self) -> Option<f32> {
         let state = self.state.borrow();
         let pace = state.as_ref().map(|state| state.pace);
         pace.filter(|_| self.is_running())
     }
 
-    /// How the rank stands, for entries.
+    /// Creates the next status message for entries.
     fn status(&self) -> Status {
         self.status_sequence.set(self.status_sequence.get() + 1);
         let pace = self.running_pace();
@@ -87,10 +89,10 @@
         }
     }
 
-    /// Answers an entry that asks for one of the rank's slots.
+    /// Answers an entry that requests one of the rank's slots.
     ///
-    /// The registry's message on how many there are goes before the entry's: one that
-    /// asked for more could fill the rank's line.
+    /// The number of slots in the registry takes precedence over the one in the request:
+    /// an entry that claims more could overload the rank's queue.
     pub(super) async fn handle_reservation(&self, entry: IpAddr, request: Request) {
         let slots = self.slot_count.get().unwrap_or(request.slots);
         let granted = self.is_running() && self.slots.borrow_mut().grant(self.clock.now(), slots);
@@ -102,13 +104,12 @@
         self.send(entry, &Message::ReservationAnswer(answer)).await;
     }
 
-    /// The agent of the group's lead.
+    /// Address of the lead's agent.
     pub(super) fn lead_agent(&self) -> Option<IpAddr> {
         self.membership.borrow().get(0).map(|member| member.agent)
     }
 
-    /// Tells the lead what the own rank holds, where that changed or was told
-    /// long ago.
+    /// Sends the rank's experts to the lead, if its map changed or `interval` has elapsed.
     pub async fn report_experts(&self, interval: Duration) {
         let Some(state) = self.state() else {
             return;
@@ -137,7 +138,7 @@
         self.send_to_lead(Message::RankExperts(held)).await;
     }
 
-    /// Gives the lead a message, who may be this agent itself.
+    /// Sends a message to the lead, which may be this agent itself.
     pub(super) async fn send_to_lead(&self, message: Message) {
         let Some(agent) = self.lead_agent() else {
             return;
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -1,4 +1,4 @@
-//! The agent on the direct path as a process.
+//! The process of an agent on the direct path.
 
 use std::{
     cell::Cell,
@@ -19,45 +19,48 @@
 
 use super::{agent_state::AgentState, settings::Settings};
 
-/// How often the own rank's report is read while its map changes, and otherwise.
-/// The reading is free on the own instance, but takes processor time.
+/// Intervals at which the own rank's report is read: during a map change, and otherwise.
+/// Reading it on the same instance costs the rank nothing, but takes processor time.
 const READ_INTERVALS: [Duration; 2] = [Duration::from_millis(25), Duration::from_millis(50)];
 
-/// How often it is looked whether choices are to be read.
+/// Interval of the check whether choices have to be read.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the lead looks whether another map is better.
+/// Interval at which the lead checks whether another map is better.
 const DECISION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often those who act on it hear how the rank stands, if nothing changes: of the
-/// lead, of the rank that holds passes and while a map changes; and of others, of which
-/// there are many.
+/// Maximum intervals at which the rank's state is sent to the agents that act on it: the
+/// first applies to the lead, to the rank that holds passes and during a map change, the
+/// second to all others, of which there are many.
 const REPORT_INTERVALS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(180)];
 
-/// How often all agents of the group hear of each other at least, and in groups of up to
-/// how many ranks. In larger ones it is the more seldom, or signals would grow with the
-/// ranks squared; those who act on a state hear it many times a second anyhow.
+/// Maximum interval at which an agent sends its state to all others of the group, in
+/// groups of up to [`MAX_RANKS_AT_HELLO_INTERVAL`] ranks.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Maximum size of groups in which [`HELLO_INTERVAL`] applies. In larger ones the interval grows
+/// with the number of ranks, or messages would grow with its square. Agents that act on a state
+/// receive it many times a second anyway.
 const MAX_RANKS_AT_HELLO_INTERVAL: u32 = 16;
 
-/// How often the lead hears what the rank holds, if nothing changes.
+/// Maximum interval at which a rank's experts are sent to the lead.
 const EXPERTS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a new connection to the rank may take.
+/// Timeout for a new connection to the rank.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why the agent could not run.
+/// Fatal errors of the agent.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The port isn't free.
+    /// The UDP port can't be bound.
     #[error("{address} can't be listened at: {reason}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         reason: std::io::Error,
     },
-    /// The loop can't start, or signals can't be heard.
+    /// The event loop can't start, or signal handlers can't be installed.
     #[error("the loop can't start: {0}")]
     EventLoop(#[from] std::io::Error),
 }
@@ -68,13 +71,13 @@
 /// Its port isn't free, or signals can't be heard.
 pub fn main(settings: Settings) -> Result<(), Error> {
     let (log, _guard) = log::guarded(settings.log);
-    // Nothing of the settings can change without a new process: the signal to
-    // reload is heard only so that it doesn't end this one.
+    // The settings apply until the process is restarted. The reload signal is handled only
+    // because it would otherwise terminate the process.
     let signals = Signals::hear()?;
     runtime::run(serve(settings, log, signals))?
 }
 
-/// Runs the agent.
+/// Runs the agent on the event loop.
 async fn serve(settings: Settings, log: Logger, signals: Signals) -> Result<(), Error> {
     let clock: Rc<dyn Clock> = Monotonic::start();
     let address = SocketAddr::new(settings.address, settings.peer_port);
@@ -92,7 +95,8 @@
     Ok(())
 }
 
-/// Reads the own rank's report, again and again.
+/// Reads the own rank's report periodically, publishes changes and advances the map
+/// change, until the process has to stop.
 async fn poll_rank(shared: &Rc<AgentState>, signals: &Signals, incarnation: &Cell<u64>) {
     let clock = &shared.clock;
     let (mut last_broadcast, mut last_hello) = (Duration::ZERO, Duration::ZERO);
@@ -126,7 +130,7 @@
     }
 }
 
-/// How often all agents of the group hear of each other.
+/// Interval at which the state is sent to all agents of the group.
 fn hello_interval(shared: &AgentState) -> Duration {
     let size = shared
         .state()
@@ -138,7 +142,7 @@
     }
 }
 
-/// Passes choices on and, as the lead, decides.
+/// Sends choices to the lead and, as the lead, decides on map changes.
 async fn sample_and_decide(shared: Rc<AgentState>, incarnation: Rc<Cell<u64>>) {
     let mut last_decision = Duration::ZERO;
     loop {
@@ -153,7 +157,7 @@
     }
 }
 
-/// Hears other agents.
+/// Receives messages of other agents and of entries.
 async fn receive_messages(shared: Rc<AgentState>) {
     loop {
         let (received, buffer) = shared
--- a/verbenaspool_agent/src/direct/settings.rs
+++ b/verbenaspool_agent/src/direct/settings.rs
@@ -1,40 +1,41 @@
-//! The settings of an agent on the direct path.
+//! Settings of an agent on the direct path.
 
 use std::net::{IpAddr, SocketAddr};
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_transport::log;
 
-/// The settings of one agent. What they don't name is ignored: they are written
-/// by the platform, which may add fields.
+/// Settings of one agent. Unknown fields are ignored: the platform writes the settings and
+/// may add fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How requests reach the upstream; tells these settings from others.
+    /// How requests reach the upstream. Distinguishes these settings from those of an
+    /// agent that forwards requests.
     pub path: Path,
-    /// The agent's name.
+    /// Name of the agent.
     pub name: String,
-    /// The availability zone it stands in.
+    /// Availability zone of the agent.
     #[serde(default)]
     pub zone: String,
-    /// The address of its instance.
+    /// Address of the agent's instance.
     pub address: IpAddr,
-    /// The upstream beside it.
+    /// Address of the upstream on the same instance.
     pub upstream: SocketAddr,
-    /// The service that the upstream runs.
+    /// Service that the upstream runs.
     pub service: String,
-    /// The UDP port on which agents hear each other, the same everywhere.
+    /// UDP port on which agents receive each other's messages, the same on all instances.
     pub peer_port: u16,
-    /// What the instance's link carries, in Mbit/s. Maps and choices leave most of it
-    /// free, so that the states of ranks and orders get through.
+    /// Bandwidth of the instance's link in Mbit/s. Maps and choices use only a part of it,
+    /// so that rank states and orders aren't delayed.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// What is logged, and how.
+    /// Level and format of the log.
     #[serde(default)]
     pub log: log::Settings,
 }
 
-/// The link that is reckoned with where the settings name none, in Mbit/s: the narrowest
-/// that groups of ranks were run on.
+/// Bandwidth in Mbit/s assumed if the settings contain none: that of the slowest links on
+/// which groups of ranks were run.
 fn default_link_mbps() -> f64 {
     8.0
 }
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -1,4 +1,4 @@
-//! Standing in for a lead that is silent while its group stands still.
+//! Standing in for a silent lead while its group is stalled.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,27 +11,25 @@
     membership::{MAX_STAND_INS, Member},
 };
 
-/// After how long without a message a lead counts as silent: three messages, which
-/// it sends each 0.1 s.
+/// Time without a message after which a lead counts as silent: three of its intervals of
+/// 0.1 s.
 const LEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a group must have stood still before the next rank's agent looks
-/// into it: several passes, and well below the 1.5 s after which requests are
-/// cut off.
+/// Time for which a group must have stalled before the next rank's agent stands in:
+/// several passes, and well below the 1.5 s after which requests are aborted.
 const STANDBY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How much longer each further rank's agent waits.
+/// Additional time for which the agent of each further rank waits.
 const STANDBY_TIMEOUT_PER_RANK: Duration = Duration::from_millis(250);
 
 impl AgentState {
-    /// Stands in for a lead that is silent while the group stands still.
+    /// Stands in for the lead if it is silent while the group is stalled.
     ///
-    /// A lead that freezes or is cut off between the orders to hold a pass and to
-    /// let it begin would keep the whole group waiting until it is back. The next
-    /// rank's agent then reads the reports of all ranks and finishes what was
-    /// begun, as the switch says; each further rank waits longer, so that they
-    /// don't all do it. Two that do it at once, or a lead that wakes, only repeat
-    /// each other's orders.
+    /// If a lead freezes or is cut off between the orders to hold a pass and to release
+    /// it, the whole group would wait until it is back. The next rank's agent then reads
+    /// the reports of all ranks and completes the change, as described in the switch. Each
+    /// further rank waits longer, so that not all of them do this. If two of them do it at
+    /// once, or the lead recovers, they only repeat each other's orders.
     pub async fn stand_in(self: &Rc<Self>) {
         let may_stand_in = |state: &State| (1..MAX_STAND_INS).contains(&state.rank);
         let Some(state) = self.state().filter(may_stand_in) else {
@@ -66,7 +64,7 @@
         self.advance_change().await;
     }
 
-    /// Brings in what the agents of all ranks said so far.
+    /// Passes the last reports of all ranks to the switch.
     pub(super) fn replay_reports(&self) {
         let now = self.clock.now();
         let members: Vec<Member> = self.membership.borrow().iter(now).cloned().collect();
--- a/verbenaspool_agent/src/direct/subscribers.rs
+++ b/verbenaspool_agent/src/direct/subscribers.rs
@@ -1,45 +1,47 @@
-//! The entries that hear how an agent's rank stands, and when each is told.
+//! The entries subscribed to the status of an agent's rank, and when it is sent to each.
 //!
-//! Load: tens of entries before hundreds of ranks. Entries in the rank's availability
-//! zone send most requests there, and hear of what it has within 0.1 s; messages within a
-//! zone cost nothing. The others, which are most, hear of it each few seconds, and
-//! at once only when the rank's group or its pace changes: they ask before they send.
+//! Load: tens of entries in front of hundreds of ranks. Entries in the rank's availability
+//! zone send most requests to it, and receive changes of its request count within 0.1 s;
+//! messages within a zone are free. The other entries, which are the majority, receive the
+//! status every few seconds, and immediately only if the rank's group breaks or its pace
+//! changes: they reserve a slot before they send a request.
 
 use std::{collections::BTreeMap, net::IpAddr, time::Duration};
 
-/// How long an entry that asked is told.
+/// Time for which an entry receives the status after it subscribed.
 const SUBSCRIPTION_TTL: Duration = Duration::from_secs(9);
 
-/// How often an entry nearby hears at most of requests that come and go.
+/// Minimum interval between messages to an entry of the zone that only report a changed
+/// number of requests.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often entries nearby hear if nothing changes, and all do while the group runs
-/// nothing: an entry forgets within 1.6 s that a group is closed.
+/// Maximum interval between messages to entries of the zone, and to all entries while the
+/// group is incomplete or stalled: entries forget within 1.6 s that it is.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often entries of other zones hear while the group runs.
+/// Interval between messages to entries of other zones while the group makes passes.
 const CROSS_ZONE_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What entries are told.
+/// The status sent to entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Snapshot {
-    /// The rank's pace; none while its group runs nothing.
+    /// The rank's pace; `None` while its group is incomplete or stalled.
     pub pace: Option<f32>,
-    /// Requests that it has.
+    /// Number of the rank's requests.
     pub requests: u32,
 }
 
-/// One entry.
+/// A subscribed entry.
 #[derive(Debug, Clone, Copy)]
 struct Subscriber {
     expires_at: Duration,
     same_zone: bool,
-    /// What it was told last, and when; none before the first time.
+    /// The last status sent to it and when, if any.
     last_sent: Option<(Snapshot, Duration)>,
 }
 
 impl Subscriber {
-    /// Whether it is to be told how the rank stands now.
+    /// Whether the status has to be sent to it now.
     fn is_due(&self, now: Duration, snapshot: Snapshot) -> bool {
         let Some((last_sent, at)) = self.last_sent else {
             return true;
@@ -56,12 +58,13 @@
     }
 }
 
-/// The entries that hear how a rank stands.
+/// The entries subscribed to a rank's status.
 #[derive(Debug, Default)]
 pub struct Subscribers(BTreeMap<IpAddr, Subscriber>);
 
 impl Subscribers {
-    /// An entry wants to hear, which is in the rank's zone or not.
+    /// Adds or renews the subscription of an entry. `same_zone` says whether the entry is
+    /// in the rank's zone.
     pub fn subscribe(&mut self, now: Duration, entry: IpAddr, same_zone: bool) {
         let expires_at = now + SUBSCRIPTION_TTL;
         let subscriber = self.0.entry(entry).or_insert(Subscriber {
@@ -73,7 +76,7 @@
         subscriber.same_zone = same_zone;
     }
 
-    /// The entries that are to be told how the rank stands now; they count as told.
+    /// Returns the entries to which the status has to be sent now, and records it as sent.
     pub fn due(&mut self, now: Duration, snapshot: Snapshot) -> Vec<IpAddr> {
         self.0.retain(|_, subscriber| now < subscriber.expires_at);
         let mut due = Vec::new();
--- a/verbenaspool_agent/src/direct/subscribers/tests.rs
+++ b/verbenaspool_agent/src/direct/subscribers/tests.rs
@@ -1,4 +1,4 @@
-//! When entries are told how a rank stands.
+//! When the status of a rank is sent to entries.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -36,8 +36,9 @@
     assert_eq!(subscribers.due(ms(610), closed), [entry(1), entry(2)]);
 }
 
-/// A group breaks while the messages of its agents are lost. Entries forget within 1.6 s
-/// that a group is closed, so they are told again until it opens, far ones as well.
+/// A group breaks while messages of its agents are lost. Entries forget within 1.6 s that
+/// a group is incomplete, so the status is repeated until it is complete, also to entries
+/// of other zones.
 #[test]
 fn a_closed_group_is_reported_repeatedly() {
     let mut subscribers = Subscribers::default();
