--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -229,7 +229,7 @@
             )
         };
         if before.as_ref().map(position) != Some(position(&state)) {
-            info!(self.log, "Agent: The rank sits in a group."; "group" => &member.group,
+            info!(self.log, "rank joined a group"; "group" => &member.group,
                 "epoch" => member.epoch, "rank" => state.rank, "size" => state.group_size);
             let mut lead = (state.rank == 0).then(|| Lead::new(state.group_size.into()));
             let before = self.lead.take();
@@ -304,7 +304,7 @@
         let pace = ((reported.unwrap_or(1.0) / PACE_STEP).round() * PACE_STEP) as f32;
         let before = self.last_pace.replace((pace, reported.is_some()));
         if before != (pace, reported.is_some()) {
-            info!(self.log, "Agent: The rank's pace changed.";
+            info!(self.log, "pace of the rank changed";
                 "pace" => pace, "before" => before.0, "makes_sense" => reported.is_some());
         }
         pace
@@ -389,7 +389,7 @@
             (Some(lead), Some(experts)) => {
                 let fits = lead.fits(&experts);
                 if self.experts_fit.replace(fits) && !fits {
-                    warn!(self.log, "Agent: The ranks have no place for all experts; no map is changed.";
+                    warn!(self.log, "experts don't fit on the ranks; not changing the map";
                         "experts" => experts.count, "places" => experts.max_slots_per_rank);
                 }
                 lead.decide(now, &experts)
@@ -397,7 +397,7 @@
             _ => return,
         };
         if let Some(change) = change {
-            info!(self.log, "Agent: The map of experts is to change.";
+            info!(self.log, "starting an expert map change";
                 "before" => change.imbalance_before, "after" => change.imbalance_after,
                 "copies" => change.copies, "longest" => change.max_rank_copies);
         }
@@ -416,7 +416,7 @@
         };
         match ended {
             Some(SwitchOutcome::Completed(version)) => {
-                info!(self.log, "Agent: A map of experts is in use."; "version" => version);
+                info!(self.log, "expert map in use"; "version" => version);
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
                     lead.record_completed(version);
                 }
@@ -424,7 +424,7 @@
             Some(SwitchOutcome::Abandoned(version)) => {
                 let lead = self.lead.borrow();
                 let unprepared = lead.as_ref().map(|lead| lead.switch.unprepared_ranks());
-                warn!(self.log, "Agent: A change of map is given up; not all ranks have copied.";
+                warn!(self.log, "expert map change abandoned; some ranks haven't prepared the map";
                     "version" => version, "lacking" => format!("{:?}", unprepared.unwrap_or_default()));
             }
             None => {}
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -231,7 +231,7 @@
         let dropped = self.dropped_choices.get();
         self.dropped_choices.set(dropped + 1);
         if dropped == 0 {
-            warn!(self.log, "Agent: A message about choices came twice, too late or doesn't fit; such messages are dropped.";
+            warn!(self.log, "dropping messages of choices that are duplicates, too late or out of range";
                 "rank" => choices.rank, "epoch" => choices.epoch, "round" => choices.round,
                 "from" => choices.offset, "counts" => choices.counts.len());
         }
--- a/verbenaspool_agent/src/direct/lookup.rs
+++ b/verbenaspool_agent/src/direct/lookup.rs
@@ -59,7 +59,7 @@
         self.slot_count.set(Some(info.slots));
         self.min_pass_time.set(info.min_pass_time);
         if self.experts.replace(info.experts) != info.experts {
-            info!(self.log, "Agent: The experts of the service are known.";
+            info!(self.log, "received the service's experts";
                 "experts" => format!("{:?}", info.experts), "from" => entry.to_string());
         }
     }
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -41,7 +41,7 @@
     pub(super) fn block_arming(&self, epoch: u64, step: u64) {
         if self.arming_blocked_through(epoch) < step {
             self.arming_block.set((epoch, step));
-            info!(self.log, "Agent: No order of a lead to arm is given any more.";
+            info!(self.log, "rejecting the lead's arm orders";
                 "epoch" => epoch, "step" => step, "given" => self.last_arm_step(epoch));
         }
     }
@@ -109,11 +109,11 @@
                 .order(order, epoch, rank::LOCAL_ORDER_TIMEOUT)
                 .await;
             if outcome == Outcome::Taken {
-                debug!(self.log, "Agent: The rank took an order.";
+                debug!(self.log, "rank accepted an order";
                     "order" => order_name(order), "epoch" => epoch, "tries" => attempt);
                 break;
             }
-            info!(self.log, "Agent: The rank didn't take an order.";
+            info!(self.log, "rank didn't accept an order";
                 "order" => order_name(order), "epoch" => epoch, "tries" => attempt,
                 "outcome" => format!("{outcome:?}"));
             if outcome != Outcome::Unknown {
@@ -187,7 +187,7 @@
             self.prepare(lead, epoch, version, placement).await;
             return;
         }
-        info!(self.log, "Agent: The map before isn't known; asking for the whole one.";
+        info!(self.log, "can't apply a map difference; requesting the complete map";
             "epoch" => epoch, "version" => version, "before" => whole.base);
         self.send(lead, &Message::MapRequest(MapRequest { epoch, version }))
             .await;
@@ -307,7 +307,7 @@
             .order(&engine_order, epoch, rank::REMOTE_ORDER_TIMEOUT)
             .await;
         if outcome != Outcome::Taken {
-            info!(self.log, "Agent: Another rank didn't take an order.";
+            info!(self.log, "remote rank didn't accept an order";
                 "rank" => state.rank, "order" => order_name(&engine_order), "outcome" => format!("{outcome:?}"));
         }
         // Reports read from another instance are some hundred milliseconds old; those that
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The UDP port can't be bound.
-    #[error("{address} can't be listened at: {reason}")]
+    #[error("can't bind {address}: {reason}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -61,7 +61,7 @@
         reason: std::io::Error,
     },
     /// The event loop can't start, or signal handlers can't be installed.
-    #[error("the loop can't start: {0}")]
+    #[error("can't start the event loop: {0}")]
     EventLoop(#[from] std::io::Error),
 }
 
@@ -82,7 +82,7 @@
     let clock: Rc<dyn Clock> = Monotonic::start();
     let address = SocketAddr::new(settings.address, settings.peer_port);
     let socket = UdpSocket::bind(address).map_err(|reason| Error::Listen { address, reason })?;
-    info!(log, "Agent: Started."; "name" => &settings.name, "upstream" => settings.upstream.to_string());
+    info!(log, "agent started"; "name" => &settings.name, "upstream" => settings.upstream.to_string());
     let client = Client::new(CONNECT_TIMEOUT).keep_for(Duration::from_millis(700));
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let first_sequence = since_epoch.map_or(0, |since| since.as_secs()) << 20;
@@ -91,7 +91,7 @@
     let incarnation = Rc::new(Cell::new(0));
     monoio::spawn(sample_and_decide(shared.clone(), incarnation.clone()));
     poll_rank(&shared, &signals, &incarnation).await;
-    info!(log, "Agent: Stopped.");
+    info!(log, "agent stopped");
     Ok(())
 }
 
@@ -105,7 +105,7 @@
         let report = shared.read_report().await;
         if report.is_some() != reachable {
             reachable = report.is_some();
-            warn!(shared.log, "Agent: The rank's report changed its reach."; "reached" => reachable);
+            warn!(shared.log, "reachability of the rank's report changed"; "reached" => reachable);
         }
         let mut changing = false;
         if let Some(report) = report {
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -49,12 +49,12 @@
         let timeout = if held { LEAD_TIMEOUT } else { timeout };
         if !silent || stalled_for < timeout {
             if self.lead.borrow_mut().take().is_some() {
-                info!(self.log, "Agent: No longer stands in for the lead.");
+                info!(self.log, "no longer standing in for the lead");
             }
             return;
         }
         if self.lead.borrow().is_none() {
-            warn!(self.log, "Agent: The group stands still and its lead is silent; standing in.";
+            warn!(self.log, "group stalled and its lead silent; standing in for the lead";
                 "rank" => state.rank, "step" => state.report.step, "for_ms" => stalled_for.as_secs_f64() * 1e3);
             let mut lead = Lead::new(state.group_size.into());
             lead.stands_in = true;
