--- a/verbenaspool_agent/src/direct/assembly/tests.rs
+++ b/verbenaspool_agent/src/direct/assembly/tests.rs
@@ -34,8 +34,8 @@
         part_count: 1,
         descendants: Vec::new(),
     };
-    let places = known.apply(&difference).expect("the base is known");
-    assert_eq!(places, [[vec![0, 2], vec![1, 2]]]);
+    let placement = known.apply(&difference).expect("the base is known");
+    assert_eq!(placement, [[vec![0, 2], vec![1, 2]]]);
     let other = Difference {
         base: 6,
         ..difference.clone()
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -28,7 +28,7 @@
 const REBUILD_COPY_TIME: Duration = Duration::from_millis(300);
 
 /// Age from which choices no longer represent what requests choose.
-const STALE_AFTER: Duration = Duration::from_secs(1);
+const MAX_CHOICES_AGE: Duration = Duration::from_secs(1);
 
 /// Time for which a group counts as newly formed. Its first changes are based on few
 /// requests.
@@ -87,7 +87,7 @@
     /// Whether it only stands in for a silent lead, to release a held pass.
     pub stands_in: bool,
     rank_count: usize,
-    epoch: u64,
+    rank_maps_epoch: u64,
     rank_maps: BTreeMap<u16, RankMap>,
     expert_loads: Vec<f64>,
     loads_updated_at: Duration,
@@ -108,7 +108,7 @@
             plan: None,
             stands_in: false,
             rank_count: ranks,
-            epoch: 0,
+            rank_maps_epoch: 0,
             rank_maps: BTreeMap::new(),
             expert_loads: Vec::new(),
             loads_updated_at: Duration::ZERO,
@@ -198,13 +198,15 @@
 
     /// Records the experts of a rank.
     pub fn record_experts(&mut self, experts: RankExperts) {
-        if experts.epoch > self.epoch {
-            self.epoch = experts.epoch;
+        if experts.epoch > self.rank_maps_epoch {
+            self.rank_maps_epoch = experts.epoch;
             self.rank_maps.clear();
         }
         // Messages from before the last change are ignored.
         let newer = |known: &RankMap| experts.version >= known.version;
-        if experts.epoch == self.epoch && self.rank_maps.get(&experts.rank).is_none_or(newer) {
+        if experts.epoch == self.rank_maps_epoch
+            && self.rank_maps.get(&experts.rank).is_none_or(newer)
+        {
             let rank_map = RankMap {
                 version: experts.version,
                 experts: experts.experts,
@@ -247,7 +249,7 @@
                 .rank_maps
                 .values()
                 .all(|map| map.version == first.version)
-            && self.epoch == self.switch.epoch();
+            && self.rank_maps_epoch == self.switch.epoch();
         if !complete {
             return None;
         }
@@ -283,7 +285,7 @@
             return None;
         }
         self.running_since.get_or_insert(now);
-        if now.saturating_sub(self.loads_updated_at) > STALE_AFTER {
+        if now.saturating_sub(self.loads_updated_at) > MAX_CHOICES_AGE {
             return None;
         }
         let (base, layers) = self.current_map(experts)?;
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -13,7 +13,7 @@
 const REORDER_WINDOW: Duration = Duration::from_millis(300);
 
 /// Time after which a member is removed whose agent sends no messages.
-const FORGET_AFTER: Duration = Duration::from_secs(20);
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Number of ranks, the lead's included, whose agents may stand in for a silent lead. A
 /// few are enough, since the lead and all stand-ins would have to fail at once.
@@ -65,7 +65,8 @@
 
     /// All members from which a state was received recently.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Member> {
-        let recent = move |member: &&Member| now.saturating_sub(member.received_at) < FORGET_AFTER;
+        let recent =
+            move |member: &&Member| now.saturating_sub(member.received_at) < MEMBER_TIMEOUT;
         self.0.values().filter(recent)
     }
 
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -54,7 +54,7 @@
 pub enum Error {
     /// The UDP port can't be bound.
     #[error("can't bind {address}: {reason}")]
-    Listen {
+    Bind {
         /// The address.
         address: SocketAddr,
         /// The cause.
@@ -81,7 +81,7 @@
 async fn serve(settings: Settings, log: Logger, signals: Signals) -> Result<(), Error> {
     let clock: Rc<dyn Clock> = Monotonic::start();
     let address = SocketAddr::new(settings.address, settings.peer_port);
-    let socket = UdpSocket::bind(address).map_err(|reason| Error::Listen { address, reason })?;
+    let socket = UdpSocket::bind(address).map_err(|reason| Error::Bind { address, reason })?;
     info!(log, "agent started"; "name" => &settings.name, "upstream" => settings.upstream.to_string());
     let client = Client::new(CONNECT_TIMEOUT).keep_for(Duration::from_millis(700));
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/verbenaspool_agent/src/direct/subscribers/tests.rs
+++ b/verbenaspool_agent/src/direct/subscribers/tests.rs
@@ -47,8 +47,8 @@
         pace: None,
         requests: 0,
     };
-    let told = (0..20).filter(|tick| !subscribers.due(ms(tick * 100), closed).is_empty());
-    assert_eq!(told.count(), 4);
+    let reports = (0..20).filter(|tick| !subscribers.due(ms(tick * 100), closed).is_empty());
+    assert_eq!(reports.count(), 4);
 }
 
 #[test]
