--- a/verbenaspool_agent/src/direct/assembly.rs
+++ b/verbenaspool_agent/src/direct/assembly.rs
@@ -80,7 +80,7 @@
 pub struct MapCache(Vec<KnownMap>);
 
 impl MapCache {
-    /// Adds a map.
+    /// Adds a map. Removes those of other epochs, and the oldest one if there are too many.
     pub fn add(&mut self, epoch: u64, version: u64, placement: Vec<Vec<Vec<u16>>>) {
         self.0
             .retain(|known| known.epoch == epoch && known.version != version);
--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -87,8 +87,11 @@
     /// Whether it only stands in for a silent lead, to release a held pass.
     pub stands_in: bool,
     rank_count: usize,
+    /// Epoch of `rank_maps`.
     rank_maps_epoch: u64,
+    /// The experts of each rank, as reported or as ordered by this lead.
     rank_maps: BTreeMap<u16, RankMap>,
+    /// Decayed number of times that each expert was chosen, by set of layers.
     expert_loads: Vec<f64>,
     loads_updated_at: Duration,
     /// When the group was first ready for a change.
--- a/verbenaspool_agent/src/direct/lead/tests.rs
+++ b/verbenaspool_agent/src/direct/lead/tests.rs
@@ -58,7 +58,7 @@
     let mut before = formed(1);
     before.add_choices(NOW, &choices(), 4);
     let mut lead = formed(2);
-    assert_eq!(lead.decide(NOW, &EXPERTS), None, "nothing is known");
+    assert_eq!(lead.decide(NOW, &EXPERTS), None, "no choices");
     lead.inherit(before, 2);
     let change = lead.decide(NOW, &EXPERTS).expect("a change");
     assert!(change.imbalance_after < 1.2, "{change:?}");
@@ -78,7 +78,7 @@
     let mut lead = Lead::new(2);
     lead.inherit(before, 2);
     lead.switch.report(NOW, 0, report);
-    assert_eq!(lead.decide(NOW, &EXPERTS), None, "nothing was chosen");
+    assert_eq!(lead.decide(NOW, &EXPERTS), None, "no choices");
     let choices = Choices {
         epoch: 2,
         ..choices()
@@ -100,18 +100,18 @@
 #[test]
 fn a_bad_map_allows_more_copies_per_change() {
     let mut lead = formed(1);
-    let (_, layers) = lead.current_map(&EXPERTS).expect("both ranks said it");
+    let (_, layers) = lead.current_map(&EXPERTS).expect("both ranks reported it");
     let copies = |lead: &Lead, layers: &[Layer], version| {
         super::copies_within(lead.max_copy_time(NOW, layers, version), EXPERTS.copy_time)
     };
-    assert_eq!(copies(&lead, &layers, 0), 3, "the first map");
-    assert_eq!(copies(&lead, &layers, 9), 1, "a map that was searched");
+    assert_eq!(copies(&lead, &layers, 0), 3, "the initial map");
+    assert_eq!(copies(&lead, &layers, 9), 1, "an optimized map");
     lead.set_pace(1, 4.0);
     assert_eq!(copies(&lead, &layers, 9), 3, "a slow rank");
     lead.set_pace(1, 1.0);
     let mut empty = layers.clone();
     empty[0].ranks = vec![vec![0, 1, 2, 3], Vec::new()];
-    assert_eq!(copies(&lead, &empty, 9), 3, "a rank that is well again");
+    assert_eq!(copies(&lead, &empty, 9), 3, "a recovered rank");
 }
 
 /// Guards against repeated orders that no rank can execute, when the configuration
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -68,7 +68,8 @@
 /// Runs the agent until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Its port isn't free, or signals can't be heard.
+/// The UDP port can't be bound, the event loop can't start, or signal handlers can't be
+/// installed.
 pub fn main(settings: Settings) -> Result<(), Error> {
     let (log, _guard) = log::guarded(settings.log);
     // The settings apply until the process is restarted. The reload signal is handled only
