--- a/verbenaspool/src/direct/readiness.rs
+++ b/verbenaspool/src/direct/readiness.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use verbenaspool_transport::http::{
     body::Body,
-    server::{Answer, Handler},
+    server::{Handler, ResponseFuture},
 };
 
 use super::gateway::Gateway;
@@ -15,7 +15,7 @@
 pub struct Readiness(pub Rc<Gateway>);
 
 impl Handler for Readiness {
-    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> ResponseFuture {
         let status = if self.0.is_ready() {
             StatusCode::OK
         } else {
@@ -29,7 +29,7 @@
 pub struct Metrics(pub Rc<Gateway>);
 
 impl Handler for Metrics {
-    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> ResponseFuture {
         self.0.update_gauges();
         let text = self.0.metrics.text();
         Box::pin(std::future::ready(plain(StatusCode::OK, text)))
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -19,7 +19,7 @@
 use verbenaspool_transport::http::{
     body::Body,
     hop,
-    server::{Answer, Handler},
+    server::{Handler, ResponseFuture},
 };
 
 use super::{
@@ -45,7 +45,7 @@
 const MAX_CALLER_WAIT: Duration = Duration::from_hours(1);
 
 impl Handler for Gateway {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         Box::pin(handle_request(self, request))
     }
 }
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -13,7 +13,7 @@
 use verbenaspool_platform::store;
 use verbenaspool_transport::{
     clock::{Clock, Monotonic},
-    http::server::{self, Handler, Limits, Open},
+    http::server::{self, Connections, Handler, Limits},
     log,
     platform::client::Channel,
     rpc, runtime, settings,
@@ -73,14 +73,14 @@
 /// Spawns a server for one handler.
 fn spawn_server(listener: TcpListener, handler: Rc<dyn Handler>, finished: Signal) {
     let limits = Limits {
-        connections: 64,
+        max_connections: 64,
         ..Limits::default()
     };
     monoio::spawn(server::serve(
         listener,
         limits,
         handler,
-        Open::default(),
+        Connections::default(),
         finished,
     ));
 }
@@ -103,7 +103,7 @@
     info!(log, "entry started"; "name" => &settings.name, "zone" => &settings.zone,
         "listen" => settings.listen.to_string());
     let limits = Limits {
-        connections: settings
+        max_connections: settings
             .descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64),
@@ -135,7 +135,7 @@
     }
     monoio::spawn(status::save_changes(gateway.clone()));
     let (close, closed) = shutdown::channel();
-    let open = Open::default();
+    let open = Connections::default();
     let served = monoio::spawn(server::serve(
         callers,
         limits,
@@ -148,7 +148,7 @@
     let drain_deadline = clock.now() + grace.saturating_sub(SHUTDOWN_RESERVE);
     info!(log, "draining"; "connections" => open.count());
     gateway.leaving.set(true);
-    open.close();
+    open.close_after_response();
     let linger = READINESS_LINGER.min(grace / 2);
     process_queues_until(&gateway, clock.now() + linger).await;
     gateway.closed.set(true);
@@ -173,9 +173,9 @@
 /// connections. Callers reuse connections for up to four fifths of it.
 fn caller_limits() -> Limits {
     Limits {
-        head: Duration::from_secs(16),
-        head_bytes: 32 * 1024,
-        headers: 128,
+        header_timeout: Duration::from_secs(16),
+        max_header_bytes: 32 * 1024,
+        max_headers: 128,
         ..Limits::default()
     }
 }
--- a/verbenaspool/src/entry/admin.rs
+++ b/verbenaspool/src/entry/admin.rs
@@ -10,7 +10,7 @@
 use verbenaspool_transport::{
     http::{
         body::Body,
-        server::{self, Answer, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits, ResponseFuture},
     },
     shutdown::Signal,
 };
@@ -31,10 +31,17 @@
     /// Serves until the signal fires.
     pub async fn serve(self, listener: TcpListener, signal: Signal) {
         let limits = Limits {
-            connections: MAX_CONNECTIONS,
+            max_connections: MAX_CONNECTIONS,
             ..Limits::default()
         };
-        server::serve(listener, limits, Rc::new(self), Open::default(), signal).await;
+        server::serve(
+            listener,
+            limits,
+            Rc::new(self),
+            Connections::default(),
+            signal,
+        )
+        .await;
     }
 
     /// Returns the response for a path.
@@ -50,7 +57,7 @@
 }
 
 impl Handler for Admin {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         let response = self.answer(request.uri().path());
         Box::pin(std::future::ready(response))
     }
--- a/verbenaspool/src/entry/mod.rs
+++ b/verbenaspool/src/entry/mod.rs
@@ -50,7 +50,7 @@
     http::{
         body::Body,
         client::Client,
-        server::{self, Answer, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits, ResponseFuture},
     },
     metrics::Registry,
     platform::Store,
@@ -191,7 +191,7 @@
     /// The generator of attempt ids.
     pub attempts: Attempts,
     /// The open connections of callers.
-    pub connections: Open,
+    pub connections: Connections,
     table: RefCell<Option<Rc<Table>>>,
     services: RefCell<HashMap<Name, ServiceState>>,
     peers: RefCell<Vec<Peer>>,
@@ -234,7 +234,7 @@
             rpc: rpc::Client::default(),
             upstreams: Directory::default(),
             attempts: Attempts::default(),
-            connections: Open::default(),
+            connections: Connections::default(),
             table: RefCell::default(),
             services: RefCell::default(),
             peers: RefCell::default(),
@@ -500,7 +500,7 @@
 type Checked = (caller::Options, Uri, Upload, Prompt, Option<Vec<Bytes>>);
 
 impl Handler for Entry {
-    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         Box::pin(self.respond(request))
     }
 }
--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -244,7 +244,7 @@
 ) -> Drained {
     info!(log, "Entry: Draining."; "connections" => entry.connections.count());
     entry.start_draining();
-    entry.connections.close();
+    entry.connections.close_after_response();
     let mut served = Box::pin(served);
     let linger = Box::pin(
         entry
--- a/verbenaspool/src/settings.rs
+++ b/verbenaspool/src/settings.rs
@@ -166,10 +166,10 @@
             name: self.name.clone(),
             zone: self.zone.clone(),
             limits: Limits {
-                connections: limits.connections,
-                head: Duration::from_millis(limits.head_ms),
-                head_bytes: limits.head_bytes,
-                headers: limits.headers,
+                max_connections: limits.connections,
+                header_timeout: Duration::from_millis(limits.head_ms),
+                max_header_bytes: limits.head_bytes,
+                max_headers: limits.headers,
             },
             bounds: Bounds {
                 max_bytes: limits.body_bytes,
--- a/verbenaspool/tests/entry/agent.rs
+++ b/verbenaspool/tests/entry/agent.rs
@@ -26,7 +26,7 @@
 use verbenaspool_transport::{
     http::{
         body::{self, Body},
-        server::{self, Answer, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits, ResponseFuture},
     },
     rpc::{self, Module},
     shutdown::Signal,
@@ -108,7 +108,7 @@
             listener,
             Limits::default(),
             self.clone(),
-            Open::default(),
+            Connections::default(),
             signal,
         ));
         address
@@ -164,7 +164,7 @@
 }
 
 impl Handler for FakeAgent {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         Box::pin(self.answer(request))
     }
 }
--- a/verbenaspool/tests/entry/crashes.rs
+++ b/verbenaspool/tests/entry/crashes.rs
@@ -14,7 +14,7 @@
     clock::Monotonic,
     http::{
         body::Body,
-        server::{Answer, Handler},
+        server::{Handler, ResponseFuture},
     },
     shutdown::{self, Trigger},
 };
@@ -51,7 +51,7 @@
 }
 
 impl Handler for CrashableService {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         Box::pin(self.answer(request))
     }
 }
--- a/verbenaspool_agent/src/admin.rs
+++ b/verbenaspool_agent/src/admin.rs
@@ -7,7 +7,7 @@
 
 use verbenaspool_transport::http::{
     body::Body,
-    server::{Answer, Handler},
+    server::{Handler, ResponseFuture},
 };
 
 use crate::{
@@ -31,7 +31,7 @@
 }
 
 impl Handler for Admin {
-    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         let (status, text) = self.answer(request.uri().path());
         let mut response = Response::new(Body::full(text));
         *response.status_mut() = status;
--- a/verbenaspool_agent/src/agent.rs
+++ b/verbenaspool_agent/src/agent.rs
@@ -7,7 +7,7 @@
 
 use verbenaspool_transport::{
     clock::Clock,
-    http::server::{self, Limits, Open},
+    http::server::{self, Connections, Limits},
     rpc::{self, Module},
     shutdown::{self, Signal},
     trace::export::Exporter,
@@ -149,11 +149,11 @@
         let (stop_control, control) = shutdown::channel();
         let admin_stop = control.clone();
         let limits = Limits {
-            connections: shared.settings.limits.connections,
+            max_connections: shared.settings.limits.connections,
             ..Limits::default()
         };
         let proxy = Rc::new(Proxy(shared.clone()));
-        let open = Open::default();
+        let open = Connections::default();
         let served = server::serve(self.data, limits, proxy, open.clone(), data);
         monoio::spawn(served);
         monoio::spawn(rpc::serve(self.control, Rc::new(self.module), control));
@@ -166,14 +166,14 @@
         }
         if let Some(listener) = self.admin {
             let limits = Limits {
-                connections: admin::CONNECTIONS,
+                max_connections: admin::CONNECTIONS,
                 ..Limits::default()
             };
             let admin = Rc::new(Admin {
                 shared: shared.clone(),
                 group: group.clone(),
             });
-            let served = server::serve(listener, limits, admin, Open::default(), admin_stop);
+            let served = server::serve(listener, limits, admin, Connections::default(), admin_stop);
             monoio::spawn(served);
         }
         export(&shared);
@@ -212,12 +212,12 @@
 /// that was on its way into a connection as it closed breaks all the same, and
 /// its entry asks what became of it; so the process stays to answer for as long
 /// again, and the request is "refused" and not "unknown".
-async fn drain(shared: &Shared, open: &Open, stop: &shutdown::Trigger) -> Drained {
+async fn drain(shared: &Shared, open: &Connections, stop: &shutdown::Trigger) -> Drained {
     let clock = &shared.clock;
     let began = clock.now();
     let deadline = began + shared.settings.drain.deadline();
     let linger = began + shared.settings.drain.linger();
-    open.close();
+    open.close_after_response();
     while clock.now() < linger.min(deadline) || shared.ledger.borrow().running() > 0 {
         if clock.now() >= deadline {
             break;
--- a/verbenaspool_agent/src/proxy.rs
+++ b/verbenaspool_agent/src/proxy.rs
@@ -52,7 +52,11 @@
 pub(crate) struct Proxy(pub(crate) Rc<Shared>);
 
 impl Handler for Proxy {
-    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> server::Answer {
+    fn handle(
+        self: Rc<Self>,
+        _peer: SocketAddr,
+        request: Request<Incoming>,
+    ) -> server::ResponseFuture {
         Box::pin(async move {
             let shared = self.0.clone();
             let envelope = envelope::read(request.headers(), shared.number, &shared.identity);
--- a/verbenaspool_soak/src/site.rs
+++ b/verbenaspool_soak/src/site.rs
@@ -19,7 +19,7 @@
 };
 use verbenaspool_standin::address;
 use verbenaspool_transport::{
-    http::server::{self, Handler, Limits, Open},
+    http::server::{self, Connections, Handler, Limits},
     shutdown::{self, Trigger},
 };
 
@@ -105,7 +105,7 @@
     let listener = TcpListener::bind(address)?;
     let (trigger, signal) = shutdown::channel();
     triggers.push(trigger);
-    let (limits, open) = (Limits::default(), Open::default());
+    let (limits, open) = (Limits::default(), Connections::default());
     monoio::spawn(server::serve(listener, limits, handler, open, signal));
     Ok(address)
 }
--- a/verbenaspool_standin/src/engine.rs
+++ b/verbenaspool_standin/src/engine.rs
@@ -18,7 +18,7 @@
     clock::Clock,
     http::{
         body::Body,
-        server::{self, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits},
     },
     shutdown::Signal,
 };
@@ -165,12 +165,23 @@
     /// Runs until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
-        server::serve(self.listener, limits, self.parts, Open::default(), signal).await;
+        server::serve(
+            self.listener,
+            limits,
+            self.parts,
+            Connections::default(),
+            signal,
+        )
+        .await;
     }
 }
 
 impl Handler for Parts {
-    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> server::Answer {
+    fn handle(
+        self: Rc<Self>,
+        _peer: SocketAddr,
+        request: Request<Incoming>,
+    ) -> server::ResponseFuture {
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
                 (&Method::POST, "/v1/completions") => self.complete(request).await,
--- a/verbenaspool_standin/src/seat.rs
+++ b/verbenaspool_standin/src/seat.rs
@@ -16,7 +16,7 @@
     clock::Clock,
     http::{
         body::Body,
-        server::{self, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits},
     },
     shutdown::Signal,
 };
@@ -50,7 +50,7 @@
 
     /// Serves until the signal comes.
     pub async fn serve(self, listener: TcpListener, signal: Signal) {
-        let (limits, open) = (Limits::default(), Open::default());
+        let (limits, open) = (Limits::default(), Connections::default());
         server::serve(listener, limits, Rc::new(self), open, signal).await;
     }
 
@@ -92,7 +92,7 @@
         self: Rc<Self>,
         _: std::net::SocketAddr,
         request: Request<Incoming>,
-    ) -> server::Answer {
+    ) -> server::ResponseFuture {
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
                 (&Method::GET, ENGINE_STATE_PATH) => self.state(),
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -20,7 +20,7 @@
     clock::Clock,
     http::{
         body::Body,
-        server::{self, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits},
     },
     shutdown::Signal,
 };
@@ -138,12 +138,23 @@
     /// Runs until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
-        server::serve(self.listener, limits, self.journal, Open::default(), signal).await;
+        server::serve(
+            self.listener,
+            limits,
+            self.journal,
+            Connections::default(),
+            signal,
+        )
+        .await;
     }
 }
 
 impl Handler for Journal {
-    fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> server::Answer {
+    fn handle(
+        self: Rc<Self>,
+        _peer: SocketAddr,
+        request: Request<Incoming>,
+    ) -> server::ResponseFuture {
         Box::pin(async move {
             let write = !matches!(*request.method(), Method::GET | Method::HEAD);
             let path = request.uri().path().to_owned();
--- a/verbenaspool_transport/src/http/server.rs
+++ b/verbenaspool_transport/src/http/server.rs
@@ -22,63 +22,63 @@
 use crate::shutdown::Signal;
 
 /// The most connections that are still accepted when a server stops.
-const BACKLOG: usize = 1_024;
+const MAX_PENDING_ACCEPTS: usize = 1_024;
 
 /// How long a stopping server waits for one more of them.
-const LAST: Duration = Duration::from_millis(1);
+const PENDING_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// How long a stopping server waits for the first request of a connection that
 /// has brought none yet.
-const GRACE: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 
 /// The answer to a request, when it comes.
-pub type Answer = Pin<Box<dyn Future<Output = Response<Body>>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>>>>;
 
 /// What answers requests.
 pub trait Handler {
     /// Answers one request.
-    fn handle(self: Rc<Self>, peer: SocketAddr, request: Request<Incoming>) -> Answer;
+    fn handle(self: Rc<Self>, peer: SocketAddr, request: Request<Incoming>) -> ResponseFuture;
 }
 
 /// Bounds on what a peer may make the server hold.
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Connections at once; one more is closed at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a request's head may take to arrive, which ends senders that
     /// trickle a byte at a time, and idle connections as well.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// The largest head in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// The most header lines.
-    pub headers: usize,
+    pub max_headers: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: 10_000,
-            head: Duration::from_secs(30),
-            head_bytes: 32 * 1024,
-            headers: 64,
+            max_connections: 10_000,
+            header_timeout: Duration::from_secs(30),
+            max_header_bytes: 32 * 1024,
+            max_headers: 64,
         }
     }
 }
 
 /// Counts the open connections of a server, and says when they are to close.
 #[derive(Debug, Clone, Default)]
-pub struct Open {
+pub struct Connections {
     count: Rc<Cell<usize>>,
     closing: Rc<Cell<bool>>,
 }
 
-impl Open {
+impl Connections {
     /// The number of open connections.
     ///
     /// ```
-    /// use verbenaspool_transport::http::server::Open;
+    /// use verbenaspool_transport::http::server::Connections;
     ///
-    /// assert_eq!(Open::default().count(), 0);
+    /// assert_eq!(Connections::default().count(), 0);
     /// ```
     #[must_use]
     pub fn count(&self) -> usize {
@@ -94,31 +94,31 @@
     /// connection again.
     ///
     /// ```
-    /// verbenaspool_transport::http::server::Open::default().close();
+    /// verbenaspool_transport::http::server::Connections::default().close_after_response();
     /// ```
-    pub fn close(&self) {
+    pub fn close_after_response(&self) {
         self.closing.set(true);
     }
 
-    fn enter(&self) -> Guard {
+    fn add(&self) -> ConnectionGuard {
         self.count.set(self.count.get() + 1);
-        Guard(self.clone())
+        ConnectionGuard(self.clone())
     }
 
     /// Tells the peer, where its connection closes behind this answer.
-    fn mark(&self, mut answer: Response<Body>) -> Response<Body> {
+    fn mark_closing(&self, mut response: Response<Body>) -> Response<Body> {
         if self.closing.get() {
             let close = HeaderValue::from_static("close");
-            answer.headers_mut().insert(CONNECTION, close);
+            response.headers_mut().insert(CONNECTION, close);
         }
-        answer
+        response
     }
 }
 
 /// Gives a connection's place back when it ends, however it ends.
-struct Guard(Open);
+struct ConnectionGuard(Connections);
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.count.set(self.0.count.get() - 1);
     }
@@ -132,36 +132,36 @@
     listener: TcpListener,
     limits: Limits,
     handler: Rc<dyn Handler>,
-    open: Open,
+    connections: Connections,
     signal: Signal,
 ) {
     let server = Server {
         limits,
         handler,
-        open: open.clone(),
+        connections: connections.clone(),
         signal: signal.clone(),
     };
-    let mut ended = signal.clone();
+    let mut stop_signal = signal.clone();
     loop {
         let accept = Box::pin(listener.accept());
-        let stop = Box::pin(ended.wait());
+        let stop = Box::pin(stop_signal.wait());
         match select(stop, accept).await {
             Either::Left(_) => break,
-            Either::Right((Ok((stream, peer)), _)) => server.take(stream, peer),
+            Either::Right((Ok((stream, peer)), _)) => server.spawn_connection(stream, peer),
             // Accepting fails when descriptors run out; a pause lets some close.
             Either::Right((Err(_), _)) => monoio::time::sleep(Duration::from_millis(20)).await,
         }
     }
     // What waits to be accepted may have sent its request already, and would be
     // reset with the listener.
-    for _ in 0..BACKLOG {
-        match monoio::time::timeout(LAST, listener.accept()).await {
-            Ok(Ok((stream, peer))) => server.take(stream, peer),
+    for _ in 0..MAX_PENDING_ACCEPTS {
+        match monoio::time::timeout(PENDING_ACCEPT_TIMEOUT, listener.accept()).await {
+            Ok(Ok((stream, peer))) => server.spawn_connection(stream, peer),
             _ => break,
         }
     }
     drop(listener);
-    while open.count() > 0 {
+    while connections.count() > 0 {
         monoio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -170,37 +170,37 @@
 struct Server {
     limits: Limits,
     handler: Rc<dyn Handler>,
-    open: Open,
+    connections: Connections,
     signal: Signal,
 }
 
 impl Server {
     /// Serves a connection in a task of its own, if there is room for it.
-    fn take(&self, stream: TcpStream, peer: SocketAddr) {
-        if self.open.count() >= self.limits.connections {
+    fn spawn_connection(&self, stream: TcpStream, peer: SocketAddr) {
+        if self.connections.count() >= self.limits.max_connections {
             return;
         }
-        let guard = self.open.enter();
+        let guard = self.connections.add();
         let (limits, handler) = (self.limits.clone(), self.handler.clone());
-        let (open, signal) = (self.open.clone(), self.signal.clone());
+        let (connections, signal) = (self.connections.clone(), self.signal.clone());
         monoio::spawn(async move {
-            let conversation = converse(stream, peer, limits, handler, open, signal);
+            let served = serve_connection(stream, peer, limits, handler, connections, signal);
             // A request that panics its handler closes its connection only: its caller sends
             // it again, and would end one process after the other. The panic hook has written
             // a line.
-            let _ = AssertUnwindSafe(conversation).catch_unwind().await;
+            let _ = AssertUnwindSafe(served).catch_unwind().await;
             drop(guard);
         });
     }
 }
 
 /// Serves one connection to its end.
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     limits: Limits,
     handler: Rc<dyn Handler>,
-    open: Open,
+    connections: Connections,
     mut signal: Signal,
 ) {
     // Tokens go out in small writes, which must not wait for each other's acknowledgement.
@@ -208,31 +208,31 @@
     let Ok(stream) = stream.into_poll_io() else {
         return;
     };
-    let asked = Rc::new(Cell::new(false));
-    let seen = asked.clone();
+    let has_request = Rc::new(Cell::new(false));
+    let request_seen = has_request.clone();
     let service = service_fn(move |request| {
-        seen.set(true);
-        let answer = handler.clone().handle(peer, request);
-        let open = open.clone();
-        async move { Ok::<_, std::convert::Infallible>(open.mark(answer.await)) }
+        request_seen.set(true);
+        let response = handler.clone().handle(peer, request);
+        let connections = connections.clone();
+        async move { Ok::<_, std::convert::Infallible>(connections.mark_closing(response.await)) }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(MonoioTimer)
-        .header_read_timeout(limits.head)
-        .max_buf_size(limits.head_bytes.max(8192))
-        .max_headers(limits.headers)
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.max_header_bytes.max(8192))
+        .max_headers(limits.max_headers)
         .half_close(false);
     let mut connection = Box::pin(builder.serve_connection(MonoioIo::new(stream), service));
-    let stopped = {
+    let is_stopping = {
         let stop = Box::pin(signal.wait());
         matches!(select(stop, &mut connection).await, Either::Left(_))
     };
-    if stopped {
+    if is_stopping {
         // hyper closes a connection that has brought no byte yet, but its first
         // request is about to come: nobody connects for less.
-        if !asked.get() {
-            let grace = Box::pin(monoio::time::sleep(GRACE));
+        if !has_request.get() {
+            let grace = Box::pin(monoio::time::sleep(FIRST_REQUEST_GRACE));
             if let Either::Right(_) = select(grace, &mut connection).await {
                 return;
             }
--- a/verbenaspool_transport/tests/server.rs
+++ b/verbenaspool_transport/tests/server.rs
@@ -12,7 +12,7 @@
 use verbenaspool_transport::{
     http::{
         body::Body,
-        server::{Answer, Handler, Limits, Open, serve},
+        server::{Connections, Handler, Limits, ResponseFuture, serve},
     },
     runtime, shutdown,
 };
@@ -21,7 +21,7 @@
 struct Greeter;
 
 impl Handler for Greeter {
-    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, _: Request<Incoming>) -> ResponseFuture {
         Box::pin(std::future::ready(Response::new(Body::full("ok"))))
     }
 }
@@ -42,14 +42,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
         let (trigger, signal) = shutdown::channel();
-        let open = Open::default();
+        let open = Connections::default();
         let limits = Limits::default();
         let served = serve(listener, limits, Rc::new(Greeter), open.clone(), signal);
         let served = monoio::spawn(served);
         let mut known = TcpStream::connect(address).await.expect("a connection");
         assert!(!ask(&mut known).await.contains("connection: close"));
         // Who is known is told, some time before, to come on another connection.
-        open.close();
+        open.close_after_response();
         assert!(ask(&mut known).await.contains("connection: close"));
         let mut fresh = TcpStream::connect(address).await.expect("a connection");
         while open.count() < 1 {
@@ -68,7 +68,7 @@
 struct Faulty;
 
 impl Handler for Faulty {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         assert!(
             request.uri().path() != "/",
             "a request that was not foreseen"
@@ -85,7 +85,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
         let (_trigger, signal) = shutdown::channel();
-        let (limits, open) = (Limits::default(), Open::default());
+        let (limits, open) = (Limits::default(), Connections::default());
         let served = serve(listener, limits, Rc::new(Faulty), open.clone(), signal);
         monoio::spawn(served);
         let mut faulty = TcpStream::connect(address).await.expect("a connection");
--- a/verbenaspool_transport/tests/telemetry.rs
+++ b/verbenaspool_transport/tests/telemetry.rs
@@ -16,7 +16,7 @@
     clock::Paused,
     http::{
         body::Body,
-        server::{self, Answer, Handler, Limits, Open},
+        server::{self, Connections, Handler, Limits, ResponseFuture},
     },
     metrics::Registry,
     runtime, settings, shutdown,
@@ -28,7 +28,7 @@
 struct Collector(RefCell<Vec<Message>>);
 
 impl Handler for Collector {
-    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> Answer {
+    fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         Box::pin(async move {
             assert_eq!(request.uri(), "/v1/traces");
             let body = request.into_body().collect().await.unwrap().to_bytes();
@@ -66,7 +66,7 @@
             listener,
             limits,
             handler,
-            Open::default(),
+            Connections::default(),
             signal,
         ));
         let (tracer, clock) = tracer(address);
