--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -221,7 +221,9 @@
             if self.route.is_retryable() {
                 client.send(replica.address, request).await
             } else {
-                client.send_fresh(replica.address, request).await
+                client
+                    .send_on_new_connection(replica.address, request)
+                    .await
             }
         };
         let sent_at = self.gateway.clock.now();
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -88,7 +88,7 @@
             clock,
             log,
             metrics: metrics::Registry::default(),
-            client: Client::new(CONNECT_TIMEOUT).keep_for(KEEP_ALIVE_TIME),
+            client: Client::new(CONNECT_TIMEOUT).with_idle_timeout(KEEP_ALIVE_TIME),
             store,
             rpc: rpc::Client::default(),
             peers: RefCell::new(peers),
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -84,7 +84,7 @@
     let address = SocketAddr::new(settings.address, settings.peer_port);
     let socket = UdpSocket::bind(address).map_err(|reason| Error::Bind { address, reason })?;
     info!(log, "agent started"; "name" => &settings.name, "upstream" => settings.upstream.to_string());
-    let client = Client::new(CONNECT_TIMEOUT).keep_for(Duration::from_millis(700));
+    let client = Client::new(CONNECT_TIMEOUT).with_idle_timeout(Duration::from_millis(700));
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let first_sequence = since_epoch.map_or(0, |since| since.as_secs()) << 20;
     let shared = AgentState::new(settings, clock, log.clone(), client, socket, first_sequence);
--- a/verbenaspool_agent/src/shared.rs
+++ b/verbenaspool_agent/src/shared.rs
@@ -50,7 +50,7 @@
             identity: settings.identity().to_string(),
             meter: Meter::default(),
             tracer: Tracer::new(settings.traces.as_ref(), clock.clone()),
-            client: Client::new(CONNECT).keep_for(idle),
+            client: Client::new(CONNECT).with_idle_timeout(idle),
             settings,
             log,
             clock,
--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -212,7 +212,8 @@
         let Ok(request) = text::request(&path, id, KEY).body(Body::empty()) else {
             return;
         };
-        let sent = monoio::time::timeout(WAIT, self.client.send_fresh(listen, request)).await;
+        let sent =
+            monoio::time::timeout(WAIT, self.client.send_on_new_connection(listen, request)).await;
         let Ok(Ok(response)) = sent else {
             return;
         };
--- a/verbenaspool_transport/src/http/client.rs
+++ b/verbenaspool_transport/src/http/client.rs
@@ -22,11 +22,11 @@
 use super::body::{self, Body};
 
 /// How many idle connections are kept to one address.
-const IDLE: usize = 32;
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
 /// How long a connection is kept that carries no request; our own servers close
 /// theirs after 30 seconds.
-const KEPT: Duration = Duration::from_secs(10);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
@@ -42,15 +42,15 @@
 /// Connections to other processes.
 #[derive(Debug, Clone)]
 pub struct Client {
-    pool: Rc<RefCell<HashMap<SocketAddr, Vec<Kept>>>>,
-    connect: Duration,
-    kept: Duration,
+    pool: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
     /// When connections that are kept too long were last looked for.
-    pruned: Rc<Cell<Instant>>,
+    last_pruned: Rc<Cell<Instant>>,
 }
 
 /// A connection that carries no request, and until when it may carry one.
-type Kept = (SendRequest<Body>, Instant);
+type IdleConnection = (SendRequest<Body>, Instant);
 
 impl Client {
     /// A client that waits so long for a connection.
@@ -64,12 +64,12 @@
     /// # drop(client);
     /// ```
     #[must_use]
-    pub fn new(connect: Duration) -> Self {
+    pub fn new(connect_timeout: Duration) -> Self {
         Self {
             pool: Rc::default(),
-            connect,
-            kept: KEPT,
-            pruned: Rc::new(Cell::new(Instant::now())),
+            connect_timeout,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            last_pruned: Rc::new(Cell::new(Instant::now())),
         }
     }
 
@@ -84,12 +84,12 @@
     ///
     /// use verbenaspool_transport::http::client::Client;
     ///
-    /// let client = Client::new(Duration::from_secs(1)).keep_for(Duration::from_secs(2));
+    /// let client = Client::new(Duration::from_secs(1)).with_idle_timeout(Duration::from_secs(2));
     /// # drop(client);
     /// ```
     #[must_use]
-    pub fn keep_for(mut self, kept: Duration) -> Self {
-        self.kept = kept;
+    pub fn with_idle_timeout(mut self, idle_timeout: Duration) -> Self {
+        self.idle_timeout = idle_timeout;
         self
     }
 
@@ -106,16 +106,16 @@
         // An idle connection may have been closed by the peer a moment ago. A
         // request of which nothing was written moves on to the next connection;
         // a new one is the last try.
-        while let Some(mut sender) = self.idle(address) {
+        while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok(self.keep(address, sender, response)),
+                Ok(response) => return Ok(self.pool_after_response(address, sender, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(Error::Broken(error.error().to_string())),
                 },
             }
         }
-        self.send_fresh(address, request).await
+        self.send_on_new_connection(address, request).await
     }
 
     /// Sends a request on a new connection and waits for the head of its answer.
@@ -126,14 +126,14 @@
     ///
     /// # Errors
     /// [`Error::NotSent`] promises that no byte of the request left.
-    pub async fn send_fresh(
+    pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Body>,
     ) -> Result<Response<Body>, Error> {
         let mut sender = self.open(address).await?;
         match sender.try_send_request(request).await {
-            Ok(response) => Ok(self.keep(address, sender, response)),
+            Ok(response) => Ok(self.pool_after_response(address, sender, response)),
             // hyper hands the request back only where it wrote none of it.
             Err(mut error) => match error.take_message() {
                 Some(_) => Err(Error::NotSent(error.error().to_string())),
@@ -154,8 +154,8 @@
     /// let refuses = client.is_refused_by("127.0.0.1:1".parse().unwrap(), Duration::from_secs(1));
     /// assert!(runtime::run(refuses).unwrap());
     /// ```
-    pub async fn is_refused_by(&self, address: SocketAddr, within: Duration) -> bool {
-        let connected = monoio::time::timeout(within, TcpStream::connect(address)).await;
+    pub async fn is_refused_by(&self, address: SocketAddr, timeout: Duration) -> bool {
+        let connected = monoio::time::timeout(timeout, TcpStream::connect(address)).await;
         matches!(connected, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
@@ -166,18 +166,18 @@
     ///
     /// use verbenaspool_transport::http::client::Client;
     ///
-    /// Client::new(Duration::from_secs(1)).forget("127.0.0.1:1".parse().unwrap());
+    /// Client::new(Duration::from_secs(1)).close_idle("127.0.0.1:1".parse().unwrap());
     /// ```
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.pool.borrow_mut().remove(&address);
     }
 
     /// Takes an idle connection whose last answer was read to its end.
-    fn idle(&self, address: SocketAddr) -> Option<SendRequest<Body>> {
+    fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Body>> {
         let mut pool = self.pool.borrow_mut();
         let senders = pool.get_mut(&address)?;
-        while let Some((sender, until)) = senders.pop() {
-            if sender.is_ready() && Instant::now() < until {
+        while let Some((sender, expires_at)) = senders.pop() {
+            if sender.is_ready() && Instant::now() < expires_at {
                 return Some(sender);
             }
         }
@@ -187,7 +187,7 @@
     /// Opens a connection.
     async fn open(&self, address: SocketAddr) -> Result<SendRequest<Body>, Error> {
         let not_sent = |error: String| Error::NotSent(error);
-        let stream = monoio::time::timeout(self.connect, TcpStream::connect(address))
+        let stream = monoio::time::timeout(self.connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| not_sent("connecting took too long".to_owned()))?
             .map_err(|error| not_sent(error.to_string()))?;
@@ -206,51 +206,52 @@
     }
 
     /// Wraps the answer so that its connection goes back to the pool at its end.
-    fn keep(
+    fn pool_after_response(
         &self,
         address: SocketAddr,
         sender: SendRequest<Body>,
         response: Response<Incoming>,
     ) -> Response<Body> {
         let (parts, incoming) = response.into_parts();
-        let pooled = Pooled {
+        let body = PooledBody {
             incoming,
-            kept: stated(&parts.headers).map_or(self.kept, |stated| self.kept.min(stated)),
+            idle_timeout: keep_alive_timeout(&parts.headers)
+                .map_or(self.idle_timeout, |server| self.idle_timeout.min(server)),
             sender: Some(sender),
             address,
             client: self.clone(),
         };
         let mut response = Response::from_parts(parts, Body::empty());
-        if pooled.incoming.is_end_stream() {
-            pooled.release();
+        if body.incoming.is_end_stream() {
+            body.release();
         } else {
-            *response.body_mut() = Body::wrap(pooled);
+            *response.body_mut() = Body::wrap(body);
         }
         response
     }
 
     /// Puts a connection back for the next request.
-    fn release(&self, address: SocketAddr, sender: SendRequest<Body>, kept: Duration) {
-        if kept.is_zero() {
+    fn release(&self, address: SocketAddr, sender: SendRequest<Body>, idle_timeout: Duration) {
+        if idle_timeout.is_zero() {
             return;
         }
         let mut pool = self.pool.borrow_mut();
         self.prune(&mut pool);
         let senders = pool.entry(address).or_default();
-        if senders.len() < IDLE {
-            senders.push((sender, Instant::now() + kept));
+        if senders.len() < MAX_IDLE_PER_ADDRESS {
+            senders.push((sender, Instant::now() + idle_timeout));
         }
     }
 
     /// Closes what is kept too long, now and then. Peers that were replaced are
     /// never asked again, so nothing else would.
-    fn prune(&self, pool: &mut HashMap<SocketAddr, Vec<Kept>>) {
-        if self.pruned.get().elapsed() < self.kept {
+    fn prune(&self, pool: &mut HashMap<SocketAddr, Vec<IdleConnection>>) {
+        if self.last_pruned.get().elapsed() < self.idle_timeout {
             return;
         }
-        self.pruned.set(Instant::now());
+        self.last_pruned.set(Instant::now());
         pool.retain(|_, senders| {
-            senders.retain(|(_, until)| Instant::now() < *until);
+            senders.retain(|(_, expires_at)| Instant::now() < *expires_at);
             !senders.is_empty()
         });
     }
@@ -259,10 +260,11 @@
 /// How long a connection may be kept by what its server states in the answer:
 /// half of that, since the server counts from when its answer left, in whole
 /// seconds, and a request has its way to go as well.
-fn stated(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let mut words = text.split(',').map(str::trim);
-    let seconds = words.find_map(|word| word.strip_prefix("timeout=")?.parse().ok())?;
+    let mut parameters = text.split(',').map(str::trim);
+    let seconds =
+        parameters.find_map(|parameter| parameter.strip_prefix("timeout=")?.parse().ok())?;
     Some(Duration::from_secs(seconds) / 2)
 }
 
@@ -271,28 +273,28 @@
 /// A connection with an answer outstanding must not carry another request, or
 /// a late answer would reach the wrong caller. It goes back to the pool only
 /// here, after the last byte; a body that is dropped early closes it.
-struct Pooled {
+struct PooledBody {
     incoming: Incoming,
     sender: Option<SendRequest<Body>>,
     /// How long the connection may be kept after the answer.
-    kept: Duration,
+    idle_timeout: Duration,
     address: SocketAddr,
     client: Client,
 }
 
-impl Pooled {
+impl PooledBody {
     fn release(mut self) {
-        self.give_back();
+        self.return_connection();
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(sender) = self.sender.take() {
-            self.client.release(self.address, sender, self.kept);
+            self.client.release(self.address, sender, self.idle_timeout);
         }
     }
 }
 
-impl http_body::Body for Pooled {
+impl http_body::Body for PooledBody {
     type Data = Bytes;
     type Error = body::Error;
 
@@ -302,8 +304,8 @@
     ) -> std::task::Poll<Option<Result<Frame<Bytes>, body::Error>>> {
         let frame = std::task::ready!(std::pin::Pin::new(&mut self.incoming).poll_frame(cx));
         match &frame {
-            None => self.give_back(),
-            Some(Ok(_)) if self.incoming.is_end_stream() => self.give_back(),
+            None => self.return_connection(),
+            Some(Ok(_)) if self.incoming.is_end_stream() => self.return_connection(),
             Some(Ok(_)) => {}
             Some(Err(_)) => self.sender = None,
         }
--- a/verbenaspool_transport/tests/client.rs
+++ b/verbenaspool_transport/tests/client.rs
@@ -25,7 +25,7 @@
         ("kept longer", Duration::from_hours(1), 1),
         ("kept shorter", PAUSE / 2, 2),
     ];
-    for (name, kept, connections) in table {
+    for (name, idle_timeout, connections) in table {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
         // Answers two requests, however many connections they come on.
@@ -44,7 +44,7 @@
             accepted
         });
         runtime::run(async {
-            let client = Client::new(Duration::from_secs(5)).keep_for(kept);
+            let client = Client::new(Duration::from_secs(5)).with_idle_timeout(idle_timeout);
             for _ in 0..2 {
                 let request = Request::get("/").body(Body::empty()).expect("a request");
                 let response = client.send(address, request).await.expect("an answer");
