--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -381,7 +381,7 @@
 /// Registers the RPC method for peers.
 pub fn register_methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
     let gateway = gateway.clone();
-    module.on(LATEST_METHOD, move |versions: Versions| {
+    module.register(LATEST_METHOD, move |versions: Versions| {
         let update = gateway.update_since(versions);
         async move { Ok::<_, String>(update) }
     });
--- a/verbenaspool/src/direct/standing.rs
+++ b/verbenaspool/src/direct/standing.rs
@@ -88,7 +88,7 @@
 /// Registers the RPC method for operators.
 pub fn register_methods(gateway: &Rc<Gateway>, module: &mut rpc::Module) {
     let gateway = gateway.clone();
-    module.on(STANDING_METHOD, move |(): ()| {
+    module.register(STANDING_METHOD, move |(): ()| {
         let standing = gateway.standing();
         async move { Ok::<_, String>(standing) }
     });
--- a/verbenaspool/tests/entry/agent.rs
+++ b/verbenaspool/tests/entry/agent.rs
@@ -79,7 +79,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut module = Module::default();
-        module.on(report::METHOD, |_: report::Request| async {
+        module.register(report::METHOD, |_: report::Request| async {
             let load = Load {
                 agent: PROCESS_ID,
                 ..Load::default()
@@ -92,7 +92,7 @@
             })
         });
         let agent = self.clone();
-        module.on(settle::METHOD, move |_: settle::Request| {
+        module.register(settle::METHOD, move |_: settle::Request| {
             let answer = agent.settle_answer.get();
             async move { Ok::<_, String>(answer) }
         });
--- a/verbenaspool_agent/src/control.rs
+++ b/verbenaspool_agent/src/control.rs
@@ -13,12 +13,12 @@
 /// Registers the methods.
 pub(crate) fn register(module: &mut Module, shared: &Rc<Shared>) {
     let agent = shared.clone();
-    module.on(settle::METHOD, move |question: settle::Request| {
+    module.register(settle::METHOD, move |question: settle::Request| {
         let answer = settle(&agent, &question);
         async move { Ok::<_, String>(answer) }
     });
     let agent = shared.clone();
-    module.on(report::METHOD, move |question: report::Request| {
+    module.register(report::METHOD, move |question: report::Request| {
         // Whoever means another instance must not learn this process's number.
         let meant = question.instance == agent.settings.identity();
         let agent = agent.clone();
@@ -38,7 +38,7 @@
         }
     });
     let agent = shared.clone();
-    module.on(report::LEAVE_METHOD, move |(): ()| {
+    module.register(report::LEAVE_METHOD, move |(): ()| {
         agent.leave();
         async move { Ok::<_, String>(()) }
     });
--- a/verbenaspool_agent/src/executor.rs
+++ b/verbenaspool_agent/src/executor.rs
@@ -69,7 +69,7 @@
     /// Registers the control method.
     pub(crate) fn register(self: &Rc<Self>, module: &mut Module) {
         let executor = self.clone();
-        module.on(METHOD, move |order: Order| {
+        module.register(METHOD, move |order: Order| {
             let executor = executor.clone();
             async move { executor.take(order).await }
         });
--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -146,12 +146,12 @@
     /// Registers the group's control methods.
     pub(crate) fn register(self: &Rc<Self>, module: &mut Module) {
         let driver = self.clone();
-        module.on(METHOD, move |envelope: Envelope| {
+        module.register(METHOD, move |envelope: Envelope| {
             let taken = driver.receive(envelope);
             async move { taken }
         });
         let driver = self.clone();
-        module.on(STATUS_METHOD, move |(): ()| {
+        module.register(STATUS_METHOD, move |(): ()| {
             let status = driver.status();
             async move { Ok::<_, String>(status) }
         });
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -31,17 +31,17 @@
 /// Adds the methods that peers call to a module.
 pub(super) fn methods(source: &Rc<Source>, module: &mut rpc::Module) {
     let own = Rc::clone(source);
-    module.on(HEARTBEAT, move |beat: Heartbeat| {
+    module.register(HEARTBEAT, move |beat: Heartbeat| {
         let echo = answer_beat(&own, beat);
         async move { Ok::<_, String>(echo) }
     });
     let own = Rc::clone(source);
-    module.on(OFFER, move |offer: Offer| {
+    module.register(OFFER, move |offer: Offer| {
         let own = Rc::clone(&own);
         async move { Ok::<_, String>(answer_offer(&own, offer).await) }
     });
     let own = Rc::clone(source);
-    module.on(FETCH, move |fetch: Fetch| {
+    module.register(FETCH, move |fetch: Fetch| {
         let fetched = answer_fetch(&own, &fetch);
         async move { Ok::<_, String>(fetched) }
     });
--- a/verbenaspool_transport/src/rpc.rs
+++ b/verbenaspool_transport/src/rpc.rs
@@ -29,28 +29,28 @@
 
 /// The largest frame in bytes: a piece of configuration (1 MB) with room for
 /// its envelope.
-const LARGEST: usize = 2 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
 /// How many bytes a read asks for that waits for the next frame. The memory is
 /// held while it waits, by each idle connection, and most frames are shorter.
-const FIRST: usize = 512;
+const IDLE_READ_BYTES: usize = 512;
 
 /// How many bytes a read asks for inside a frame.
-const READ: usize = 16 * 1024;
+const FRAME_READ_BYTES: usize = 16 * 1024;
 
 /// How many idle connections are kept to one address.
-const IDLE: usize = 4;
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 
 /// How long a connection is kept that carries no call. Without an end, each
 /// peer that is replaced would leave a socket behind for good.
-const KEPT: Duration = Duration::from_mins(1);
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How long a server waits for a whole frame. It is longer than [`KEPT`], so
+/// How long a server waits for a whole frame. It is longer than [`CLIENT_IDLE_TIMEOUT`], so
 /// that a client takes no connection that the server is about to close.
-const SILENCE: Duration = Duration::from_mins(2);
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Connections that a server holds at once; one more is closed at once.
-const CONNECTIONS: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 
 /// Why a call got no result.
 #[derive(Debug, thiserror::Error)]
@@ -63,16 +63,16 @@
     Timeout,
     /// The peer answered something that is no answer to the call.
     #[error("the peer's answer makes no sense: {0}")]
-    Garbled(String),
+    InvalidResponse(String),
     /// The peer refused the call.
     #[error("the peer refused: {0}")]
-    Refused(String),
+    Rejected(String),
 }
 
 /// A frame codec with our bound.
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(LARGEST)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
@@ -99,8 +99,12 @@
             if let Some(frame) = self.codec.decode(&mut self.buffer)? {
                 return Ok(Some(frame));
             }
-            let wanted = if self.buffer.is_empty() { FIRST } else { READ };
-            let (read, chunk) = self.stream.read(vec![0_u8; wanted]).await;
+            let length = if self.buffer.is_empty() {
+                IDLE_READ_BYTES
+            } else {
+                FRAME_READ_BYTES
+            };
+            let (read, chunk) = self.stream.read(vec![0_u8; length]).await;
             match read? {
                 0 if self.buffer.is_empty() => return Ok(None),
                 0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
@@ -117,7 +121,7 @@
 }
 
 /// The JSON-RPC code of a refusal by the method itself.
-const REFUSED: i32 = -32000;
+const METHOD_FAILED: i32 = -32000;
 
 /// The methods that a process answers.
 #[derive(Debug, Clone)]
@@ -142,9 +146,9 @@
     /// use verbenaspool_transport::rpc::Module;
     ///
     /// let mut module = Module::default();
-    /// module.on("double", |n: u32| async move { Ok::<_, String>(2 * n) });
+    /// module.register("double", |n: u32| async move { Ok::<_, String>(2 * n) });
     /// ```
-    pub fn on<P, R, F, A>(&mut self, method: &'static str, handler: F)
+    pub fn register<P, R, F, A>(&mut self, method: &'static str, handler: F)
     where
         P: DeserializeOwned + 'static,
         R: Serialize + Clone + Send + 'static,
@@ -157,9 +161,9 @@
                 let handler = handler.clone();
                 SendWrapper::new(async move {
                     let param = params.one::<P>()?;
-                    handler(param)
-                        .await
-                        .map_err(|why| ErrorObjectOwned::owned(REFUSED, why, None::<()>))
+                    handler(param).await.map_err(|reason| {
+                        ErrorObjectOwned::owned(METHOD_FAILED, reason, None::<()>)
+                    })
                 })
             })
             .expect("a method is registered once");
@@ -177,9 +181,9 @@
         match select(stop, accept).await {
             Either::Left(_) => return,
             // The task holds a clone of the module for as long as it runs.
-            Either::Right((Ok(_), _)) if Rc::strong_count(&module) > CONNECTIONS => {}
+            Either::Right((Ok(_), _)) if Rc::strong_count(&module) > MAX_CONNECTIONS => {}
             Either::Right((Ok((stream, _)), _)) => {
-                monoio::spawn(answer(Framed::new(stream), module.clone()));
+                monoio::spawn(serve_connection(Framed::new(stream), module.clone()));
             }
             Either::Right((Err(_), _)) => monoio::time::sleep(Duration::from_millis(20)).await,
         }
@@ -187,15 +191,16 @@
 }
 
 /// Answers the calls of one connection, one after the other.
-async fn answer(mut framed: Framed, module: Rc<Module>) {
-    while let Ok(Ok(Some(frame))) = monoio::time::timeout(SILENCE, framed.read()).await {
+async fn serve_connection(mut framed: Framed, module: Rc<Module>) {
+    while let Ok(Ok(Some(frame))) = monoio::time::timeout(SERVER_IDLE_TIMEOUT, framed.read()).await
+    {
         let Ok(request) = std::str::from_utf8(&frame) else {
             return;
         };
-        let Ok((answer, _)) = module.0.raw_json_request(request, 1).await else {
+        let Ok((response, _)) = module.0.raw_json_request(request, 1).await else {
             return;
         };
-        let text: String = <Box<RawValue> as Into<Box<str>>>::into(answer).into();
+        let text: String = <Box<RawValue> as Into<Box<str>>>::into(response).into();
         if framed.write(text.into()).await.is_err() {
             return;
         }
@@ -205,11 +210,11 @@
 /// Calls methods of other processes.
 #[derive(Clone, Default)]
 pub struct Client {
-    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
 /// A connection that carries no call, and since when.
-type Idle = (Framed, Instant);
+type IdleConnection = (Framed, Instant);
 
 impl std::fmt::Debug for Client {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -220,7 +225,7 @@
 /// A JSON-RPC request. Calls on a connection follow one another, so the id
 /// need not tell them apart.
 #[derive(Debug, Serialize)]
-struct Call<'a, P> {
+struct Request<'a, P> {
     jsonrpc: &'static str,
     id: u64,
     method: &'a str,
@@ -251,69 +256,70 @@
         method: &str,
         params: &P,
     ) -> Result<R, Error> {
-        let call = Call {
+        let request = Request {
             jsonrpc: "2.0",
             id: 1,
             method,
             params: [params],
         };
-        let text = serde_json::to_vec(&call).map_err(|error| Error::Garbled(error.to_string()))?;
+        let bytes = serde_json::to_vec(&request)
+            .map_err(|error| Error::InvalidResponse(error.to_string()))?;
         // A peer that was started again has left broken connections behind. Every
         // method may be called twice, so the call moves on to a new connection.
-        let kept = match self.take(address) {
-            Some(framed) => converse(framed, &text).await.ok(),
+        let on_idle = match self.take_idle(address) {
+            Some(framed) => round_trip(framed, &bytes).await.ok(),
             None => None,
         };
-        let (framed, frame) = if let Some(answered) = kept {
+        let (framed, frame) = if let Some(answered) = on_idle {
             answered
         } else {
             let framed = Framed::new(TcpStream::connect(address).await?);
-            converse(framed, &text).await?
+            round_trip(framed, &bytes).await?
         };
-        let result = read_answer(&frame);
+        let result = parse_response(&frame);
         // Only a connection whose answer was read whole may carry the next call.
-        self.put(address, framed);
+        self.put_idle(address, framed);
         result
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Framed> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Framed> {
         let mut idle = self.idle.borrow_mut();
         let (framed, since) = idle.get_mut(&address)?.pop()?;
-        (since.elapsed() < KEPT).then_some(framed)
+        (since.elapsed() < CLIENT_IDLE_TIMEOUT).then_some(framed)
     }
 
-    fn put(&self, address: SocketAddr, framed: Framed) {
+    fn put_idle(&self, address: SocketAddr, framed: Framed) {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, kept| {
-            kept.retain(|(_, since)| since.elapsed() < KEPT);
-            !kept.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|(_, since)| since.elapsed() < CLIENT_IDLE_TIMEOUT);
+            !connections.is_empty()
         });
-        let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE {
-            kept.push((framed, Instant::now()));
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push((framed, Instant::now()));
         }
     }
 }
 
 /// Sends a request and reads its answer.
-async fn converse(mut framed: Framed, request: &[u8]) -> std::io::Result<(Framed, BytesMut)> {
+async fn round_trip(mut framed: Framed, request: &[u8]) -> std::io::Result<(Framed, BytesMut)> {
     framed.write(Bytes::copy_from_slice(request)).await?;
-    let answer = framed.read().await?;
-    let answer = answer.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    Ok((framed, answer))
+    let response = framed.read().await?;
+    let response = response.ok_or(std::io::ErrorKind::UnexpectedEof)?;
+    Ok((framed, response))
 }
 
 /// Reads a JSON-RPC answer.
-fn read_answer<R: DeserializeOwned>(frame: &[u8]) -> Result<R, Error> {
-    let garbled = |error: serde_json::Error| Error::Garbled(error.to_string());
-    let mut answer: Value = serde_json::from_slice(frame).map_err(garbled)?;
-    if let Some(error) = answer.get("error") {
-        return Err(Error::Refused(
+fn parse_response<R: DeserializeOwned>(frame: &[u8]) -> Result<R, Error> {
+    let invalid = |error: serde_json::Error| Error::InvalidResponse(error.to_string());
+    let mut response: Value = serde_json::from_slice(frame).map_err(invalid)?;
+    if let Some(error) = response.get("error") {
+        return Err(Error::Rejected(
             error["message"].as_str().unwrap_or_default().to_owned(),
         ));
     }
-    let result = answer
+    let result = response
         .get_mut("result")
-        .ok_or_else(|| Error::Garbled("neither result nor error".to_owned()))?;
-    serde_json::from_value(result.take()).map_err(garbled)
+        .ok_or_else(|| Error::InvalidResponse("neither result nor error".to_owned()))?;
+    serde_json::from_value(result.take()).map_err(invalid)
 }
--- a/verbenaspool_transport/tests/rpc.rs
+++ b/verbenaspool_transport/tests/rpc.rs
@@ -17,7 +17,7 @@
     let address = listener.local_addr().expect("its address");
     let (trigger, signal) = shutdown::channel();
     let mut module = Module::default();
-    module.on(
+    module.register(
         "size",
         |text: String| async move { Ok::<_, String>(text.len()) },
     );
@@ -71,7 +71,7 @@
             assert_eq!(size, length);
         }
         let wrong: Result<usize, Error> = client.call(address, "size", &7, WAIT).await;
-        assert!(matches!(wrong, Err(Error::Refused(_))), "{wrong:?}");
+        assert!(matches!(wrong, Err(Error::Rejected(_))), "{wrong:?}");
         trigger.fire();
         let nobody = ([127, 0, 0, 1], 1).into();
         let dead: Result<usize, Error> = client.call(nobody, "size", &"a", WAIT).await;
