--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -58,8 +58,8 @@
 /// The settings are invalid, or an address can't be bound.
 pub fn main(path: &Path) -> Result<Drained, Error> {
     let settings: Settings = settings::load(path)?;
-    let (log, _guard) = log::guarded(settings.log);
-    let signals = Signals::hear()?;
+    let (log, _guard) = log::open_with_guard(settings.log);
+    let signals = Signals::register()?;
     let path = path.to_owned();
     runtime::run(serve(settings, path, log, signals))?
 }
@@ -226,7 +226,7 @@
 ) {
     let clock = &gateway.clock;
     let mut last_tick = clock.now();
-    while !signals.stopped() {
+    while !signals.stop_requested() {
         clock.sleep(TICK_INTERVAL).await;
         let entries = gateway.known_entries();
         for queue in gateway.queues() {
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -71,10 +71,10 @@
 /// The UDP port can't be bound, the event loop can't start, or signal handlers can't be
 /// installed.
 pub fn main(settings: Settings) -> Result<(), Error> {
-    let (log, _guard) = log::guarded(settings.log);
+    let (log, _guard) = log::open_with_guard(settings.log);
     // The settings apply until the process is restarted. The reload signal is handled only
     // because it would otherwise terminate the process.
-    let signals = Signals::hear()?;
+    let signals = Signals::register()?;
     runtime::run(serve(settings, log, signals))?
 }
 
@@ -102,7 +102,7 @@
     let clock = &shared.clock;
     let (mut last_broadcast, mut last_hello) = (Duration::ZERO, Duration::ZERO);
     let mut reachable = true;
-    while !signals.stopped() {
+    while !signals.stop_requested() {
         let report = shared.read_report().await;
         if report.is_some() != reachable {
             reachable = report.is_some();
--- a/verbenaspool_transport/src/log.rs
+++ b/verbenaspool_transport/src/log.rs
@@ -66,7 +66,7 @@
 /// slog::info!(log, "Agent: Started.");
 /// ```
 pub fn open(settings: Settings) -> Logger {
-    let (log, guard) = guarded(settings);
+    let (log, guard) = open_with_guard(settings);
     // Without a guard the queue is written for as long as the process lives.
     std::mem::forget(guard);
     log
@@ -77,17 +77,20 @@
 /// ```
 /// use verbenaspool_transport::log;
 ///
-/// let (log, guard) = log::guarded(log::Settings::default());
+/// let (log, guard) = log::open_with_guard(log::Settings::default());
 /// slog::info!(log, "Agent: Stopped.");
 /// drop(guard);
 /// ```
-pub fn guarded(settings: Settings) -> (Logger, Guard) {
+pub fn open_with_guard(settings: Settings) -> (Logger, Guard) {
     match settings.form {
         Form::Terminal => {
-            let line = slog_term::PlainDecorator::new(io::stderr());
-            drain(slog_term::FullFormat::new(line).build(), settings.level)
+            let decorator = slog_term::PlainDecorator::new(io::stderr());
+            root(
+                slog_term::FullFormat::new(decorator).build(),
+                settings.level,
+            )
         }
-        Form::Json => drain(slog_json::Json::default(io::stdout()), settings.level),
+        Form::Json => root(slog_json::Json::default(io::stdout()), settings.level),
     }
 }
 
@@ -97,42 +100,42 @@
 /// process ended. A reader that has stalled must not keep the process either, so
 /// the wait has an end.
 #[derive(Debug)]
-pub struct Guard(Option<Waiting>);
+pub struct Guard(Option<WriterThread>);
 
 /// The thread that writes lines.
-struct Waiting(slog_async::AsyncGuard);
+struct WriterThread(slog_async::AsyncGuard);
 
-impl std::fmt::Debug for Waiting {
+impl std::fmt::Debug for WriterThread {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Waiting").finish_non_exhaustive()
+        f.debug_struct("WriterThread").finish_non_exhaustive()
     }
 }
 
 /// How long a process waits at its end for lines to be written. A reader that
 /// keeps up takes a few milliseconds.
-const LAST: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        let Some(Waiting(guard)) = self.0.take() else {
+        let Some(WriterThread(guard)) = self.0.take() else {
             return;
         };
-        let (done, wait) = mpsc::channel();
+        let (done, flushed) = mpsc::channel();
         thread::spawn(move || {
             drop(guard);
             // Nobody waits any more where the time was over.
             let _ = done.send(());
         });
-        let _ = wait.recv_timeout(LAST);
+        let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-fn drain<D>(lines: D, threshold: Threshold) -> (Logger, Guard)
+fn root<D>(drain: D, threshold: Threshold) -> (Logger, Guard)
 where
     D: Drain<Ok = (), Err = io::Error> + Send + 'static,
 {
-    let (queue, guard) = queue::bounded(lines);
+    let (queue, guard) = queue::bounded(drain);
     let level = Level::from(threshold);
     let log = Logger::root(queue.filter_level(level).ignore_res(), o!());
-    (log, Guard(Some(Waiting(guard))))
+    (log, Guard(Some(WriterThread(guard))))
 }
--- a/verbenaspool_transport/src/log/queue.rs
+++ b/verbenaspool_transport/src/log/queue.rs
@@ -17,59 +17,63 @@
 use slog_async::{Async, AsyncGuard};
 
 /// Lines that wait to be written at most: some two megabytes.
-pub const LINES: usize = 4_096;
+pub const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Lines of them that are kept for warnings and errors: those of a second in which
 /// all requests of an entry fail.
-pub const KEPT: usize = 1_024;
+pub const RESERVED_LINES: usize = 1_024;
 
 /// What the two ends of the queue know of each other.
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     /// Lines that wait.
-    waiting: AtomicUsize,
+    queued: AtomicUsize,
     /// Lines that were dropped and not told of yet.
     dropped: AtomicUsize,
 }
 
 /// The end of the queue that takes lines in; it never waits.
-pub struct Entrance {
+pub struct Producer {
     queue: Async,
-    counts: Arc<Counts>,
+    counters: Arc<Counters>,
 }
 
 /// The end that writes them.
-struct Exit<D> {
-    lines: D,
-    counts: Arc<Counts>,
+struct Writer<D> {
+    drain: D,
+    counters: Arc<Counters>,
 }
 
 /// A queue before a drain, and the guard that writes out what waits.
-pub fn bounded<D>(lines: D) -> (Entrance, AsyncGuard)
+pub fn bounded<D>(drain: D) -> (Producer, AsyncGuard)
 where
     D: Drain<Ok = (), Err = io::Error> + Send + 'static,
 {
-    let counts = Arc::new(Counts::default());
-    let exit = Exit {
-        lines,
-        counts: counts.clone(),
+    let counters = Arc::new(Counters::default());
+    let writer = Writer {
+        drain,
+        counters: counters.clone(),
     };
-    let queue = Async::new(exit.ignore_res()).chan_size(LINES);
+    let queue = Async::new(writer.ignore_res()).chan_size(MAX_QUEUED_LINES);
     let (queue, guard) = queue.build_with_guard();
-    (Entrance { queue, counts }, guard)
+    (Producer { queue, counters }, guard)
 }
 
-impl Drain for Entrance {
+impl Drain for Producer {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
-        let serious = record.level().is_at_least(Level::Warning);
-        let room = if serious { LINES } else { LINES - KEPT };
-        let waiting = &self.counts.waiting;
-        if waiting.fetch_add(1, Ordering::Relaxed) >= room {
-            waiting.fetch_sub(1, Ordering::Relaxed);
-            self.counts.dropped.fetch_add(1, Ordering::Relaxed);
+        let may_use_reserve = record.level().is_at_least(Level::Warning);
+        let limit = if may_use_reserve {
+            MAX_QUEUED_LINES
+        } else {
+            MAX_QUEUED_LINES - RESERVED_LINES
+        };
+        let queued = &self.counters.queued;
+        if queued.fetch_add(1, Ordering::Relaxed) >= limit {
+            queued.fetch_sub(1, Ordering::Relaxed);
+            self.counters.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         // The queue takes as many lines as are counted, so that it has room for this.
@@ -78,7 +82,7 @@
     }
 }
 
-impl<D> Drain for Exit<D>
+impl<D> Drain for Writer<D>
 where
     D: Drain<Ok = (), Err = io::Error>,
 {
@@ -86,21 +90,21 @@
     type Err = io::Error;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), io::Error> {
-        let dropped = self.counts.dropped.swap(0, Ordering::Relaxed);
+        let dropped = self.counters.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            let none = OwnedKVList::from(o!());
-            self.lines.log(
+            let no_values = OwnedKVList::from(o!());
+            self.drain.log(
                 &slog::record!(
                     Level::Warning,
                     "",
                     &format_args!("Log: Lines were dropped; they came faster than they were read."),
                     b!("lines" => dropped)
                 ),
-                &none,
+                &no_values,
             )?;
         }
-        let written = self.lines.log(record, values);
-        self.counts.waiting.fetch_sub(1, Ordering::Relaxed);
+        let written = self.drain.log(record, values);
+        self.counters.queued.fetch_sub(1, Ordering::Relaxed);
         written
     }
 }
--- a/verbenaspool_transport/src/log/queue/tests.rs
+++ b/verbenaspool_transport/src/log/queue/tests.rs
@@ -18,7 +18,7 @@
 }
 
 /// Writes to a reader, waiting while it is stalled.
-struct Pipe(Arc<Reader>);
+struct ReaderDrain(Arc<Reader>);
 
 /// The number of lines that a line says were dropped.
 #[derive(Default)]
@@ -35,7 +35,7 @@
     }
 }
 
-impl Drain for Pipe {
+impl Drain for ReaderDrain {
     type Ok = ();
     type Err = io::Error;
 
@@ -56,10 +56,10 @@
 /// meanwhile. Nothing waits for the reader; once it reads again it finds the lines of
 /// all that failed, and how many of the others are missing.
 #[test]
-fn a_stalled_reader_costs_the_lines_of_what_went_well() {
+fn a_stalled_reader_loses_only_info_lines() {
     let reader = Arc::new(Reader::default());
-    let (entrance, guard) = bounded(Pipe(reader.clone()));
-    let log = Logger::root(entrance.ignore_res(), o!());
+    let (producer, guard) = bounded(ReaderDrain(reader.clone()));
+    let log = Logger::root(producer.ignore_res(), o!());
     {
         let _stalled = reader.stalled.lock();
         for number in 0..10_000 {
@@ -72,23 +72,27 @@
     drop(log);
     drop(guard);
     let lines = reader.lines();
-    let count = |what: &str| lines.iter().filter(|line| line.starts_with(what)).count();
-    let told: usize = lines
+    let count = |prefix: &str| lines.iter().filter(|line| line.starts_with(prefix)).count();
+    let reported: usize = lines
         .iter()
         .filter(|line| line.starts_with("Log:"))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<usize>().ok())
         .sum();
     assert_eq!(count("failed"), 500);
-    assert!(count("fine") >= LINES - KEPT - 500, "{}", count("fine"));
-    assert_eq!(told + count("fine"), 10_000);
+    assert!(
+        count("fine") >= MAX_QUEUED_LINES - RESERVED_LINES - 500,
+        "{}",
+        count("fine")
+    );
+    assert_eq!(reported + count("fine"), 10_000);
 }
 
 /// A reader that keeps up gets every line, in the order in which they were written.
 #[test]
-fn a_reader_that_keeps_up_misses_nothing() {
+fn a_reader_that_keeps_up_gets_every_line() {
     let reader = Arc::new(Reader::default());
-    let (entrance, guard) = bounded(Pipe(reader.clone()));
-    let log = Logger::root(entrance.ignore_res(), o!());
+    let (producer, guard) = bounded(ReaderDrain(reader.clone()));
+    let log = Logger::root(producer.ignore_res(), o!());
     for number in 0..1_000 {
         info!(log, "{}", number);
     }
--- a/verbenaspool_transport/src/shutdown.rs
+++ b/verbenaspool_transport/src/shutdown.rs
@@ -115,10 +115,10 @@
     /// A signal can't be heard.
     ///
     /// ```
-    /// let signals = verbenaspool_transport::shutdown::Signals::hear().unwrap();
-    /// assert!(!signals.stopped());
+    /// let signals = verbenaspool_transport::shutdown::Signals::register().unwrap();
+    /// assert!(!signals.stop_requested());
     /// ```
-    pub fn hear() -> io::Result<Self> {
+    pub fn register() -> io::Result<Self> {
         let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
             flag::register(signal, signals.stop.clone())?;
@@ -131,20 +131,20 @@
     ///
     /// ```
     /// let signals = verbenaspool_transport::shutdown::Signals::default();
-    /// signals.stop();
-    /// assert!(signals.stopped());
+    /// signals.request_stop();
+    /// assert!(signals.stop_requested());
     /// ```
-    pub fn stop(&self) {
+    pub fn request_stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
     /// Whether the process is to stop.
     ///
     /// ```
-    /// assert!(!verbenaspool_transport::shutdown::Signals::default().stopped());
+    /// assert!(!verbenaspool_transport::shutdown::Signals::default().stop_requested());
     /// ```
     #[must_use]
-    pub fn stopped(&self) -> bool {
+    pub fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
