--- a/verbenaspool/src/direct/crash.rs
+++ b/verbenaspool/src/direct/crash.rs
@@ -59,7 +59,7 @@
             "Requests whose upstream crashed while it had them.",
             &[("service", &*replica.service)],
         );
-        crashed_requests.count();
+        crashed_requests.increment();
         let upstream = digest::hash(&replica.id);
         let crash = Crash::new(gateway.clock.now(), upstream, ran);
         gateway.on_crash(self.fingerprint, crash);
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -141,7 +141,7 @@
             "Requests by how they ended.",
             &pairs,
         );
-        requests.count();
+        requests.increment();
         let first_byte = gateway.metrics.histogram(
             "verbenaspool_first_byte_seconds",
             "Time to the first byte of the answer.",
--- a/verbenaspool/src/entry/answer.rs
+++ b/verbenaspool/src/entry/answer.rs
@@ -180,7 +180,7 @@
 
     /// Continues the answer from another attempt.
     fn continue_from(&mut self, exchange: Exchange, tried: Vec<Name>) {
-        self.forward.observation.meter().resumed.count();
+        self.forward.observation.meter().resumed.increment();
         self.tried = Some(tried);
         self.state = State::Reading(Source {
             body: exchange.response.into_body(),
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -105,7 +105,7 @@
     let mut span = forward
         .observation
         .child_span("entry to agent", Kind::Client);
-    span.set("upstream", upstream.as_str());
+    span.set_attribute("upstream", upstream.as_str());
     let result = try_once(forward, &attempt, target, &span, resume).await;
     match result {
         Ok(response) => Ok(Exchange {
@@ -131,7 +131,7 @@
 ) -> Result<Response<Body>, Failure> {
     let id = target.id;
     let request = agent_request(forward, &target, span, resume);
-    forward.observation.meter().attempts.count();
+    forward.observation.meter().attempts.increment();
     let sending = forward.entry.client.send(target.address.agent, request);
     match monoio::time::timeout(forward.time_left(), sending).await {
         Ok(Ok(response)) => {
@@ -257,7 +257,7 @@
 
 /// Asks the agent about an attempt whose answer was lost, and returns the failure.
 async fn settle(forward: &Forward, target: &Target) -> Failure {
-    forward.observation.meter().settled.count();
+    forward.observation.meter().settled.increment();
     let control = target.address.control;
     match attempt_status(forward, target.id, control, target.process).await {
         Some(settle::Answer::Refused) => not_run("The upstream broke off before the request."),
--- a/verbenaspool/src/entry/observe.rs
+++ b/verbenaspool/src/entry/observe.rs
@@ -48,7 +48,7 @@
     /// use verbenaspool_transport::metrics::Registry;
     ///
     /// let meter = Meter::new(&Registry::default(), "jobs");
-    /// meter.attempts.count();
+    /// meter.attempts.increment();
     /// ```
     #[must_use]
     pub fn new(metrics: &Registry, service: &str) -> Rc<Self> {
@@ -126,7 +126,7 @@
 
     /// Sets an attribute of the request's span.
     pub fn set_attribute(&self, key: &'static str, value: impl Into<Value>) {
-        self.span.borrow_mut().set(key, value);
+        self.span.borrow_mut().set_attribute(key, value);
     }
 
     /// Records the time in the queue of a request that was admitted.
@@ -153,7 +153,7 @@
             Ended::Outcome(Outcome::Unknown) => (&meter.unknown, "unknown"),
             Ended::Cancelled => (&meter.cancelled, "cancelled"),
         };
-        counter.count();
+        counter.increment();
         if ended == Ended::Outcome(Outcome::Ran) {
             meter
                 .total_time
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -300,7 +300,7 @@
         let headers = sent.headers_mut();
         headers.insert(header::TRACEPARENT, context.parse().unwrap());
         read_response(deployment.send(sent).await).await;
-        let spans = tracer.take(10);
+        let spans = tracer.take_ended(10);
         let names: Vec<_> = spans.iter().map(|span| span.name).collect();
         assert_eq!(names, ["queue", "entry to agent", "caller to entry"]);
         let [queue, attempt, caller] = &spans[..] else {
--- a/verbenaspool_agent/src/meter.rs
+++ b/verbenaspool_agent/src/meter.rs
@@ -51,9 +51,9 @@
     /// Counts the end of an admitted attempt.
     pub(crate) fn end(&self, ending: Ending) {
         match ending {
-            Ending::Ran => self.ran.count(),
-            Ending::NotRun => self.not_sent.count(),
-            Ending::Broken => self.broken.count(),
+            Ending::Ran => self.ran.increment(),
+            Ending::NotRun => self.not_sent.increment(),
+            Ending::Broken => self.broken.increment(),
         }
     }
 
@@ -64,7 +64,7 @@
         let labels = [("code", code.as_str().unwrap_or_default())];
         self.registry
             .counter("verbenaspool_agent_problems_total", help, &labels)
-            .count();
+            .increment();
     }
 
     /// Counts a question about an attempt.
@@ -82,7 +82,7 @@
                 help,
                 &[("answer", word)],
             )
-            .count();
+            .increment();
     }
 
     /// All metrics in the Prometheus text format.
--- a/verbenaspool_transport/src/metrics.rs
+++ b/verbenaspool_transport/src/metrics.rs
@@ -8,17 +8,17 @@
     time::Duration,
 };
 
-use hdrhistogram::Histogram as Recorded;
+use hdrhistogram::Histogram as HdrHistogram;
 
 /// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_TRACKABLE_US: u64 = 3_600_000_000;
 
 /// Digits that a recorded time keeps; two keep errors under one percent, in
 /// about 13 KB a histogram.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// The upper bounds of the written buckets, in microseconds.
-const BOUNDS_US: [u64; 16] = [
+const BUCKET_BOUNDS_US: [u64; 16] = [
     100, 250, 500, 1_000, 2_500, 5_000, 10_000, 25_000, 50_000, 100_000, 250_000, 500_000,
     1_000_000, 2_500_000, 10_000_000, 60_000_000,
 ];
@@ -32,10 +32,10 @@
     ///
     /// ```
     /// let counter = verbenaspool_transport::metrics::Counter::default();
-    /// counter.count();
+    /// counter.increment();
     /// assert_eq!(counter.value(), 1);
     /// ```
-    pub fn count(&self) {
+    pub fn increment(&self) {
         self.add(1);
     }
 
@@ -46,8 +46,8 @@
     /// counter.add(3);
     /// assert_eq!(counter.value(), 3);
     /// ```
-    pub fn add(&self, more: u64) {
-        self.0.set(self.0.get() + more);
+    pub fn add(&self, increment: u64) {
+        self.0.set(self.0.get() + increment);
     }
 
     /// Takes over a count that is kept elsewhere.
@@ -101,19 +101,19 @@
 
 /// Times, with their distribution.
 #[derive(Debug, Clone)]
-pub struct Histogram(Rc<RefCell<Times>>);
+pub struct Histogram(Rc<RefCell<Distribution>>);
 
 #[derive(Debug)]
-struct Times {
-    recorded: Recorded<u32>,
+struct Distribution {
+    recorded: HdrHistogram<u32>,
     sum_us: u64,
 }
 
 impl Default for Histogram {
     fn default() -> Self {
-        let recorded = Recorded::new_with_bounds(1, LONGEST_US, DIGITS);
+        let recorded = HdrHistogram::new_with_bounds(1, MAX_TRACKABLE_US, SIGNIFICANT_DIGITS);
         let recorded = recorded.expect("the bounds are constants that hold");
-        Self(Rc::new(RefCell::new(Times {
+        Self(Rc::new(RefCell::new(Distribution {
             recorded,
             sum_us: 0,
         })))
@@ -131,9 +131,11 @@
     /// assert_eq!(times.quantile(0.5).as_millis(), 3);
     /// ```
     pub fn record(&self, time: Duration) {
-        let us = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+        let us = u64::try_from(time.as_micros()).unwrap_or(MAX_TRACKABLE_US);
         let mut times = self.0.borrow_mut();
-        times.recorded.saturating_record(us.clamp(1, LONGEST_US));
+        times
+            .recorded
+            .saturating_record(us.clamp(1, MAX_TRACKABLE_US));
         times.sum_us += us;
     }
 
@@ -144,16 +146,17 @@
     /// assert!(times.quantile(0.99).is_zero());
     /// ```
     #[must_use]
-    pub fn quantile(&self, part: f64) -> Duration {
-        Duration::from_micros(self.0.borrow().recorded.value_at_quantile(part))
+    pub fn quantile(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.0.borrow().recorded.value_at_quantile(quantile))
     }
 
-    /// How many were recorded up to each of [`BOUNDS_US`], in one pass.
-    fn cumulative(&self) -> [u64; BOUNDS_US.len()] {
+    /// How many were recorded up to each of [`BUCKET_BOUNDS_US`], in one pass.
+    fn cumulative(&self) -> [u64; BUCKET_BOUNDS_US.len()] {
         let times = self.0.borrow();
-        let mut counts = [0; BOUNDS_US.len()];
+        let mut counts = [0; BUCKET_BOUNDS_US.len()];
         for value in times.recorded.iter_recorded() {
-            let first = BOUNDS_US.partition_point(|bound| *bound < value.value_iterated_to());
+            let first =
+                BUCKET_BOUNDS_US.partition_point(|bound| *bound < value.value_iterated_to());
             if let Some(count) = counts.get_mut(first) {
                 *count += value.count_since_last_iteration();
             }
@@ -182,7 +185,7 @@
 pub struct Registry(Rc<RefCell<BTreeMap<&'static str, (&'static str, Family)>>>);
 
 /// Writes labels as the text format has them, without the braces.
-fn labels(pairs: &[(&str, &str)]) -> Labels {
+fn encode_labels(pairs: &[(&str, &str)]) -> Labels {
     let mut text = String::new();
     for (name, value) in pairs {
         if !text.is_empty() {
@@ -207,7 +210,7 @@
     ///
     /// let metrics = Registry::default();
     /// let counter = metrics.counter("requests_total", "Requests.", &[("service", "jobs")]);
-    /// counter.count();
+    /// counter.increment();
     /// assert!(metrics.text().contains("requests_total{service=\"jobs\"} 1\n"));
     /// ```
     #[must_use]
@@ -220,7 +223,7 @@
         let mut families = self.0.borrow_mut();
         let new = || (help, Family::Counter(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
-            Family::Counter(counters) => counters.entry(labels(pairs)).or_default().clone(),
+            Family::Counter(counters) => counters.entry(encode_labels(pairs)).or_default().clone(),
             _ => panic!("{name} is no counter"),
         }
     }
@@ -240,7 +243,7 @@
         let mut families = self.0.borrow_mut();
         let new = || (help, Family::Gauge(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
-            Family::Gauge(gauges) => gauges.entry(labels(pairs)).or_default().clone(),
+            Family::Gauge(gauges) => gauges.entry(encode_labels(pairs)).or_default().clone(),
             _ => panic!("{name} is no gauge"),
         }
     }
@@ -269,7 +272,7 @@
         let mut families = self.0.borrow_mut();
         let new = || (help, Family::Histogram(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
-            Family::Histogram(times) => times.entry(labels(pairs)).or_default().clone(),
+            Family::Histogram(times) => times.entry(encode_labels(pairs)).or_default().clone(),
             _ => panic!("{name} is no histogram"),
         }
     }
@@ -291,13 +294,13 @@
             let _ = writeln!(text, "# HELP {name} {help}\n# TYPE {name} {kind}");
             match family {
                 Family::Counter(counters) => counters.iter().for_each(|(labels, counter)| {
-                    line(&mut text, name, labels, &counter.value());
+                    write_sample(&mut text, name, labels, &counter.value());
                 }),
                 Family::Gauge(gauges) => gauges.iter().for_each(|(labels, gauge)| {
-                    line(&mut text, name, labels, &gauge.value());
+                    write_sample(&mut text, name, labels, &gauge.value());
                 }),
                 Family::Histogram(times) => times.iter().for_each(|(labels, times)| {
-                    write_times(&mut text, name, labels, times);
+                    write_histogram(&mut text, name, labels, times);
                 }),
             }
         }
@@ -306,7 +309,7 @@
 }
 
 /// Writes one sample.
-fn line(text: &mut String, name: &str, labels: &str, value: &dyn std::fmt::Display) {
+fn write_sample(text: &mut String, name: &str, labels: &str, value: &dyn std::fmt::Display) {
     let _ = if labels.is_empty() {
         writeln!(text, "{name} {value}")
     } else {
@@ -315,12 +318,12 @@
 }
 
 /// Writes one histogram.
-fn write_times(text: &mut String, name: &str, labels: &str, times: &Histogram) {
+fn write_histogram(text: &mut String, name: &str, labels: &str, times: &Histogram) {
     let bucket = format!("{name}_bucket");
     let comma = if labels.is_empty() { "" } else { "," };
-    for (bound, count) in BOUNDS_US.iter().zip(times.cumulative()) {
+    for (bound, count) in BUCKET_BOUNDS_US.iter().zip(times.cumulative()) {
         let seconds = seconds(*bound);
-        line(
+        write_sample(
             text,
             &bucket,
             &format!("{labels}{comma}le=\"{seconds}\""),
@@ -329,14 +332,14 @@
     }
     let times = times.0.borrow();
     let count = times.recorded.len();
-    line(
+    write_sample(
         text,
         &bucket,
         &format!("{labels}{comma}le=\"+Inf\""),
         &count,
     );
-    line(text, &format!("{name}_sum"), labels, &seconds(times.sum_us));
-    line(text, &format!("{name}_count"), labels, &count);
+    write_sample(text, &format!("{name}_sum"), labels, &seconds(times.sum_us));
+    write_sample(text, &format!("{name}_count"), labels, &count);
 }
 
 /// Microseconds as seconds.
--- a/verbenaspool_transport/src/trace/export.rs
+++ b/verbenaspool_transport/src/trace/export.rs
@@ -9,7 +9,7 @@
     common::v1::{AnyValue, InstrumentationScope, KeyValue, any_value},
     resource::v1::Resource,
     trace::v1::{
-        ResourceSpans, ScopeSpans, Span as Message, Status, span::SpanKind, status::StatusCode,
+        ResourceSpans, ScopeSpans, Span as ProtoSpan, Status, span::SpanKind, status::StatusCode,
     },
 };
 use prost::Message as _;
@@ -24,19 +24,19 @@
 };
 
 /// How many spans go out at once.
-const BATCH: usize = 512;
+const MAX_BATCH_SPANS: usize = 512;
 
 /// How often spans go out.
-const EVERY: Duration = Duration::from_secs(1);
+const EXPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the collector may take; a slow one is as good as down.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The longest pause behind failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 /// Where a collector takes spans.
-const PATH: &str = "/v1/traces";
+const TRACES_PATH: &str = "/v1/traces";
 
 /// The media type of the messages.
 const PROTOBUF: HeaderValue = HeaderValue::from_static("application/x-protobuf");
@@ -70,7 +70,7 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             tracer,
-            client: Client::new(TIMEOUT),
+            client: Client::new(EXPORT_TIMEOUT),
             collector,
             resource,
         })
@@ -79,13 +79,13 @@
     /// Exports until the process ends. What a failing collector doesn't take is
     /// dropped: traces are no records, and keeping them would cost memory.
     pub async fn run(self: Rc<Self>, clock: Rc<dyn Clock>) {
-        let mut pause = EVERY;
+        let mut delay = EXPORT_INTERVAL;
         loop {
-            clock.sleep(pause).await;
-            pause = if self.flush().await {
-                EVERY
+            clock.sleep(delay).await;
+            delay = if self.flush().await {
+                EXPORT_INTERVAL
             } else {
-                (pause * 2).min(LONGEST_PAUSE)
+                (delay * 2).min(MAX_RETRY_DELAY)
             };
         }
     }
@@ -93,21 +93,21 @@
     /// Sends what waits; whether the collector took it all.
     pub async fn flush(&self) -> bool {
         loop {
-            let records = self.tracer.take(BATCH);
+            let records = self.tracer.take_ended(MAX_BATCH_SPANS);
             if records.is_empty() {
                 return true;
             }
-            if !self.send(message(&self.resource, records)).await {
+            if !self.send(export_request(&self.resource, records)).await {
                 return false;
             }
         }
     }
 
     /// Sends a batch; whether the collector took it.
-    async fn send(&self, message: ExportTraceServiceRequest) -> bool {
-        let mut request = Request::new(Body::full(message.encode_to_vec()));
+    async fn send(&self, export: ExportTraceServiceRequest) -> bool {
+        let mut request = Request::new(Body::full(export.encode_to_vec()));
         *request.method_mut() = http::Method::POST;
-        *request.uri_mut() = http::Uri::from_static(PATH);
+        *request.uri_mut() = http::Uri::from_static(TRACES_PATH);
         let headers = request.headers_mut();
         headers.insert(header::CONTENT_TYPE, PROTOBUF);
         if let Ok(host) = HeaderValue::from_str(&self.collector.to_string()) {
@@ -115,12 +115,12 @@
         }
         let exchange = async {
             let response = self.client.send(self.collector, request).await.ok()?;
-            let good = response.status().is_success();
+            let accepted = response.status().is_success();
             response.into_body().collect().await.ok()?;
-            good.then_some(())
+            accepted.then_some(())
         };
-        let answer = monoio::time::timeout(TIMEOUT, exchange).await;
-        matches!(answer, Ok(Some(())))
+        let result = monoio::time::timeout(EXPORT_TIMEOUT, exchange).await;
+        matches!(result, Ok(Some(())))
     }
 }
 
@@ -129,17 +129,17 @@
 /// ```
 /// use verbenaspool_transport::trace::export;
 ///
-/// let message = export::message(&[("service.name", "verbenaspool".into())], Vec::new());
+/// let message = export::export_request(&[("service.name", "verbenaspool".into())], Vec::new());
 /// assert_eq!(message.resource_spans.len(), 1);
 /// ```
 #[must_use]
-pub fn message(
+pub fn export_request(
     resource: &[(&'static str, String)],
     records: Vec<Record>,
 ) -> ExportTraceServiceRequest {
     let attributes = resource
         .iter()
-        .map(|(key, value)| attribute(key, Value::Text(value.clone())))
+        .map(|(key, value)| encode_attribute(key, Value::Text(value.clone())))
         .collect();
     let scope = ScopeSpans {
         scope: Some(InstrumentationScope {
@@ -147,7 +147,7 @@
             version: env!("CARGO_PKG_VERSION").to_owned(),
             ..InstrumentationScope::default()
         }),
-        spans: records.into_iter().map(span).collect(),
+        spans: records.into_iter().map(encode_span).collect(),
         schema_url: String::new(),
     };
     let spans = ResourceSpans {
@@ -164,14 +164,14 @@
 }
 
 /// One span as its message.
-fn span(record: Record) -> Message {
+fn encode_span(record: Record) -> ProtoSpan {
     let parent = record.parent;
     let kind = match record.kind {
         Kind::Internal => SpanKind::Internal,
         Kind::Server => SpanKind::Server,
         Kind::Client => SpanKind::Client,
     };
-    Message {
+    ProtoSpan {
         trace_id: record.context.trace.to_bytes().to_vec(),
         span_id: record.context.span.to_bytes().to_vec(),
         parent_span_id: if parent == opentelemetry::trace::SpanId::INVALID {
@@ -186,18 +186,18 @@
         attributes: record
             .attributes
             .into_iter()
-            .map(|(key, value)| attribute(key, value))
+            .map(|(key, value)| encode_attribute(key, value))
             .collect(),
-        status: record.failure.map(|why| Status {
-            message: why.to_owned(),
+        status: record.failure.map(|reason| Status {
+            message: reason.to_owned(),
             code: StatusCode::Error.into(),
         }),
-        ..Message::default()
+        ..ProtoSpan::default()
     }
 }
 
 /// An attribute as its message.
-fn attribute(key: &str, value: Value) -> KeyValue {
+fn encode_attribute(key: &str, value: Value) -> KeyValue {
     let value = match value {
         Value::Text(text) => any_value::Value::StringValue(text),
         Value::Number(number) => any_value::Value::IntValue(number),
--- a/verbenaspool_transport/src/trace/mod.rs
+++ b/verbenaspool_transport/src/trace/mod.rs
@@ -33,7 +33,7 @@
 use crate::clock::Clock;
 
 /// How many spans may wait for the collector; at about 400 bytes each, under 1 MB.
-const WAITING: usize = 2048;
+const MAX_QUEUED_SPANS: usize = 2048;
 
 /// Where spans go, and how many.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -43,19 +43,19 @@
     pub collector: SocketAddr,
     /// The part of traces that begin here to record, from 0 to 1. A caller's
     /// own decision in its trace context goes first.
-    #[serde(default = "sample")]
+    #[serde(default = "default_sample")]
     pub sample: f64,
 }
 
 /// The default of [`Settings::sample`].
-fn sample() -> f64 {
+fn default_sample() -> f64 {
     0.01
 }
 
 /// Starts spans and keeps the ended ones for the exporter.
 pub struct Tracer {
-    sample: f64,
-    exports: bool,
+    sample_ratio: f64,
+    is_exporting: bool,
     clock: Rc<dyn Clock>,
     /// The wall clock's time when `clock` was at zero. Read once, so that a step
     /// of the wall clock can't end a span before its start.
@@ -83,11 +83,11 @@
     /// ```
     #[must_use]
     pub fn new(settings: Option<&Settings>, clock: Rc<dyn Clock>) -> Rc<Self> {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH);
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
         Rc::new(Self {
-            sample: settings.map_or(0.0, |settings| settings.sample),
-            exports: settings.is_some(),
-            epoch: wall.unwrap_or_default().saturating_sub(clock.now()),
+            sample_ratio: settings.map_or(0.0, |settings| settings.sample),
+            is_exporting: settings.is_some(),
+            epoch: unix_time.unwrap_or_default().saturating_sub(clock.now()),
             clock,
             random: RefCell::new(SmallRng::from_os_rng()),
             ended: RefCell::default(),
@@ -111,7 +111,7 @@
     /// ```
     #[must_use]
     pub fn root(self: &Rc<Self>, remote: Option<Context>, name: &'static str, kind: Kind) -> Span {
-        let parent = remote.unwrap_or_else(|| self.draw());
+        let parent = remote.unwrap_or_else(|| self.new_trace());
         let parent_span = remote.map_or(SpanId::INVALID, |remote| remote.span);
         self.start(parent, parent_span, name, kind)
     }
@@ -148,22 +148,22 @@
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::Tracer};
     ///
-    /// assert!(Tracer::new(None, Monotonic::start()).take(10).is_empty());
+    /// assert!(Tracer::new(None, Monotonic::start()).take_ended(10).is_empty());
     /// ```
     #[must_use]
-    pub fn take(&self, most: usize) -> Vec<Record> {
+    pub fn take_ended(&self, max: usize) -> Vec<Record> {
         let mut ended = self.ended.borrow_mut();
-        let count = most.min(ended.len());
+        let count = max.min(ended.len());
         ended.drain(..count).collect()
     }
 
     /// A new trace's context, sampled or not.
-    fn draw(&self) -> Context {
+    fn new_trace(&self) -> Context {
         let mut random = self.random.borrow_mut();
         Context {
             trace: TraceId::from(random.random_range(1..=u128::MAX)),
             span: SpanId::INVALID,
-            sampled: self.sample > 0.0 && random.random::<f64>() < self.sample,
+            sampled: self.sample_ratio > 0.0 && random.random::<f64>() < self.sample_ratio,
         }
     }
 
@@ -180,24 +180,24 @@
             span: SpanId::from(span),
             ..parent
         };
-        let record = (context.sampled && self.exports)
-            .then(|| Record::new(context, parent_span, name, kind, self.wall()));
+        let record = (context.sampled && self.is_exporting)
+            .then(|| Record::new(context, parent_span, name, kind, self.unix_time()));
         Span::new(self.clone(), context, record)
     }
 
     /// The time since the Unix epoch, on the steady clock.
-    fn wall(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         self.epoch + self.clock.now()
     }
 
     /// Takes an ended span.
     fn end(&self, mut record: Record) {
         let mut ended = self.ended.borrow_mut();
-        if ended.len() >= WAITING {
+        if ended.len() >= MAX_QUEUED_SPANS {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
-        record.end = self.wall();
+        record.end = self.unix_time();
         ended.push_back(record);
     }
 }
--- a/verbenaspool_transport/src/trace/span.rs
+++ b/verbenaspool_transport/src/trace/span.rs
@@ -133,9 +133,9 @@
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
     ///
     /// let tracer = Tracer::new(None, Monotonic::start());
-    /// tracer.root(None, "entry", Kind::Server).set("service", "jobs");
+    /// tracer.root(None, "entry", Kind::Server).set_attribute("service", "jobs");
     /// ```
-    pub fn set(&mut self, key: &'static str, value: impl Into<Value>) {
+    pub fn set_attribute(&mut self, key: &'static str, value: impl Into<Value>) {
         if let Some(record) = &mut self.record {
             record.attributes.push((key, value.into()));
         }
@@ -149,9 +149,9 @@
     /// let tracer = Tracer::new(None, Monotonic::start());
     /// tracer.root(None, "entry", Kind::Server).fail("the answer was lost");
     /// ```
-    pub fn fail(&mut self, why: &'static str) {
+    pub fn fail(&mut self, reason: &'static str) {
         if let Some(record) = &mut self.record {
-            record.failure = Some(why);
+            record.failure = Some(reason);
         }
     }
 }
--- a/verbenaspool_transport/tests/telemetry.rs
+++ b/verbenaspool_transport/tests/telemetry.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use monoio::net::TcpListener;
 use opentelemetry_proto::tonic::{
-    collector::trace::v1::ExportTraceServiceRequest, trace::v1::Span as Message,
+    collector::trace::v1::ExportTraceServiceRequest, trace::v1::Span as ProtoSpan,
 };
 use prost::Message as _;
 use serde::Deserialize;
@@ -25,7 +25,7 @@
 
 /// A collector that keeps the spans it gets.
 #[derive(Default)]
-struct Collector(RefCell<Vec<Message>>);
+struct Collector(RefCell<Vec<ProtoSpan>>);
 
 impl Handler for Collector {
     fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
@@ -72,7 +72,7 @@
         let (tracer, clock) = tracer(address);
         let remote = Context::parse("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01");
         let mut span = tracer.root(remote, "entry", Kind::Server);
-        span.set("service", "jobs");
+        span.set_attribute("service", "jobs");
         let step = span.child("queue", Kind::Internal);
         clock.advance(Duration::from_millis(7));
         drop(step);
@@ -117,7 +117,7 @@
                 .flush()
                 .await
         );
-        let left = u64::try_from(tracer.take(usize::MAX).len()).unwrap();
+        let left = u64::try_from(tracer.take_ended(usize::MAX).len()).unwrap();
         assert!(left + dropped < 10_000);
     })
     .unwrap();
@@ -130,7 +130,7 @@
     let span = tracer.root(remote, "entry", Kind::Server);
     assert!(span.context().to_string().ends_with("-00"));
     drop(span);
-    assert!(tracer.take(1).is_empty());
+    assert!(tracer.take_ended(1).is_empty());
 }
 
 #[test]
@@ -214,7 +214,7 @@
         "# nothing\n",
     ];
     let path = Path::new("entry.yaml");
-    let words = cases.map(|text| {
+    let errors = cases.map(|text| {
         settings::parse::<Sample>(path, text)
             .unwrap_err()
             .to_string()
@@ -225,7 +225,7 @@
         entry.yaml:1: log: missing field `lines`
         entry.yaml:1: log: invalid type: sequence, expected struct Inner
         entry.yaml:2: missing field `log`"#]]
-    .assert_eq(&words.join("\n"));
+    .assert_eq(&errors.join("\n"));
     let missing = settings::load::<Sample>(Path::new("/nonexistent.yaml")).unwrap_err();
     assert_eq!(missing.line, None);
 }
