--- a/verbenaspool_transport/src/clock.rs
+++ b/verbenaspool_transport/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one source of time: monotonic, and paused and advanced in tests.
+//! The source of time: a monotonic clock, and a paused one for tests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,26 +11,26 @@
 
 use tokio::sync::oneshot;
 
-/// A wait that ends when the clock reaches its moment.
+/// A future that completes when the clock reaches a deadline.
 pub type Sleep = Pin<Box<dyn Future<Output = ()>>>;
 
-/// A clock that never steps.
+/// A monotonic clock.
 pub trait Clock: Debug {
-    /// The time since the clock was made.
+    /// The time since the clock was created.
     fn now(&self) -> Duration;
 
-    /// Waits for so long.
+    /// Waits for the given time.
     fn sleep(&self, wait: Duration) -> Sleep;
 }
 
-/// The clock of the machine. The wall clock can step, so this is the monotonic one.
+/// The system's monotonic clock, which unlike the wall clock never jumps.
 #[derive(Debug)]
 pub struct Monotonic {
     start: Instant,
 }
 
 impl Monotonic {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     ///
     /// ```
     /// use verbenaspool_transport::clock::{Clock, Monotonic};
@@ -53,14 +53,14 @@
 
     fn sleep(&self, wait: Duration) -> Sleep {
         if wait.is_zero() {
-            // The loop's timer would take up to a millisecond.
+            // The runtime's timer would take up to a millisecond.
             return Box::pin(std::future::ready(()));
         }
         Box::pin(monoio::time::sleep(wait))
     }
 }
 
-/// A clock for tests that stands still until it is advanced.
+/// A clock for tests that only moves when it is advanced.
 #[derive(Debug, Default)]
 pub struct Paused {
     now: Cell<Duration>,
@@ -68,7 +68,7 @@
 }
 
 impl Paused {
-    /// Moves the time on and ends the waits that are over.
+    /// Advances the time and completes the sleeps whose deadline has passed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -83,11 +83,12 @@
         self.now.set(self.now.get() + by);
         let now = self.now.get();
         let sleepers = self.sleepers.take();
-        let (over, waiting): (Vec<_>, Vec<_>) =
-            sleepers.into_iter().partition(|(at, _)| *at <= now);
-        self.sleepers.replace(waiting);
-        for (_, wake) in over {
-            // A sleeper that was dropped needs no word.
+        let (due, pending): (Vec<_>, Vec<_>) = sleepers
+            .into_iter()
+            .partition(|(deadline, _)| *deadline <= now);
+        self.sleepers.replace(pending);
+        for (_, wake) in due {
+            // The sleep may have been dropped.
             let _ = wake.send(());
         }
     }
@@ -100,11 +101,11 @@
 
     fn sleep(&self, wait: Duration) -> Sleep {
         let (wake, woken) = oneshot::channel();
-        let at = self.now.get() + wait;
+        let deadline = self.now.get() + wait;
         if wait.is_zero() {
             return Box::pin(async {});
         }
-        self.sleepers.borrow_mut().push((at, wake));
+        self.sleepers.borrow_mut().push((deadline, wake));
         Box::pin(async move {
             let _ = woken.await;
         })
--- a/verbenaspool_transport/src/lib.rs
+++ b/verbenaspool_transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Sockets, HTTP, the platform's client, the clock, logs and traces of
-//! verbenaspool.
+//! Runtime, HTTP and RPC transport, platform client, clock, logging, metrics
+//! and tracing of verbenaspool.
 
 pub mod clock;
 pub mod config;
--- a/verbenaspool_transport/src/runtime.rs
+++ b/verbenaspool_transport/src/runtime.rs
@@ -1,17 +1,16 @@
-//! The event loop: monoio on its epoll driver, one loop on one thread.
+//! The async runtime: monoio on its epoll driver, one event loop on one thread.
 
 use std::{future::Future, io};
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 
-/// Runs a future to its end on a new loop of this thread.
+/// Runs a future to completion on a new event loop of this thread.
 ///
-/// The driver is named here and nowhere else, because monoio-http switches on
-/// monoio's `io_uring` driver, which the instances don't allow: a builder that
-/// chose by itself would take it.
+/// Selects the driver explicitly: monoio-http enables monoio's `io_uring`
+/// driver, which automatic selection would prefer but the instances don't allow.
 ///
 /// # Errors
-/// The loop's poll descriptor can't be opened.
+/// The epoll descriptor can't be opened.
 ///
 /// ```
 /// use verbenaspool_transport::runtime;
--- a/verbenaspool_transport/src/settings.rs
+++ b/verbenaspool_transport/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process, read from YAML.
+//! Reads the settings of a process from YAML.
 
 use std::{
     fmt,
@@ -7,14 +7,14 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why settings can't be taken: where, and the reason with its key.
+/// An error in a settings file, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Error {
-    /// The file.
+    /// Path of the settings file.
     pub path: PathBuf,
-    /// The line, from 1, where the reader knows it.
+    /// Line number, starting at 1, if the parser reports one.
     pub line: Option<usize>,
-    /// The key and what is wrong with it.
+    /// The key and what is wrong with its value.
     pub reason: String,
 }
 
@@ -31,8 +31,8 @@
 /// Reads settings from a file.
 ///
 /// # Errors
-/// The file can't be read, is no YAML, names a key that the settings don't
-/// have, or gives a key a value that it can't take.
+/// The file can't be read, isn't valid YAML, or contains an unknown key or an
+/// invalid value.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let text = std::fs::read_to_string(path).map_err(|error| Error {
         path: path.to_owned(),
@@ -42,7 +42,7 @@
     parse(path, &text)
 }
 
-/// Reads settings from text; the path is for errors alone.
+/// Parses settings; `path` is only used in error messages.
 ///
 /// # Errors
 /// As for [`load`].
@@ -63,20 +63,20 @@
 /// let settings: Settings = settings::parse(path, "drain_ms: 500\n").unwrap();
 /// assert_eq!(settings.drain_ms, 500);
 ///
-/// let wrong = settings::parse::<Settings>(path, "drain_ms: 1\nlisten: here\n").unwrap_err();
-/// assert_eq!(wrong.line, Some(2));
-/// assert!(wrong.reason.contains("unknown field `listen`"));
+/// let error = settings::parse::<Settings>(path, "drain_ms: 1\nlisten: here\n").unwrap_err();
+/// assert_eq!(error.line, Some(2));
+/// assert!(error.reason.contains("unknown field `listen`"));
 /// ```
 pub fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, Error> {
     serde_norway::from_str(text).map_err(|error| Error {
         path: path.to_owned(),
         line: error.location().map(|location| location.line()),
-        reason: reason(&error),
+        reason: message_without_location(&error),
     })
 }
 
-/// The error's text without its place, which is told apart.
-fn reason(error: &serde_norway::Error) -> String {
+/// The error's text without its location, which [`Error`] holds separately.
+fn message_without_location(error: &serde_norway::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
         Some(end) => text[..end].to_owned(),
--- a/verbenaspool_transport/src/shutdown.rs
+++ b/verbenaspool_transport/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The word to stop, passed from the signal handler to every connection, and the
-//! signals that a process hears by signals without stopping at each.
+//! Shutdown notification from the signal handler to every connection, and
+//! signal flags for processes that also reload on a signal.
 
 use std::{
     io,
@@ -16,15 +16,15 @@
 };
 use tokio::sync::watch;
 
-/// The side that gives the word.
+/// Starts the shutdown.
 #[derive(Debug, Clone)]
 pub struct Trigger(Rc<watch::Sender<bool>>);
 
-/// The side that hears it.
+/// Receives the shutdown notification.
 #[derive(Debug, Clone)]
 pub struct Signal(watch::Receiver<bool>);
 
-/// A trigger and its signal.
+/// Creates a trigger and its signal.
 ///
 /// ```
 /// use verbenaspool_transport::shutdown;
@@ -40,7 +40,7 @@
 }
 
 impl Trigger {
-    /// Gives the word; a second one changes nothing.
+    /// Starts the shutdown. Further calls have no effect.
     ///
     /// ```
     /// let (trigger, signal) = verbenaspool_transport::shutdown::channel();
@@ -54,7 +54,7 @@
 }
 
 impl Signal {
-    /// Whether the word was given.
+    /// Whether the shutdown has started.
     ///
     /// ```
     /// let (_trigger, signal) = verbenaspool_transport::shutdown::channel();
@@ -65,7 +65,7 @@
         *self.0.borrow()
     }
 
-    /// Waits for the word; forever, if the trigger is gone without giving it.
+    /// Waits until the shutdown starts; forever if the trigger is dropped before.
     ///
     /// ```
     /// use verbenaspool_transport::{runtime, shutdown};
@@ -81,11 +81,11 @@
     }
 }
 
-/// Gives the word when the process gets SIGTERM, SIGINT or SIGHUP. To be called
-/// once, on the loop.
+/// Fires the trigger when the process receives SIGTERM, SIGINT or SIGHUP. Must be
+/// called once, on the event loop.
 ///
 /// # Errors
-/// The handler is set already.
+/// A signal handler is already installed.
 pub fn on_signal(trigger: Trigger) -> Result<(), Error> {
     let signal = monoio::utils::CtrlC::new().map_err(|error| Error(error.to_string()))?;
     monoio::spawn(async move {
@@ -95,13 +95,13 @@
     Ok(())
 }
 
-/// The process can't hear signals.
+/// The signal handler can't be installed.
 #[derive(Debug, thiserror::Error)]
-#[error("the signal handler can't be set: {0}")]
+#[error("the signal handler can't be installed: {0}")]
 pub struct Error(String);
 
-/// What a process was told by signals. The loop looks at it now and then; clones
-/// share it.
+/// Signals received by the process, as flags that the event loop polls. Clones
+/// share them.
 #[derive(Debug, Clone, Default)]
 pub struct Signals {
     stop: Arc<AtomicBool>,
@@ -109,10 +109,10 @@
 }
 
 impl Signals {
-    /// Hears SIGTERM and SIGINT as the word to stop, SIGHUP as that to reload.
+    /// Registers handlers: SIGTERM and SIGINT request a stop, SIGHUP a reload.
     ///
     /// # Errors
-    /// A signal can't be heard.
+    /// A signal handler can't be registered.
     ///
     /// ```
     /// let signals = verbenaspool_transport::shutdown::Signals::register().unwrap();
@@ -127,7 +127,7 @@
         Ok(signals)
     }
 
-    /// Says that the process is to stop, as a signal would.
+    /// Requests a stop, as SIGTERM does.
     ///
     /// ```
     /// let signals = verbenaspool_transport::shutdown::Signals::default();
@@ -138,7 +138,7 @@
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the process is to stop.
+    /// Whether a stop was requested.
     ///
     /// ```
     /// assert!(!verbenaspool_transport::shutdown::Signals::default().stop_requested());
@@ -148,7 +148,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether the process is to read its settings anew; true once a word.
+    /// Whether a reload was requested since the last call.
     ///
     /// ```
     /// assert!(!verbenaspool_transport::shutdown::Signals::default().take_reload());
