--- a/verbenaspool_transport/src/log.rs
+++ b/verbenaspool_transport/src/log.rs
@@ -1,5 +1,4 @@
-//! Logs: short sentences, for a person on standard error or as JSON lines on
-//! standard output.
+//! Logging: plain text on standard error or JSON lines on standard output.
 
 use std::{io, sync::mpsc, thread, time::Duration};
 
@@ -8,28 +7,28 @@
 
 mod queue;
 
-/// What is logged, and how.
+/// Log level and output format.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The least serious level that is logged.
+    /// The lowest severity that is logged.
     pub level: Threshold,
-    /// The form of a line.
+    /// The output format.
     pub form: Form,
 }
 
-/// The least serious level that is logged.
+/// The lowest severity that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Threshold {
-    /// Only what an operator must look at.
+    /// Faults that need an operator's attention.
     Error,
-    /// And what may become trouble.
+    /// Also conditions that may lead to a fault.
     Warning,
-    /// And each change of the process's own state.
+    /// Also each change of the process's own state.
     #[default]
     Info,
-    /// And each request.
+    /// Also each request.
     Debug,
 }
 
@@ -44,41 +43,41 @@
     }
 }
 
-/// The form of a line.
+/// The output format.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
-    /// Plain text for a person.
+    /// Plain text for people.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Opens the log. Lines go through a bounded queue to a thread of their own, so
-/// that a stalled terminal holds no request back; what is too much is counted
-/// and dropped.
+/// Opens the log. Lines pass through a bounded queue to a writer thread, so that
+/// a stalled terminal doesn't delay requests. Lines that exceed the queue are
+/// dropped and counted.
 ///
 /// ```
 /// use verbenaspool_transport::log;
 ///
 /// let log = log::open(log::Settings::default());
-/// slog::info!(log, "Agent: Started.");
+/// slog::info!(log, "agent started");
 /// ```
 pub fn open(settings: Settings) -> Logger {
     let (log, guard) = open_with_guard(settings);
-    // Without a guard the queue is written for as long as the process lives.
+    // Dropping the guard would stop the writer thread.
     std::mem::forget(guard);
     log
 }
 
-/// Opens the log with a guard, which writes out what waits when it is dropped.
+/// Opens the log with a guard that flushes queued lines when it is dropped.
 ///
 /// ```
 /// use verbenaspool_transport::log;
 ///
 /// let (log, guard) = log::open_with_guard(log::Settings::default());
-/// slog::info!(log, "Agent: Stopped.");
+/// slog::info!(log, "agent stopped");
 /// drop(guard);
 /// ```
 pub fn open_with_guard(settings: Settings) -> (Logger, Guard) {
@@ -94,15 +93,15 @@
     }
 }
 
-/// Writes out what waits when it is dropped.
+/// Flushes queued lines when it is dropped.
 ///
-/// The last lines tell a stop from a crash, and waited in the queue when the
-/// process ended. A reader that has stalled must not keep the process either, so
-/// the wait has an end.
+/// The last lines distinguish a stop from a crash and would otherwise be lost in
+/// the queue at exit. A stalled reader must not block the exit, so the flush is
+/// limited by [`FLUSH_TIMEOUT`].
 #[derive(Debug)]
 pub struct Guard(Option<WriterThread>);
 
-/// The thread that writes lines.
+/// Stops the writer thread when it is dropped.
 struct WriterThread(slog_async::AsyncGuard);
 
 impl std::fmt::Debug for WriterThread {
@@ -111,8 +110,8 @@
     }
 }
 
-/// How long a process waits at its end for lines to be written. A reader that
-/// keeps up takes a few milliseconds.
+/// How long a process waits at exit for queued lines to be written. A reader that
+/// keeps up needs a few milliseconds.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Drop for Guard {
@@ -123,7 +122,7 @@
         let (done, flushed) = mpsc::channel();
         thread::spawn(move || {
             drop(guard);
-            // Nobody waits any more where the time was over.
+            // The receiver is gone after the timeout.
             let _ = done.send(());
         });
         let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
--- a/verbenaspool_transport/src/log/queue.rs
+++ b/verbenaspool_transport/src/log/queue.rs
@@ -1,9 +1,8 @@
-//! The queue before the thread that writes lines.
+//! The bounded queue in front of the log's writer thread.
 //!
-//! Load: a reader of the log that stalls, or a flood of requests. Lines beyond the
-//! queue are dropped, and those of requests that went well fill it first: without a
-//! part kept for the others, the one line that an operator will look for is lost among
-//! thousands that nobody reads.
+//! A stalled reader of the log or a flood of requests fills the queue, and further
+//! lines are dropped. Part of it is reserved for warnings and errors, since lines of
+//! successful requests would otherwise displace the few that an operator needs.
 
 use std::{
     io,
@@ -16,35 +15,35 @@
 use slog::{Drain, Level, Never, OwnedKVList, Record, b, o};
 use slog_async::{Async, AsyncGuard};
 
-/// Lines that wait to be written at most: some two megabytes.
+/// Capacity of the queue in lines, about two megabytes.
 pub const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Lines of them that are kept for warnings and errors: those of a second in which
-/// all requests of an entry fail.
+/// Part of the capacity reserved for warnings and errors: as many as an entry logs
+/// in a second in which all its requests fail.
 pub const RESERVED_LINES: usize = 1_024;
 
-/// What the two ends of the queue know of each other.
+/// State shared by the two ends of the queue.
 #[derive(Debug, Default)]
 struct Counters {
-    /// Lines that wait.
+    /// Lines in the queue.
     queued: AtomicUsize,
-    /// Lines that were dropped and not told of yet.
+    /// Dropped lines that haven't been reported yet.
     dropped: AtomicUsize,
 }
 
-/// The end of the queue that takes lines in; it never waits.
+/// Enqueues lines; never blocks.
 pub struct Producer {
     queue: Async,
     counters: Arc<Counters>,
 }
 
-/// The end that writes them.
+/// Writes queued lines to a drain, on the writer thread.
 struct Writer<D> {
     drain: D,
     counters: Arc<Counters>,
 }
 
-/// A queue before a drain, and the guard that writes out what waits.
+/// Creates a queue in front of a drain, with a guard that flushes it when dropped.
 pub fn bounded<D>(drain: D) -> (Producer, AsyncGuard)
 where
     D: Drain<Ok = (), Err = io::Error> + Send + 'static,
@@ -76,7 +75,7 @@
             self.counters.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        // The queue takes as many lines as are counted, so that it has room for this.
+        // Can't be full: `queued` never exceeds the channel's capacity.
         let _ = self.queue.log(record, values);
         Ok(())
     }
@@ -97,7 +96,9 @@
                 &slog::record!(
                     Level::Warning,
                     "",
-                    &format_args!("Log: Lines were dropped; they came faster than they were read."),
+                    &format_args!(
+                        "log lines dropped; they were produced faster than they were read"
+                    ),
                     b!("lines" => dropped)
                 ),
                 &no_values,
--- a/verbenaspool_transport/src/log/queue/tests.rs
+++ b/verbenaspool_transport/src/log/queue/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// What a reader got, and whether it reads.
+/// A reader of the log, which stalls while `stalled` is locked.
 #[derive(Debug, Default)]
 struct Reader {
     lines: Mutex<Vec<String>>,
@@ -17,10 +17,10 @@
     }
 }
 
-/// Writes to a reader, waiting while it is stalled.
+/// Writes to a reader, blocking while it is stalled.
 struct ReaderDrain(Arc<Reader>);
 
-/// The number of lines that a line says were dropped.
+/// Extracts the number of dropped lines that a line reports.
 #[derive(Default)]
 struct Dropped(usize);
 
@@ -52,9 +52,9 @@
     }
 }
 
-/// The reader of the log stalls while callers flood an entry, and a few requests fail
-/// meanwhile. Nothing waits for the reader; once it reads again it finds the lines of
-/// all that failed, and how many of the others are missing.
+/// A stalled reader must not block logging during a flood of requests, nor cost the lines
+/// of the few that fail. When it resumes it gets all warnings and the number of dropped
+/// lines.
 #[test]
 fn a_stalled_reader_loses_only_info_lines() {
     let reader = Arc::new(Reader::default());
@@ -75,7 +75,7 @@
     let count = |prefix: &str| lines.iter().filter(|line| line.starts_with(prefix)).count();
     let reported: usize = lines
         .iter()
-        .filter(|line| line.starts_with("Log:"))
+        .filter(|line| line.starts_with("log lines dropped;"))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<usize>().ok())
         .sum();
     assert_eq!(count("failed"), 500);
@@ -87,7 +87,7 @@
     assert_eq!(reported + count("fine"), 10_000);
 }
 
-/// A reader that keeps up gets every line, in the order in which they were written.
+/// Lines must arrive complete and in order while the reader keeps up.
 #[test]
 fn a_reader_that_keeps_up_gets_every_line() {
     let reader = Arc::new(Reader::default());
