--- a/verbenaspool_transport/src/trace/context.rs
+++ b/verbenaspool_transport/src/trace/context.rs
@@ -1,28 +1,28 @@
-//! The W3C trace context as its `traceparent` header carries it.
+//! W3C trace context, as carried in the `traceparent` header.
 
 use std::fmt;
 
 use opentelemetry::trace::{SpanId, TraceId};
 
-/// The length of a `traceparent` of version 00.
-const LENGTH: usize = 55;
+/// Length of a version 00 `traceparent`.
+const VERSION_00_BYTES: usize = 55;
 
-/// The flag of a sampled trace.
-const SAMPLED: u8 = 1;
+/// Trace flag that marks a sampled trace.
+const SAMPLED_FLAG: u8 = 1;
 
-/// Which trace and span a message belongs to.
+/// The trace and span that a message belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Context {
-    /// The trace.
+    /// The trace ID.
     pub trace: TraceId,
-    /// The sender's span.
+    /// The ID of the sender's span.
     pub span: SpanId,
     /// Whether the trace is recorded.
     pub sampled: bool,
 }
 
 impl Context {
-    /// Reads a `traceparent`. A malformed one is as none: the trace begins anew.
+    /// Parses a `traceparent`. A malformed one is ignored, so that a new trace starts.
     ///
     /// ```
     /// use verbenaspool_transport::trace::context::Context;
@@ -42,14 +42,14 @@
         let trace = parts.next().filter(|part| part.len() == 32 && hex(part))?;
         let span = parts.next().filter(|part| part.len() == 16 && hex(part))?;
         let flags = parts.next().filter(|part| part.len() == 2 && hex(part))?;
-        // Later versions may append parts; version 00 has none and ff is invalid.
-        if version == "ff" || version == "00" && text.len() != LENGTH {
+        // Later versions may append fields, version 00 must not, and ff is invalid.
+        if version == "ff" || version == "00" && text.len() != VERSION_00_BYTES {
             return None;
         }
         let context = Self {
             trace: TraceId::from_hex(trace).ok()?,
             span: SpanId::from_hex(span).ok()?,
-            sampled: u8::from_str_radix(flags, 16).ok()? & SAMPLED != 0,
+            sampled: u8::from_str_radix(flags, 16).ok()? & SAMPLED_FLAG != 0,
         };
         let valid = context.trace != TraceId::INVALID && context.span != SpanId::INVALID;
         valid.then_some(context)
--- a/verbenaspool_transport/src/trace/export.rs
+++ b/verbenaspool_transport/src/trace/export.rs
@@ -1,4 +1,4 @@
-//! Sends ended spans to the collector in OTLP form over HTTP.
+//! Exports ended spans to the collector with OTLP over HTTP.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,36 +23,36 @@
     http::{body::Body, client::Client},
 };
 
-/// How many spans go out at once.
+/// Maximum number of spans per export request.
 const MAX_BATCH_SPANS: usize = 512;
 
-/// How often spans go out.
+/// Interval between exports.
 const EXPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the collector may take; a slow one is as good as down.
+/// Time limit of connecting and of an export; a slower collector is treated as down.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The longest pause behind failures.
+/// Upper bound of the exponential delay after failed exports.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// Where a collector takes spans.
+/// The OTLP path for traces.
 const TRACES_PATH: &str = "/v1/traces";
 
-/// The media type of the messages.
+/// Content type of export requests.
 const PROTOBUF: HeaderValue = HeaderValue::from_static("application/x-protobuf");
 
-/// Sends a tracer's spans to its collector.
+/// Exports a tracer's spans to a collector.
 #[derive(Debug)]
 pub struct Exporter {
     tracer: Rc<Tracer>,
     client: Client,
     collector: SocketAddr,
-    /// What all spans of this process have in common.
+    /// Resource attributes: those of the process, common to all its spans.
     resource: Vec<(&'static str, String)>,
 }
 
 impl Exporter {
-    /// An exporter of a tracer's spans; `resource` says which process this is.
+    /// Creates an exporter; `resource` holds attributes that identify the process.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, export::Exporter}};
@@ -76,8 +76,9 @@
         })
     }
 
-    /// Exports until the process ends. What a failing collector doesn't take is
-    /// dropped: traces are no records, and keeping them would cost memory.
+    /// Exports periodically until the process ends. Spans that the collector fails to
+    /// accept are dropped: losing traces is acceptable, and keeping them would cost
+    /// memory.
     pub async fn run(self: Rc<Self>, clock: Rc<dyn Clock>) {
         let mut delay = EXPORT_INTERVAL;
         loop {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Sends what waits; whether the collector took it all.
+    /// Exports all queued spans and returns whether the collector accepted them.
     pub async fn flush(&self) -> bool {
         loop {
             let records = self.tracer.take_ended(MAX_BATCH_SPANS);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Sends a batch; whether the collector took it.
+    /// Sends one export request and returns whether the collector accepted it.
     async fn send(&self, export: ExportTraceServiceRequest) -> bool {
         let mut request = Request::new(Body::full(export.encode_to_vec()));
         *request.method_mut() = http::Method::POST;
@@ -124,13 +125,13 @@
     }
 }
 
-/// Spans as their message.
+/// Builds the OTLP export request for some spans.
 ///
 /// ```
 /// use verbenaspool_transport::trace::export;
 ///
-/// let message = export::export_request(&[("service.name", "verbenaspool".into())], Vec::new());
-/// assert_eq!(message.resource_spans.len(), 1);
+/// let request = export::export_request(&[("service.name", "verbenaspool".into())], Vec::new());
+/// assert_eq!(request.resource_spans.len(), 1);
 /// ```
 #[must_use]
 pub fn export_request(
@@ -163,7 +164,6 @@
     }
 }
 
-/// One span as its message.
 fn encode_span(record: Record) -> ProtoSpan {
     let parent = record.parent;
     let kind = match record.kind {
@@ -181,8 +181,8 @@
         },
         name: record.name.to_owned(),
         kind: kind.into(),
-        start_time_unix_nano: nanos(record.start),
-        end_time_unix_nano: nanos(record.end),
+        start_time_unix_nano: as_nanos(record.start),
+        end_time_unix_nano: as_nanos(record.end),
         attributes: record
             .attributes
             .into_iter()
@@ -196,7 +196,6 @@
     }
 }
 
-/// An attribute as its message.
 fn encode_attribute(key: &str, value: Value) -> KeyValue {
     let value = match value {
         Value::Text(text) => any_value::Value::StringValue(text),
@@ -209,7 +208,6 @@
     }
 }
 
-/// A time since the Unix epoch in nanoseconds.
-fn nanos(time: Duration) -> u64 {
+fn as_nanos(time: Duration) -> u64 {
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/verbenaspool_transport/src/trace/mod.rs
+++ b/verbenaspool_transport/src/trace/mod.rs
@@ -1,14 +1,13 @@
-//! Traces: a span for each hop, W3C trace context in and out, and export in
-//! OTLP form over HTTP.
+//! Distributed tracing: spans, W3C trace context propagation and OTLP export
+//! over HTTP.
 //!
-//! The messages are those of the `opentelemetry-proto` crate. The SDK's own
-//! exporters want another runtime than the one loop, so the spans go out by
-//! our HTTP client.
+//! Messages are encoded with the `opentelemetry-proto` crate and sent by our own
+//! HTTP client, because the exporters of the OpenTelemetry SDK need a different
+//! runtime.
 //!
-//! Load: a span for each hop of each sampled request, and a collector that is
-//! slow or down. Spans wait in a bounded queue; when it is full, new ones are
-//! dropped and counted. Ending a span never waits, so a dead collector costs
-//! no request any time, and no more memory than the queue.
+//! Ended spans are held in a bounded queue for the exporter. When it is full, new
+//! ones are dropped and counted. Ending a span never blocks, so a slow or dead
+//! collector neither delays requests nor uses more memory than the queue.
 
 pub mod context;
 pub mod export;
@@ -32,17 +31,17 @@
 };
 use crate::clock::Clock;
 
-/// How many spans may wait for the collector; at about 400 bytes each, under 1 MB.
+/// Capacity of the export queue; at about 400 bytes per span, less than 1 MB.
 const MAX_QUEUED_SPANS: usize = 2048;
 
-/// Where spans go, and how many.
+/// Trace collector and sampling ratio.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The collector's address; it takes OTLP over HTTP at `/v1/traces`.
+    /// The collector's address; it accepts OTLP over HTTP at `/v1/traces`.
     pub collector: SocketAddr,
-    /// The part of traces that begin here to record, from 0 to 1. A caller's
-    /// own decision in its trace context goes first.
+    /// The ratio of traces started here that are sampled, from 0 to 1. The
+    /// sampling decision in a caller's trace context takes precedence.
     #[serde(default = "default_sample")]
     pub sample: f64,
 }
@@ -52,13 +51,13 @@
     0.01
 }
 
-/// Starts spans and keeps the ended ones for the exporter.
+/// Starts spans and queues the ended ones for the exporter.
 pub struct Tracer {
     sample_ratio: f64,
     is_exporting: bool,
     clock: Rc<dyn Clock>,
-    /// The wall clock's time when `clock` was at zero. Read once, so that a step
-    /// of the wall clock can't end a span before its start.
+    /// The wall clock time at which `clock` was zero. Read once, so that a span
+    /// can't end before its start when the wall clock is adjusted.
     epoch: Duration,
     random: RefCell<SmallRng>,
     ended: RefCell<VecDeque<Record>>,
@@ -72,7 +71,7 @@
 }
 
 impl Tracer {
-    /// A tracer; without settings it passes contexts on and records nothing.
+    /// Creates a tracer; without settings it propagates contexts but records nothing.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
@@ -95,7 +94,8 @@
         })
     }
 
-    /// The span of a request that came in, below the sender's context if it has one.
+    /// Starts the span of an incoming request, as a child of the remote context if
+    /// there is one.
     ///
     /// ```
     /// use verbenaspool_transport::{
@@ -116,7 +116,7 @@
         self.start(parent, parent_span, name, kind)
     }
 
-    /// The span of a step below another.
+    /// Starts a child span.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
@@ -131,7 +131,7 @@
         self.start(parent, parent.span, name, kind)
     }
 
-    /// How many spans were dropped because the queue was full.
+    /// The number of spans dropped because the queue was full.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::Tracer};
@@ -143,7 +143,7 @@
         self.dropped.get()
     }
 
-    /// Takes up to so many ended spans, oldest first.
+    /// Removes up to `max` ended spans from the queue, oldest first.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::Tracer};
@@ -157,7 +157,7 @@
         ended.drain(..count).collect()
     }
 
-    /// A new trace's context, sampled or not.
+    /// The context of a new trace, with its sampling decision.
     fn new_trace(&self) -> Context {
         let mut random = self.random.borrow_mut();
         Context {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Starts a span in its parent's trace.
+    /// Starts a span in the parent's trace.
     fn start(
         self: &Rc<Self>,
         parent: Context,
@@ -185,12 +185,12 @@
         Span::new(self.clone(), context, record)
     }
 
-    /// The time since the Unix epoch, on the steady clock.
+    /// The time since the Unix epoch, advancing with the monotonic clock.
     fn unix_time(&self) -> Duration {
         self.epoch + self.clock.now()
     }
 
-    /// Takes an ended span.
+    /// Queues an ended span for export.
     fn end(&self, mut record: Record) {
         let mut ended = self.ended.borrow_mut();
         if ended.len() >= MAX_QUEUED_SPANS {
--- a/verbenaspool_transport/src/trace/span.rs
+++ b/verbenaspool_transport/src/trace/span.rs
@@ -1,4 +1,4 @@
-//! Spans: the time that one hop of a request takes.
+//! Spans: one operation of a request each, with its start and end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -6,23 +6,23 @@
 
 use super::{Tracer, context::Context};
 
-/// What a span stands for.
+/// The kind of a span, as OpenTelemetry defines it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A step inside the process.
+    /// An operation inside the process.
     Internal,
-    /// The handling of a request that came in.
+    /// Handling of an incoming request.
     Server,
-    /// A request that goes out.
+    /// An outgoing request.
     Client,
 }
 
 /// The value of an attribute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
-    /// A text.
+    /// A string.
     Text(String),
-    /// A number.
+    /// An integer.
     Number(i64),
 }
 
@@ -38,29 +38,29 @@
     }
 }
 
-/// What is kept of a recorded span.
+/// The data of a recorded span.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Its trace and its own id.
+    /// Its trace ID and span ID.
     pub context: Context,
-    /// The span above it; invalid for the first of a trace.
+    /// The parent span; invalid for the root of a trace.
     pub parent: SpanId,
-    /// The hop.
+    /// The operation.
     pub name: &'static str,
-    /// What it stands for.
+    /// The kind of operation.
     pub kind: Kind,
-    /// When it began, since the Unix epoch.
+    /// Start time since the Unix epoch.
     pub start: Duration,
-    /// When it ended, since the Unix epoch.
+    /// End time since the Unix epoch.
     pub end: Duration,
-    /// What else is known of it.
+    /// Attributes in the order in which they were set.
     pub attributes: Vec<(&'static str, Value)>,
-    /// Why the hop failed, where it did.
+    /// Why the operation failed, if it did.
     pub failure: Option<&'static str>,
 }
 
 impl Record {
-    /// A record of a span that begins.
+    /// Creates the record of a span that starts.
     pub(super) fn new(
         context: Context,
         parent: SpanId,
@@ -81,8 +81,8 @@
     }
 }
 
-/// A span under way. It ends when it is dropped, so that a hop that is
-/// cancelled is recorded as well.
+/// A span in progress. It ends when it is dropped, so that a cancelled operation
+/// is recorded as well.
 #[derive(Debug)]
 pub struct Span {
     tracer: Rc<Tracer>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The context to pass on with what this hop sends.
+    /// The context to propagate with outgoing requests.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
@@ -113,7 +113,7 @@
         self.context
     }
 
-    /// A span of a step of this one.
+    /// Starts a child span.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
@@ -127,7 +127,7 @@
         self.tracer.child(self.context, name, kind)
     }
 
-    /// Notes something about the hop, if it is recorded.
+    /// Sets an attribute if the span is recorded.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Notes that the hop failed.
+    /// Marks the span as failed.
     ///
     /// ```
     /// use verbenaspool_transport::{clock::Monotonic, trace::{Tracer, span::Kind}};
