--- a/verbenaspool_transport/src/http/body.rs
+++ b/verbenaspool_transport/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that pass through, chunk by chunk.
+//! Message bodies, streamed chunk by chunk.
 
 use std::{
     convert::Infallible,
@@ -11,13 +11,13 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-/// Why a body broke off.
+/// Why a body ended early.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of any origin.
+/// A type-erased body.
 ///
-/// It is pulled by whoever sends it on: a slow reader stops the pulling, which
-/// stops the reading from the sender's socket, so back-pressure needs no code.
+/// It is polled by whoever forwards it. A slow reader stops the polling and thereby
+/// the reads from the sender's socket, which provides back-pressure.
 pub struct Body(Pin<Box<dyn http_body::Body<Data = Bytes, Error = Error>>>);
 
 impl std::fmt::Debug for Body {
@@ -27,7 +27,7 @@
 }
 
 impl Body {
-    /// A body without a byte.
+    /// Creates an empty body.
     ///
     /// ```
     /// use http_body::Body as _;
@@ -40,7 +40,7 @@
         Self::full(Bytes::new())
     }
 
-    /// A body that is whole from the start.
+    /// Creates a body from bytes in memory.
     ///
     /// ```
     /// use http_body::Body as _;
@@ -53,7 +53,7 @@
         Self::wrap(Full::new(bytes.into()).map_err(never))
     }
 
-    /// A body that some other one yields.
+    /// Wraps another body.
     ///
     /// ```
     /// use verbenaspool_transport::http::body::Body;
--- a/verbenaspool_transport/src/http/hop.rs
+++ b/verbenaspool_transport/src/http/hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection and are not passed on.
+//! Hop-by-hop headers, which apply to one connection and aren't forwarded.
 
 use http::{
     HeaderMap, HeaderName,
@@ -8,8 +8,8 @@
     },
 };
 
-/// The headers of one connection.
-const HOP: [HeaderName; 8] = [
+/// The standard hop-by-hop headers.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     PROXY_AUTHENTICATE,
@@ -20,8 +20,8 @@
     UPGRADE,
 ];
 
-/// Takes out what concerns one connection, as well as the body's length, which
-/// is said anew for what is sent.
+/// Removes the hop-by-hop headers, those listed in `Connection`, and
+/// `Content-Length`, which is set again when the message is sent.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -35,14 +35,14 @@
 /// assert_eq!(headers.len(), 1);
 /// ```
 pub fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|list| list.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP.iter().chain(&named).chain([&CONTENT_LENGTH]) {
+    for name in HOP_BY_HOP.iter().chain(&listed).chain([&CONTENT_LENGTH]) {
         headers.remove(name);
     }
 }
--- a/verbenaspool_transport/src/http/mod.rs
+++ b/verbenaspool_transport/src/http/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 on the streamed path: hyper's codec on monoio's sockets.
+//! HTTP/1.1 with streaming bodies: hyper's codec on monoio's sockets.
 //!
-//! `monoio-http` 0.3.12 holds chunks back until 8 KiB are full and hands a
-//! fixed-length body on only when it is whole, so that tokens would not stream;
-//! it also takes two lengths for one message. Its nearest kin serves wherever
-//! answers stream or the peer is not known; `docs/DESIGN.md` has the trial.
+//! hyper is used wherever responses stream or the peer is untrusted, because
+//! `monoio-http` 0.3.12 doesn't suit either: it buffers chunks up to 8 KiB and
+//! fixed-length bodies completely, so that tokens would not stream, and it accepts
+//! a message with two lengths. `docs/DESIGN.md` describes the comparison.
 
 pub mod body;
 pub mod client;
--- a/verbenaspool_transport/src/metrics.rs
+++ b/verbenaspool_transport/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, kept in hdrhistogram and written in the Prometheus text format.
+//! Metrics, exported in the Prometheus text format. Histograms use hdrhistogram.
 
 use std::{
     cell::{Cell, RefCell},
@@ -10,25 +10,25 @@
 
 use hdrhistogram::Histogram as HdrHistogram;
 
-/// The longest time that is told apart, in microseconds.
+/// Longest time that a histogram distinguishes, in microseconds (one hour).
 const MAX_TRACKABLE_US: u64 = 3_600_000_000;
 
-/// Digits that a recorded time keeps; two keep errors under one percent, in
-/// about 13 KB a histogram.
+/// Precision of recorded times; two digits keep the error below 1 % at about
+/// 13 KB per histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The upper bounds of the written buckets, in microseconds.
+/// Upper bounds of the exported buckets, in microseconds.
 const BUCKET_BOUNDS_US: [u64; 16] = [
     100, 250, 500, 1_000, 2_500, 5_000, 10_000, 25_000, 50_000, 100_000, 250_000, 500_000,
     1_000_000, 2_500_000, 10_000_000, 60_000_000,
 ];
 
-/// A number that only grows.
+/// A monotonically increasing counter.
 #[derive(Debug, Clone, Default)]
 pub struct Counter(Rc<Cell<u64>>);
 
 impl Counter {
-    /// Counts one.
+    /// Increments the counter by one.
     ///
     /// ```
     /// let counter = verbenaspool_transport::metrics::Counter::default();
@@ -39,7 +39,7 @@
         self.add(1);
     }
 
-    /// Counts several.
+    /// Adds to the counter.
     ///
     /// ```
     /// let counter = verbenaspool_transport::metrics::Counter::default();
@@ -50,7 +50,7 @@
         self.0.set(self.0.get() + increment);
     }
 
-    /// Takes over a count that is kept elsewhere.
+    /// Sets the counter to a count that is maintained elsewhere.
     ///
     /// ```
     /// let counter = verbenaspool_transport::metrics::Counter::default();
@@ -61,7 +61,7 @@
         self.0.set(value);
     }
 
-    /// The count.
+    /// The current count.
     ///
     /// ```
     /// assert_eq!(verbenaspool_transport::metrics::Counter::default().value(), 0);
@@ -72,12 +72,12 @@
     }
 }
 
-/// A number that goes up and down.
+/// A value that can go up and down.
 #[derive(Debug, Clone, Default)]
 pub struct Gauge(Rc<Cell<f64>>);
 
 impl Gauge {
-    /// Sets the number.
+    /// Sets the value.
     ///
     /// ```
     /// let gauge = verbenaspool_transport::metrics::Gauge::default();
@@ -88,7 +88,7 @@
         self.0.set(value);
     }
 
-    /// The number.
+    /// The current value.
     ///
     /// ```
     /// assert!(verbenaspool_transport::metrics::Gauge::default().value() < 0.1);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Times, with their distribution.
+/// A distribution of times.
 #[derive(Debug, Clone)]
 pub struct Histogram(Rc<RefCell<Distribution>>);
 
@@ -112,7 +112,7 @@
 impl Default for Histogram {
     fn default() -> Self {
         let recorded = HdrHistogram::new_with_bounds(1, MAX_TRACKABLE_US, SIGNIFICANT_DIGITS);
-        let recorded = recorded.expect("the bounds are constants that hold");
+        let recorded = recorded.expect("the constant bounds are valid");
         Self(Rc::new(RefCell::new(Distribution {
             recorded,
             sum_us: 0,
@@ -126,38 +126,38 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let times = verbenaspool_transport::metrics::Histogram::default();
-    /// times.record(Duration::from_millis(3));
-    /// assert_eq!(times.quantile(0.5).as_millis(), 3);
+    /// let histogram = verbenaspool_transport::metrics::Histogram::default();
+    /// histogram.record(Duration::from_millis(3));
+    /// assert_eq!(histogram.quantile(0.5).as_millis(), 3);
     /// ```
     pub fn record(&self, time: Duration) {
         let us = u64::try_from(time.as_micros()).unwrap_or(MAX_TRACKABLE_US);
-        let mut times = self.0.borrow_mut();
-        times
+        let mut distribution = self.0.borrow_mut();
+        distribution
             .recorded
             .saturating_record(us.clamp(1, MAX_TRACKABLE_US));
-        times.sum_us += us;
+        distribution.sum_us += us;
     }
 
-    /// The time that a part of the recorded ones stay within.
+    /// The time that the given fraction of recorded times don't exceed.
     ///
     /// ```
-    /// let times = verbenaspool_transport::metrics::Histogram::default();
-    /// assert!(times.quantile(0.99).is_zero());
+    /// let histogram = verbenaspool_transport::metrics::Histogram::default();
+    /// assert!(histogram.quantile(0.99).is_zero());
     /// ```
     #[must_use]
     pub fn quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.0.borrow().recorded.value_at_quantile(quantile))
     }
 
-    /// How many were recorded up to each of [`BUCKET_BOUNDS_US`], in one pass.
+    /// Cumulative counts for [`BUCKET_BOUNDS_US`], computed in one pass.
     fn cumulative(&self) -> [u64; BUCKET_BOUNDS_US.len()] {
-        let times = self.0.borrow();
+        let distribution = self.0.borrow();
         let mut counts = [0; BUCKET_BOUNDS_US.len()];
-        for value in times.recorded.iter_recorded() {
-            let first =
+        for value in distribution.recorded.iter_recorded() {
+            let bucket =
                 BUCKET_BOUNDS_US.partition_point(|bound| *bound < value.value_iterated_to());
-            if let Some(count) = counts.get_mut(first) {
+            if let Some(count) = counts.get_mut(bucket) {
                 *count += value.count_since_last_iteration();
             }
         }
@@ -169,10 +169,10 @@
     }
 }
 
-/// A metric's labels, written once.
+/// A metric's labels in the text format, encoded once.
 type Labels = String;
 
-/// The metrics of one name.
+/// All metrics with the same name.
 #[derive(Debug)]
 enum Family {
     Counter(BTreeMap<Labels, Counter>),
@@ -180,11 +180,11 @@
     Histogram(BTreeMap<Labels, Histogram>),
 }
 
-/// All metrics of a process. Clones share them.
+/// The metrics of a process. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Registry(Rc<RefCell<BTreeMap<&'static str, (&'static str, Family)>>>);
 
-/// Writes labels as the text format has them, without the braces.
+/// Encodes labels for the text format, without the braces.
 fn encode_labels(pairs: &[(&str, &str)]) -> Labels {
     let mut text = String::new();
     for (name, value) in pairs {
@@ -200,10 +200,10 @@
 }
 
 impl Registry {
-    /// The counter of a name and labels, made at its first use.
+    /// Returns the counter with this name and labels, creating it on first use.
     ///
     /// # Panics
-    /// The name is another kind of metric already, which is an error of the program.
+    /// The name already belongs to another type of metric, which is a bug.
     ///
     /// ```
     /// use verbenaspool_transport::metrics::Registry;
@@ -224,14 +224,14 @@
         let new = || (help, Family::Counter(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
             Family::Counter(counters) => counters.entry(encode_labels(pairs)).or_default().clone(),
-            _ => panic!("{name} is no counter"),
+            _ => panic!("{name} is not a counter"),
         }
     }
 
-    /// The gauge of a name and labels, made at its first use.
+    /// Returns the gauge with this name and labels, creating it on first use.
     ///
     /// # Panics
-    /// The name is another kind of metric already, which is an error of the program.
+    /// The name already belongs to another type of metric, which is a bug.
     ///
     /// ```
     /// let metrics = verbenaspool_transport::metrics::Registry::default();
@@ -244,22 +244,22 @@
         let new = || (help, Family::Gauge(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
             Family::Gauge(gauges) => gauges.entry(encode_labels(pairs)).or_default().clone(),
-            _ => panic!("{name} is no gauge"),
+            _ => panic!("{name} is not a gauge"),
         }
     }
 
-    /// The histogram of a name and labels, made at its first use. The name ends
-    /// in `_seconds`, the unit in which it is written.
+    /// Returns the histogram with this name and labels, creating it on first use.
+    /// The name must end in `_seconds`, the unit of the exported values.
     ///
     /// # Panics
-    /// The name is another kind of metric already, which is an error of the program.
+    /// The name already belongs to another type of metric, which is a bug.
     ///
     /// ```
     /// use std::time::Duration;
     ///
     /// let metrics = verbenaspool_transport::metrics::Registry::default();
-    /// let times = metrics.histogram("wait_seconds", "Waits.", &[]);
-    /// times.record(Duration::from_millis(2));
+    /// let histogram = metrics.histogram("wait_seconds", "Waits.", &[]);
+    /// histogram.record(Duration::from_millis(2));
     /// assert!(metrics.text().contains("wait_seconds_bucket{le=\"0.0025\"} 1\n"));
     /// ```
     #[must_use]
@@ -272,12 +272,14 @@
         let mut families = self.0.borrow_mut();
         let new = || (help, Family::Histogram(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
-            Family::Histogram(times) => times.entry(encode_labels(pairs)).or_default().clone(),
-            _ => panic!("{name} is no histogram"),
+            Family::Histogram(histograms) => {
+                histograms.entry(encode_labels(pairs)).or_default().clone()
+            }
+            _ => panic!("{name} is not a histogram"),
         }
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Exports all metrics in the Prometheus text format.
     ///
     /// ```
     /// assert_eq!(verbenaspool_transport::metrics::Registry::default().text(), "");
@@ -299,16 +301,17 @@
                 Family::Gauge(gauges) => gauges.iter().for_each(|(labels, gauge)| {
                     write_sample(&mut text, name, labels, &gauge.value());
                 }),
-                Family::Histogram(times) => times.iter().for_each(|(labels, times)| {
-                    write_histogram(&mut text, name, labels, times);
-                }),
+                Family::Histogram(histograms) => {
+                    histograms.iter().for_each(|(labels, histogram)| {
+                        write_histogram(&mut text, name, labels, histogram);
+                    })
+                }
             }
         }
         text
     }
 }
 
-/// Writes one sample.
 fn write_sample(text: &mut String, name: &str, labels: &str, value: &dyn std::fmt::Display) {
     let _ = if labels.is_empty() {
         writeln!(text, "{name} {value}")
@@ -317,11 +320,11 @@
     };
 }
 
-/// Writes one histogram.
-fn write_histogram(text: &mut String, name: &str, labels: &str, times: &Histogram) {
+/// Writes the samples of one histogram.
+fn write_histogram(text: &mut String, name: &str, labels: &str, histogram: &Histogram) {
     let bucket = format!("{name}_bucket");
     let comma = if labels.is_empty() { "" } else { "," };
-    for (bound, count) in BUCKET_BOUNDS_US.iter().zip(times.cumulative()) {
+    for (bound, count) in BUCKET_BOUNDS_US.iter().zip(histogram.cumulative()) {
         let seconds = seconds(*bound);
         write_sample(
             text,
@@ -330,19 +333,24 @@
             &count,
         );
     }
-    let times = times.0.borrow();
-    let count = times.recorded.len();
+    let distribution = histogram.0.borrow();
+    let count = distribution.recorded.len();
     write_sample(
         text,
         &bucket,
         &format!("{labels}{comma}le=\"+Inf\""),
         &count,
     );
-    write_sample(text, &format!("{name}_sum"), labels, &seconds(times.sum_us));
+    write_sample(
+        text,
+        &format!("{name}_sum"),
+        labels,
+        &seconds(distribution.sum_us),
+    );
     write_sample(text, &format!("{name}_count"), labels, &count);
 }
 
-/// Microseconds as seconds.
+/// Converts microseconds to seconds.
 fn seconds(us: u64) -> f64 {
     Duration::from_micros(us).as_secs_f64()
 }
