--- a/verbenaspool_transport/src/http/client.rs
+++ b/verbenaspool_transport/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: pooled connections, one answer outstanding on each.
+//! HTTP client with pooled connections and one outstanding request on each.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,39 +21,39 @@
 
 use super::body::{self, Body};
 
-/// How many idle connections are kept to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 32;
 
-/// How long a connection is kept that carries no request; our own servers close
-/// theirs after 30 seconds.
+/// How long idle connections are kept by default; our own servers close theirs
+/// after 30 seconds.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No byte of the request left this process.
+    /// No byte of the request was sent.
     #[error("the request was not sent: {0}")]
     NotSent(String),
-    /// Some of the request may have left before the connection broke.
+    /// Part of the request may have been sent before the connection broke.
     #[error("the connection broke before the answer: {0}")]
     Broken(String),
 }
 
-/// Connections to other processes.
+/// An HTTP client. Clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    /// When connections that are kept too long were last looked for.
+    /// When expired idle connections were last removed.
     last_pruned: Rc<Cell<Instant>>,
 }
 
-/// A connection that carries no request, and until when it may carry one.
+/// An idle connection and when it expires.
 type IdleConnection = (SendRequest<Body>, Instant);
 
 impl Client {
-    /// A client that waits so long for a connection.
+    /// Creates a client with a time limit for connecting.
     ///
     /// ```
     /// use std::time::Duration;
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Keeps connections for so long while they carry no request.
+    /// Sets how long idle connections are kept.
     ///
-    /// A server that closes idle connections may do so just as a request is on
-    /// its way into one. Nobody can then tell whether it ran, so a connection
-    /// must be given up before its server does that.
+    /// The timeout must be shorter than the server's: a server may close an idle
+    /// connection just as a request is being sent on it, and then the client can't
+    /// know whether the request ran.
     ///
     /// ```
     /// use std::time::Duration;
@@ -93,19 +93,18 @@
         self
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response headers.
     ///
     /// # Errors
-    /// [`Error::NotSent`] promises that no byte of the request left.
+    /// [`Error::NotSent`] guarantees that no byte of the request was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Body>,
     ) -> Result<Response<Body>, Error> {
         let mut request = request;
-        // An idle connection may have been closed by the peer a moment ago. A
-        // request of which nothing was written moves on to the next connection;
-        // a new one is the last try.
+        // The peer may have just closed an idle connection. If nothing of the request
+        // was written, it is sent on the next idle connection and finally on a new one.
         while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.pool_after_response(address, sender, response)),
@@ -118,23 +117,23 @@
         self.send_on_new_connection(address, request).await
     }
 
-    /// Sends a request on a new connection and waits for the head of its answer.
+    /// Sends a request on a new connection and waits for the response headers.
     ///
-    /// A kept connection may be closed or reset by its server just as a request
-    /// is on its way into it, and then nobody knows whether it ran. Requests that
-    /// may not run twice go on a connection that nobody has had reason to close.
+    /// To be used for requests that must not run twice. A server may close or reset
+    /// an idle connection just as a request is being sent on it, and then the client
+    /// can't know whether the request ran.
     ///
     /// # Errors
-    /// [`Error::NotSent`] promises that no byte of the request left.
+    /// [`Error::NotSent`] guarantees that no byte of the request was sent.
     pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Body>,
     ) -> Result<Response<Body>, Error> {
-        let mut sender = self.open(address).await?;
+        let mut sender = self.connect(address).await?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok(self.pool_after_response(address, sender, response)),
-            // hyper hands the request back only where it wrote none of it.
+            // hyper returns the request only if it wrote none of it.
             Err(mut error) => match error.take_message() {
                 Some(_) => Err(Error::NotSent(error.error().to_string())),
                 None => Err(Error::Broken(error.error().to_string())),
@@ -142,8 +141,9 @@
         }
     }
 
-    /// Whether an address refuses connections within some time: its instance answers, and no
-    /// process listens there. One that can't be reached at all doesn't count.
+    /// Whether the address actively refuses a connection within the timeout, so that its
+    /// instance is reachable but no process listens on the port. An unreachable instance
+    /// doesn't count.
     ///
     /// ```
     /// use std::time::Duration;
@@ -159,7 +159,7 @@
         matches!(connected, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Forgets the idle connections to an address that is gone.
+    /// Closes the idle connections to an address that is no longer used.
     ///
     /// ```
     /// use std::time::Duration;
@@ -172,7 +172,7 @@
         self.pool.borrow_mut().remove(&address);
     }
 
-    /// Takes an idle connection whose last answer was read to its end.
+    /// Takes an idle connection that is still open and hasn't expired.
     fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Body>> {
         let mut pool = self.pool.borrow_mut();
         let senders = pool.get_mut(&address)?;
@@ -184,8 +184,7 @@
         None
     }
 
-    /// Opens a connection.
-    async fn open(&self, address: SocketAddr) -> Result<SendRequest<Body>, Error> {
+    async fn connect(&self, address: SocketAddr) -> Result<SendRequest<Body>, Error> {
         let not_sent = |error: String| Error::NotSent(error);
         let stream = monoio::time::timeout(self.connect_timeout, TcpStream::connect(address))
             .await
@@ -199,13 +198,13 @@
             .await
             .map_err(|error| not_sent(error.to_string()))?;
         monoio::spawn(async move {
-            // The sender hears of the connection's end by itself.
+            // The sender reports errors of the connection.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// Wraps the answer so that its connection goes back to the pool at its end.
+    /// Wraps the response so that its connection returns to the pool after the body.
     fn pool_after_response(
         &self,
         address: SocketAddr,
@@ -230,7 +229,7 @@
         response
     }
 
-    /// Puts a connection back for the next request.
+    /// Returns a connection to the pool.
     fn release(&self, address: SocketAddr, sender: SendRequest<Body>, idle_timeout: Duration) {
         if idle_timeout.is_zero() {
             return;
@@ -243,8 +242,8 @@
         }
     }
 
-    /// Closes what is kept too long, now and then. Peers that were replaced are
-    /// never asked again, so nothing else would.
+    /// Closes expired idle connections from time to time. Nothing else closes those
+    /// to replaced peers, which get no further requests.
     fn prune(&self, pool: &mut HashMap<SocketAddr, Vec<IdleConnection>>) {
         if self.last_pruned.get().elapsed() < self.idle_timeout {
             return;
@@ -257,9 +256,9 @@
     }
 }
 
-/// How long a connection may be kept by what its server states in the answer:
-/// half of that, since the server counts from when its answer left, in whole
-/// seconds, and a request has its way to go as well.
+/// Idle timeout derived from the server's `Keep-Alive` header. It is half the stated
+/// time, because the server counts whole seconds from when it sent the response, and
+/// the next request needs time to arrive.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parameters = text.split(',').map(str::trim);
@@ -268,15 +267,15 @@
     Some(Duration::from_secs(seconds) / 2)
 }
 
-/// An answer's body with the connection it comes on.
+/// A response body with its connection.
 ///
-/// A connection with an answer outstanding must not carry another request, or
-/// a late answer would reach the wrong caller. It goes back to the pool only
-/// here, after the last byte; a body that is dropped early closes it.
+/// A connection with an outstanding response must not carry another request, or
+/// a late response would reach the wrong caller. It returns to the pool only after
+/// the last byte of the body; dropping the body earlier closes it.
 struct PooledBody {
     incoming: Incoming,
     sender: Option<SendRequest<Body>>,
-    /// How long the connection may be kept after the answer.
+    /// How long the connection may be idle after the response.
     idle_timeout: Duration,
     address: SocketAddr,
     client: Client,
--- a/verbenaspool_transport/src/http/server.rs
+++ b/verbenaspool_transport/src/http/server.rs
@@ -1,5 +1,4 @@
-//! The server: accepts connections, bounds what callers may send, and lets
-//! requests in flight end when the process stops.
+//! HTTP server with connection and header limits and graceful shutdown.
 
 use std::{
     cell::Cell, fmt::Debug, future::Future, net::SocketAddr, panic::AssertUnwindSafe, pin::Pin,
@@ -21,36 +20,36 @@
 use super::body::Body;
 use crate::shutdown::Signal;
 
-/// The most connections that are still accepted when a server stops.
+/// Maximum number of pending connections that a stopping server still accepts.
 const MAX_PENDING_ACCEPTS: usize = 1_024;
 
-/// How long a stopping server waits for one more of them.
+/// How long a stopping server waits for another pending connection.
 const PENDING_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// How long a stopping server waits for the first request of a connection that
-/// has brought none yet.
+/// hasn't sent any yet.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 
-/// The answer to a request, when it comes.
+/// The future that resolves to the response.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>>>>;
 
-/// What answers requests.
+/// Handles requests.
 pub trait Handler {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(self: Rc<Self>, peer: SocketAddr, request: Request<Incoming>) -> ResponseFuture;
 }
 
-/// Bounds on what a peer may make the server hold.
+/// Limits on the resources that peers can occupy.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections at once; one more is closed at once.
+    /// Maximum number of concurrent connections; further ones are closed immediately.
     pub max_connections: usize,
-    /// How long a request's head may take to arrive, which ends senders that
-    /// trickle a byte at a time, and idle connections as well.
+    /// Time limit for receiving a request's header section. It ends slow senders,
+    /// such as those that trickle a byte at a time, and idle connections.
     pub header_timeout: Duration,
-    /// The largest head in bytes.
+    /// Maximum size of the header section in bytes.
     pub max_header_bytes: usize,
-    /// The most header lines.
+    /// Maximum number of header lines.
     pub max_headers: usize,
 }
 
@@ -65,7 +64,7 @@
     }
 }
 
-/// Counts the open connections of a server, and says when they are to close.
+/// Counts the open connections of a server and controls when they close.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
     count: Rc<Cell<usize>>,
@@ -85,13 +84,13 @@
         self.count.get()
     }
 
-    /// Closes each connection behind its next answer, which says so.
+    /// Closes each connection after its next response, which announces this with
+    /// `Connection: close`.
     ///
-    /// A server that is about to stop calls this a while before. It closes idle
-    /// connections when it stops, and a request that is on its way into one at
-    /// that moment is lost: its sender sees a broken connection and can't know
-    /// whether the request ran. A sender that was told doesn't use the
-    /// connection again.
+    /// To be called some time before the server stops. A stopping server closes
+    /// idle connections, and a request that is being sent on one at that moment
+    /// is lost: its sender sees a broken connection and can't know whether the
+    /// request ran. The announcement keeps senders from reusing the connection.
     ///
     /// ```
     /// verbenaspool_transport::http::server::Connections::default().close_after_response();
@@ -105,7 +104,7 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Tells the peer, where its connection closes behind this answer.
+    /// Sets `Connection: close` if the connection closes after this response.
     fn mark_closing(&self, mut response: Response<Body>) -> Response<Body> {
         if self.closing.get() {
             let close = HeaderValue::from_static("close");
@@ -115,7 +114,7 @@
     }
 }
 
-/// Gives a connection's place back when it ends, however it ends.
+/// Decrements the count when a connection ends for any reason.
 struct ConnectionGuard(Connections);
 
 impl Drop for ConnectionGuard {
@@ -124,10 +123,10 @@
     }
 }
 
-/// Serves until the signal comes and the last request in flight has ended.
+/// Serves until shutdown, then waits for requests in flight to finish.
 ///
-/// After the signal no connection is accepted, idle ones are closed, and busy
-/// ones close behind their answer.
+/// On shutdown, pending connections are still accepted and then the listener is
+/// closed. Idle connections are closed, and busy ones close after their response.
 pub async fn serve(
     listener: TcpListener,
     limits: Limits,
@@ -148,12 +147,12 @@
         match select(stop, accept).await {
             Either::Left(_) => break,
             Either::Right((Ok((stream, peer)), _)) => server.spawn_connection(stream, peer),
-            // Accepting fails when descriptors run out; a pause lets some close.
+            // Accepting fails when file descriptors run out; wait for some to be closed.
             Either::Right((Err(_), _)) => monoio::time::sleep(Duration::from_millis(20)).await,
         }
     }
-    // What waits to be accepted may have sent its request already, and would be
-    // reset with the listener.
+    // Pending connections may have sent their request already and would be reset
+    // when the listener is closed.
     for _ in 0..MAX_PENDING_ACCEPTS {
         match monoio::time::timeout(PENDING_ACCEPT_TIMEOUT, listener.accept()).await {
             Ok(Ok((stream, peer))) => server.spawn_connection(stream, peer),
@@ -166,7 +165,7 @@
     }
 }
 
-/// What the connections of a server share.
+/// State shared by the connections of a server.
 struct Server {
     limits: Limits,
     handler: Rc<dyn Handler>,
@@ -175,7 +174,7 @@
 }
 
 impl Server {
-    /// Serves a connection in a task of its own, if there is room for it.
+    /// Serves a connection in a new task, unless the limit is reached.
     fn spawn_connection(&self, stream: TcpStream, peer: SocketAddr) {
         if self.connections.count() >= self.limits.max_connections {
             return;
@@ -185,16 +184,16 @@
         let (connections, signal) = (self.connections.clone(), self.signal.clone());
         monoio::spawn(async move {
             let served = serve_connection(stream, peer, limits, handler, connections, signal);
-            // A request that panics its handler closes its connection only: its caller sends
-            // it again, and would end one process after the other. The panic hook has written
-            // a line.
+            // A panic of the handler closes only this connection. Otherwise the caller's
+            // retries would terminate one process after another. The panic hook has
+            // logged it.
             let _ = AssertUnwindSafe(served).catch_unwind().await;
             drop(guard);
         });
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it closes.
 async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
@@ -203,7 +202,7 @@
     connections: Connections,
     mut signal: Signal,
 ) {
-    // Tokens go out in small writes, which must not wait for each other's acknowledgement.
+    // Nagle's algorithm would delay the small writes of streamed tokens.
     let _ = stream.set_nodelay(true);
     let Ok(stream) = stream.into_poll_io() else {
         return;
@@ -229,8 +228,8 @@
         matches!(select(stop, &mut connection).await, Either::Left(_))
     };
     if is_stopping {
-        // hyper closes a connection that has brought no byte yet, but its first
-        // request is about to come: nobody connects for less.
+        // hyper closes a connection that hasn't received any byte yet, but a peer that
+        // has just connected is about to send its first request.
         if !has_request.get() {
             let grace = Box::pin(monoio::time::sleep(FIRST_REQUEST_GRACE));
             if let Either::Right(_) = select(grace, &mut connection).await {
--- a/verbenaspool_transport/src/rpc.rs
+++ b/verbenaspool_transport/src/rpc.rs
@@ -1,8 +1,7 @@
-//! JSON-RPC between our own processes: jsonrpsee's requests and answers in
-//! length-delimited frames on TCP.
+//! JSON-RPC between our own processes, in length-delimited frames over TCP.
 //!
-//! jsonrpsee's own server and client need tokio's runtime, so its `RpcModule`
-//! answers raw requests and the frames are ours, cut by tokio-util's codec.
+//! jsonrpsee's server and client need the tokio runtime, so only its `RpcModule` is
+//! used, which handles raw requests. Framing uses tokio-util's codec.
 
 use std::{
     cell::RefCell,
@@ -27,56 +26,57 @@
 
 use crate::shutdown::Signal;
 
-/// The largest frame in bytes: a piece of configuration (1 MB) with room for
-/// its envelope.
+/// Maximum frame size in bytes: a piece of configuration (1 MB) with room for
+/// the JSON-RPC envelope.
 const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
-/// How many bytes a read asks for that waits for the next frame. The memory is
-/// held while it waits, by each idle connection, and most frames are shorter.
+/// Buffer size of a read that waits for the next frame. Each idle connection holds
+/// this buffer, and most frames are shorter.
 const IDLE_READ_BYTES: usize = 512;
 
-/// How many bytes a read asks for inside a frame.
+/// Buffer size of a read within a frame.
 const FRAME_READ_BYTES: usize = 16 * 1024;
 
-/// How many idle connections are kept to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// How long a connection is kept that carries no call. Without an end, each
-/// peer that is replaced would leave a socket behind for good.
+/// How long a client keeps an idle connection. Without a limit, each replaced peer
+/// would leave a socket behind forever.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How long a server waits for a whole frame. It is longer than [`CLIENT_IDLE_TIMEOUT`], so
-/// that a client takes no connection that the server is about to close.
+/// How long a server waits for a complete frame. Longer than
+/// [`CLIENT_IDLE_TIMEOUT`], so that a client doesn't reuse a connection that the
+/// server is about to close.
 const SERVER_IDLE_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Connections that a server holds at once; one more is closed at once.
+/// Maximum number of connections of a server; further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 4_096;
 
-/// Why a call got no result.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The peer can't be reached, or the connection broke.
     #[error("the peer can't be reached: {0}")]
     Io(#[from] std::io::Error),
-    /// The peer took too long.
+    /// The peer didn't respond in time.
     #[error("the peer did not answer in time")]
     Timeout,
-    /// The peer answered something that is no answer to the call.
-    #[error("the peer's answer makes no sense: {0}")]
+    /// The peer's response can't be decoded.
+    #[error("the peer's response is invalid: {0}")]
     InvalidResponse(String),
-    /// The peer refused the call.
-    #[error("the peer refused: {0}")]
+    /// The peer rejected the call.
+    #[error("the peer rejected the call: {0}")]
     Rejected(String),
 }
 
-/// A frame codec with our bound.
+/// A frame codec limited to [`MAX_FRAME_BYTES`].
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-/// A connection that reads and writes whole frames.
+/// A connection that reads and writes complete frames.
 struct Framed {
     stream: TcpStream,
     codec: LengthDelimitedCodec,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The next frame; none at a clean end.
+    /// Reads the next frame, or `None` if the peer closed the connection between frames.
     async fn read(&mut self) -> std::io::Result<Option<BytesMut>> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.buffer)? {
@@ -120,10 +120,10 @@
     }
 }
 
-/// The JSON-RPC code of a refusal by the method itself.
+/// JSON-RPC error code for errors returned by a method.
 const METHOD_FAILED: i32 = -32000;
 
-/// The methods that a process answers.
+/// The RPC methods of a process.
 #[derive(Debug, Clone)]
 pub struct Module(RpcModule<()>);
 
@@ -134,13 +134,14 @@
 }
 
 impl Module {
-    /// Answers a method with one typed parameter.
+    /// Registers the handler of a method with one typed parameter.
     ///
-    /// jsonrpsee wants handlers that may change threads. Ours hold the state of
-    /// the one loop; the wrapper stops the process should one ever leave it.
+    /// jsonrpsee requires handlers that are `Send`. Ours hold state of the
+    /// single-threaded event loop; `SendWrapper` panics if one is used on another
+    /// thread.
     ///
     /// # Panics
-    /// The method is answered already, which is an error of the program.
+    /// The method is already registered, which is a bug.
     ///
     /// ```
     /// use verbenaspool_transport::rpc::Module;
@@ -166,21 +167,21 @@
                     })
                 })
             })
-            .expect("a method is registered once");
+            .expect("each method is registered once");
     }
 }
 
-/// Serves a module's methods until the signal comes.
+/// Serves a module's methods until shutdown.
 ///
-/// A frame that is too long, cut off or no JSON-RPC closes its connection or
-/// gets an error answer; other connections go on.
+/// A frame that is too long, truncated or not valid JSON-RPC closes its connection
+/// or gets an error response; other connections are not affected.
 pub async fn serve(listener: TcpListener, module: Rc<Module>, mut signal: Signal) {
     loop {
         let accept = Box::pin(listener.accept());
         let stop = Box::pin(signal.wait());
         match select(stop, accept).await {
             Either::Left(_) => return,
-            // The task holds a clone of the module for as long as it runs.
+            // Each connection's task holds a clone of the module.
             Either::Right((Ok(_), _)) if Rc::strong_count(&module) > MAX_CONNECTIONS => {}
             Either::Right((Ok((stream, _)), _)) => {
                 monoio::spawn(serve_connection(Framed::new(stream), module.clone()));
@@ -190,7 +191,7 @@
     }
 }
 
-/// Answers the calls of one connection, one after the other.
+/// Handles the calls of one connection in sequence.
 async fn serve_connection(mut framed: Framed, module: Rc<Module>) {
     while let Ok(Ok(Some(frame))) = monoio::time::timeout(SERVER_IDLE_TIMEOUT, framed.read()).await
     {
@@ -207,13 +208,13 @@
     }
 }
 
-/// Calls methods of other processes.
+/// Calls methods of other processes. Clones share idle connections.
 #[derive(Clone, Default)]
 pub struct Client {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
-/// A connection that carries no call, and since when.
+/// An idle connection and since when it is idle.
 type IdleConnection = (Framed, Instant);
 
 impl std::fmt::Debug for Client {
@@ -222,8 +223,8 @@
     }
 }
 
-/// A JSON-RPC request. Calls on a connection follow one another, so the id
-/// need not tell them apart.
+/// A JSON-RPC request. The ID needn't be unique, because calls on a connection don't
+/// overlap.
 #[derive(Debug, Serialize)]
 struct Request<'a, P> {
     jsonrpc: &'static str,
@@ -233,11 +234,12 @@
 }
 
 impl Client {
-    /// Calls a method with one typed parameter. The call may reach the peer
-    /// twice, so that only methods are served here that bear it.
+    /// Calls a method with one typed parameter. The peer may execute the call twice,
+    /// so methods must tolerate that.
     ///
     /// # Errors
-    /// The peer can't be reached, is late, garbles its answer or refuses.
+    /// The peer can't be reached, doesn't respond in time, sends an invalid response
+    /// or rejects the call.
     pub async fn call<P: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -264,20 +266,20 @@
         };
         let bytes = serde_json::to_vec(&request)
             .map_err(|error| Error::InvalidResponse(error.to_string()))?;
-        // A peer that was started again has left broken connections behind. Every
-        // method may be called twice, so the call moves on to a new connection.
+        // Idle connections to a restarted peer are broken. Every method tolerates being
+        // called twice, so the call is retried on a new connection.
         let on_idle = match self.take_idle(address) {
             Some(framed) => round_trip(framed, &bytes).await.ok(),
             None => None,
         };
-        let (framed, frame) = if let Some(answered) = on_idle {
-            answered
+        let (framed, frame) = if let Some(completed) = on_idle {
+            completed
         } else {
             let framed = Framed::new(TcpStream::connect(address).await?);
             round_trip(framed, &bytes).await?
         };
         let result = parse_response(&frame);
-        // Only a connection whose answer was read whole may carry the next call.
+        // Only a connection whose response was read completely may be reused.
         self.put_idle(address, framed);
         result
     }
@@ -301,7 +303,7 @@
     }
 }
 
-/// Sends a request and reads its answer.
+/// Sends a request and reads the response.
 async fn round_trip(mut framed: Framed, request: &[u8]) -> std::io::Result<(Framed, BytesMut)> {
     framed.write(Bytes::copy_from_slice(request)).await?;
     let response = framed.read().await?;
@@ -309,7 +311,7 @@
     Ok((framed, response))
 }
 
-/// Reads a JSON-RPC answer.
+/// Returns the result in a JSON-RPC response, or the error that the peer sent.
 fn parse_response<R: DeserializeOwned>(frame: &[u8]) -> Result<R, Error> {
     let invalid = |error: serde_json::Error| Error::InvalidResponse(error.to_string());
     let mut response: Value = serde_json::from_slice(frame).map_err(invalid)?;
