--- a/verbenaspool_transport/tests/client.rs
+++ b/verbenaspool_transport/tests/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client's connections.
+//! Reuse of the HTTP client's idle connections.
 
 use std::{
     io::{Read, Write},
@@ -13,32 +13,32 @@
     runtime,
 };
 
-/// How long a connection lies idle between the requests.
-const PAUSE: Duration = Duration::from_millis(10);
+/// How long a connection is idle between requests.
+const IDLE_TIME: Duration = Duration::from_millis(10);
 
 #[test]
-fn an_idle_connection_is_given_up_before_its_server_closes_it() {
-    // A job system closes connections that were idle for a while. A booking is
-    // written into one at that moment: it may have run or not, and the skipper
-    // is told "unknown". The client must not use a connection that old.
-    let table = [
-        ("kept longer", Duration::from_hours(1), 1),
-        ("kept shorter", PAUSE / 2, 2),
+fn idle_connections_are_not_reused_after_the_idle_timeout() {
+    // A server closes an idle connection while a request is written to it, so that
+    // the client can't know whether the request ran. The client must stop using
+    // connections before their server closes them.
+    let cases = [
+        ("longer than the idle time", Duration::from_hours(1), 1),
+        ("shorter than the idle time", IDLE_TIME / 2, 2),
     ];
-    for (name, idle_timeout, connections) in table {
+    for (name, idle_timeout, expected_connections) in cases {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
-        // Answers two requests, however many connections they come on.
-        let served = std::thread::spawn(move || {
+        // Answers two requests and counts the connections that they use.
+        let server = std::thread::spawn(move || {
             let mut accepted = 0;
-            let mut answered = 0;
-            while answered < 2 {
+            let mut responses = 0;
+            while responses < 2 {
                 let (mut stream, _) = listener.accept().expect("a connection");
                 accepted += 1;
-                while answered < 2 && stream.read(&mut [0; 4096]).is_ok_and(|read| read > 0) {
-                    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-                    stream.write_all(answer).expect("an answer");
-                    answered += 1;
+                while responses < 2 && stream.read(&mut [0; 4096]).is_ok_and(|read| read > 0) {
+                    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+                    stream.write_all(response).expect("a response");
+                    responses += 1;
                 }
             }
             accepted
@@ -47,12 +47,16 @@
             let client = Client::new(Duration::from_secs(5)).with_idle_timeout(idle_timeout);
             for _ in 0..2 {
                 let request = Request::get("/").body(Body::empty()).expect("a request");
-                let response = client.send(address, request).await.expect("an answer");
+                let response = client.send(address, request).await.expect("a response");
                 response.into_body().collect().await.expect("its body");
-                monoio::time::sleep(PAUSE).await;
+                monoio::time::sleep(IDLE_TIME).await;
             }
         })
         .expect("a loop");
-        assert_eq!(served.join().expect("its count"), connections, "{name}");
+        assert_eq!(
+            server.join().expect("its count"),
+            expected_connections,
+            "{name}"
+        );
     }
 }
--- a/verbenaspool_transport/tests/server.rs
+++ b/verbenaspool_transport/tests/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server when it stops.
+//! The HTTP server's shutdown and handling of panics.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,7 +17,7 @@
     runtime, shutdown,
 };
 
-/// Answers everything alike.
+/// Sends the same response to every request.
 struct Greeter;
 
 impl Handler for Greeter {
@@ -26,18 +26,19 @@
     }
 }
 
-/// Sends a request and returns what comes back in one reading.
-async fn ask(stream: &mut TcpStream) -> String {
+/// Sends a request and returns the result of a single read.
+async fn send_request(stream: &mut TcpStream) -> String {
     let request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
     stream.write_all(request).await.0.expect("it is sent");
-    let (read, heard) = stream.read(vec![0; 4096]).await;
-    String::from_utf8_lossy(&heard[..read.expect("an answer")]).into_owned()
+    let (read, buffer) = stream.read(vec![0; 4096]).await;
+    String::from_utf8_lossy(&buffer[..read.expect("an answer")]).into_owned()
 }
 
 #[test]
-fn a_stopping_server_answers_whoever_has_just_connected() {
-    // An entry is told to stop. A skipper's assistant has connected, and its
-    // request is a packet behind. Closed now, it can't know whether it ran.
+fn a_stopping_server_answers_a_new_connection() {
+    // A caller has connected to a stopping entry and its request arrives a moment
+    // later. If the connection were closed, the caller couldn't know whether the
+    // request ran.
     runtime::run(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
@@ -46,56 +47,64 @@
         let limits = Limits::default();
         let served = serve(listener, limits, Rc::new(Greeter), open.clone(), signal);
         let served = monoio::spawn(served);
-        let mut known = TcpStream::connect(address).await.expect("a connection");
-        assert!(!ask(&mut known).await.contains("connection: close"));
-        // Who is known is told, some time before, to come on another connection.
+        let mut established = TcpStream::connect(address).await.expect("a connection");
+        assert!(
+            !send_request(&mut established)
+                .await
+                .contains("connection: close")
+        );
+        // Established connections are told to reconnect some time before the stop.
         open.close_after_response();
-        assert!(ask(&mut known).await.contains("connection: close"));
-        let mut fresh = TcpStream::connect(address).await.expect("a connection");
+        assert!(
+            send_request(&mut established)
+                .await
+                .contains("connection: close")
+        );
+        let mut new = TcpStream::connect(address).await.expect("a connection");
         while open.count() < 1 {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         trigger.fire();
         monoio::time::sleep(Duration::from_millis(5)).await;
-        assert!(ask(&mut fresh).await.starts_with("HTTP/1.1 200"));
+        assert!(send_request(&mut new).await.starts_with("HTTP/1.1 200"));
         served.await;
         assert!(TcpStream::connect(address).await.is_err());
     })
     .expect("a loop");
 }
 
-/// Fails on each request.
-struct Faulty;
+/// Panics on requests for `/`.
+struct Panicking;
 
-impl Handler for Faulty {
+impl Handler for Panicking {
     fn handle(self: Rc<Self>, _: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
         assert!(
             request.uri().path() != "/",
-            "a request that was not foreseen"
+            "a request that makes the handler panic"
         );
         Box::pin(std::future::ready(Response::new(Body::full("ok"))))
     }
 }
 
-/// Guards against one request that takes the whole process away, and the next process that
-/// gets it.
+/// A panic of the handler must not end the process: the caller's retries would end one
+/// process after another.
 #[test]
-fn a_request_that_panics_its_handler_ends_alone() {
+fn a_panicking_handler_closes_only_its_connection() {
     runtime::run(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
         let (_trigger, signal) = shutdown::channel();
         let (limits, open) = (Limits::default(), Connections::default());
-        let served = serve(listener, limits, Rc::new(Faulty), open.clone(), signal);
+        let served = serve(listener, limits, Rc::new(Panicking), open.clone(), signal);
         monoio::spawn(served);
-        let mut faulty = TcpStream::connect(address).await.expect("a connection");
-        assert_eq!(ask(&mut faulty).await, "");
+        let mut panicking = TcpStream::connect(address).await.expect("a connection");
+        assert_eq!(send_request(&mut panicking).await, "");
         assert_eq!(open.count(), 0);
-        let mut sound = TcpStream::connect(address).await.expect("a connection");
-        let request = "GET /sound HTTP/1.1\r\nhost: a\r\n\r\n";
-        sound.write_all(request).await.0.expect("it is sent");
-        let (read, heard) = sound.read(vec![0; 4096]).await;
-        assert!(heard[..read.expect("an answer")].starts_with(b"HTTP/1.1 200"));
+        let mut other = TcpStream::connect(address).await.expect("a connection");
+        let request = "GET /other HTTP/1.1\r\nhost: a\r\n\r\n";
+        other.write_all(request).await.0.expect("it is sent");
+        let (read, buffer) = other.read(vec![0; 4096]).await;
+        assert!(buffer[..read.expect("an answer")].starts_with(b"HTTP/1.1 200"));
     })
     .expect("a loop");
 }
--- a/verbenaspool_transport/tests/telemetry.rs
+++ b/verbenaspool_transport/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Traces, metrics and settings as other programs see them.
+//! Exported traces and metrics, trace contexts, and error messages of settings.
 
 use std::{cell::RefCell, net::SocketAddr, path::Path, rc::Rc, time::Duration};
 
@@ -23,7 +23,7 @@
     trace::{Settings, Tracer, context::Context, export::Exporter, span::Kind},
 };
 
-/// A collector that keeps the spans it gets.
+/// A collector that stores the spans it receives.
 #[derive(Default)]
 struct Collector(RefCell<Vec<ProtoSpan>>);
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A tracer that records everything, on a clock that stands still.
+/// A tracer that records all spans, on a paused clock.
 fn tracer(collector: SocketAddr) -> (Rc<Tracer>, Rc<Paused>) {
     let clock = Rc::new(Paused::default());
     let settings = Settings {
@@ -98,33 +98,33 @@
 }
 
 #[test]
-fn a_dead_collector_costs_bounded_memory() {
-    // An entry grows until it is killed: the collector is down, and spans pile
-    // up in the process because nothing takes them.
+fn a_dead_collector_uses_bounded_memory() {
+    // While the collector is down, spans that pile up in the process would use more
+    // memory until the process is killed.
     runtime::run(async {
-        let gone = TcpListener::bind("127.0.0.1:0")
+        let unused_address = TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
-        let (tracer, _clock) = tracer(gone);
+        let (tracer, _clock) = tracer(unused_address);
         for _ in 0..10_000 {
             drop(tracer.root(None, "entry", Kind::Server));
         }
         let dropped = tracer.dropped();
         assert!((1..10_000).contains(&dropped));
         assert!(
-            !Exporter::new(tracer.clone(), gone, Vec::new())
+            !Exporter::new(tracer.clone(), unused_address, Vec::new())
                 .flush()
                 .await
         );
-        let left = u64::try_from(tracer.take_ended(usize::MAX).len()).unwrap();
-        assert!(left + dropped < 10_000);
+        let queued = u64::try_from(tracer.take_ended(usize::MAX).len()).unwrap();
+        assert!(queued + dropped < 10_000);
     })
     .unwrap();
 }
 
 #[test]
-fn nothing_is_recorded_that_is_not_sampled() {
+fn unsampled_traces_are_not_recorded() {
     let (tracer, _clock) = tracer("127.0.0.1:1".parse().unwrap());
     let remote = Context::parse("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00");
     let span = tracer.root(remote, "entry", Kind::Server);
@@ -134,45 +134,45 @@
 }
 
 #[test]
-fn malformed_contexts_are_as_none() {
-    let good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+fn malformed_contexts_are_ignored() {
+    let valid = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let cases = [
         String::new(),
         "00".into(),
-        good.to_uppercase(),
-        good.replace("00-", "ff-"),
-        format!("{good}-more"),
-        good.replace("b7ad6b7169203331", "0000000000000000"),
-        good.replace("0af7651916cd43dd8448eb211c80319c", &"0".repeat(32)),
-        good.replace("-01", "-+1"),
-        good.replace("-01", "-0\u{e9}"),
+        valid.to_uppercase(),
+        valid.replace("00-", "ff-"),
+        format!("{valid}-more"),
+        valid.replace("b7ad6b7169203331", "0000000000000000"),
+        valid.replace("0af7651916cd43dd8448eb211c80319c", &"0".repeat(32)),
+        valid.replace("-01", "-+1"),
+        valid.replace("-01", "-0\u{e9}"),
     ];
     for case in cases {
         assert_eq!(Context::parse(&case), None, "{case}");
     }
-    assert!(Context::parse(&format!("cc{}-more", &good[2..])).is_some());
+    assert!(Context::parse(&format!("cc{}-more", &valid[2..])).is_some());
 }
 
 #[test]
-fn metrics_are_prometheus_text() {
+fn metrics_are_exported_as_prometheus_text() {
     let metrics = Registry::default();
     let pairs = [("service", "a\"b\\c")];
     metrics
         .counter("requests_total", "Requests.", &pairs)
         .add(3);
     metrics.gauge("open", "Open connections.", &[]).set(1.5);
-    let times = metrics.histogram("took_seconds", "Times.", &[("outcome", "ran")]);
-    times.record(Duration::from_micros(90));
-    times.record(Duration::from_millis(30));
-    times.record(Duration::from_mins(15));
-    let text: Vec<_> = metrics.text().lines().map(str::to_owned).collect();
-    let kept = text.iter().filter(|line| {
+    let histogram = metrics.histogram("took_seconds", "Times.", &[("outcome", "ran")]);
+    histogram.record(Duration::from_micros(90));
+    histogram.record(Duration::from_millis(30));
+    histogram.record(Duration::from_mins(15));
+    let lines: Vec<_> = metrics.text().lines().map(str::to_owned).collect();
+    let selected = lines.iter().filter(|line| {
         !line.contains("_bucket")
             || line.contains("0.0001")
             || line.contains("0.05\"")
             || line.contains("Inf")
     });
-    let kept: Vec<_> = kept.cloned().collect();
+    let selected: Vec<_> = selected.cloned().collect();
     expect![[r#"
         # HELP open Open connections.
         # TYPE open gauge
@@ -187,25 +187,25 @@
         took_seconds_bucket{outcome="ran",le="+Inf"} 3
         took_seconds_sum{outcome="ran"} 900.03009
         took_seconds_count{outcome="ran"} 3"#]]
-    .assert_eq(&kept.join("\n"));
+    .assert_eq(&selected.join("\n"));
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Sample {
-    #[allow(dead_code)] // Only whether it can be read matters here.
+    #[allow(dead_code)] // Only parsed.
     log: Inner,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Inner {
-    #[allow(dead_code)] // Only whether it can be read matters here.
+    #[allow(dead_code)] // Only parsed.
     lines: u32,
 }
 
 #[test]
-fn wrong_settings_name_key_line_and_reason() {
+fn errors_of_settings_name_line_key_and_reason() {
     let cases = [
         "log:\n  lines: 3\n  level: x\n",
         "log:\n  lines: many\n",
