--- a/verbenaspool_transport/src/log.rs
+++ b/verbenaspool_transport/src/log.rs
@@ -97,7 +97,7 @@
 ///
 /// The last lines distinguish a stop from a crash and would otherwise be lost in
 /// the queue at exit. A stalled reader must not block the exit, so the flush is
-/// limited by [`FLUSH_TIMEOUT`].
+/// limited in time.
 #[derive(Debug)]
 pub struct Guard(Option<WriterThread>);
 
--- a/verbenaspool_transport/src/metrics.rs
+++ b/verbenaspool_transport/src/metrics.rs
@@ -272,9 +272,7 @@
         let mut families = self.0.borrow_mut();
         let new = || (help, Family::Histogram(BTreeMap::new()));
         match &mut families.entry(name).or_insert_with(new).1 {
-            Family::Histogram(histograms) => {
-                histograms.entry(encode_labels(pairs)).or_default().clone()
-            }
+            Family::Histogram(series) => series.entry(encode_labels(pairs)).or_default().clone(),
             _ => panic!("{name} is not a histogram"),
         }
     }
@@ -301,11 +299,9 @@
                 Family::Gauge(gauges) => gauges.iter().for_each(|(labels, gauge)| {
                     write_sample(&mut text, name, labels, &gauge.value());
                 }),
-                Family::Histogram(histograms) => {
-                    histograms.iter().for_each(|(labels, histogram)| {
-                        write_histogram(&mut text, name, labels, histogram);
-                    })
-                }
+                Family::Histogram(series) => series.iter().for_each(|(labels, histogram)| {
+                    write_histogram(&mut text, name, labels, histogram);
+                }),
             }
         }
         text
