--- a/verbenaspool/src/cli.rs
+++ b/verbenaspool/src/cli.rs
@@ -13,26 +13,26 @@
 use verbenaspool_state::{check::Problem, file::File, name::Name, version::Version};
 
 use crate::{
-    operate::{self, Direct, apply, entries, explain, status},
+    operate::{self, DirectFile, apply, entries, explain, status},
     run::{self, Drained},
 };
 
 /// The process could not do what it was told.
-const FAILED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 /// The settings are wrong; clap uses the same code for the command line.
-const SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// The drain's deadline cut requests off.
-const CUT: u8 = 3;
+const EXIT_REQUESTS_ABORTED: u8 = 3;
 
 /// The file has problems.
-const PROBLEMS: u8 = 4;
+const EXIT_INVALID_FILE: u8 = 4;
 /// Another apply came first.
-const CONFLICT: u8 = 5;
+const EXIT_CONFLICT: u8 = 5;
 /// It isn't known whether the file was accepted.
-const UNKNOWN: u8 = 6;
+const EXIT_OUTCOME_UNKNOWN: u8 = 6;
 
 /// What `--help` says below the options.
-const EXAMPLES: &str = "\
+const AFTER_HELP: &str = "\
 Examples:
   verbenaspool run --settings /etc/verbenaspool/entry.yaml
   verbenaspool check quetzal.yaml
@@ -52,7 +52,7 @@
 
 /// Balances requests across expert-parallel model groups.
 #[derive(Debug, Parser)]
-#[command(name = "verbenaspool", version, after_help = EXAMPLES)]
+#[command(name = "verbenaspool", version, after_help = AFTER_HELP)]
 pub struct Cli {
     /// What to do.
     #[command(subcommand)]
@@ -154,32 +154,39 @@
             json,
         } => {
             let options = apply::Options {
-                expect: expect.map(Version),
+                expected_version: expect.map(Version),
                 id,
-                within: Duration::from_millis(timeout_ms),
+                timeout: Duration::from_millis(timeout_ms),
             };
             match apply::main(&settings, &file, options) {
-                Ok(result) => applied(&result, json),
-                Err(error) => fail(&error),
+                Ok(result) => report_apply(&result, json),
+                Err(error) => report_error(&error),
             }
         }
         Command::Entries { addresses, json } => match entries::main(&addresses) {
             Ok(answers) => {
                 let table = || entries::table(&answers);
-                print!("{}", if json { text(&answers) + "\n" } else { table() });
-                let all = answers.iter().all(|answer| answer.standing.is_some());
-                ExitCode::from(if all { 0 } else { FAILED })
+                print!(
+                    "{}",
+                    if json {
+                        to_json(&answers) + "\n"
+                    } else {
+                        table()
+                    }
+                );
+                let all_answered = answers.iter().all(|answer| answer.standing.is_some());
+                ExitCode::from(if all_answered { 0 } else { EXIT_FAILED })
             }
-            Err(error) => fail(&error),
+            Err(error) => report_error(&error),
         },
         Command::Explain { id, logs } => explain(&id, &logs),
         Command::Status { settings, json } => match status::main(&settings) {
             Ok(report) => {
                 let table = || status::table(&report);
-                println!("{}", if json { text(&report) } else { table() });
+                println!("{}", if json { to_json(&report) } else { table() });
                 ExitCode::SUCCESS
             }
-            Err(error) => fail(&error),
+            Err(error) => report_error(&error),
         },
     }
 }
@@ -187,53 +194,56 @@
 /// Checks a file of either path.
 fn check(file: &Path, json: bool) -> ExitCode {
     match operate::check_direct(file) {
-        Ok(None) => checked(&operate::check(file), json),
-        Ok(Some(Direct::Settings(name))) => {
+        Ok(None) => report_check(&operate::check(file), json),
+        Ok(Some(DirectFile::Settings(name))) => {
             println!("{name}: the settings are sound");
             ExitCode::SUCCESS
         }
-        Ok(Some(Direct::Configuration(version, routes))) => {
+        Ok(Some(DirectFile::Configuration(version, routes))) => {
             println!("version {version}: the configuration is sound, {routes} routes");
             ExitCode::SUCCESS
         }
         Err(why) => {
             eprintln!("{why}");
-            ExitCode::from(PROBLEMS)
+            ExitCode::from(EXIT_INVALID_FILE)
         }
     }
 }
 
 /// Tells what became of a request.
 fn explain(id: &str, logs: &[PathBuf]) -> ExitCode {
-    let story = match explain::main(id, logs) {
-        Ok(story) => story,
+    let report = match explain::main(id, logs) {
+        Ok(report) => report,
         Err(why) => {
             eprintln!("verbenaspool: a log can't be read: {why}");
-            return ExitCode::from(FAILED);
+            return ExitCode::from(EXIT_FAILED);
         }
     };
-    if story.bad > 0 {
-        eprintln!("{} lines couldn't be read and were skipped", story.bad);
+    if report.unreadable_lines > 0 {
+        eprintln!(
+            "{} lines couldn't be read and were skipped",
+            report.unreadable_lines
+        );
     }
-    for line in &story.lines {
+    for line in &report.lines {
         println!("{line}");
     }
-    let Some(cause) = story.cause else {
+    let Some(cause) = report.cause else {
         eprintln!("verbenaspool: no log tells of the request {id}");
-        return ExitCode::from(FAILED);
+        return ExitCode::from(EXIT_FAILED);
     };
     println!("{cause}");
     ExitCode::SUCCESS
 }
 
 /// A report as JSON.
-fn text<T: Serialize>(report: &T) -> String {
+fn to_json<T: Serialize>(report: &T) -> String {
     serde_json::to_string(report).unwrap_or_default()
 }
 
 /// The result of a check as JSON.
 #[derive(Debug, Serialize)]
-struct Checked<'a> {
+struct CheckResult<'a> {
     /// Whether the file can be applied.
     sound: bool,
     /// The firm, where the file is sound.
@@ -243,47 +253,47 @@
 }
 
 /// Tells the result of a check.
-fn checked(result: &Result<File, operate::Error>, json: bool) -> ExitCode {
+fn report_check(result: &Result<File, operate::Error>, json: bool) -> ExitCode {
     let (firm, problems): (_, &[Problem]) = match result {
         Ok(file) => (Some(&file.firm), &[]),
         Err(operate::Error::Problems { problems, .. }) if json => (None, problems),
-        Err(error) => return fail(error),
+        Err(error) => return report_error(error),
     };
-    let checked = Checked {
+    let checked = CheckResult {
         sound: firm.is_some(),
         firm,
         problems,
     };
     match firm {
-        _ if json => println!("{}", text(&checked)),
+        _ if json => println!("{}", to_json(&checked)),
         Some(firm) => println!("{firm}: the file is sound"),
         None => {}
     }
     if checked.sound {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(PROBLEMS)
+        ExitCode::from(EXIT_INVALID_FILE)
     }
 }
 
 /// Tells the result of an apply.
-fn applied(result: &apply::Result, json: bool) -> ExitCode {
-    println!("{}", if json { text(result) } else { result.text() });
+fn report_apply(result: &apply::Result, json: bool) -> ExitCode {
+    println!("{}", if json { to_json(result) } else { result.text() });
     match result {
         apply::Result::Accepted { .. } | apply::Result::Unchanged { .. } => ExitCode::SUCCESS,
-        apply::Result::Conflict { .. } => ExitCode::from(CONFLICT),
-        apply::Result::Failed { .. } => ExitCode::from(FAILED),
-        apply::Result::Unknown { .. } => ExitCode::from(UNKNOWN),
+        apply::Result::Conflict { .. } => ExitCode::from(EXIT_CONFLICT),
+        apply::Result::Failed { .. } => ExitCode::from(EXIT_FAILED),
+        apply::Result::Unknown { .. } => ExitCode::from(EXIT_OUTCOME_UNKNOWN),
     }
 }
 
 /// Tells why an operator's command did nothing.
-fn fail(error: &operate::Error) -> ExitCode {
+fn report_error(error: &operate::Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(match error {
-        operate::Error::Settings(_) => SETTINGS,
-        operate::Error::Problems { .. } | operate::Error::Firm { .. } => PROBLEMS,
-        _ => FAILED,
+        operate::Error::Settings(_) => EXIT_INVALID_SETTINGS,
+        operate::Error::Problems { .. } | operate::Error::FirmMismatch { .. } => EXIT_INVALID_FILE,
+        _ => EXIT_FAILED,
     })
 }
 
@@ -291,12 +301,12 @@
 fn run(settings: &Path) -> ExitCode {
     match run::main(settings) {
         Ok(Drained { cut: 0 }) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
+        Ok(_) => ExitCode::from(EXIT_REQUESTS_ABORTED),
         Err(error) => {
             eprintln!("verbenaspool: {error}");
             ExitCode::from(match error {
-                run::Error::Settings(_) => SETTINGS,
-                _ => FAILED,
+                run::Error::Settings(_) => EXIT_INVALID_SETTINGS,
+                _ => EXIT_FAILED,
             })
         }
     }
--- a/verbenaspool/src/operate.rs
+++ b/verbenaspool/src/operate.rs
@@ -42,7 +42,7 @@
         cause: io::Error,
     },
     /// The file has problems.
-    #[error("{}", list(path, problems))]
+    #[error("{}", format_problems(path, problems))]
     Problems {
         /// The file.
         path: PathBuf,
@@ -51,7 +51,7 @@
     },
     /// The file is another firm's than the settings.
     #[error("the file is {file}'s, the settings are {settings}'s")]
-    Firm {
+    FirmMismatch {
         /// The firm that the file names.
         file: Name,
         /// The firm that the settings name.
@@ -62,12 +62,12 @@
     Platform(#[from] platform::Error),
     /// The loop can't start.
     #[error("the loop can't start: {0}")]
-    Loop(io::Error),
+    Runtime(io::Error),
 }
 
 /// What a file on the direct path holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Direct {
+pub enum DirectFile {
     /// The settings of an entry of this name.
     Settings(String),
     /// A configuration, as the platform holds it: its version and routes.
@@ -84,7 +84,7 @@
 ///
 /// let read = verbenaspool::operate::check_direct(Path::new("entry.yaml")).unwrap();
 /// ```
-pub fn check_direct(path: &Path) -> Result<Option<Direct>, String> {
+pub fn check_direct(path: &Path) -> Result<Option<DirectFile>, String> {
     let Ok(text) = fs::read_to_string(path) else {
         // Whoever reads it as a firm's file tells why it can't be read.
         return Ok(None);
@@ -92,7 +92,7 @@
     if text.trim_start().starts_with('{') {
         let read = configuration::decode(&text);
         let table = read.map_err(|why| format!("{}: {why}", path.display()))?;
-        return Ok(Some(Direct::Configuration(table.version, table.len())));
+        return Ok(Some(DirectFile::Configuration(table.version, table.len())));
     }
     let is_direct = text.lines().any(|line| line.trim() == "path: direct");
     if !is_direct {
@@ -100,11 +100,11 @@
     }
     let read = settings::parse::<direct::settings::Settings>(path, &text);
     let read = read.map_err(|why| why.to_string())?;
-    Ok(Some(Direct::Settings(read.name)))
+    Ok(Some(DirectFile::Settings(read.name)))
 }
 
 /// One problem a line, each with its file.
-fn list(path: &Path, problems: &[Problem]) -> String {
+fn format_problems(path: &Path, problems: &[Problem]) -> String {
     let path = path.display();
     let lines: Vec<String> = problems.iter().map(|p| format!("{path}: {p}")).collect();
     lines.join("\n")
--- a/verbenaspool/src/operate/apply.rs
+++ b/verbenaspool/src/operate/apply.rs
@@ -17,12 +17,12 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The version that the file is to replace, if it has to be a certain one.
-    pub expect: Option<Version>,
+    pub expected_version: Option<Version>,
     /// The apply's id; a fresh one if none is given. An apply whose fate is
     /// unknown is settled by another one under the same id.
     pub id: Option<String>,
     /// How long to go on trying.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// What became of an apply.
@@ -101,7 +101,7 @@
 /// use std::{path::Path, time::Duration};
 /// use verbenaspool::operate::apply::{self, Options};
 ///
-/// let options = Options { expect: None, id: None, within: Duration::from_secs(20) };
+/// let options = Options { expected_version: None, id: None, timeout: Duration::from_secs(20) };
 /// let result = apply::main(Path::new("operator.yaml"), Path::new("quetzal.yaml"), options);
 /// println!("{}", result.unwrap().text());
 /// ```
@@ -109,7 +109,7 @@
     let settings: Settings = settings::load(settings)?;
     let file = check(path)?;
     if file.firm != settings.firm {
-        return Err(Error::Firm {
+        return Err(Error::FirmMismatch {
             file: file.firm,
             settings: settings.firm,
         });
@@ -127,14 +127,14 @@
     let request = Request {
         firm: settings.firm.clone(),
         id: id.clone(),
-        expected_version: options.expect,
+        expected_version: options.expected_version,
         split,
     };
     let outcome = runtime::run(async {
         let store = Client::new(settings.platform.client());
-        config::apply(&store, request, options.within, seed).await
+        config::apply(&store, request, options.timeout, seed).await
     });
-    Ok(result(id, outcome.map_err(Error::Loop)?))
+    Ok(result(id, outcome.map_err(Error::Runtime)?))
 }
 
 /// An outcome as it is reported.
--- a/verbenaspool/src/operate/entries.rs
+++ b/verbenaspool/src/operate/entries.rs
@@ -9,7 +9,7 @@
 use crate::direct::standing::{STANDING_METHOD, Standing};
 
 /// How long an entry has to answer.
-const ANSWER: Duration = Duration::from_secs(2);
+const RPC_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What an entry said, or why it didn't.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -32,12 +32,12 @@
 /// assert!(answers.is_empty());
 /// ```
 pub fn main(entries: &[SocketAddr]) -> Result<Vec<Answer>, Error> {
-    let asked = runtime::run(async {
+    let answers = runtime::run(async {
         let client = rpc::Client::default();
         let mut answers = Vec::new();
         for &entry in entries {
             let called: Result<Standing, rpc::Error> =
-                client.call(entry, STANDING_METHOD, &(), ANSWER).await;
+                client.call(entry, STANDING_METHOD, &(), RPC_TIMEOUT).await;
             answers.push(match called {
                 Ok(standing) => Answer {
                     entry,
@@ -53,7 +53,7 @@
         }
         answers
     });
-    asked.map_err(Error::Loop)
+    answers.map_err(Error::Runtime)
 }
 
 /// The answers as a table; entries that lag behind the newest version are marked.
--- a/verbenaspool/src/operate/explain.rs
+++ b/verbenaspool/src/operate/explain.rs
@@ -12,7 +12,7 @@
 /// A line of a log, as far as it matters here.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-struct Line {
+struct LogLine {
     ts: String,
     msg: String,
     request: Option<String>,
@@ -35,10 +35,10 @@
     closed: u32,
 }
 
-impl Line {
+impl LogLine {
     /// Whether the line is about a request, by its id, or by its fingerprint, which all
     /// attempts share.
-    fn is_about(&self, id: &str) -> bool {
+    fn matches(&self, id: &str) -> bool {
         [&self.request, &self.fingerprint]
             .into_iter()
             .any(|name| name.as_deref() == Some(id))
@@ -46,66 +46,66 @@
 }
 
 /// From which pace on an upstream is named as slow: what entries send nothing more to.
-const SLOW: f64 = 2.0;
+const SLOW_PACE: f64 = 2.0;
 
 /// What was found of a request.
 #[derive(Debug, Default)]
-pub struct Story {
+pub struct Report {
     /// One sentence a line of a log, in the order of their times.
     pub lines: Vec<String>,
     /// What caused the end, in a sentence; none where the request isn't found.
     pub cause: Option<String>,
     /// Lines that couldn't be read.
-    pub bad: usize,
+    pub unreadable_lines: usize,
 }
 
 /// Reads logs and finds a request in them; `-` is standard input.
 ///
 /// # Errors
 /// A file can't be read.
-pub fn main(id: &str, files: &[PathBuf]) -> io::Result<Story> {
+pub fn main(id: &str, files: &[PathBuf]) -> io::Result<Report> {
     let mut found = Vec::new();
-    let mut bad = 0;
+    let mut unreadable_lines = 0;
     for file in files {
         let name = file.display().to_string();
         if file == Path::new("-") {
-            bad += read(id, &name, io::stdin().lock(), &mut found)?;
+            unreadable_lines += read_log(id, &name, io::stdin().lock(), &mut found)?;
         } else {
-            bad += read(id, &name, BufReader::new(File::open(file)?), &mut found)?;
+            unreadable_lines += read_log(id, &name, BufReader::new(File::open(file)?), &mut found)?;
         }
     }
-    Ok(tell(found, bad))
+    Ok(summarize(found, unreadable_lines))
 }
 
 /// Reads one log; returns how many of its lines make no sense.
 ///
 /// # Errors
 /// The log can't be read.
-fn read(
+fn read_log(
     id: &str,
     name: &str,
     mut log: impl BufRead,
-    found: &mut Vec<(String, Line)>,
+    found: &mut Vec<(String, LogLine)>,
 ) -> io::Result<usize> {
-    let mut bad = 0;
+    let mut unreadable_lines = 0;
     let mut bytes = Vec::new();
     while log.read_until(b'\n', &mut bytes)? > 0 {
         // Whoever collects logs may put words of its own before each line.
         let start = bytes.iter().position(|byte| *byte == b'{').unwrap_or(0);
-        match serde_json::from_slice::<Line>(&bytes[start..]) {
-            Ok(line) if line.is_about(id) => {
+        match serde_json::from_slice::<LogLine>(&bytes[start..]) {
+            Ok(line) if line.matches(id) => {
                 found.push((name.to_owned(), line));
             }
             Ok(_) => {}
-            Err(_) => bad += 1,
+            Err(_) => unreadable_lines += 1,
         }
         bytes.clear();
     }
-    Ok(bad)
+    Ok(unreadable_lines)
 }
 
 /// Tells what was found, in the order of the processes' own clocks.
-fn tell(mut found: Vec<(String, Line)>, bad: usize) -> Story {
+fn summarize(mut found: Vec<(String, LogLine)>, unreadable_lines: usize) -> Report {
     found.sort_by(|a, b| a.1.ts.cmp(&b.1.ts));
     let lines = found.iter().map(|(name, line)| {
         if let (Some(upstream), 0) = (&line.upstream, line.status) {
@@ -117,15 +117,15 @@
             line.sent, line.events, line.first_ms, line.pause_ms, line.took_ms
         )
     });
-    Story {
+    Report {
         cause: found.last().map(|(_, line)| cause(line)),
         lines: lines.collect(),
-        bad,
+        unreadable_lines,
     }
 }
 
 /// The cause of a request's end, in a sentence.
-fn cause(line: &Line) -> String {
+fn cause(line: &LogLine) -> String {
     let sent = if line.sent.is_empty() {
         "it was sent to no upstream".to_owned()
     } else {
@@ -150,13 +150,13 @@
         "large-body" | "broken-body" | "slow-body" => "Its body didn't come whole, or in time",
         _ => "The answer broke off",
     };
-    let known = known(line);
-    format!("{why}; {sent}{known}.")
+    let state = service_state(line);
+    format!("{why}; {sent}{state}.")
 }
 
 /// What the entry knew of the service then, as the end of a sentence.
-fn known(line: &Line) -> String {
-    if line.slowest >= SLOW {
+fn service_state(line: &LogLine) -> String {
+    if line.slowest >= SLOW_PACE {
         return format!(
             "; {} was {:.1} times slow then and held back its whole group, as its agent had said {:.0} ms before, with passes of {:.0} ms",
             line.slowest_upstream, line.slowest, line.said_ms, line.pass_ms
--- a/verbenaspool/src/operate/explain/tests.rs
+++ b/verbenaspool/src/operate/explain/tests.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use super::{read, tell};
+use super::{read_log, summarize};
 
 /// Two lines of a request, from two processes, and some of others.
 const LOG: &str = r#"{"msg":"Entry: Started.","ts":"2026-02-04T08:36:28.0Z"}
@@ -16,12 +16,13 @@
 #[test]
 fn a_request_is_found_in_order_of_time() {
     let mut found = Vec::new();
-    let bad = read("a1", "log", Cursor::new(LOG), &mut found).expect("memory can be read");
-    let story = tell(found, bad);
-    assert_eq!(story.bad, 1);
-    assert_eq!(story.lines.len(), 2);
-    assert!(story.lines[0].contains("status 503 (full)"));
-    let cause = story.cause.expect("it is found");
+    let unreadable_lines =
+        read_log("a1", "log", Cursor::new(LOG), &mut found).expect("memory can be read");
+    let report = summarize(found, unreadable_lines);
+    assert_eq!(report.unreadable_lines, 1);
+    assert_eq!(report.lines.len(), 2);
+    assert!(report.lines[0].contains("status 503 (full)"));
+    let cause = report.cause.expect("it is found");
     assert!(cause.starts_with("The answer broke off"), "{cause}");
     assert!(cause.contains("i-2 turned-away"), "{cause}");
 }
@@ -41,8 +42,8 @@
         ("f", ["as much as it can", "passes took", "117 ms"]),
     ] {
         let mut found = Vec::new();
-        read(id, "log", Cursor::new(log), &mut found).expect("memory can be read");
-        let cause = tell(found, 0).cause.expect("it is found");
+        read_log(id, "log", Cursor::new(log), &mut found).expect("memory can be read");
+        let cause = summarize(found, 0).cause.expect("it is found");
         assert!(parts.iter().all(|part| cause.contains(part)), "{cause}");
     }
 }
@@ -57,11 +58,11 @@
 {"ts":"3","msg":"request ended","request":"d4","fingerprint":"78","status":200,"why":"whole"}
 "#;
     let mut found = Vec::new();
-    read("77", "log", Cursor::new(log), &mut found).expect("memory can be read");
-    let story = tell(found, 0);
-    assert_eq!(story.lines.len(), 3);
-    assert_eq!(story.lines[0], "1 log: upstream crashed (i-2)");
-    let cause = story.cause.expect("it is found");
+    read_log("77", "log", Cursor::new(log), &mut found).expect("memory can be read");
+    let report = summarize(found, 0);
+    assert_eq!(report.lines.len(), 3);
+    assert_eq!(report.lines[0], "1 log: upstream crashed (i-2)");
+    let cause = report.cause.expect("it is found");
     assert!(cause.contains("upstreams crashed under it"), "{cause}");
 }
 
@@ -69,8 +70,8 @@
 #[test]
 fn an_unknown_request_isnt_found() {
     let mut found = Vec::new();
-    read("c3", "log", Cursor::new(LOG), &mut found).expect("memory can be read");
-    assert!(tell(found, 0).cause.is_none());
+    read_log("c3", "log", Cursor::new(LOG), &mut found).expect("memory can be read");
+    assert!(summarize(found, 0).cause.is_none());
 }
 
 proptest! {
@@ -78,6 +79,6 @@
     #[test]
     fn any_bytes_are_read(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
         let mut found = Vec::new();
-        prop_assert!(read("a1", "log", Cursor::new(bytes), &mut found).is_ok());
+        prop_assert!(read_log("a1", "log", Cursor::new(bytes), &mut found).is_ok());
     }
 }
--- a/verbenaspool/src/operate/status.rs
+++ b/verbenaspool/src/operate/status.rs
@@ -29,7 +29,7 @@
         let store = Client::new(settings.platform.client());
         status::read(&store, &settings.firm, status::PERIOD * 3 / 2).await
     });
-    Ok(report.map_err(Error::Loop)??)
+    Ok(report.map_err(Error::Runtime)??)
 }
 
 /// The report as a table.
--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -34,10 +34,10 @@
 
 /// How often the process looks whether another has taken its name over, and who
 /// else serves its zone.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long spans may take to go out at the end.
-const FLUSH: Duration = Duration::from_secs(1);
+const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the entry could not run.
 #[derive(Debug, thiserror::Error)]
@@ -55,7 +55,7 @@
     },
     /// The loop can't start.
     #[error("the loop can't start: {0}")]
-    Loop(#[from] io::Error),
+    Runtime(#[from] io::Error),
     /// Signals can't be heard.
     #[error(transparent)]
     Signal(#[from] shutdown::Error),
@@ -70,7 +70,7 @@
 
 /// The part of the settings that tells which path requests take.
 #[derive(Debug, Deserialize)]
-struct Chosen {
+struct PathChoice {
     #[serde(default)]
     path: Option<direct::settings::Path>,
 }
@@ -80,7 +80,7 @@
 /// # Errors
 /// The settings can't be taken, or an address can't be listened at.
 pub fn main(path: &Path) -> Result<Drained, Error> {
-    if settings::load::<Chosen>(path)?.path.is_some() {
+    if settings::load::<PathChoice>(path)?.path.is_some() {
         return direct::run::main(path);
     }
     let settings: Settings = settings::load(path)?;
@@ -93,7 +93,7 @@
 }
 
 /// Opens an address that no other process has.
-fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
+fn bind_listener(address: SocketAddr) -> Result<TcpListener, Error> {
     // Two processes that share a port by mistake would split the callers
     // between them, so the second must fail instead.
     let options = ListenerOpts::new().reuse_port(false);
@@ -110,9 +110,9 @@
     clock: Rc<dyn Clock>,
     mut signal: Signal,
 ) -> Result<Drained, Error> {
-    let callers = listen(settings.listen)?;
-    let admin = settings.admin.map(listen).transpose()?;
-    let control = settings.control.map(listen).transpose()?;
+    let listener = bind_listener(settings.listen)?;
+    let admin = settings.admin.map(bind_listener).transpose()?;
+    let control = settings.control.map(bind_listener).transpose()?;
     let store: Rc<dyn Store> = Rc::new(Client::new(settings.platform.client()));
     let tracer = Tracer::new(settings.traces.as_ref(), clock.clone());
     let exporter = exporter(&settings, &tracer);
@@ -128,24 +128,24 @@
     };
     let entry = Entry::with_dependencies(settings.options(), dependencies);
     // What is needed until the last request has ended stops behind it.
-    let (finish, finished) = shutdown::channel();
-    if let Some(listener) = admin {
-        monoio::spawn(Admin(entry.clone()).serve(listener, finished.clone()));
+    let (finish, finish_signal) = shutdown::channel();
+    if let Some(admin) = admin {
+        monoio::spawn(Admin(entry.clone()).serve(admin, finish_signal.clone()));
     }
     // Claims of callers' writes go past the budget: they have deadlines.
     let budget = Budget::new(store, clock.clone(), budget::Settings::default());
-    let source = configure(&settings, &entry, budget, control, &finished);
-    let (close, closed) = shutdown::channel();
-    let mut served = Box::pin(entry.clone().serve(callers, closed));
+    let source = follow_configuration(&settings, &entry, budget, control, &finish_signal);
+    let (close, close_signal) = shutdown::channel();
+    let mut serving = Box::pin(entry.clone().serve(listener, close_signal));
     info!(log, "Entry: Started."; "name" => settings.name.as_str(), "listen" => settings.listen);
-    let stop = Box::pin(stopped(&mut signal, &source, &log));
-    if let Either::Left(_) = select(served.as_mut(), stop).await {
+    let stop = Box::pin(wait_for_stop(&mut signal, &source, &log));
+    if let Either::Left(_) = select(serving.as_mut(), stop).await {
         return Ok(Drained { cut: 0 });
     }
     source.leave();
-    let drained = drain(&settings, &entry, &close, served, &log).await;
+    let drained = drain(&settings, &entry, &close, serving, &log).await;
     if let Some(exporter) = exporter {
-        let _ = monoio::time::timeout(FLUSH, exporter.flush()).await;
+        let _ = monoio::time::timeout(TRACE_FLUSH_TIMEOUT, exporter.flush()).await;
     }
     source.end();
     finish.fire();
@@ -166,12 +166,12 @@
 }
 
 /// Follows the firm's configuration and its upstreams.
-fn configure(
+fn follow_configuration(
     settings: &Settings,
     entry: &Rc<Entry>,
     store: Rc<dyn Store>,
     control: Option<TcpListener>,
-    finished: &Signal,
+    finish_signal: &Signal,
 ) -> Rc<Source> {
     let seed = entry.attempts.seed();
     let own = settings.control.unwrap_or(settings.listen);
@@ -184,21 +184,25 @@
     if let Some(listener) = control {
         let mut module = rpc::Module::default();
         source.methods(&mut module);
-        monoio::spawn(rpc::serve(listener, Rc::new(module), finished.clone()));
+        monoio::spawn(rpc::serve(listener, Rc::new(module), finish_signal.clone()));
     }
-    monoio::spawn(adopt(source.clone(), entry.clone()));
-    monoio::spawn(accompany(source.clone(), entry.clone(), finished.clone()));
+    monoio::spawn(apply_configurations(source.clone(), entry.clone()));
+    monoio::spawn(update_peers(
+        source.clone(),
+        entry.clone(),
+        finish_signal.clone(),
+    ));
     let zone = settings.zone.clone();
     monoio::spawn(status::publish(source.clone(), store.clone(), zone));
     let follower = Follower::new(store, &settings.firm);
     let (entry, clock) = (entry.clone(), entry.clock.clone());
     let changed = move |list: &[_]| entry.set_upstreams(list);
-    monoio::spawn(follower.run(clock, seed, finished.clone(), changed));
+    monoio::spawn(follower.run(clock, seed, finish_signal.clone(), changed));
     source
 }
 
 /// Puts in force what the source brings.
-async fn adopt(source: Rc<Source>, entry: Rc<Entry>) {
+async fn apply_configurations(source: Rc<Source>, entry: Rc<Entry>) {
     let mut seen = Version::default();
     loop {
         let adopted = source.above(seen).await;
@@ -208,26 +212,26 @@
 }
 
 /// Tells the entry who else serves its zone.
-async fn accompany(source: Rc<Source>, entry: Rc<Entry>, finished: Signal) {
+async fn update_peers(source: Rc<Source>, entry: Rc<Entry>, finish_signal: Signal) {
     let mut known = Vec::new();
-    while !finished.fired() {
+    while !finish_signal.fired() {
         let live = source.live();
         if live != known {
             entry.set_peers(&live);
             known = live;
         }
-        entry.clock.sleep(LOOK).await;
+        entry.clock.sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Waits for the word to stop, or for a successor of the same name.
-async fn stopped(signal: &mut Signal, source: &Source, log: &Logger) {
+async fn wait_for_stop(signal: &mut Signal, source: &Source, log: &Logger) {
     loop {
         if source.replaced() {
             warn!(log, "Entry: Another process has taken over this name.");
             return;
         }
-        let heard = monoio::time::timeout(LOOK, signal.wait()).await;
+        let heard = monoio::time::timeout(POLL_INTERVAL, signal.wait()).await;
         if heard.is_ok() {
             return;
         }
@@ -239,23 +243,23 @@
     settings: &Settings,
     entry: &Rc<Entry>,
     close: &Trigger,
-    served: impl Future<Output = ()>,
+    serving: impl Future<Output = ()>,
     log: &Logger,
 ) -> Drained {
     info!(log, "Entry: Draining."; "connections" => entry.connections.count());
     entry.start_draining();
     entry.connections.close();
-    let mut served = Box::pin(served);
+    let mut serving = Box::pin(serving);
     let linger = Box::pin(
         entry
             .clock
             .sleep(Duration::from_millis(settings.drain.linger_ms)),
     );
     // Until the platform's balancer has noticed, callers still come and are served.
-    select(served.as_mut(), linger).await;
+    select(serving.as_mut(), linger).await;
     close.fire();
     let deadline = Duration::from_millis(settings.drain.deadline_ms);
-    if monoio::time::timeout(deadline, served).await.is_ok() {
+    if monoio::time::timeout(deadline, serving).await.is_ok() {
         return Drained { cut: 0 };
     }
     let cut = entry.connections.count();
--- a/verbenaspool/src/settings.rs
+++ b/verbenaspool/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::{credential::Token, name::Name};
-use verbenaspool_transport::{http::server::Limits, log, platform::client, trace};
+use verbenaspool_transport::{http::server, log, platform::client, trace};
 
 use crate::entry::{Options, upload::Bounds};
 
@@ -33,7 +33,7 @@
     pub platform: Platform,
     /// Bounds on what callers may send.
     #[serde(default)]
-    pub limits: Bound,
+    pub limits: Limits,
     /// What happens at SIGTERM.
     #[serde(default)]
     pub drain: Drain,
@@ -54,14 +54,14 @@
     /// The token that stands for the firm.
     pub token: Token,
     /// How long a call may take, in milliseconds.
-    #[serde(default = "Platform::timeout_ms")]
+    #[serde(default = "Platform::default_timeout_ms")]
     pub timeout_ms: u64,
 }
 
 impl Platform {
     /// The default of [`Platform::timeout_ms`]: the platform answers in
     /// milliseconds, and a slow answer is waited for this long.
-    fn timeout_ms() -> u64 {
+    fn default_timeout_ms() -> u64 {
         2_000
     }
 
@@ -107,7 +107,7 @@
 /// Bounds on what callers may send.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Bound {
+pub struct Limits {
     /// Connections at once.
     pub connections: usize,
     /// The largest head in bytes.
@@ -125,7 +125,7 @@
     pub connect_ms: u64,
 }
 
-impl Default for Bound {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             connections: 10_000,
@@ -165,7 +165,7 @@
             firm: self.firm.clone(),
             name: self.name.clone(),
             zone: self.zone.clone(),
-            limits: Limits {
+            limits: server::Limits {
                 connections: limits.connections,
                 head: Duration::from_millis(limits.head_ms),
                 head_bytes: limits.head_bytes,
--- a/verbenaspool/tests/entry/bad_input.rs
+++ b/verbenaspool/tests/entry/bad_input.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use monoio::net::TcpStream;
-use verbenaspool::settings::Bound;
+use verbenaspool::settings::Limits;
 use verbenaspool_transport::shutdown;
 
 use crate::{
@@ -157,12 +157,12 @@
 }
 
 /// Limits that a test can reach quickly.
-fn tight_limits() -> Bound {
-    Bound {
+fn tight_limits() -> Limits {
+    Limits {
         body_bytes: 3_000,
         head_ms: 300,
         pause_ms: 300,
-        ..Bound::default()
+        ..Limits::default()
     }
 }
 
@@ -237,7 +237,7 @@
 #[test]
 fn an_entry_without_configuration_rejects_requests() {
     run_test(async {
-        let deployment = Deployment::unconfigured(Bound::default());
+        let deployment = Deployment::unconfigured(Limits::default());
         let answer = deployment.send_raw(head("GET /jobs/1", "")).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
         assert!(answer.contains("not-ready"), "{answer}");
@@ -262,9 +262,9 @@
     // Guards against a caller that makes the entry unavailable by opening connections without
     // limit.
     run_test(async {
-        let limits = Bound {
+        let limits = Limits {
             connections: 2,
-            ..Bound::default()
+            ..Limits::default()
         };
         let deployment = Deployment::with_limits(limits, &[]);
         let open = [
--- a/verbenaspool/tests/entry/deployment.rs
+++ b/verbenaspool/tests/entry/deployment.rs
@@ -10,7 +10,7 @@
 };
 use verbenaspool::{
     entry::{Dependencies, Entry},
-    settings::{Bound, Settings},
+    settings::{Limits, Settings},
 };
 use verbenaspool_protocol::{header, problem::Problem};
 use verbenaspool_state::{
@@ -90,7 +90,7 @@
 }
 
 /// The settings of the entry.
-fn entry_settings(limits: Bound) -> Settings {
+fn entry_settings(limits: Limits) -> Settings {
     let text = "firm: tidewater
 name: entry-1
 zone: bowen-a
@@ -103,12 +103,12 @@
 
 impl Deployment {
     /// Starts an entry without a configuration.
-    pub fn unconfigured(limits: Bound) -> Self {
+    pub fn unconfigured(limits: Limits) -> Self {
         Self::with_dependencies(limits, Dependencies::minimal(Monotonic::start()))
     }
 
     /// Starts an entry without a configuration, with the given dependencies.
-    pub fn with_dependencies(limits: Bound, dependencies: Dependencies) -> Self {
+    pub fn with_dependencies(limits: Limits, dependencies: Dependencies) -> Self {
         let entry = Entry::with_dependencies(entry_settings(limits).options(), dependencies);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -124,11 +124,11 @@
 
     /// Starts an entry with the file and the given upstreams.
     pub fn start(upstreams: &[Upstream]) -> Self {
-        Self::with_limits(Bound::default(), upstreams)
+        Self::with_limits(Limits::default(), upstreams)
     }
 
     /// Starts an entry with the file, the given upstreams and limits.
-    pub fn with_limits(limits: Bound, upstreams: &[Upstream]) -> Self {
+    pub fn with_limits(limits: Limits, upstreams: &[Upstream]) -> Self {
         let deployment = Self::unconfigured(limits);
         deployment.entry.apply_configuration(Version(1), &file());
         deployment.entry.set_upstreams(upstreams);
--- a/verbenaspool/tests/entry/path.rs
+++ b/verbenaspool/tests/entry/path.rs
@@ -9,7 +9,7 @@
     net::{TcpListener, TcpStream},
 };
 use tokio::sync::mpsc;
-use verbenaspool::{entry::Dependencies, settings::Bound};
+use verbenaspool::{entry::Dependencies, settings::Limits};
 use verbenaspool_protocol::{header, settle};
 use verbenaspool_standin::address;
 use verbenaspool_state::version::Version;
@@ -290,7 +290,7 @@
             tracer: tracer.clone(),
             ..Dependencies::minimal(clock)
         };
-        let deployment = Deployment::with_dependencies(Bound::default(), dependencies);
+        let deployment = Deployment::with_dependencies(Limits::default(), dependencies);
         deployment.entry.apply_configuration(Version(1), &file());
         deployment
             .entry
