--- a/verbenaspool/tests/demo.rs
+++ b/verbenaspool/tests/demo.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 /// The demo's program, which cargo builds with the tests.
-fn demo() -> std::path::PathBuf {
+fn demo_program() -> std::path::PathBuf {
     let bin = Path::new(env!("CARGO_BIN_EXE_verbenaspool"));
     let path = bin.with_file_name("examples").join("demo");
     assert!(path.exists(), "build the examples first");
@@ -14,22 +14,22 @@
 }
 
 #[test]
-fn the_demo_breaks_no_promise() {
-    let run = Command::new(demo()).arg("--json").output();
-    let run = run.expect("the demo starts");
-    let text = String::from_utf8(run.stdout).expect("the report is text");
-    let log = String::from_utf8_lossy(&run.stderr);
-    assert!(run.status.success(), "{text}{log}");
+fn the_demo_violates_no_guarantee() {
+    let output = Command::new(demo_program()).arg("--json").output();
+    let output = output.expect("the demo starts");
+    let text = String::from_utf8(output.stdout).expect("the report is text");
+    let log = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{text}{log}");
     let line = text.lines().last().expect("a last line");
     let report: Value = serde_json::from_str(line).expect("the last line is JSON");
     let count = |key: &str| report[key].as_u64().unwrap_or_else(|| panic!("no {key}"));
-    for broken in [
+    for violation in [
         "wrong_answers",
         "duplicate_writes",
         "false_not_run",
         "steps_on_mixed_maps",
     ] {
-        assert_eq!(count(broken), 0, "{broken} in {line}");
+        assert_eq!(count(violation), 0, "{violation} in {line}");
     }
     let sum = count("whole") + count("not_run") + count("unknown");
     assert_eq!(count("requests"), sum);
--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -20,17 +20,17 @@
     client::{Client, Error},
 };
 
-use crate::site::{CREDENTIAL, Site};
+use crate::deployment::{CREDENTIAL, Deployment};
 
 /// Callers at work.
-const CALLERS: u64 = 10;
+const CALLER_COUNT: u64 = 10;
 /// How often a caller sends one write under one key, through either entry.
-const REPEATS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// How long a caller waits for the start of an answer. Without an end, callers of
 /// an entry that stands still would ask no other one.
-const PATIENCE: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a caller pauses behind each request.
-const PAUSE: Duration = Duration::from_millis(4);
+const REQUEST_PAUSE: Duration = Duration::from_millis(4);
 
 /// What the callers were told.
 #[derive(Debug, Default)]
@@ -59,40 +59,40 @@
 /// The callers at work.
 pub struct Callers {
     stop: Rc<Cell<bool>>,
-    busy: Rc<Cell<u64>>,
+    active: Rc<Cell<u64>>,
     history: Rc<RefCell<History>>,
 }
 
 impl Callers {
     /// Starts them.
-    pub fn start(site: &Site) -> Self {
+    pub fn start(deployment: &Deployment) -> Self {
         let callers = Self {
             stop: Rc::default(),
-            busy: Rc::new(Cell::new(CALLERS)),
+            active: Rc::new(Cell::new(CALLER_COUNT)),
             history: Rc::default(),
         };
-        for number in 0..CALLERS {
+        for number in 0..CALLER_COUNT {
             let mut caller = Caller {
                 number,
-                addresses: site.addresses.clone(),
+                addresses: deployment.addresses.clone(),
                 client: Client::new(Duration::from_secs(1)),
                 sent: 0,
             };
-            let (stop, busy) = (callers.stop.clone(), callers.busy.clone());
+            let (stop, active) = (callers.stop.clone(), callers.active.clone());
             let history = callers.history.clone();
             monoio::spawn(async move {
                 while !stop.get() {
-                    caller.turn(&history).await;
-                    monoio::time::sleep(PAUSE).await;
+                    caller.send_next(&history).await;
+                    monoio::time::sleep(REQUEST_PAUSE).await;
                 }
-                busy.set(busy.get() - 1);
+                active.set(active.get() - 1);
             });
         }
         callers
     }
 
     /// How many answers arrived whole so far.
-    pub fn answers(&self) -> usize {
+    pub fn whole_answers(&self) -> usize {
         let history = self.history.borrow();
         history.answers.iter().filter(|answer| answer.ended).count()
     }
@@ -100,8 +100,8 @@
     /// Lets the last requests end and gives what was told.
     pub async fn stop(self) -> History {
         self.stop.set(true);
-        while self.busy.get() > 0 {
-            monoio::time::sleep(PAUSE).await;
+        while self.active.get() > 0 {
+            monoio::time::sleep(REQUEST_PAUSE).await;
         }
         self.history.take()
     }
@@ -109,7 +109,7 @@
 
 impl Caller {
     /// One write or one completion.
-    async fn turn(&mut self, history: &RefCell<History>) {
+    async fn send_next(&mut self, history: &RefCell<History>) {
         self.sent += 1;
         if (self.sent + self.number).is_multiple_of(2) {
             let entry = self.write().await;
@@ -121,28 +121,28 @@
     }
 
     /// Sends one write under one key until it is told that it ran. What was
-    /// unknown once stays unknown, whatever a repeat is told.
+    /// unknown once stays unknown, whatever a later attempt is told.
     async fn write(&self) -> outcomes::Entry {
         let name = format!("write-{}-{}", self.number, self.sent);
-        let mut told = Outcome::NotRun;
-        for repeat in 0..REPEATS {
+        let mut outcome = Outcome::NotRun;
+        for attempt in 0..MAX_ATTEMPTS {
             let sent = request("/jobs/bookings")
                 .header(header::IDEMPOTENCY_KEY, &name)
                 .body(Body::full(name.clone()))
                 .expect("a request");
-            told = match (told, self.send(repeat, sent).await.outcome) {
+            outcome = match (outcome, self.send(attempt, sent).await.outcome) {
                 (_, Outcome::Ran) => Outcome::Ran,
                 (Outcome::Unknown, _) | (_, Outcome::Unknown) => Outcome::Unknown,
                 _ => Outcome::NotRun,
             };
-            if told == Outcome::Ran {
+            if outcome == Outcome::Ran {
                 break;
             }
-            monoio::time::sleep(PAUSE).await;
+            monoio::time::sleep(REQUEST_PAUSE).await;
         }
         outcomes::Entry {
             request: name,
-            outcome: told,
+            outcome,
         }
     }
 
@@ -174,29 +174,29 @@
     }
 
     /// Sends a request through one of the entries and reads its answer.
-    async fn send(&self, repeat: usize, request: Request<Body>) -> Reply {
-        let turn = usize::try_from(self.number).expect("a small number") + repeat;
-        let entry = self.addresses[turn % self.addresses.len()];
-        let lost = |outcome| Reply {
+    async fn send(&self, attempt: usize, request: Request<Body>) -> Reply {
+        let index = usize::try_from(self.number).expect("a small number") + attempt;
+        let entry = self.addresses[index % self.addresses.len()];
+        let incomplete = |outcome| Reply {
             outcome,
             body: Vec::new(),
             ended: false,
         };
-        let sent = monoio::time::timeout(PATIENCE, self.client.send(entry, request)).await;
+        let sent = monoio::time::timeout(RESPONSE_TIMEOUT, self.client.send(entry, request)).await;
         let response = match sent {
             Ok(Ok(response)) => response,
-            Ok(Err(Error::NotSent(_))) => return lost(Outcome::NotRun),
-            Ok(Err(_)) | Err(_) => return lost(Outcome::Unknown),
+            Ok(Err(Error::NotSent(_))) => return incomplete(Outcome::NotRun),
+            Ok(Err(_)) | Err(_) => return incomplete(Outcome::Unknown),
         };
-        let told = response.headers().get(header::OUTCOME);
-        let outcome = Outcome::from_header(told.and_then(|value| value.to_str().ok()));
+        let value = response.headers().get(header::OUTCOME);
+        let outcome = Outcome::from_header(value.and_then(|value| value.to_str().ok()));
         match response.into_body().collect().await {
             Ok(body) => Reply {
                 outcome,
                 body: body.to_bytes().to_vec(),
                 ended: true,
             },
-            Err(_) => lost(match outcome {
+            Err(_) => incomplete(match outcome {
                 Outcome::NotRun => Outcome::NotRun,
                 _ => Outcome::Unknown,
             }),
--- a/verbenaspool/tests/history/site.rs
+++ b/verbenaspool/tests/history/deployment.rs
@@ -26,34 +26,34 @@
     shutdown::{self, Trigger},
 };
 
-use crate::process::{Process, address, agent, entry};
+use crate::process::{Process, agent_program, entry_program, instance_address};
 
 /// The customer's credential.
 pub const CREDENTIAL: &str = "a-long-random-token";
-/// Entries of the site.
-pub const ENTRIES: u8 = 2;
+/// Entries of the deployment.
+pub const ENTRY_COUNT: u8 = 2;
 /// Upstreams of each of the two services.
-pub const UPSTREAMS: u8 = 2;
+pub const UPSTREAMS_PER_SERVICE: u8 = 2;
 
 /// The listeners of a process.
-const LISTEN: u8 = 0;
-const CONTROL: u8 = 1;
-const ADMIN: u8 = 2;
+const LISTEN_PORT: u8 = 0;
+const CONTROL_PORT: u8 = 1;
+const ADMIN_PORT: u8 = 2;
 
 /// The zones; instance by instance is in the one or the other.
 const ZONES: [&str; 2] = ["bowen", "tweed"];
 
 /// The zone of an instance.
-pub fn zone(number: u8) -> usize {
+pub fn zone_index(number: u8) -> usize {
     usize::from(number) % ZONES.len()
 }
 
 /// Everything that runs.
-pub struct Site {
+pub struct Deployment {
     /// The platform.
     pub platform: Platform,
     /// What the plain service wrote.
-    pub book: Rc<Journal>,
+    pub journal: Rc<Journal>,
     /// The engines.
     pub engines: Vec<Rc<Parts>>,
     /// The entries.
@@ -63,12 +63,12 @@
     /// Where callers connect.
     pub addresses: Vec<SocketAddr>,
     client: Client,
-    admins: Vec<SocketAddr>,
+    admin_addresses: Vec<SocketAddr>,
     _stop: Trigger,
 }
 
 /// The firm's file.
-fn file() -> File {
+fn configuration_file() -> File {
     let text = format!(
         "firm: tidewater
 places: [{{zone: bowen, region: queensland}}, {{zone: tweed, region: queensland}}]
@@ -88,11 +88,11 @@
     settings::parse("tidewater.yaml".as_ref(), &text).expect("a sound file")
 }
 
-fn name(text: &str) -> Name {
+fn parse_name(text: &str) -> Name {
     text.parse().expect("a name")
 }
 
-impl Site {
+impl Deployment {
     /// Starts everything and waits until the entries are ready. Tests that run
     /// at once differ in their number.
     pub async fn start(test: u8) -> Self {
@@ -100,105 +100,112 @@
         let platform = Platform::start().expect("a port");
         platform.allow("token", "tidewater");
         let (stop, signal) = shutdown::channel();
-        let book = Journal::new(Duration::from_millis(3), clock.clone());
-        let mut site = Self {
+        let journal = Journal::new(Duration::from_millis(3), clock.clone());
+        let mut deployment = Self {
             platform,
-            book: book.clone(),
+            journal: journal.clone(),
             engines: Vec::new(),
             entries: RefCell::default(),
             agents: RefCell::default(),
             addresses: Vec::new(),
             client: Client::new(Duration::from_secs(1)),
-            admins: Vec::new(),
+            admin_addresses: Vec::new(),
             _stop: stop,
         };
-        for number in 0..UPSTREAMS {
+        for number in 0..UPSTREAMS_PER_SERVICE {
             let engine = Engine::bind(Config::default(), clock.clone()).expect("a port");
-            site.engines.push(engine.parts());
-            site.agent(test, number, "assistant", engine.address(), "engine");
+            deployment.engines.push(engine.parts());
+            deployment.start_agent(test, number, "assistant", engine.address(), "engine");
             monoio::spawn(engine.run(signal.clone()));
         }
-        for number in UPSTREAMS..2 * UPSTREAMS {
+        for number in UPSTREAMS_PER_SERVICE..2 * UPSTREAMS_PER_SERVICE {
             let any = ([127, 0, 0, 1], 0).into();
-            let service = Service::bind(any, book.clone()).expect("a port");
-            site.agent(test, number, "jobs", service.address(), "plain");
+            let service = Service::bind(any, journal.clone()).expect("a port");
+            deployment.start_agent(test, number, "jobs", service.address(), "plain");
             monoio::spawn(service.run(signal.clone()));
         }
-        site.apply().await;
-        for number in 0..ENTRIES {
-            site.entry(test, number);
+        deployment.apply().await;
+        for number in 0..ENTRY_COUNT {
+            deployment.start_entry(test, number);
         }
-        for admin in site.admins.clone() {
-            while !site.ready(admin).await {
+        for admin in deployment.admin_addresses.clone() {
+            while !deployment.knows_all_upstreams(admin).await {
                 monoio::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        site
+        deployment
     }
 
     /// Starts an agent and enters its instance in the platform's list.
-    fn agent(&self, test: u8, number: u8, service: &str, beside: SocketAddr, kind: &str) {
-        let at = |port| address(test, number + 1, port);
-        let (listen, control) = (at(LISTEN), at(CONTROL));
+    fn start_agent(
+        &self,
+        test: u8,
+        number: u8,
+        service: &str,
+        upstream_address: SocketAddr,
+        kind: &str,
+    ) {
+        let at = |port| instance_address(test, number + 1, port);
+        let (listen, control) = (at(LISTEN_PORT), at(CONTROL_PORT));
         let instance = format!("{service}-{number}");
         let yaml = format!(
             "firm: tidewater\ninstance: {instance}\nlisten: {listen}\ncontrol: {control}\n\
-             upstream: {{address: '{beside}', kind: {kind}}}\n\
+             upstream: {{address: '{upstream_address}', kind: {kind}}}\n\
              drain: {{deadline_seconds: 10, linger_ms: 300}}\n"
         );
         let process = Process::start(
-            agent(),
+            agent_program(),
             &format!("{}-{test}-{instance}", std::process::id()),
             &yaml,
         );
         self.agents.borrow_mut().push(process);
         let upstream = Upstream {
-            name: name(&instance),
-            service: name(service),
-            zone: name(ZONES[zone(number)]),
+            name: parse_name(&instance),
+            service: parse_name(service),
+            zone: parse_name(ZONES[zone_index(number)]),
             agent: listen,
             control,
             state: State::Live,
             incarnation: 1,
             rank: None,
         };
-        let key = format!("{}{instance}", keys::instances(&name("tidewater")));
+        let key = format!("{}{instance}", keys::instances(&parse_name("tidewater")));
         let value = serde_json::to_vec(&upstream).expect("plain data");
         self.platform
             .with(|objects| objects.put(&key, value.into()));
     }
 
     /// Starts an entry.
-    fn entry(&mut self, test: u8, number: u8) {
-        let at = |port| address(test, 100 + number, port);
-        let zone = ZONES[zone(number)];
+    fn start_entry(&mut self, test: u8, number: u8) {
+        let at = |port| instance_address(test, 100 + number, port);
+        let zone = ZONES[zone_index(number)];
         let yaml = format!(
             "firm: tidewater\nname: entry-{number}\nzone: {zone}\n\
              listen: {}\ncontrol: {}\nadmin: {}\n\
              platform: {{address: '{}', token: token, timeout_ms: 300}}\n\
              drain: {{linger_ms: 300, deadline_ms: 10000}}\n",
-            at(LISTEN),
-            at(CONTROL),
-            at(ADMIN),
+            at(LISTEN_PORT),
+            at(CONTROL_PORT),
+            at(ADMIN_PORT),
             self.platform.address(),
         );
         let process = Process::start(
-            entry(),
+            entry_program(),
             &format!("{}-{test}-entry-{number}", std::process::id()),
             &yaml,
         );
         self.entries.borrow_mut().push(process);
-        self.addresses.push(at(LISTEN));
-        self.admins.push(at(ADMIN));
+        self.addresses.push(at(LISTEN_PORT));
+        self.admin_addresses.push(at(ADMIN_PORT));
     }
 
     /// Does the same to every process of a zone.
-    pub fn each_of(&self, zone: usize, act: impl Fn(&mut Process)) {
+    pub fn for_each_in_zone(&self, zone: usize, act: impl Fn(&mut Process)) {
         let (mut agents, mut entries) = (self.agents.borrow_mut(), self.entries.borrow_mut());
         let agents = agents.iter_mut().enumerate();
         let all = agents.chain(entries.iter_mut().enumerate());
         let numbered = all.map(|(number, process)| (number % ZONES.len(), process));
-        for (_, process) in numbered.filter(|(of, _)| *of == zone) {
+        for (_, process) in numbered.filter(|(index, _)| *index == zone) {
             act(process);
         }
     }
@@ -211,16 +218,16 @@
             timeout: Duration::from_secs(1),
         });
         let request = apply::Request {
-            firm: name("tidewater"),
+            firm: parse_name("tidewater"),
             id: "first".to_owned(),
             expected_version: None,
-            split: piece::split(&file()).expect("the file fits"),
+            split: piece::split(&configuration_file()).expect("the file fits"),
         };
         config::apply(&store, request, Duration::from_secs(5), 7).await;
     }
 
     /// Whether an entry is ready and has heard of all upstreams.
-    async fn ready(&self, admin: SocketAddr) -> bool {
+    async fn knows_all_upstreams(&self, admin: SocketAddr) -> bool {
         let request = Request::get("/metrics").header("host", "entry");
         let request = request.body(Body::empty()).expect("a request");
         let Ok(response) = self.client.send(admin, request).await else {
@@ -232,7 +239,9 @@
         let body = body.to_bytes();
         let text = String::from_utf8_lossy(&body);
         ["assistant", "jobs"].iter().all(|service| {
-            let line = format!("verbenaspool_upstreams{{service=\"{service}\"}} {UPSTREAMS}\n");
+            let line = format!(
+                "verbenaspool_upstreams{{service=\"{service}\"}} {UPSTREAMS_PER_SERVICE}\n"
+            );
             text.contains(&line)
         })
     }
--- a/verbenaspool/tests/history/faults.rs
+++ b/verbenaspool/tests/history/faults.rs
@@ -8,15 +8,15 @@
 use verbenaspool_standin::history::{answers, outcomes, writes};
 use verbenaspool_transport::runtime;
 
-use crate::{callers::Callers, process::Process, site::Site};
+use crate::{callers::Callers, deployment::Deployment, process::Process};
 
 /// How long callers are at work before, during and after a fault, at least.
-const PART: Duration = Duration::from_millis(500);
-/// How long a run may take: a site that serves nobody ends here.
-const LONGEST: Duration = Duration::from_mins(1);
+const PHASE: Duration = Duration::from_millis(500);
+/// How long a run may take: a deployment that serves nobody ends here.
+const RUN_TIMEOUT: Duration = Duration::from_mins(1);
 /// Answers and writes without which a history proves nothing. The run goes on
 /// until it has them, however slow the machine is.
-const ENOUGH: usize = 30;
+const MIN_ANSWERS: usize = 30;
 
 /// What happens, with the number that keeps tests apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,38 +53,43 @@
 }
 
 /// The zone that is lost.
-const LOST: usize = 1;
+const FAULTY_ZONE: usize = 1;
 
 impl Fault {
     /// Lets it begin.
-    fn begin(self, site: &Site) {
+    fn inject(self, deployment: &Deployment) {
         match self {
-            Self::ZonePaused => return site.each_of(LOST, |process| process.signal("STOP")),
-            Self::ZoneKilled => return site.each_of(LOST, Process::kill),
+            Self::ZonePaused => {
+                return deployment.for_each_in_zone(FAULTY_ZONE, |process| process.signal("STOP"));
+            }
+            Self::ZoneKilled => return deployment.for_each_in_zone(FAULTY_ZONE, Process::kill),
             Self::ZonePausedPlatformDown => {
-                site.platform.set(|faults| faults.down = true);
-                return site.each_of(LOST, |process| process.signal("STOP"));
+                deployment.platform.set(|faults| faults.down = true);
+                return deployment.for_each_in_zone(FAULTY_ZONE, |process| process.signal("STOP"));
             }
             _ => {}
         }
-        let first = usize::from(crate::site::UPSTREAMS);
-        let (mut agents, mut entries) = (site.agents.borrow_mut(), site.entries.borrow_mut());
+        let first_plain_agent = usize::from(crate::deployment::UPSTREAMS_PER_SERVICE);
+        let (mut agents, mut entries) = (
+            deployment.agents.borrow_mut(),
+            deployment.entries.borrow_mut(),
+        );
         match self {
-            Self::AgentKilled => agents[first].kill(),
+            Self::AgentKilled => agents[first_plain_agent].kill(),
             Self::EngineAgentKilled => agents[0].kill(),
             Self::EntryKilled => entries[0].kill(),
             Self::EntryStopped => entries[0].signal("TERM"),
-            Self::AgentLeaves => agents[first].signal("TERM"),
-            Self::AgentPaused => agents[first].signal("STOP"),
-            Self::PlatformDown => site.platform.set(|faults| faults.down = true),
-            Self::AnswersLost => site.platform.set(|faults| faults.lose_answers = 20),
-            Self::UpstreamAnswersLost => (0..10).for_each(|_| site.book.lose_answer()),
+            Self::AgentLeaves => agents[first_plain_agent].signal("TERM"),
+            Self::AgentPaused => agents[first_plain_agent].signal("STOP"),
+            Self::PlatformDown => deployment.platform.set(|faults| faults.down = true),
+            Self::AnswersLost => deployment.platform.set(|faults| faults.lose_answers = 20),
+            Self::UpstreamAnswersLost => (0..10).for_each(|_| deployment.journal.lose_answer()),
             Self::PlatformDownAgentKilled => {
-                site.platform.set(|faults| faults.down = true);
-                agents[first].kill();
+                deployment.platform.set(|faults| faults.down = true);
+                agents[first_plain_agent].kill();
             }
             Self::AnswersLostEntryKilled => {
-                site.platform.set(|faults| faults.lose_answers = 20);
+                deployment.platform.set(|faults| faults.lose_answers = 20);
                 entries[0].kill();
             }
             _ => {}
@@ -92,31 +97,36 @@
     }
 
     /// Lets it end.
-    fn end(self, site: &Site) {
-        site.platform.set(|faults| {
+    fn clear(self, deployment: &Deployment) {
+        deployment.platform.set(|faults| {
             faults.down = false;
             faults.lose_answers = 0;
         });
         match self {
             Self::ZonePaused | Self::ZonePausedPlatformDown => {
-                return site.each_of(LOST, |process| process.signal("CONT"));
+                return deployment.for_each_in_zone(FAULTY_ZONE, |process| process.signal("CONT"));
             }
-            Self::ZoneKilled => return site.each_of(LOST, Process::restart),
+            Self::ZoneKilled => return deployment.for_each_in_zone(FAULTY_ZONE, Process::restart),
             _ => {}
         }
-        let first = usize::from(crate::site::UPSTREAMS);
-        let (mut agents, mut entries) = (site.agents.borrow_mut(), site.entries.borrow_mut());
+        let first_plain_agent = usize::from(crate::deployment::UPSTREAMS_PER_SERVICE);
+        let (mut agents, mut entries) = (
+            deployment.agents.borrow_mut(),
+            deployment.entries.borrow_mut(),
+        );
         match self {
-            Self::AgentKilled | Self::PlatformDownAgentKilled => agents[first].restart(),
+            Self::AgentKilled | Self::PlatformDownAgentKilled => {
+                agents[first_plain_agent].restart()
+            }
             Self::EngineAgentKilled => agents[0].restart(),
             Self::EntryKilled | Self::AnswersLostEntryKilled => entries[0].restart(),
-            Self::AgentPaused => agents[first].signal("CONT"),
+            Self::AgentPaused => agents[first_plain_agent].signal("CONT"),
             _ => {}
         }
     }
 
     /// Whether no stream may break off under it.
-    fn cuts_nothing(self) -> bool {
+    fn keeps_streams_whole(self) -> bool {
         !matches!(
             self,
             Self::EngineAgentKilled
@@ -130,41 +140,43 @@
 }
 
 /// Plays a fault under traffic and judges the history.
-fn play(fault: Fault) {
+fn run_with_fault(fault: Fault) {
     let run = async {
-        let site = Site::start(fault as u8).await;
-        let callers = Callers::start(&site);
-        monoio::time::sleep(PART).await;
-        fault.begin(&site);
-        monoio::time::sleep(PART).await;
+        let deployment = Deployment::start(fault as u8).await;
+        let callers = Callers::start(&deployment);
+        monoio::time::sleep(PHASE).await;
+        fault.inject(&deployment);
+        monoio::time::sleep(PHASE).await;
         // What is left goes on serving while the fault lasts.
-        let before = callers.answers();
-        while callers.answers() == before {
-            monoio::time::sleep(PART).await;
+        let before = callers.whole_answers();
+        while callers.whole_answers() == before {
+            monoio::time::sleep(PHASE).await;
         }
-        fault.end(&site);
-        monoio::time::sleep(PART).await;
-        while site.book.writes.borrow().len() < ENOUGH || callers.answers() < ENOUGH {
-            monoio::time::sleep(PART).await;
+        fault.clear(&deployment);
+        monoio::time::sleep(PHASE).await;
+        while deployment.journal.writes.borrow().len() < MIN_ANSWERS
+            || callers.whole_answers() < MIN_ANSWERS
+        {
+            monoio::time::sleep(PHASE).await;
         }
         let history = callers.stop().await;
-        let begun = site.book.writes.borrow().clone();
-        (history, begun)
+        let started_writes = deployment.journal.writes.borrow().clone();
+        (history, started_writes)
     };
-    let played = runtime::run(async { monoio::time::timeout(LONGEST, run).await });
-    let played = played.expect("a loop starts");
-    let (history, begun) = played.expect("callers are served before, during and after");
-    let begun = || begun.iter().map(String::as_str);
+    let result = runtime::run(async { monoio::time::timeout(RUN_TIMEOUT, run).await });
+    let result = result.expect("a loop starts");
+    let (history, started_writes) = result.expect("callers are served before, during and after");
+    let started_writes = || started_writes.iter().map(String::as_str);
     let whole = answers::check(&history.answers).expect("own whole answers");
-    let asked = history.writes.iter().map(|write| write.request.as_str());
-    let ran = writes::check(asked, begun()).expect("writes at most once");
-    outcomes::check(&history.writes, begun()).expect("true outcomes");
-    if fault.cuts_nothing() {
-        let cut = history
+    let requested = history.writes.iter().map(|write| write.request.as_str());
+    let ran = writes::check(requested, started_writes()).expect("writes at most once");
+    outcomes::check(&history.writes, started_writes()).expect("true outcomes");
+    if fault.keeps_streams_whole() {
+        let truncated = history
             .answers
             .iter()
             .filter(|answer| answer.outcome == Outcome::Unknown && !answer.ended);
-        assert_eq!(cut.count(), 0, "streams cut off");
+        assert_eq!(truncated.count(), 0, "streams cut off");
     }
     assert!(whole > 0 && ran > 0, "{whole} answers, {ran} writes");
 }
@@ -174,7 +186,7 @@
     ($($test:ident: $fault:ident,)*) => {
         $(#[test]
         fn $test() {
-            play(Fault::$fault);
+            run_with_fault(Fault::$fault);
         })*
     };
 }
@@ -184,7 +196,7 @@
     a_plain_agent_is_killed: AgentKilled,
     an_engine_agent_is_killed: EngineAgentKilled,
     an_entry_is_killed: EntryKilled,
-    an_entry_is_told_to_stop: EntryStopped,
+    an_entry_is_stopped: EntryStopped,
     an_agent_leaves_while_the_list_is_stale: AgentLeaves,
     an_agent_is_paused: AgentPaused,
     the_platform_is_down: PlatformDown,
@@ -192,7 +204,7 @@
     the_upstream_loses_answers: UpstreamAnswersLost,
     the_platform_is_down_and_an_agent_is_killed: PlatformDownAgentKilled,
     answers_are_lost_and_an_entry_is_killed: AnswersLostEntryKilled,
-    a_zone_stands_still: ZonePaused,
+    a_zone_is_paused: ZonePaused,
     a_zone_is_killed: ZoneKilled,
-    a_zone_stands_still_and_the_platform_is_down: ZonePausedPlatformDown,
+    a_zone_is_paused_and_the_platform_is_down: ZonePausedPlatformDown,
 }
--- a/verbenaspool/tests/history/main.rs
+++ b/verbenaspool/tests/history/main.rs
@@ -2,6 +2,6 @@
 //! at work, one fault or two at once, and the checkers' verdict.
 
 mod callers;
+mod deployment;
 mod faults;
 mod process;
-mod site;
--- a/verbenaspool/tests/history/process.rs
+++ b/verbenaspool/tests/history/process.rs
@@ -14,13 +14,13 @@
 }
 
 /// The entry's program.
-pub fn entry() -> PathBuf {
+pub fn entry_program() -> PathBuf {
     env!("CARGO_BIN_EXE_verbenaspool").into()
 }
 
 /// The agent's program, which stands beside the entry's.
-pub fn agent() -> PathBuf {
-    let path = entry().with_file_name("verbenaspool-agent");
+pub fn agent_program() -> PathBuf {
+    let path = entry_program().with_file_name("verbenaspool-agent");
     assert!(path.exists(), "build the whole workspace first");
     path
 }
@@ -75,10 +75,10 @@
 /// A loopback address of one instance of one test. It also differs between
 /// runs of the tests at once: with one run's callers at the other's entries,
 /// either would find writes that nobody of its own had asked for.
-pub fn address(test: u8, instance: u8, port: u8) -> SocketAddr {
+pub fn instance_address(test: u8, instance: u8, port_index: u8) -> SocketAddr {
     let run = std::process::id();
-    let low = u8::try_from(run % 250).expect("below 250") + 1;
-    let high = u16::try_from(run / 250 % 2_000).expect("below 2,000");
-    let port = 20_000 + high * 8 + u16::from(port);
-    ([127, low, test, instance], port).into()
+    let second_octet = u8::try_from(run % 250).expect("below 250") + 1;
+    let port_block = u16::try_from(run / 250 % 2_000).expect("below 2,000");
+    let port = 20_000 + port_block * 8 + u16::from(port_index);
+    ([127, second_octet, test, instance], port).into()
 }
--- a/verbenaspool/tests/rules/extra.rs
+++ b/verbenaspool/tests/rules/extra.rs
@@ -15,7 +15,7 @@
 }
 
 /// A page of the manual.
-fn page(command: Command) -> String {
+fn man_page(command: Command) -> String {
     let mut text = Vec::new();
     clap_mangen::Man::new(command).render(&mut text).unwrap();
     String::from_utf8(text).unwrap()
@@ -40,15 +40,15 @@
         command.build();
         let name = command.get_name().to_owned();
         let path = format!("../../../extra/man/{name}.1");
-        expect_file![path].assert_eq(&page(command.clone()));
-        for part in command.get_subcommands() {
-            if part.get_name() == "help" {
+        expect_file![path].assert_eq(&man_page(command.clone()));
+        for subcommand in command.get_subcommands() {
+            if subcommand.get_name() == "help" {
                 continue;
             }
-            let title = format!("{name}-{}", part.get_name());
+            let title = format!("{name}-{}", subcommand.get_name());
             let path = format!("../../../extra/man/{title}.1");
-            let part = part.clone().display_name(&title);
-            expect_file![path].assert_eq(&page(part));
+            let subcommand = subcommand.clone().display_name(&title);
+            expect_file![path].assert_eq(&man_page(subcommand));
         }
     }
 }
