--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -1,4 +1,4 @@
-//! `verbenaspool run`: the entry as a process.
+//! `verbenaspool run`: the entry process.
 
 use std::{io, net::SocketAddr, path::Path, rc::Rc, time::Duration};
 
@@ -32,31 +32,31 @@
     settings::Settings,
 };
 
-/// How often the process looks whether another has taken its name over, and who
-/// else serves its zone.
+/// How often the process checks whether another one has taken over its name, and which
+/// other entries serve its zone.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long spans may take to go out at the end.
+/// Timeout for exporting the last spans at shutdown.
 const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the entry could not run.
+/// Why the entry failed to run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings can't be taken.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] settings::Error),
-    /// An address can't be listened at.
-    #[error("{address} can't be listened at: {why}")]
+    /// An address can't be bound.
+    #[error("can't listen on {address}: {why}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         why: io::Error,
     },
-    /// The loop can't start.
-    #[error("the loop can't start: {0}")]
+    /// The event loop can't start.
+    #[error("can't start the event loop: {0}")]
     Runtime(#[from] io::Error),
-    /// Signals can't be heard.
+    /// Signal handlers can't be installed.
     #[error(transparent)]
     Signal(#[from] shutdown::Error),
 }
@@ -64,11 +64,11 @@
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Drained {
-    /// Connections that were cut off at the drain's deadline.
+    /// Number of connections that were still open at the drain deadline and were aborted.
     pub cut: usize,
 }
 
-/// The part of the settings that tells which path requests take.
+/// The setting that selects the request path.
 #[derive(Debug, Deserialize)]
 struct PathChoice {
     #[serde(default)]
@@ -78,7 +78,7 @@
 /// Runs the entry until SIGTERM, SIGINT or SIGHUP.
 ///
 /// # Errors
-/// The settings can't be taken, or an address can't be listened at.
+/// The settings are invalid, or an address can't be bound.
 pub fn main(path: &Path) -> Result<Drained, Error> {
     if settings::load::<PathChoice>(path)?.path.is_some() {
         return direct::run::main(path);
@@ -92,18 +92,18 @@
     })?
 }
 
-/// Opens an address that no other process has.
+/// Binds an address exclusively.
 fn bind_listener(address: SocketAddr) -> Result<TcpListener, Error> {
-    // Two processes that share a port by mistake would split the callers
-    // between them, so the second must fail instead.
+    // With SO_REUSEPORT, two processes that are given the same port by mistake would
+    // share its connections. Without it the second one fails to start.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options).map_err(|why| Error::Listen { address, why })
 }
 
-/// Runs an entry with these settings until the signal comes, then drains.
+/// Runs an entry until the signal fires, then drains it.
 ///
 /// # Errors
-/// An address can't be listened at.
+/// An address can't be bound.
 pub async fn serve(
     settings: Settings,
     log: Logger,
@@ -127,17 +127,17 @@
         store: Some(store.clone()),
     };
     let entry = Entry::with_dependencies(settings.options(), dependencies);
-    // What is needed until the last request has ended stops behind it.
+    // Stops the tasks that are needed until the last request has ended.
     let (finish, finish_signal) = shutdown::channel();
     if let Some(admin) = admin {
         monoio::spawn(Admin(entry.clone()).serve(admin, finish_signal.clone()));
     }
-    // Claims of callers' writes go past the budget: they have deadlines.
+    // Claims of callers' writes have deadlines and aren't subject to the call budget.
     let budget = Budget::new(store, clock.clone(), budget::Settings::default());
     let source = follow_configuration(&settings, &entry, budget, control, &finish_signal);
     let (close, close_signal) = shutdown::channel();
     let mut serving = Box::pin(entry.clone().serve(listener, close_signal));
-    info!(log, "Entry: Started."; "name" => settings.name.as_str(), "listen" => settings.listen);
+    info!(log, "entry started"; "name" => settings.name.as_str(), "listen" => settings.listen);
     let stop = Box::pin(wait_for_stop(&mut signal, &source, &log));
     if let Either::Left(_) = select(serving.as_mut(), stop).await {
         return Ok(Drained { cut: 0 });
@@ -149,11 +149,11 @@
     }
     source.end();
     finish.fire();
-    info!(log, "Entry: Stopped."; "cut" => drained.cut);
+    info!(log, "entry stopped"; "cut" => drained.cut);
     Ok(drained)
 }
 
-/// The exporter of spans, where there is a collector.
+/// The span exporter, if a collector is configured.
 fn exporter(settings: &Settings, tracer: &Rc<Tracer>) -> Option<Rc<Exporter>> {
     let collector = settings.traces.as_ref()?.collector;
     let resource = vec![
@@ -165,7 +165,7 @@
     Some(Exporter::new(tracer.clone(), collector, resource))
 }
 
-/// Follows the firm's configuration and its upstreams.
+/// Starts the tasks that follow the firm's configuration and its upstreams.
 fn follow_configuration(
     settings: &Settings,
     entry: &Rc<Entry>,
@@ -201,7 +201,7 @@
     source
 }
 
-/// Puts in force what the source brings.
+/// Applies each new version of the configuration to the entry.
 async fn apply_configurations(source: Rc<Source>, entry: Rc<Entry>) {
     let mut seen = Version::default();
     loop {
@@ -211,7 +211,7 @@
     }
 }
 
-/// Tells the entry who else serves its zone.
+/// Keeps the entry's list of the live entries of its zone up to date.
 async fn update_peers(source: Rc<Source>, entry: Rc<Entry>, finish_signal: Signal) {
     let mut known = Vec::new();
     while !finish_signal.fired() {
@@ -224,11 +224,11 @@
     }
 }
 
-/// Waits for the word to stop, or for a successor of the same name.
+/// Waits until the signal fires or another process has taken over this entry's name.
 async fn wait_for_stop(signal: &mut Signal, source: &Source, log: &Logger) {
     loop {
         if source.replaced() {
-            warn!(log, "Entry: Another process has taken over this name.");
+            warn!(log, "another process has taken over this name");
             return;
         }
         let heard = monoio::time::timeout(POLL_INTERVAL, signal.wait()).await;
@@ -238,7 +238,7 @@
     }
 }
 
-/// Lets the requests in flight end.
+/// Waits for the requests in flight, up to the drain deadline.
 async fn drain(
     settings: &Settings,
     entry: &Rc<Entry>,
@@ -246,7 +246,7 @@
     serving: impl Future<Output = ()>,
     log: &Logger,
 ) -> Drained {
-    info!(log, "Entry: Draining."; "connections" => entry.connections.count());
+    info!(log, "draining"; "connections" => entry.connections.count());
     entry.start_draining();
     entry.connections.close();
     let mut serving = Box::pin(serving);
@@ -255,7 +255,8 @@
             .clock
             .sleep(Duration::from_millis(settings.drain.linger_ms)),
     );
-    // Until the platform's balancer has noticed, callers still come and are served.
+    // New connections are accepted until the platform's load balancer has noticed that
+    // the entry isn't ready any more.
     select(serving.as_mut(), linger).await;
     close.fire();
     let deadline = Duration::from_millis(settings.drain.deadline_ms);
@@ -263,6 +264,6 @@
         return Drained { cut: 0 };
     }
     let cut = entry.connections.count();
-    warn!(log, "Entry: The drain's deadline cuts requests off."; "connections" => cut);
+    warn!(log, "drain deadline passed; closing connections with open requests"; "connections" => cut);
     Drained { cut }
 }
--- a/verbenaspool/src/settings.rs
+++ b/verbenaspool/src/settings.rs
@@ -8,64 +8,64 @@
 
 use crate::entry::{Options, upload::Bounds};
 
-/// The settings of one entry process. All defaults stand in this module.
+/// The settings of an entry process. All defaults are defined in this module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The firm that the entry serves.
     pub firm: Name,
-    /// The entry's own name among the firm's entry instances.
+    /// The entry's name, unique among the firm's entry instances.
     pub name: Name,
-    /// The availability zone it stands in.
+    /// The availability zone of the entry.
     pub zone: Name,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where the zone's other entries connect.
+    /// Listen address for the other entries of the zone.
     #[serde(default)]
     pub control: Option<SocketAddr>,
     /// Control addresses of some other entries of the zone.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Where health, readiness and metrics are told.
+    /// Listen address for health checks, readiness checks and metrics.
     #[serde(default)]
     pub admin: Option<SocketAddr>,
     /// The platform's object API.
     pub platform: Platform,
-    /// Bounds on what callers may send.
+    /// Limits on callers' connections and requests.
     #[serde(default)]
     pub limits: Limits,
-    /// What happens at SIGTERM.
+    /// How the entry drains at SIGTERM.
     #[serde(default)]
     pub drain: Drain,
-    /// What is logged, and how.
+    /// Level and format of the log.
     #[serde(default)]
     pub log: log::Settings,
-    /// Where spans go; none are recorded without it.
+    /// Export of spans; without it none are recorded.
     #[serde(default)]
     pub traces: Option<trace::Settings>,
 }
 
-/// How the platform is reached.
+/// Access to the platform's object API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Its address.
+    /// Address of the API.
     pub address: SocketAddr,
-    /// The token that stands for the firm.
+    /// The firm's access token.
     pub token: Token,
-    /// How long a call may take, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "Platform::default_timeout_ms")]
     pub timeout_ms: u64,
 }
 
 impl Platform {
-    /// The default of [`Platform::timeout_ms`]: the platform answers in
-    /// milliseconds, and a slow answer is waited for this long.
+    /// The default of [`Platform::timeout_ms`]. The platform usually answers within
+    /// milliseconds; slow answers are awaited up to this limit.
     fn default_timeout_ms() -> u64 {
         2_000
     }
 
-    /// The settings in the client's terms.
+    /// Converts to the settings of the platform client.
     ///
     /// ```
     /// use verbenaspool::settings::Platform;
@@ -84,14 +84,14 @@
     }
 }
 
-/// What happens at SIGTERM.
+/// How the entry drains at SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drain {
-    /// How long the entry is unready before it accepts no more connections, in
-    /// milliseconds: the platform's balancer has to notice first.
+    /// How long the entry still accepts connections after it stops being ready, in
+    /// milliseconds. The platform's load balancer has to notice first.
     pub linger_ms: u64,
-    /// How long requests in flight may go on, in milliseconds.
+    /// How long requests in flight may still run after that, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -104,24 +104,24 @@
     }
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' connections and requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// The largest head in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The most header lines.
+    /// Maximum number of header lines.
     pub headers: usize,
-    /// How long a head may take, in milliseconds; an idle connection is closed
+    /// Timeout for reading a request head, in milliseconds. Idle connections are closed
     /// after the same time.
     pub head_ms: u64,
-    /// The largest body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// The longest pause in a body, in milliseconds.
+    /// Maximum pause while a body is received, in milliseconds.
     pub pause_ms: u64,
-    /// How long a connection to an agent may take, in milliseconds.
+    /// Timeout for connecting to an agent, in milliseconds.
     pub connect_ms: u64,
 }
 
@@ -140,7 +140,7 @@
 }
 
 impl Settings {
-    /// The settings in the entry's terms.
+    /// Converts to the options of the entry.
     ///
     /// ```
     /// use std::path::Path;
