--- a/extra/completions/verbenaspool.fish
+++ b/extra/completions/verbenaspool.fish
@@ -27,32 +27,32 @@
 complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -s h -l help -d 'Print help'
 complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -s V -l version -d 'Print version'
 complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "run" -d 'Run the entry process'
-complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "check" -d 'Check a firm\'s file, or an entry\'s settings or a configuration of the direct path, and tell everything that is wrong with it'
-complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "apply" -d 'Apply a firm\'s file, whole or not at all'
-complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "explain" -d 'Tell what became of a request, from the logs of entries'
-complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "entries" -d 'Tell what entries on the direct path have in force'
-complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "status" -d 'Tell what is accepted, and where it is in force'
+complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "check" -d 'Check a firm\'s file, or an entry\'s settings or a configuration of the direct path, and list all problems'
+complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "apply" -d 'Apply a firm\'s file atomically'
+complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "explain" -d 'Show the outcome of a request from the logs of entries'
+complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "entries" -d 'Show the active configuration and the state of entries on the direct path'
+complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "status" -d 'Show the accepted version and where it is active'
 complete -c verbenaspool -n "__fish_verbenaspool_needs_command" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand run" -s s -l settings -d 'The settings file' -r -F
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand run" -s h -l help -d 'Print help'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand check" -l json -d 'Tell the result as JSON'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand check" -l json -d 'Print the result as JSON'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand check" -s h -l help -d 'Print help'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -s s -l settings -d 'The operator\'s settings file' -r -F
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l expect -d 'Apply only if this version is the accepted one; 0 if none is' -r
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l id -d 'The apply\'s id, to settle an apply whose fate is unknown' -r
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l timeout-ms -d 'How long to go on trying, in milliseconds' -r
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l json -d 'Tell the result as JSON'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l expect -d 'Apply only if this is the currently accepted version; 0 if there is none' -r
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l id -d 'The id of the apply, to repeat an apply whose outcome is unknown' -r
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l timeout-ms -d 'How long to retry, in milliseconds' -r
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -l json -d 'Print the result as JSON'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand apply" -s h -l help -d 'Print help'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand explain" -s h -l help -d 'Print help'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand entries" -l json -d 'Tell it as JSON'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand entries" -l json -d 'Print the report as JSON'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand entries" -s h -l help -d 'Print help'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand status" -s s -l settings -d 'The operator\'s settings file' -r -F
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand status" -l json -d 'Tell it as JSON'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand status" -l json -d 'Print the report as JSON'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand status" -s h -l help -d 'Print help'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "run" -d 'Run the entry process'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "check" -d 'Check a firm\'s file, or an entry\'s settings or a configuration of the direct path, and tell everything that is wrong with it'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "apply" -d 'Apply a firm\'s file, whole or not at all'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "explain" -d 'Tell what became of a request, from the logs of entries'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "entries" -d 'Tell what entries on the direct path have in force'
-complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "status" -d 'Tell what is accepted, and where it is in force'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "check" -d 'Check a firm\'s file, or an entry\'s settings or a configuration of the direct path, and list all problems'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "apply" -d 'Apply a firm\'s file atomically'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "explain" -d 'Show the outcome of a request from the logs of entries'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "entries" -d 'Show the active configuration and the state of entries on the direct path'
+complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "status" -d 'Show the accepted version and where it is active'
 complete -c verbenaspool -n "__fish_verbenaspool_using_subcommand help; and not __fish_seen_subcommand_from run check apply explain entries status help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
--- a/extra/completions/verbenaspool.zsh
+++ b/extra/completions/verbenaspool.zsh
@@ -38,20 +38,20 @@
 ;;
 (check)
 _arguments "${_arguments_options[@]}" : \
-'--json[Tell the result as JSON]' \
+'--json[Print the result as JSON]' \
 '-h[Print help]' \
 '--help[Print help]' \
-':file -- The file:_files' \
+':file -- The file to check:_files' \
 && ret=0
 ;;
 (apply)
 _arguments "${_arguments_options[@]}" : \
 '-s+[The operator'\''s settings file]:FILE:_files' \
 '--settings=[The operator'\''s settings file]:FILE:_files' \
-'--expect=[Apply only if this version is the accepted one; 0 if none is]:VERSION:_default' \
-'--id=[The apply'\''s id, to settle an apply whose fate is unknown]:ID:_default' \
-'--timeout-ms=[How long to go on trying, in milliseconds]:MS:_default' \
-'--json[Tell the result as JSON]' \
+'--expect=[Apply only if this is the currently accepted version; 0 if there is none]:VERSION:_default' \
+'--id=[The id of the apply, to repeat an apply whose outcome is unknown]:ID:_default' \
+'--timeout-ms=[How long to retry, in milliseconds]:MS:_default' \
+'--json[Print the result as JSON]' \
 '-h[Print help]' \
 '--help[Print help]' \
 ':file -- The firm'\''s file:_files' \
@@ -61,23 +61,23 @@
 _arguments "${_arguments_options[@]}" : \
 '-h[Print help]' \
 '--help[Print help]' \
-':id -- The id that the caller gave its request, or the fingerprint of its content:_default' \
-'*::logs -- Logs of JSON lines; `-` is standard input:_files' \
+':id -- The request id set by the caller, or the fingerprint of the request'\''s content:_default' \
+'*::logs -- Log files with one JSON object per line; `-` is standard input:_files' \
 && ret=0
 ;;
 (entries)
 _arguments "${_arguments_options[@]}" : \
-'--json[Tell it as JSON]' \
+'--json[Print the report as JSON]' \
 '-h[Print help]' \
 '--help[Print help]' \
-'*::addresses -- Control addresses of entries:_default' \
+'*::addresses -- Control addresses of the entries:_default' \
 && ret=0
 ;;
 (status)
 _arguments "${_arguments_options[@]}" : \
 '-s+[The operator'\''s settings file]:FILE:_files' \
 '--settings=[The operator'\''s settings file]:FILE:_files' \
-'--json[Tell it as JSON]' \
+'--json[Print the report as JSON]' \
 '-h[Print help]' \
 '--help[Print help]' \
 && ret=0
@@ -135,11 +135,11 @@
 _verbenaspool_commands() {
     local commands; commands=(
 'run:Run the entry process' \
-'check:Check a firm'\''s file, or an entry'\''s settings or a configuration of the direct path, and tell everything that is wrong with it' \
-'apply:Apply a firm'\''s file, whole or not at all' \
-'explain:Tell what became of a request, from the logs of entries' \
-'entries:Tell what entries on the direct path have in force' \
-'status:Tell what is accepted, and where it is in force' \
+'check:Check a firm'\''s file, or an entry'\''s settings or a configuration of the direct path, and list all problems' \
+'apply:Apply a firm'\''s file atomically' \
+'explain:Show the outcome of a request from the logs of entries' \
+'entries:Show the active configuration and the state of entries on the direct path' \
+'status:Show the accepted version and where it is active' \
 'help:Print this message or the help of the given subcommand(s)' \
     )
     _describe -t commands 'verbenaspool commands' commands "$@"
@@ -168,11 +168,11 @@
 _verbenaspool__subcmd__help_commands() {
     local commands; commands=(
 'run:Run the entry process' \
-'check:Check a firm'\''s file, or an entry'\''s settings or a configuration of the direct path, and tell everything that is wrong with it' \
-'apply:Apply a firm'\''s file, whole or not at all' \
-'explain:Tell what became of a request, from the logs of entries' \
-'entries:Tell what entries on the direct path have in force' \
-'status:Tell what is accepted, and where it is in force' \
+'check:Check a firm'\''s file, or an entry'\''s settings or a configuration of the direct path, and list all problems' \
+'apply:Apply a firm'\''s file atomically' \
+'explain:Show the outcome of a request from the logs of entries' \
+'entries:Show the active configuration and the state of entries on the direct path' \
+'status:Show the accepted version and where it is active' \
 'help:Print this message or the help of the given subcommand(s)' \
     )
     _describe -t commands 'verbenaspool help commands' commands "$@"
--- a/verbenaspool/src/cli.rs
+++ b/verbenaspool/src/cli.rs
@@ -17,21 +17,21 @@
     run::{self, Drained},
 };
 
-/// The process could not do what it was told.
+/// The command failed.
 const EXIT_FAILED: u8 = 1;
-/// The settings are wrong; clap uses the same code for the command line.
+/// The settings are invalid. clap exits with the same code for an invalid command line.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// The drain's deadline cut requests off.
+/// The drain deadline passed and open requests were aborted.
 const EXIT_REQUESTS_ABORTED: u8 = 3;
 
-/// The file has problems.
+/// The file is invalid.
 const EXIT_INVALID_FILE: u8 = 4;
-/// Another apply came first.
+/// Another apply was accepted first.
 const EXIT_CONFLICT: u8 = 5;
-/// It isn't known whether the file was accepted.
+/// The outcome of the apply is unknown.
 const EXIT_OUTCOME_UNKNOWN: u8 = 6;
 
-/// What `--help` says below the options.
+/// Text of `--help` below the options.
 const AFTER_HELP: &str = "\
 Examples:
   verbenaspool run --settings /etc/verbenaspool/entry.yaml
@@ -42,24 +42,24 @@
   verbenaspool explain 9c41d07be2a35f68 entry-1.log entry-2.log
 
 Exit codes:
-  0  done
-  1  it could not be done
-  2  the command line or the settings are wrong
-  3  the drain's deadline cut requests off
-  4  the file has problems; all of them are told
-  5  another apply came first; nothing of this file is in force
-  6  it isn't known whether the file was accepted; apply it again with --id";
+  0  success
+  1  the command failed
+  2  the command line or the settings are invalid
+  3  the drain deadline passed and open requests were aborted
+  4  the file is invalid; all problems are listed
+  5  another apply was accepted first; this file was not applied
+  6  the outcome of the apply is unknown; repeat it with --id";
 
 /// Balances requests across expert-parallel model groups.
 #[derive(Debug, Parser)]
 #[command(name = "verbenaspool", version, after_help = AFTER_HELP)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the program can do.
+/// The commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run the entry process.
@@ -69,16 +69,16 @@
         settings: PathBuf,
     },
     /// Check a firm's file, or an entry's settings or a configuration of the direct
-    /// path, and tell everything that is wrong with it.
+    /// path, and list all problems.
     Check {
-        /// The file.
+        /// The file to check.
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// Tell the result as JSON.
+        /// Print the result as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Apply a firm's file, whole or not at all.
+    /// Apply a firm's file atomically.
     Apply {
         /// The operator's settings file.
         #[arg(long, short, value_name = "FILE")]
@@ -86,50 +86,49 @@
         /// The firm's file.
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// Apply only if this version is the accepted one; 0 if none is.
+        /// Apply only if this is the currently accepted version; 0 if there is none.
         #[arg(long, value_name = "VERSION")]
         expect: Option<u64>,
-        /// The apply's id, to settle an apply whose fate is unknown.
+        /// The id of the apply, to repeat an apply whose outcome is unknown.
         #[arg(long, value_name = "ID")]
         id: Option<String>,
-        /// How long to go on trying, in milliseconds.
+        /// How long to retry, in milliseconds.
         #[arg(long, value_name = "MS", default_value_t = 20_000)]
         timeout_ms: u64,
-        /// Tell the result as JSON.
+        /// Print the result as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Tell what became of a request, from the logs of entries.
+    /// Show the outcome of a request from the logs of entries.
     Explain {
-        /// The id that the caller gave its request, or the fingerprint of its content.
+        /// The request id set by the caller, or the fingerprint of the request's content.
         #[arg(value_name = "ID")]
         id: String,
-        /// Logs of JSON lines; `-` is standard input.
+        /// Log files with one JSON object per line; `-` is standard input.
         #[arg(value_name = "LOG", required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Tell what entries on the direct path have in force.
+    /// Show the active configuration and the state of entries on the direct path.
     Entries {
-        /// Control addresses of entries.
+        /// Control addresses of the entries.
         #[arg(value_name = "ADDRESS", required = true)]
         addresses: Vec<SocketAddr>,
-        /// Tell it as JSON.
+        /// Print the report as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Tell what is accepted, and where it is in force.
+    /// Show the accepted version and where it is active.
     Status {
         /// The operator's settings file.
         #[arg(long, short, value_name = "FILE")]
         settings: PathBuf,
-        /// Tell it as JSON.
+        /// Print the report as JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// The command line for clap's companions, which write completions and manual
-/// pages.
+/// The command line, from which completions and manual pages are generated.
 ///
 /// ```
 /// assert_eq!(verbenaspool::cli::command().get_name(), "verbenaspool");
@@ -139,7 +138,7 @@
     Cli::command()
 }
 
-/// Does what the command line says.
+/// Parses the command line and runs the command.
 #[must_use]
 pub fn main() -> ExitCode {
     match Cli::parse().command {
@@ -191,16 +190,16 @@
     }
 }
 
-/// Checks a file of either path.
+/// Checks a firm's file or a file of the direct path.
 fn check(file: &Path, json: bool) -> ExitCode {
     match operate::check_direct(file) {
         Ok(None) => report_check(&operate::check(file), json),
         Ok(Some(DirectFile::Settings(name))) => {
-            println!("{name}: the settings are sound");
+            println!("{name}: the settings are valid");
             ExitCode::SUCCESS
         }
         Ok(Some(DirectFile::Configuration(version, routes))) => {
-            println!("version {version}: the configuration is sound, {routes} routes");
+            println!("version {version}: the configuration is valid, {routes} routes");
             ExitCode::SUCCESS
         }
         Err(why) => {
@@ -210,33 +209,30 @@
     }
 }
 
-/// Tells what became of a request.
+/// Prints the outcome of a request.
 fn explain(id: &str, logs: &[PathBuf]) -> ExitCode {
     let report = match explain::main(id, logs) {
         Ok(report) => report,
         Err(why) => {
-            eprintln!("verbenaspool: a log can't be read: {why}");
+            eprintln!("verbenaspool: can't read a log: {why}");
             return ExitCode::from(EXIT_FAILED);
         }
     };
     if report.unreadable_lines > 0 {
-        eprintln!(
-            "{} lines couldn't be read and were skipped",
-            report.unreadable_lines
-        );
+        eprintln!("skipped {} unreadable lines", report.unreadable_lines);
     }
     for line in &report.lines {
         println!("{line}");
     }
     let Some(cause) = report.cause else {
-        eprintln!("verbenaspool: no log tells of the request {id}");
+        eprintln!("verbenaspool: request {id} not found in the logs");
         return ExitCode::from(EXIT_FAILED);
     };
     println!("{cause}");
     ExitCode::SUCCESS
 }
 
-/// A report as JSON.
+/// Formats a report as JSON.
 fn to_json<T: Serialize>(report: &T) -> String {
     serde_json::to_string(report).unwrap_or_default()
 }
@@ -244,15 +240,15 @@
 /// The result of a check as JSON.
 #[derive(Debug, Serialize)]
 struct CheckResult<'a> {
-    /// Whether the file can be applied.
+    /// Whether the file is valid and can be applied.
     sound: bool,
-    /// The firm, where the file is sound.
+    /// The firm, if the file is valid.
     firm: Option<&'a Name>,
-    /// Everything that is wrong.
+    /// All problems of the file.
     problems: &'a [Problem],
 }
 
-/// Tells the result of a check.
+/// Prints the result of a check.
 fn report_check(result: &Result<File, operate::Error>, json: bool) -> ExitCode {
     let (firm, problems): (_, &[Problem]) = match result {
         Ok(file) => (Some(&file.firm), &[]),
@@ -266,7 +262,7 @@
     };
     match firm {
         _ if json => println!("{}", to_json(&checked)),
-        Some(firm) => println!("{firm}: the file is sound"),
+        Some(firm) => println!("{firm}: the file is valid"),
         None => {}
     }
     if checked.sound {
@@ -276,7 +272,7 @@
     }
 }
 
-/// Tells the result of an apply.
+/// Prints the result of an apply.
 fn report_apply(result: &apply::Result, json: bool) -> ExitCode {
     println!("{}", if json { to_json(result) } else { result.text() });
     match result {
@@ -287,7 +283,7 @@
     }
 }
 
-/// Tells why an operator's command did nothing.
+/// Prints the error of an operator's command.
 fn report_error(error: &operate::Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(match error {
@@ -297,7 +293,7 @@
     })
 }
 
-/// Runs the entry.
+/// Runs the entry process.
 fn run(settings: &Path) -> ExitCode {
     match run::main(settings) {
         Ok(Drained { cut: 0 }) => ExitCode::SUCCESS,
--- a/verbenaspool/src/operate.rs
+++ b/verbenaspool/src/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' commands: checking and applying a firm's file, reading status.
+//! Operators' commands: check and apply a firm's file, show status, explain requests.
 
 use std::{
     fs, io,
@@ -27,57 +27,57 @@
     pub platform: Platform,
 }
 
-/// Why a command did nothing, or can't tell what it did.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings can't be taken.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] settings::Error),
-    /// The file can't be read from the disk.
+    /// The file can't be read.
     #[error("{path}: {cause}", path = path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         cause: io::Error,
     },
-    /// The file has problems.
+    /// The file is invalid.
     #[error("{}", format_problems(path, problems))]
     Problems {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// All its problems.
         problems: Vec<Problem>,
     },
-    /// The file is another firm's than the settings.
-    #[error("the file is {file}'s, the settings are {settings}'s")]
+    /// The file and the settings name different firms.
+    #[error("the file is for firm {file}, but the settings are for firm {settings}")]
     FirmMismatch {
         /// The firm that the file names.
         file: Name,
         /// The firm that the settings name.
         settings: Name,
     },
-    /// The platform gave no answer.
+    /// A call to the platform failed.
     #[error("{0}")]
     Platform(#[from] platform::Error),
-    /// The loop can't start.
-    #[error("the loop can't start: {0}")]
+    /// The event loop can't start.
+    #[error("can't start the event loop: {0}")]
     Runtime(io::Error),
 }
 
-/// What a file on the direct path holds.
+/// The content of a file of the direct path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DirectFile {
-    /// The settings of an entry of this name.
+    /// Settings of an entry: its name.
     Settings(String),
-    /// A configuration, as the platform holds it: its version and routes.
+    /// A configuration in the platform's format: its version and number of routes.
     Configuration(u64, usize),
 }
 
-/// Reads a file of the direct path; nothing, where it isn't one.
+/// Reads and checks a file of the direct path; `None` if it is another file.
 ///
 /// # Errors
-/// It is one, and can't be taken.
+/// The file belongs to the direct path and is invalid.
 ///
 /// ```no_run
 /// use std::path::Path;
@@ -86,7 +86,7 @@
 /// ```
 pub fn check_direct(path: &Path) -> Result<Option<DirectFile>, String> {
     let Ok(text) = fs::read_to_string(path) else {
-        // Whoever reads it as a firm's file tells why it can't be read.
+        // `check` then reads it as a firm's file and reports the error.
         return Ok(None);
     };
     if text.trim_start().starts_with('{') {
@@ -103,7 +103,7 @@
     Ok(Some(DirectFile::Settings(read.name)))
 }
 
-/// One problem a line, each with its file.
+/// Formats one problem per line, each prefixed with the path of the file.
 fn format_problems(path: &Path, problems: &[Problem]) -> String {
     let path = path.display();
     let lines: Vec<String> = problems.iter().map(|p| format!("{path}: {p}")).collect();
@@ -113,7 +113,7 @@
 /// Reads and checks a firm's file.
 ///
 /// # Errors
-/// When the file can't be read or has problems, all of which are told.
+/// The file can't be read or is invalid; the error lists all problems.
 ///
 /// ```no_run
 /// use std::path::Path;
--- a/verbenaspool/src/operate/apply.rs
+++ b/verbenaspool/src/operate/apply.rs
@@ -1,4 +1,4 @@
-//! `verbenaspool apply`: has a file accepted, whole or not at all.
+//! `verbenaspool apply`: applies a firm's file atomically.
 
 use std::{path::Path, time::Duration};
 
@@ -13,57 +13,57 @@
 
 use super::{Error, Settings, check};
 
-/// What an operator asks for.
+/// Options of an apply.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The version that the file is to replace, if it has to be a certain one.
+    /// The accepted version that the file must replace, if given.
     pub expected_version: Option<Version>,
-    /// The apply's id; a fresh one if none is given. An apply whose fate is
-    /// unknown is settled by another one under the same id.
+    /// The id of the apply; a random one is generated if none is given. Repeating an
+    /// apply with the same id resolves an unknown outcome.
     pub id: Option<String>,
-    /// How long to go on trying.
+    /// How long to retry.
     pub timeout: Duration,
 }
 
-/// What became of an apply.
+/// The result of an apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Result {
-    /// The file is accepted.
+    /// The file was accepted.
     Accepted {
         /// The apply's id.
         id: String,
-        /// The version that it got.
+        /// The version that it was assigned.
         version: Version,
     },
-    /// The file is accepted already.
+    /// The accepted version already has the same content.
     Unchanged {
-        /// The version that it has.
+        /// The accepted version.
         version: Version,
     },
-    /// Another apply came first; nothing of this one is in force.
+    /// Another apply was accepted first; this file was not applied.
     Conflict {
-        /// The version that this apply was made for.
+        /// The version that this apply expected.
         expected: Version,
-        /// The version that stands.
+        /// The accepted version.
         current: Version,
     },
-    /// Nothing of the file is in force, and nothing will be.
+    /// The file was not applied, and won't be.
     Failed {
-        /// Why.
+        /// The cause.
         why: String,
     },
-    /// The file may be accepted.
+    /// The file may have been accepted.
     Unknown {
-        /// The id to apply it again under.
+        /// The id with which to repeat the apply.
         id: String,
-        /// Why.
+        /// The cause.
         why: String,
     },
 }
 
 impl Result {
-    /// The result as an operator reads it.
+    /// Formats the result for an operator.
     ///
     /// ```
     /// use verbenaspool::operate::apply::Result;
@@ -77,16 +77,18 @@
     pub fn text(&self) -> String {
         match self {
             Self::Accepted { id, version } => format!("accepted as version {version} (apply {id})"),
-            Self::Unchanged { version } => format!("version {version} is the same file already"),
+            Self::Unchanged { version } => {
+                format!("unchanged: version {version} has the same content")
+            }
             Self::Conflict { expected, current } => format!(
-                "conflict: made for version {expected}, but version {current} is accepted by now; \
-                 nothing of this file is in force"
+                "conflict: expected version {expected}, but version {current} is accepted; \
+                 the file was not applied"
             ),
             Self::Failed { why } => {
-                format!("not accepted: {why}; nothing of this file is in force")
+                format!("not accepted: {why}; the file was not applied")
             }
             Self::Unknown { id, why } => format!(
-                "it isn't known whether the file is accepted: {why}; apply it again with --id {id}"
+                "unknown whether the file was accepted: {why}; repeat the apply with --id {id}"
             ),
         }
     }
@@ -95,7 +97,8 @@
 /// Applies a file.
 ///
 /// # Errors
-/// When the settings or the file can't be taken, before anything was sent.
+/// The settings or the file are invalid, or the event loop can't start. Nothing has been
+/// sent to the platform then.
 ///
 /// ```no_run
 /// use std::{path::Path, time::Duration};
@@ -137,7 +140,7 @@
     Ok(result(id, outcome.map_err(Error::Runtime)?))
 }
 
-/// An outcome as it is reported.
+/// Converts an outcome to the reported result.
 fn result(id: String, outcome: Outcome) -> Result {
     match outcome {
         Outcome::Accepted { version, .. } => Result::Accepted { id, version },
--- a/verbenaspool/src/operate/entries.rs
+++ b/verbenaspool/src/operate/entries.rs
@@ -1,4 +1,4 @@
-//! `verbenaspool entries`: what entries on the direct path have in force.
+//! `verbenaspool entries`: status of entries on the direct path.
 
 use std::{fmt::Write as _, net::SocketAddr, time::Duration};
 
@@ -8,24 +8,24 @@
 use super::Error;
 use crate::direct::standing::{STANDING_METHOD, Standing};
 
-/// How long an entry has to answer.
+/// Timeout of the call to an entry.
 const RPC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an entry said, or why it didn't.
+/// The status of an entry, or why it can't be read.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Answer {
     /// The entry's control address.
     pub entry: SocketAddr,
-    /// How it stands, where it answered.
+    /// The entry's status, if it answered.
     pub standing: Option<Standing>,
-    /// Why it didn't.
+    /// Why the call failed.
     pub error: Option<String>,
 }
 
-/// Asks entries how they stand.
+/// Queries the status of entries.
 ///
 /// # Errors
-/// The loop can't start. Entries that don't answer are told of in the report.
+/// The event loop can't start. Failed calls to entries are part of the result.
 ///
 /// ```
 /// let answers = verbenaspool::operate::entries::main(&[]).unwrap();
@@ -56,7 +56,7 @@
     answers.map_err(Error::Runtime)
 }
 
-/// The answers as a table; entries that lag behind the newest version are marked.
+/// Formats the answers as a table. Entries behind the newest version are marked.
 ///
 /// ```
 /// assert!(verbenaspool::operate::entries::table(&[]).starts_with("ENTRY"));
@@ -100,7 +100,7 @@
         for service in &standing.services {
             let _ = writeln!(
                 text,
-                "  {}: {} upstreams ({} shunned), {} in flight, {} waiting, pace {:.2}",
+                "  {}: {} upstreams ({} ejected), {} in flight, {} queued, pace {:.2}",
                 service.name,
                 service.upstreams,
                 service.shunned,
--- a/verbenaspool/src/operate/explain.rs
+++ b/verbenaspool/src/operate/explain.rs
@@ -1,5 +1,4 @@
-//! `verbenaspool explain`: what became of one request, from the logs of several
-//! processes.
+//! `verbenaspool explain`: the outcome of a request, from the logs of several processes.
 
 use std::{
     fs::File,
@@ -9,7 +8,7 @@
 
 use serde::Deserialize;
 
-/// A line of a log, as far as it matters here.
+/// The fields of a log line that are used here.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 struct LogLine {
@@ -36,8 +35,8 @@
 }
 
 impl LogLine {
-    /// Whether the line is about a request, by its id, or by its fingerprint, which all
-    /// attempts share.
+    /// Whether the line belongs to the request with this id or fingerprint. All attempts of
+    /// a request share its fingerprint.
     fn matches(&self, id: &str) -> bool {
         [&self.request, &self.fingerprint]
             .into_iter()
@@ -45,21 +44,22 @@
     }
 }
 
-/// From which pace on an upstream is named as slow: what entries send nothing more to.
+/// An upstream with at least this pace is reported as slow. Entries send no further
+/// requests to such upstreams.
 const SLOW_PACE: f64 = 2.0;
 
-/// What was found of a request.
+/// The log lines and the outcome of a request.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// One sentence a line of a log, in the order of their times.
+    /// One sentence per log line, ordered by time.
     pub lines: Vec<String>,
-    /// What caused the end, in a sentence; none where the request isn't found.
+    /// The reason for the request's outcome, as a sentence; `None` if the request wasn't found.
     pub cause: Option<String>,
-    /// Lines that couldn't be read.
+    /// Number of lines that aren't valid JSON log lines.
     pub unreadable_lines: usize,
 }
 
-/// Reads logs and finds a request in them; `-` is standard input.
+/// Reads logs and searches them for a request; `-` is standard input.
 ///
 /// # Errors
 /// A file can't be read.
@@ -77,7 +77,8 @@
     Ok(summarize(found, unreadable_lines))
 }
 
-/// Reads one log; returns how many of its lines make no sense.
+/// Reads one log and collects the lines of the request. Returns the number of lines that
+/// can't be parsed.
 ///
 /// # Errors
 /// The log can't be read.
@@ -90,7 +91,7 @@
     let mut unreadable_lines = 0;
     let mut bytes = Vec::new();
     while log.read_until(b'\n', &mut bytes)? > 0 {
-        // Whoever collects logs may put words of its own before each line.
+        // Log collectors may add a prefix to each line.
         let start = bytes.iter().position(|byte| *byte == b'{').unwrap_or(0);
         match serde_json::from_slice::<LogLine>(&bytes[start..]) {
             Ok(line) if line.matches(id) => {
@@ -104,7 +105,7 @@
     Ok(unreadable_lines)
 }
 
-/// Tells what was found, in the order of the processes' own clocks.
+/// Summarizes the lines, ordered by the time stamps that the processes wrote.
 fn summarize(mut found: Vec<(String, LogLine)>, unreadable_lines: usize) -> Report {
     found.sort_by(|a, b| a.1.ts.cmp(&b.1.ts));
     let lines = found.iter().map(|(name, line)| {
@@ -112,7 +113,7 @@
             return format!("{} {name}: {} ({upstream})", line.ts, line.msg);
         }
         format!(
-            "{} {name}: {} status {} ({}), route {:?} to {:?} by version {}, sent [{}], {} events, first after {:.1} ms, longest pause {:.1} ms, {:.1} ms in all",
+            "{} {name}: {}, status {} ({}), route {:?} to service {:?}, configuration version {}, attempts [{}], {} events, first byte after {:.1} ms, longest pause {:.1} ms, {:.1} ms in total",
             line.ts, line.msg, line.status, line.why, line.route, line.service, line.version,
             line.sent, line.events, line.first_ms, line.pause_ms, line.took_ms
         )
@@ -124,49 +125,51 @@
     }
 }
 
-/// The cause of a request's end, in a sentence.
+/// The reason for a request's outcome, as a sentence.
 fn cause(line: &LogLine) -> String {
     let sent = if line.sent.is_empty() {
         "it was sent to no upstream".to_owned()
     } else {
-        format!("it was sent so: {}", line.sent)
+        format!("attempts: {}", line.sent)
     };
     let why = match line.why.as_str() {
-        "whole" | "answered" => "The upstream's own answer was passed on",
-        "full" => "It was refused: every upstream had as much as it can do in time",
-        "closed" => "It was refused: no upstream of the service runs",
-        "turned-away" => "It was refused: upstreams turned it away or couldn't be reached",
-        "quarantined" => "It was refused: upstreams crashed under it before",
+        "whole" | "answered" => "The upstream's answer was forwarded",
+        "full" => "It was rejected: all upstreams were at capacity",
+        "closed" => "It was rejected: no upstream of the service was running",
+        "turned-away" => "It was rejected: upstreams rejected it or couldn't be reached",
+        "quarantined" => "It was rejected: upstreams had crashed while processing it",
         "suspect" => {
-            "It was refused: an upstream crashed under it, and the service can't lose another"
+            "It was rejected: an upstream had crashed while processing it, and the service can't lose another one"
         }
-        "unknown" => "It may have run, and its answer was lost",
-        "timeout" => "Its time was over",
-        "no-route" => "No route of the configuration in force fits it",
-        "unknown-key" => "Nobody holds its API key in the configuration in force",
+        "unknown" => "It may have run, but its answer was lost",
+        "timeout" => "Its deadline passed",
+        "no-route" => "No route of the active configuration matches it",
+        "unknown-key" => "No customer of the active configuration has its API key",
         "no-configuration" => "The entry had no configuration yet",
-        "stopping" => "The entry was about to stop",
-        "caller-left" => "Its caller left before the end",
-        "large-body" | "broken-body" | "slow-body" => "Its body didn't come whole, or in time",
-        _ => "The answer broke off",
+        "stopping" => "The entry was shutting down",
+        "caller-left" => "Its caller disconnected before the end",
+        "large-body" | "broken-body" | "slow-body" => {
+            "Its body was too large, incomplete or too slow"
+        }
+        _ => "The answer ended early",
     };
     let state = service_state(line);
     format!("{why}; {sent}{state}.")
 }
 
-/// What the entry knew of the service then, as the end of a sentence.
+/// The state of the service at that time as known to the entry, as the end of a sentence.
 fn service_state(line: &LogLine) -> String {
     if line.slowest >= SLOW_PACE {
         return format!(
-            "; {} was {:.1} times slow then and held back its whole group, as its agent had said {:.0} ms before, with passes of {:.0} ms",
+            "; {} had a pace of {:.1} according to its agent's report {:.0} ms earlier and slowed its whole group, with passes of {:.0} ms",
             line.slowest_upstream, line.slowest, line.said_ms, line.pass_ms
         );
     }
     if line.closed > 0 {
-        return format!("; the groups of {} upstreams ran nothing then", line.closed);
+        return format!("; the groups of {} upstreams were down", line.closed);
     }
     if line.pass_ms > 0.0 {
-        return format!("; passes took up to {:.0} ms then", line.pass_ms);
+        return format!("; passes took up to {:.0} ms", line.pass_ms);
     }
     String::new()
 }
--- a/verbenaspool/src/operate/status.rs
+++ b/verbenaspool/src/operate/status.rs
@@ -1,4 +1,4 @@
-//! `verbenaspool status`: what is accepted, and where it is in force.
+//! `verbenaspool status`: the accepted version and where it is active.
 
 use std::path::Path;
 
@@ -11,11 +11,11 @@
 
 use super::{Error, Settings};
 
-/// Reads a firm's status, which takes some seconds: zones that don't write
-/// meanwhile aren't heard from.
+/// Reads a firm's status. This takes some seconds, as a zone counts as silent if it doesn't
+/// update its status within that time.
 ///
 /// # Errors
-/// When the settings can't be taken or the platform can't be read.
+/// The settings are invalid, or the platform can't be read.
 ///
 /// ```no_run
 /// use std::path::Path;
@@ -32,7 +32,7 @@
     Ok(report.map_err(Error::Runtime)??)
 }
 
-/// The report as a table.
+/// Formats the report as a table.
 ///
 /// ```no_run
 /// # fn example(report: verbenaspool_transport::config::status::Report) {
@@ -46,10 +46,10 @@
             "{}: version {} accepted (apply {apply})",
             report.firm, report.accepted
         ),
-        None => format!("{}: nothing accepted yet", report.firm),
+        None => format!("{}: no version accepted yet", report.firm),
     }];
     lines.push(format!(
-        "in force everywhere: {}",
+        "active on all instances: {}",
         if report.in_force { "yes" } else { "no" }
     ));
     lines.push(format!(
@@ -62,11 +62,11 @@
     lines.join("\n")
 }
 
-/// A zone's line.
+/// The row of a zone.
 fn row(zone: &Zone, accepted: Version) -> String {
     let name = &zone.zone;
     let Some(status) = &zone.status else {
-        return format!("{name:<20} {:>9} {:>9}  never heard from", "-", "-");
+        return format!("{name:<20} {:>9} {:>9}  no status yet", "-", "-");
     };
     let summary = &status.summary;
     let instances = format!("{}/{}", summary.instances, status.alive);
@@ -78,9 +78,9 @@
     };
     let mut notes = Vec::new();
     if !zone.heard {
-        notes.push("not heard from".to_owned());
+        notes.push("status not updated".to_owned());
     }
-    notes.push(format!("as of {} ms ago", summary.age_ms));
+    notes.push(format!("data up to {} ms old", summary.age_ms));
     notes.extend(
         status
             .behind(accepted)
