--- a/verbenaspool/src/operate/entries.rs
+++ b/verbenaspool/src/operate/entries.rs
@@ -36,9 +36,9 @@
         let client = rpc::Client::default();
         let mut answers = Vec::new();
         for &entry in entries {
-            let called: Result<Standing, rpc::Error> =
+            let result: Result<Standing, rpc::Error> =
                 client.call(entry, STANDING_METHOD, &(), RPC_TIMEOUT).await;
-            answers.push(match called {
+            answers.push(match result {
                 Ok(standing) => Answer {
                     entry,
                     standing: Some(standing),
--- a/verbenaspool/src/operate/explain/tests.rs
+++ b/verbenaspool/src/operate/explain/tests.rs
@@ -32,7 +32,7 @@
 /// stream of 48 events by 0.7 s. The reason must name the slow rank and the age of that
 /// information, and likewise groups that are down and long passes.
 #[test]
-fn what_was_known_then_is_part_of_the_cause() {
+fn the_state_of_the_service_is_part_of_the_cause() {
     let log = r#"{"ts":"1","request":"s","status":0,"why":"caller-left","events":48,"pass_ms":727.0,"slowest":12.0,"slowest_upstream":"i-7","said_ms":140.0}
 {"ts":"1","request":"c","status":503,"why":"closed","closed":12,"slowest":0.0}
 {"ts":"1","request":"f","status":503,"why":"full","pass_ms":117.0,"slowest":1.0}
--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -174,11 +174,11 @@
     finish_signal: &Signal,
 ) -> Rc<Source> {
     let seed = entry.attempts.seed();
-    let own = settings.control.unwrap_or(settings.listen);
+    let own_address = settings.control.unwrap_or(settings.listen);
     let options = source::Options {
         seeds: settings.peers.clone(),
         seed,
-        ..source::Options::new(settings.firm.clone(), settings.name.clone(), own)
+        ..source::Options::new(settings.firm.clone(), settings.name.clone(), own_address)
     };
     let source = Source::start(store.clone(), entry.clock.clone(), options);
     if let Some(listener) = control {
@@ -196,29 +196,29 @@
     monoio::spawn(status::publish(source.clone(), store.clone(), zone));
     let follower = Follower::new(store, &settings.firm);
     let (entry, clock) = (entry.clone(), entry.clock.clone());
-    let changed = move |list: &[_]| entry.set_upstreams(list);
-    monoio::spawn(follower.run(clock, seed, finish_signal.clone(), changed));
+    let on_change = move |list: &[_]| entry.set_upstreams(list);
+    monoio::spawn(follower.run(clock, seed, finish_signal.clone(), on_change));
     source
 }
 
 /// Applies each new version of the configuration to the entry.
 async fn apply_configurations(source: Rc<Source>, entry: Rc<Entry>) {
-    let mut seen = Version::default();
+    let mut version = Version::default();
     loop {
-        let adopted = source.above(seen).await;
-        seen = adopted.version();
-        entry.apply_configuration(seen, &adopted.file);
+        let adopted = source.above(version).await;
+        version = adopted.version();
+        entry.apply_configuration(version, &adopted.file);
     }
 }
 
 /// Keeps the entry's list of the live entries of its zone up to date.
 async fn update_peers(source: Rc<Source>, entry: Rc<Entry>, finish_signal: Signal) {
-    let mut known = Vec::new();
+    let mut peers = Vec::new();
     while !finish_signal.fired() {
         let live = source.live();
-        if live != known {
+        if live != peers {
             entry.set_peers(&live);
-            known = live;
+            peers = live;
         }
         entry.clock.sleep(POLL_INTERVAL).await;
     }
@@ -231,8 +231,8 @@
             warn!(log, "another process has taken over this name");
             return;
         }
-        let heard = monoio::time::timeout(POLL_INTERVAL, signal.wait()).await;
-        if heard.is_ok() {
+        let signalled = monoio::time::timeout(POLL_INTERVAL, signal.wait()).await;
+        if signalled.is_ok() {
             return;
         }
     }
