--- a/verbenaspool/tests/demo.rs
+++ b/verbenaspool/tests/demo.rs
@@ -1,11 +1,11 @@
-//! The demo, run as a reader of the README runs it: whatever it shows, nothing
-//! that must always hold may be broken in it.
+//! Runs the demo as the README describes it. None of the system's guarantees may be
+//! violated in it.
 
 use std::{path::Path, process::Command};
 
 use serde_json::Value;
 
-/// The demo's program, which cargo builds with the tests.
+/// Path of the demo program, which cargo builds with the tests.
 fn demo_program() -> std::path::PathBuf {
     let bin = Path::new(env!("CARGO_BIN_EXE_verbenaspool"));
     let path = bin.with_file_name("examples").join("demo");
--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep at their requests, and what they were told.
+//! Callers that send requests continuously, and the answers that they got.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,33 +22,33 @@
 
 use crate::deployment::{CREDENTIAL, Deployment};
 
-/// Callers at work.
+/// Number of callers.
 const CALLER_COUNT: u64 = 10;
-/// How often a caller sends one write under one key, through either entry.
+/// How often a caller sends a write with the same key, to alternating entries.
 const MAX_ATTEMPTS: usize = 3;
-/// How long a caller waits for the start of an answer. Without an end, callers of
-/// an entry that stands still would ask no other one.
+/// Timeout for the head of a response. Without it, callers of a paused entry would never
+/// try another one.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a caller pauses behind each request.
+/// Pause of a caller after each request.
 const REQUEST_PAUSE: Duration = Duration::from_millis(4);
 
-/// What the callers were told.
+/// The answers that callers got.
 #[derive(Debug, Default)]
 pub struct History {
     /// Answers to completions.
     pub answers: Vec<answers::Entry>,
-    /// The final word on each write.
+    /// The final outcome of each write.
     pub writes: Vec<outcomes::Entry>,
 }
 
-/// One answer as it came.
+/// An answer as it was received.
 struct Reply {
     outcome: Outcome,
     body: Vec<u8>,
     ended: bool,
 }
 
-/// One caller.
+/// A caller.
 struct Caller {
     number: u64,
     addresses: Vec<SocketAddr>,
@@ -56,7 +56,7 @@
     sent: u64,
 }
 
-/// The callers at work.
+/// The running callers.
 pub struct Callers {
     stop: Rc<Cell<bool>>,
     active: Rc<Cell<u64>>,
@@ -64,7 +64,7 @@
 }
 
 impl Callers {
-    /// Starts them.
+    /// Starts the callers.
     pub fn start(deployment: &Deployment) -> Self {
         let callers = Self {
             stop: Rc::default(),
@@ -91,13 +91,13 @@
         callers
     }
 
-    /// How many answers arrived whole so far.
+    /// Number of complete answers so far.
     pub fn whole_answers(&self) -> usize {
         let history = self.history.borrow();
         history.answers.iter().filter(|answer| answer.ended).count()
     }
 
-    /// Lets the last requests end and gives what was told.
+    /// Waits for the last requests and returns the history.
     pub async fn stop(self) -> History {
         self.stop.set(true);
         while self.active.get() > 0 {
@@ -108,7 +108,7 @@
 }
 
 impl Caller {
-    /// One write or one completion.
+    /// Sends a write or a completion request, alternately.
     async fn send_next(&mut self, history: &RefCell<History>) {
         self.sent += 1;
         if (self.sent + self.number).is_multiple_of(2) {
@@ -120,8 +120,9 @@
         }
     }
 
-    /// Sends one write under one key until it is told that it ran. What was
-    /// unknown once stays unknown, whatever a later attempt is told.
+    /// Sends a write, up to [`MAX_ATTEMPTS`] times with the same key, until an answer says
+    /// that it ran. After an unknown
+    /// outcome, a later "not run" still counts as unknown.
     async fn write(&self) -> outcomes::Entry {
         let name = format!("write-{}-{}", self.number, self.sent);
         let mut outcome = Outcome::NotRun;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Asks for a streamed completion.
+    /// Requests a streamed completion.
     async fn complete(&self) -> answers::Entry {
         let prompt = format!("prompt-{}-{}", self.number, self.sent);
         let tokens = 3 + u32::try_from(self.sent % 20).expect("a small number");
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Sends a request through one of the entries and reads its answer.
+    /// Sends a request to one of the entries and reads the answer.
     async fn send(&self, attempt: usize, request: Request<Body>) -> Reply {
         let index = usize::try_from(self.number).expect("a small number") + attempt;
         let entry = self.addresses[index % self.addresses.len()];
@@ -204,7 +205,7 @@
     }
 }
 
-/// The head of a request.
+/// Builds the head of a request.
 fn request(path: &str) -> http::request::Builder {
     Request::post(path)
         .header("host", "entry")
--- a/verbenaspool/tests/history/deployment.rs
+++ b/verbenaspool/tests/history/deployment.rs
@@ -1,5 +1,5 @@
-//! One firm in two zones: stand-ins in the test, two entries and four agents as
-//! processes.
+//! The deployment under test: one firm in two zones, with two entries and four agents as
+//! processes. Platform, engines and services are simulated in the test's process.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -30,44 +30,44 @@
 
 /// The customer's credential.
 pub const CREDENTIAL: &str = "a-long-random-token";
-/// Entries of the deployment.
+/// Number of entries.
 pub const ENTRY_COUNT: u8 = 2;
-/// Upstreams of each of the two services.
+/// Number of upstreams of each of the two services.
 pub const UPSTREAMS_PER_SERVICE: u8 = 2;
 
-/// The listeners of a process.
+/// Indices of the listeners of a process, for [`instance_address`].
 const LISTEN_PORT: u8 = 0;
 const CONTROL_PORT: u8 = 1;
 const ADMIN_PORT: u8 = 2;
 
-/// The zones; instance by instance is in the one or the other.
+/// The zones; instances are assigned to them alternately.
 const ZONES: [&str; 2] = ["bowen", "tweed"];
 
-/// The zone of an instance.
+/// Index of the zone of an instance.
 pub fn zone_index(number: u8) -> usize {
     usize::from(number) % ZONES.len()
 }
 
-/// Everything that runs.
+/// A running deployment.
 pub struct Deployment {
-    /// The platform.
+    /// The simulated platform.
     pub platform: Platform,
-    /// What the plain service wrote.
+    /// The writes of the plain service.
     pub journal: Rc<Journal>,
-    /// The engines.
+    /// The simulated engines.
     pub engines: Vec<Rc<Parts>>,
-    /// The entries.
+    /// The entry processes.
     pub entries: RefCell<Vec<Process>>,
-    /// The agents: those of the engines, then those of the plain service.
+    /// The agent processes: first those of the engines, then those of the plain service.
     pub agents: RefCell<Vec<Process>>,
-    /// Where callers connect.
+    /// The entries' addresses for callers.
     pub addresses: Vec<SocketAddr>,
     client: Client,
     admin_addresses: Vec<SocketAddr>,
     _stop: Trigger,
 }
 
-/// The firm's file.
+/// The firm's configuration.
 fn configuration_file() -> File {
     let text = format!(
         "firm: tidewater
@@ -85,7 +85,7 @@
 ",
         Digest::of(CREDENTIAL)
     );
-    settings::parse("tidewater.yaml".as_ref(), &text).expect("a sound file")
+    settings::parse("tidewater.yaml".as_ref(), &text).expect("a valid file")
 }
 
 fn parse_name(text: &str) -> Name {
@@ -93,8 +93,8 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until the entries are ready. Tests that run
-    /// at once differ in their number.
+    /// Starts all processes and waits until the entries know all upstreams. Concurrent tests
+    /// must have different numbers.
     pub async fn start(test: u8) -> Self {
         let clock = Monotonic::start();
         let platform = Platform::start().expect("a port");
@@ -136,7 +136,7 @@
         deployment
     }
 
-    /// Starts an agent and enters its instance in the platform's list.
+    /// Starts an agent and adds its instance to the platform's list.
     fn start_agent(
         &self,
         test: u8,
@@ -199,7 +199,7 @@
         self.admin_addresses.push(at(ADMIN_PORT));
     }
 
-    /// Does the same to every process of a zone.
+    /// Applies a function to each process of a zone.
     pub fn for_each_in_zone(&self, zone: usize, act: impl Fn(&mut Process)) {
         let (mut agents, mut entries) = (self.agents.borrow_mut(), self.entries.borrow_mut());
         let agents = agents.iter_mut().enumerate();
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Has the file accepted.
+    /// Applies the firm's configuration.
     async fn apply(&self) {
         let store = client::Client::new(client::Settings {
             address: self.platform.address(),
@@ -226,7 +226,7 @@
         config::apply(&store, request, Duration::from_secs(5), 7).await;
     }
 
-    /// Whether an entry is ready and has heard of all upstreams.
+    /// Whether an entry answers and knows all upstreams.
     async fn knows_all_upstreams(&self, admin: SocketAddr) -> bool {
         let request = Request::get("/metrics").header("host", "entry");
         let request = request.body(Body::empty()).expect("a request");
--- a/verbenaspool/tests/history/faults.rs
+++ b/verbenaspool/tests/history/faults.rs
@@ -1,6 +1,5 @@
-//! The table of faults. Whatever happens, a caller gets its own whole answer or
-//! knows that it didn't, no write runs twice, and no write ran that its caller
-//! was told had not.
+//! Tests of each fault. A caller gets either its own complete answer or a visible failure,
+//! no write runs twice, and no write runs that was reported as not run.
 
 use std::time::Duration;
 
@@ -10,15 +9,15 @@
 
 use crate::{callers::Callers, deployment::Deployment, process::Process};
 
-/// How long callers are at work before, during and after a fault, at least.
+/// Minimum duration of the load before, during and after a fault.
 const PHASE: Duration = Duration::from_millis(500);
-/// How long a run may take: a deployment that serves nobody ends here.
+/// Timeout of a run, for a deployment that serves no requests.
 const RUN_TIMEOUT: Duration = Duration::from_mins(1);
-/// Answers and writes without which a history proves nothing. The run goes on
-/// until it has them, however slow the machine is.
+/// Minimum number of answers and of writes for a meaningful history. The run continues
+/// until it has them, so that it doesn't depend on the speed of the machine.
 const MIN_ANSWERS: usize = 30;
 
-/// What happens, with the number that keeps tests apart.
+/// The injected fault. Its number also separates the addresses of concurrent tests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None = 1,
@@ -28,11 +27,11 @@
     EngineAgentKilled,
     /// An entry is killed and started again.
     EntryKilled,
-    /// An entry is told to stop.
+    /// An entry gets SIGTERM.
     EntryStopped,
-    /// An agent is told to leave, while the platform's list still has it.
+    /// An agent gets SIGTERM while the platform's list still contains it.
     AgentLeaves,
-    /// An agent is paused and goes on.
+    /// An agent is paused and resumed.
     AgentPaused,
     /// The platform is down.
     PlatformDown,
@@ -44,19 +43,19 @@
     PlatformDownAgentKilled,
     /// An entry is killed while the platform loses answers.
     AnswersLostEntryKilled,
-    /// A zone stands still, as when it is cut off, and comes back.
+    /// All processes of a zone are paused, as in a network partition, and resumed.
     ZonePaused,
-    /// A zone loses its power and comes back.
+    /// All processes of a zone are killed and started again.
     ZoneKilled,
-    /// A zone stands still while the platform is down.
+    /// All processes of a zone are paused while the platform is down.
     ZonePausedPlatformDown,
 }
 
-/// The zone that is lost.
+/// Index of the zone in which zone faults happen.
 const FAULTY_ZONE: usize = 1;
 
 impl Fault {
-    /// Lets it begin.
+    /// Injects the fault.
     fn inject(self, deployment: &Deployment) {
         match self {
             Self::ZonePaused => {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Lets it end.
+    /// Ends the fault and restarts or resumes the processes.
     fn clear(self, deployment: &Deployment) {
         deployment.platform.set(|faults| {
             faults.down = false;
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Whether no stream may break off under it.
+    /// Whether all streams must be complete despite the fault.
     fn keeps_streams_whole(self) -> bool {
         !matches!(
             self,
@@ -139,7 +138,7 @@
     }
 }
 
-/// Plays a fault under traffic and judges the history.
+/// Injects a fault under load and checks the history.
 fn run_with_fault(fault: Fault) {
     let run = async {
         let deployment = Deployment::start(fault as u8).await;
@@ -147,7 +146,7 @@
         monoio::time::sleep(PHASE).await;
         fault.inject(&deployment);
         monoio::time::sleep(PHASE).await;
-        // What is left goes on serving while the fault lasts.
+        // Requests must be served while the fault lasts.
         let before = callers.whole_answers();
         while callers.whole_answers() == before {
             monoio::time::sleep(PHASE).await;
@@ -164,7 +163,7 @@
         (history, started_writes)
     };
     let result = runtime::run(async { monoio::time::timeout(RUN_TIMEOUT, run).await });
-    let result = result.expect("a loop starts");
+    let result = result.expect("the event loop starts");
     let (history, started_writes) = result.expect("callers are served before, during and after");
     let started_writes = || started_writes.iter().map(String::as_str);
     let whole = answers::check(&history.answers).expect("own whole answers");
@@ -181,7 +180,7 @@
     assert!(whole > 0 && ran > 0, "{whole} answers, {ran} writes");
 }
 
-/// One test for each fault, so that they run side by side and are told apart.
+/// Defines one test per fault, so that they run in parallel and fail separately.
 macro_rules! faults {
     ($($test:ident: $fault:ident,)*) => {
         $(#[test]
--- a/verbenaspool/tests/history/main.rs
+++ b/verbenaspool/tests/history/main.rs
@@ -1,5 +1,5 @@
-//! Histories of the whole system: the real programs between stand-ins, callers
-//! at work, one fault or two at once, and the checkers' verdict.
+//! System tests under faults: the real programs with simulated upstreams and platform,
+//! callers under load, one or two faults at once, and checks of the recorded history.
 
 mod callers;
 mod deployment;
--- a/verbenaspool/tests/history/process.rs
+++ b/verbenaspool/tests/history/process.rs
@@ -1,4 +1,4 @@
-//! The real programs, with the signals that tests send them.
+//! The programs as child processes, and signals to them.
 
 use std::{
     net::SocketAddr,
@@ -6,19 +6,19 @@
     process::{Child, Command, Stdio},
 };
 
-/// A program with its settings, killed when the test ends.
+/// A running program with its settings file. Dropping it kills the process.
 pub struct Process {
     program: PathBuf,
     settings: PathBuf,
     child: Child,
 }
 
-/// The entry's program.
+/// Path of the entry program.
 pub fn entry_program() -> PathBuf {
     env!("CARGO_BIN_EXE_verbenaspool").into()
 }
 
-/// The agent's program, which stands beside the entry's.
+/// Path of the agent program, in the same directory as the entry program.
 pub fn agent_program() -> PathBuf {
     let path = entry_program().with_file_name("verbenaspool-agent");
     assert!(path.exists(), "build the whole workspace first");
@@ -26,7 +26,7 @@
 }
 
 impl Process {
-    /// Starts a program with settings of this name.
+    /// Starts a program with these settings, in a file of this name.
     pub fn start(program: PathBuf, name: &str, settings: &str) -> Self {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.yaml"));
         std::fs::write(&path, settings).expect("a settings file");
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Kills the program where it stands.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
-        self.child.kill().expect("the process is ours");
+        self.child.kill().expect("a child process can be killed");
         self.child.wait().expect("the process ends");
     }
 
@@ -49,7 +49,7 @@
         self.child = spawn(&self.program, &self.settings);
     }
 
-    /// Sends a signal, as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", signal, &pid]).status();
@@ -72,9 +72,9 @@
     command.spawn().expect("the program starts")
 }
 
-/// A loopback address of one instance of one test. It also differs between
-/// runs of the tests at once: with one run's callers at the other's entries,
-/// either would find writes that nobody of its own had asked for.
+/// The loopback address of an instance of a test. It also differs between concurrent runs
+/// of the tests: if callers of one run reached entries of another one, both would record
+/// writes that none of their own callers had requested.
 pub fn instance_address(test: u8, instance: u8, port_index: u8) -> SocketAddr {
     let run = std::process::id();
     let second_octet = u8::try_from(run % 250).expect("below 250") + 1;
--- a/verbenaspool/tests/rules/commands.rs
+++ b/verbenaspool/tests/rules/commands.rs
@@ -1,4 +1,4 @@
-//! The program's commands as operators run them.
+//! Tests of the program's commands as operators run them.
 
 use std::{
     fs,
@@ -10,19 +10,19 @@
 use verbenaspool::settings::Settings;
 use verbenaspool_transport::settings;
 
-/// Runs the program and waits for its end.
+/// Runs the program and waits until it exits.
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_verbenaspool"));
     command.args(arguments).output().unwrap()
 }
 
-/// A file of the examples.
+/// Path of an example file.
 pub fn example_path(name: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     root.join("examples").join(name)
 }
 
-/// A file with this text, for one test.
+/// Writes a file for one test.
 pub fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
--- a/verbenaspool/tests/rules/driver.rs
+++ b/verbenaspool/tests/rules/driver.rs
@@ -1,12 +1,12 @@
-//! The loop's driver is epoll's, in every source file.
+//! Checks that no source file selects another event loop driver than epoll.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
-/// Strings that choose another driver or another loop, cut so that this file
-/// doesn't hold them.
+/// Strings that select another driver or event loop, split so that this file doesn't
+/// contain them.
 const FORBIDDEN: [(&str, &str); 6] = [
     ("Fusion", "Driver"),
     ("Fusion", "Runtime"),
@@ -16,7 +16,7 @@
     ("tokio::", "runtime"),
 ];
 
-/// All Rust files of the packages.
+/// Collects all Rust files of the packages.
 fn collect_sources(directory: &Path, sources: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
@@ -31,8 +31,8 @@
 
 #[test]
 fn no_source_file_chooses_another_driver() {
-    // On an instance that forbids io_uring the process ends at its start: one
-    // place left the choice of the driver to monoio.
+    // Guards against processes that fail to start on instances that forbid io_uring. This
+    // happened when one place left the choice of the driver to monoio.
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut sources = Vec::new();
     collect_sources(root, &mut sources);
@@ -51,13 +51,16 @@
             builder_uses += usize::from(line.contains(&format!("{}::<", "RuntimeBuilder")));
         }
     }
-    assert_eq!(builder_uses, 1, "the loop is built in one place");
+    assert_eq!(
+        builder_uses, 1,
+        "the event loop must be built in exactly one place"
+    );
 }
 
 #[test]
 fn the_driver_in_use_is_the_legacy_one() {
     let uses_io_uring = verbenaspool_transport::runtime::run(async {
-        // io_uring's descriptors show in the process's list by this name.
+        // The links of io_uring descriptors contain this name.
         let open = fs::read_dir("/proc/self/fd").unwrap();
         open.filter_map(|entry| fs::read_link(entry.ok()?.path()).ok())
             .any(|link| link.to_string_lossy().contains("io_uring"))
--- a/verbenaspool/tests/rules/extra.rs
+++ b/verbenaspool/tests/rules/extra.rs
@@ -1,12 +1,12 @@
-//! Completions and manual pages are committed, so that packages need no
-//! generator. `UPDATE_EXPECT=1 cargo test -p verbenaspool --test rules` writes
-//! them anew.
+//! Checks that the committed completions and manual pages are up to date. They are
+//! committed so that packaging needs no generator.
+//! `UPDATE_EXPECT=1 cargo test -p verbenaspool --test rules` regenerates them.
 
 use clap::Command;
 use clap_complete::Shell;
 use expect_test::expect_file;
 
-/// The two programs.
+/// The command lines of the two programs.
 fn programs() -> [Command; 2] {
     [
         verbenaspool::cli::command(),
@@ -14,7 +14,7 @@
     ]
 }
 
-/// A page of the manual.
+/// Renders a manual page.
 fn man_page(command: Command) -> String {
     let mut text = Vec::new();
     clap_mangen::Man::new(command).render(&mut text).unwrap();
--- a/verbenaspool/tests/rules/main.rs
+++ b/verbenaspool/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! What holds of the repository as a whole: the commands, their committed
-//! companions, and the loop's driver.
+//! Checks of the whole repository: the commands, their committed completions and manual
+//! pages, and the event loop's driver.
 
 mod commands;
 mod driver;
--- a/verbenaspool/tests/rules/operate.rs
+++ b/verbenaspool/tests/rules/operate.rs
@@ -1,5 +1,4 @@
-//! Applying files and reading status as operators do, before a platform that
-//! the test plays.
+//! Tests of applying files and reading status with a simulated platform.
 
 use std::{
     fs,
@@ -20,7 +19,7 @@
 
 use crate::commands::{example_path, run_program, write_file};
 
-/// A platform on a thread of its own, since commands are waited for.
+/// A platform on its own thread, as the test blocks while a command runs.
 struct PlatformServer {
     address: SocketAddr,
     down: Arc<AtomicBool>,
@@ -52,9 +51,9 @@
         }
     }
 
-    /// Runs a command with this server's settings and tells its exit code and JSON.
+    /// Runs a command with settings for this platform; returns its exit code and JSON output.
     fn run_json(&self, firm: &str, arguments: &[&str]) -> (Option<i32>, Value) {
-        // Tests run side by side, each before a server of its own.
+        // Tests run in parallel, each with its own platform.
         let settings = write_file(
             &format!("operator-{firm}-{}.yaml", self.address.port()),
             &format!(
@@ -87,16 +86,20 @@
     let changed = changed.to_str().unwrap();
     let table: [(&str, &[&str], i32); 7] = [
         ("the first file", &["apply", "--expect", "0", file], 0),
-        ("the same again", &["apply", file], 0),
-        ("a lost race", &["apply", "--expect", "7", changed], 5),
-        ("the right version", &["apply", "--expect", "1", changed], 0),
-        ("the other's turn", &["apply", "--expect", "1", file], 5),
-        ("a file of the other firm", &["apply", "FIRM"], 4),
+        ("the same file again", &["apply", file], 0),
         (
-            "an apply settled by its id",
-            &["apply", "--id", "a", file],
+            "an unexpected version",
+            &["apply", "--expect", "7", changed],
+            5,
+        ),
+        (
+            "the expected version",
+            &["apply", "--expect", "1", changed],
             0,
         ),
+        ("an outdated version", &["apply", "--expect", "1", file], 5),
+        ("a file of another firm", &["apply", "FIRM"], 4),
+        ("an apply with a given id", &["apply", "--id", "a", file], 0),
     ];
     let other_firm = example_path("tidewater.yaml");
     for (case, arguments, code) in table {
@@ -117,14 +120,14 @@
         "{report}"
     );
     assert_eq!(report["apply"], "a");
-    // No instance runs, so nothing is in force, and status must say so.
+    // No instance runs, so the file must not be reported as active.
     assert_eq!(report["in_force"], false);
 }
 
 #[test]
 fn an_apply_during_an_outage_changes_nothing() {
-    // An operator's file is half in force after an outage: the apply gave up in
-    // the middle, and what it had written counted.
+    // Guards against a partly applied file: an apply gave up during an outage, and what it
+    // had already written took effect.
     let server = PlatformServer::start();
     let file = example_path("quetzal.yaml");
     let file = file.to_str().unwrap();
