--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -121,8 +121,7 @@
     }
 
     /// Sends a write, up to [`MAX_ATTEMPTS`] times with the same key, until an answer says
-    /// that it ran. After an unknown
-    /// outcome, a later "not run" still counts as unknown.
+    /// that it ran. After an unknown outcome, a later "not run" still counts as unknown.
     async fn write(&self) -> outcomes::Entry {
         let name = format!("write-{}-{}", self.number, self.sent);
         let mut outcome = Outcome::NotRun;
--- a/verbenaspool/tests/history/faults.rs
+++ b/verbenaspool/tests/history/faults.rs
@@ -115,7 +115,7 @@
         );
         match self {
             Self::AgentKilled | Self::PlatformDownAgentKilled => {
-                agents[first_plain_agent].restart()
+                agents[first_plain_agent].restart();
             }
             Self::EngineAgentKilled => agents[0].restart(),
             Self::EntryKilled | Self::AnswersLostEntryKilled => entries[0].restart(),
