--- a/verbenaspool/src/operate/explain.rs
+++ b/verbenaspool/src/operate/explain.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// An upstream with at least this pace is reported as slow. Entries send no further
-/// requests to such upstreams.
+/// An upstream with at least this pace is reported as slow. Entries send no requests to
+/// upstreams that are slower than the fastest one by the same factor.
 const SLOW_PACE: f64 = 2.0;
 
 /// The log lines and the outcome of a request.
