--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -1,4 +1,4 @@
-//! `verbenaspool run`: the entry as a process.
+//! `verbenaspool run`: the entry process.
 
 use std::{io, net::SocketAddr, path::Path, rc::Rc, time::Duration};
 
@@ -32,31 +32,31 @@
     settings::Settings,
 };
 
-/// How often the process looks whether another has taken its name over, and who
-/// else serves its zone.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often the process checks whether another one has taken over its name, and which
+/// other entries serve its zone.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long spans may take to go out at the end.
-const FLUSH: Duration = Duration::from_secs(1);
+/// Timeout for exporting the last spans at shutdown.
+const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the entry could not run.
+/// Why the entry failed to run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings can't be taken.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] settings::Error),
-    /// An address can't be listened at.
-    #[error("{address} can't be listened at: {why}")]
+    /// An address can't be bound.
+    #[error("can't listen on {address}: {why}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         why: io::Error,
     },
-    /// The loop can't start.
-    #[error("the loop can't start: {0}")]
-    Loop(#[from] io::Error),
-    /// Signals can't be heard.
+    /// The event loop can't start.
+    #[error("can't start the event loop: {0}")]
+    Runtime(#[from] io::Error),
+    /// Signal handlers can't be installed.
     #[error(transparent)]
     Signal(#[from] shutdown::Error),
 }
@@ -64,13 +64,13 @@
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Drained {
-    /// Connections that were cut off at the drain's deadline.
+    /// Number of connections that were still open at the drain deadline and were aborted.
     pub cut: usize,
 }
 
-/// The part of the settings that tells which path requests take.
+/// The setting that selects the request path.
 #[derive(Debug, Deserialize)]
-struct Chosen {
+struct PathChoice {
     #[serde(default)]
     path: Option<direct::settings::Path>,
 }
@@ -78,9 +78,9 @@
 /// Runs the entry until SIGTERM, SIGINT or SIGHUP.
 ///
 /// # Errors
-/// The settings can't be taken, or an address can't be listened at.
+/// The settings are invalid, or an address can't be bound.
 pub fn main(path: &Path) -> Result<Drained, Error> {
-    if settings::load::<Chosen>(path)?.path.is_some() {
+    if settings::load::<PathChoice>(path)?.path.is_some() {
         return direct::run::main(path);
     }
     let settings: Settings = settings::load(path)?;
@@ -92,27 +92,27 @@
     })?
 }
 
-/// Opens an address that no other process has.
-fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
-    // Two processes that share a port by mistake would split the callers
-    // between them, so the second must fail instead.
+/// Binds an address exclusively.
+fn bind_listener(address: SocketAddr) -> Result<TcpListener, Error> {
+    // With SO_REUSEPORT, two processes that are given the same port by mistake would
+    // share its connections. Without it the second one fails to start.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options).map_err(|why| Error::Listen { address, why })
 }
 
-/// Runs an entry with these settings until the signal comes, then drains.
+/// Runs an entry until the signal fires, then drains it.
 ///
 /// # Errors
-/// An address can't be listened at.
+/// An address can't be bound.
 pub async fn serve(
     settings: Settings,
     log: Logger,
     clock: Rc<dyn Clock>,
     mut signal: Signal,
 ) -> Result<Drained, Error> {
-    let callers = listen(settings.listen)?;
-    let admin = settings.admin.map(listen).transpose()?;
-    let control = settings.control.map(listen).transpose()?;
+    let listener = bind_listener(settings.listen)?;
+    let admin = settings.admin.map(bind_listener).transpose()?;
+    let control = settings.control.map(bind_listener).transpose()?;
     let store: Rc<dyn Store> = Rc::new(Client::new(settings.platform.client()));
     let tracer = Tracer::new(settings.traces.as_ref(), clock.clone());
     let exporter = exporter(&settings, &tracer);
@@ -127,33 +127,33 @@
         store: Some(store.clone()),
     };
     let entry = Entry::with_dependencies(settings.options(), dependencies);
-    // What is needed until the last request has ended stops behind it.
-    let (finish, finished) = shutdown::channel();
-    if let Some(listener) = admin {
-        monoio::spawn(Admin(entry.clone()).serve(listener, finished.clone()));
+    // Stops the tasks that are needed until the last request has ended.
+    let (finish, finish_signal) = shutdown::channel();
+    if let Some(admin) = admin {
+        monoio::spawn(Admin(entry.clone()).serve(admin, finish_signal.clone()));
     }
-    // Claims of callers' writes go past the budget: they have deadlines.
+    // Claims of callers' writes have deadlines and aren't subject to the call budget.
     let budget = Budget::new(store, clock.clone(), budget::Settings::default());
-    let source = configure(&settings, &entry, budget, control, &finished);
-    let (close, closed) = shutdown::channel();
-    let mut served = Box::pin(entry.clone().serve(callers, closed));
-    info!(log, "Entry: Started."; "name" => settings.name.as_str(), "listen" => settings.listen);
-    let stop = Box::pin(stopped(&mut signal, &source, &log));
-    if let Either::Left(_) = select(served.as_mut(), stop).await {
+    let source = follow_configuration(&settings, &entry, budget, control, &finish_signal);
+    let (close, close_signal) = shutdown::channel();
+    let mut serving = Box::pin(entry.clone().serve(listener, close_signal));
+    info!(log, "entry started"; "name" => settings.name.as_str(), "listen" => settings.listen);
+    let stop = Box::pin(wait_for_stop(&mut signal, &source, &log));
+    if let Either::Left(_) = select(serving.as_mut(), stop).await {
         return Ok(Drained { cut: 0 });
     }
     source.leave();
-    let drained = drain(&settings, &entry, &close, served, &log).await;
+    let drained = drain(&settings, &entry, &close, serving, &log).await;
     if let Some(exporter) = exporter {
-        let _ = monoio::time::timeout(FLUSH, exporter.flush()).await;
+        let _ = monoio::time::timeout(TRACE_FLUSH_TIMEOUT, exporter.flush()).await;
     }
     source.end();
     finish.fire();
-    info!(log, "Entry: Stopped."; "cut" => drained.cut);
+    info!(log, "entry stopped"; "cut" => drained.cut);
     Ok(drained)
 }
 
-/// The exporter of spans, where there is a collector.
+/// The span exporter, if a collector is configured.
 fn exporter(settings: &Settings, tracer: &Rc<Tracer>) -> Option<Rc<Exporter>> {
     let collector = settings.traces.as_ref()?.collector;
     let resource = vec![
@@ -165,100 +165,105 @@
     Some(Exporter::new(tracer.clone(), collector, resource))
 }
 
-/// Follows the firm's configuration and its upstreams.
-fn configure(
+/// Starts the tasks that follow the firm's configuration and its upstreams.
+fn follow_configuration(
     settings: &Settings,
     entry: &Rc<Entry>,
     store: Rc<dyn Store>,
     control: Option<TcpListener>,
-    finished: &Signal,
+    finish_signal: &Signal,
 ) -> Rc<Source> {
     let seed = entry.attempts.seed();
-    let own = settings.control.unwrap_or(settings.listen);
+    let own_address = settings.control.unwrap_or(settings.listen);
     let options = source::Options {
         seeds: settings.peers.clone(),
         seed,
-        ..source::Options::new(settings.firm.clone(), settings.name.clone(), own)
+        ..source::Options::new(settings.firm.clone(), settings.name.clone(), own_address)
     };
     let source = Source::start(store.clone(), entry.clock.clone(), options);
     if let Some(listener) = control {
         let mut module = rpc::Module::default();
         source.methods(&mut module);
-        monoio::spawn(rpc::serve(listener, Rc::new(module), finished.clone()));
+        monoio::spawn(rpc::serve(listener, Rc::new(module), finish_signal.clone()));
     }
-    monoio::spawn(adopt(source.clone(), entry.clone()));
-    monoio::spawn(accompany(source.clone(), entry.clone(), finished.clone()));
+    monoio::spawn(apply_configurations(source.clone(), entry.clone()));
+    monoio::spawn(update_peers(
+        source.clone(),
+        entry.clone(),
+        finish_signal.clone(),
+    ));
     let zone = settings.zone.clone();
     monoio::spawn(status::publish(source.clone(), store.clone(), zone));
     let follower = Follower::new(store, &settings.firm);
     let (entry, clock) = (entry.clone(), entry.clock.clone());
-    let changed = move |list: &[_]| entry.set_upstreams(list);
-    monoio::spawn(follower.run(clock, seed, finished.clone(), changed));
+    let on_change = move |list: &[_]| entry.set_upstreams(list);
+    monoio::spawn(follower.run(clock, seed, finish_signal.clone(), on_change));
     source
 }
 
-/// Puts in force what the source brings.
-async fn adopt(source: Rc<Source>, entry: Rc<Entry>) {
-    let mut seen = Version::default();
+/// Applies each new version of the configuration to the entry.
+async fn apply_configurations(source: Rc<Source>, entry: Rc<Entry>) {
+    let mut version = Version::default();
     loop {
-        let adopted = source.above(seen).await;
-        seen = adopted.version();
-        entry.apply_configuration(seen, &adopted.file);
+        let adopted = source.above(version).await;
+        version = adopted.version();
+        entry.apply_configuration(version, &adopted.file);
     }
 }
 
-/// Tells the entry who else serves its zone.
-async fn accompany(source: Rc<Source>, entry: Rc<Entry>, finished: Signal) {
-    let mut known = Vec::new();
-    while !finished.fired() {
+/// Keeps the entry's list of the live entries of its zone up to date.
+async fn update_peers(source: Rc<Source>, entry: Rc<Entry>, finish_signal: Signal) {
+    let mut peers = Vec::new();
+    while !finish_signal.fired() {
         let live = source.live();
-        if live != known {
+        if live != peers {
             entry.set_peers(&live);
-            known = live;
+            peers = live;
         }
-        entry.clock.sleep(LOOK).await;
+        entry.clock.sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits for the word to stop, or for a successor of the same name.
-async fn stopped(signal: &mut Signal, source: &Source, log: &Logger) {
+/// Waits until the signal fires or another process has taken over this entry's name.
+async fn wait_for_stop(signal: &mut Signal, source: &Source, log: &Logger) {
     loop {
         if source.replaced() {
-            warn!(log, "Entry: Another process has taken over this name.");
+            warn!(log, "another process has taken over this name");
             return;
         }
-        let heard = monoio::time::timeout(LOOK, signal.wait()).await;
-        if heard.is_ok() {
+        let signalled = monoio::time::timeout(POLL_INTERVAL, signal.wait()).await;
+        if signalled.is_ok() {
             return;
         }
     }
 }
 
-/// Lets the requests in flight end.
+/// Waits for the requests in flight, up to the drain deadline.
 async fn drain(
     settings: &Settings,
     entry: &Rc<Entry>,
     close: &Trigger,
-    served: impl Future<Output = ()>,
+    serving: impl Future<Output = ()>,
     log: &Logger,
 ) -> Drained {
-    info!(log, "Entry: Draining."; "connections" => entry.connections.count());
+    info!(log, "draining"; "connections" => entry.connections.count());
     entry.start_draining();
     entry.connections.close_after_response();
-    let mut served = Box::pin(served);
+    let mut serving = Box::pin(serving);
     let linger = Box::pin(
         entry
             .clock
             .sleep(Duration::from_millis(settings.drain.linger_ms)),
     );
-    // Until the platform's balancer has noticed, callers still come and are served.
-    select(served.as_mut(), linger).await;
+    // New connections are accepted until the platform's load balancer has noticed that
+    // the entry isn't ready any more.
+    select(serving.as_mut(), linger).await;
     close.fire();
     let deadline = Duration::from_millis(settings.drain.deadline_ms);
-    if monoio::time::timeout(deadline, served).await.is_ok() {
+    if monoio::time::timeout(deadline, serving).await.is_ok() {
         return Drained { cut: 0 };
     }
     let cut = entry.connections.count();
-    warn!(log, "Entry: The drain's deadline cuts requests off."; "connections" => cut);
+    warn!(log, "drain deadline passed; closing connections with open requests"; "connections" => cut);
     Drained { cut }
 }
