--- a/examples/demo/events.rs
+++ b/examples/demo/events.rs
@@ -59,7 +59,7 @@
             for zone in &report.zones {
                 let status = zone.status.as_ref().filter(|_| zone.heard);
                 let word = match status {
-                    Some(status) if status.has(version) => "has it in force everywhere",
+                    Some(status) if status.is_active(version) => "has it in force everywhere",
                     Some(_) => "has instances that lag",
                     None => "isn't heard from (the demo plays two zones)",
                 };
--- a/verbenaspool/src/operate/status.rs
+++ b/verbenaspool/src/operate/status.rs
@@ -27,7 +27,7 @@
     let settings: Settings = settings::load(settings)?;
     let report = runtime::run(async {
         let store = Client::new(settings.platform.client());
-        status::read(&store, &settings.firm, status::PERIOD * 3 / 2).await
+        status::read(&store, &settings.firm, status::WRITE_INTERVAL * 3 / 2).await
     });
     Ok(report.map_err(Error::Runtime)??)
 }
--- a/verbenaspool/src/run.rs
+++ b/verbenaspool/src/run.rs
@@ -147,7 +147,7 @@
     if let Some(exporter) = exporter {
         let _ = monoio::time::timeout(TRACE_FLUSH_TIMEOUT, exporter.flush()).await;
     }
-    source.end();
+    source.stop();
     finish.fire();
     info!(log, "entry stopped"; "cut" => drained.cut);
     Ok(drained)
@@ -183,7 +183,7 @@
     let source = Source::start(store.clone(), entry.clock.clone(), options);
     if let Some(listener) = control {
         let mut module = rpc::Module::default();
-        source.methods(&mut module);
+        source.register_methods(&mut module);
         monoio::spawn(rpc::serve(listener, Rc::new(module), finish_signal.clone()));
     }
     monoio::spawn(apply_configurations(source.clone(), entry.clone()));
@@ -205,7 +205,7 @@
 async fn apply_configurations(source: Rc<Source>, entry: Rc<Entry>) {
     let mut version = Version::default();
     loop {
-        let adopted = source.above(version).await;
+        let adopted = source.wait_for_newer(version).await;
         version = adopted.version();
         entry.apply_configuration(version, &adopted.file);
     }
@@ -215,7 +215,7 @@
 async fn update_peers(source: Rc<Source>, entry: Rc<Entry>, finish_signal: Signal) {
     let mut peers = Vec::new();
     while !finish_signal.fired() {
-        let live = source.live();
+        let live = source.live_names();
         if live != peers {
             entry.set_peers(&live);
             peers = live;
@@ -227,7 +227,7 @@
 /// Waits until the signal fires or another process has taken over this entry's name.
 async fn wait_for_stop(signal: &mut Signal, source: &Source, log: &Logger) {
     loop {
-        if source.replaced() {
+        if source.is_replaced() {
             warn!(log, "another process has taken over this name");
             return;
         }
--- a/verbenaspool_agent/src/group/lease.rs
+++ b/verbenaspool_agent/src/group/lease.rs
@@ -66,7 +66,7 @@
     loop {
         while let Some(call) = lease.next_call(clock.now()) {
             let began = clock.now();
-            let answer = driver::make(&store, &call).await;
+            let answer = driver::call(&store, &call).await;
             let now = clock.now();
             if let Answer::Failed(reason) | Answer::Lost(reason) | Answer::Rejected(reason) =
                 &answer
--- a/verbenaspool_standin/src/platform.rs
+++ b/verbenaspool_standin/src/platform.rs
@@ -23,7 +23,9 @@
     time,
 };
 use monoio_compat::hyper::MonoioIo;
-use verbenaspool_transport::platform::{Events, IF_VERSION, LARGEST, VERSION};
+use verbenaspool_transport::platform::{
+    Events, IF_VERSION_HEADER, MAX_VALUE_BYTES, VERSION_HEADER,
+};
 
 pub use faults::{Faults, Watch};
 pub use objects::Objects;
@@ -209,7 +211,7 @@
         return Err(Withheld);
     }
     let (head, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, LARGEST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_VALUE_BYTES).collect().await else {
         return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let path = head.uri.path();
@@ -286,7 +288,7 @@
     }
     let expected = head
         .headers
-        .get(IF_VERSION)
+        .get(IF_VERSION_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
     if expected.is_some_and(|expected: u64| expected != current) {
@@ -354,7 +356,9 @@
 fn versioned(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(value));
     *response.status_mut() = status;
-    response.headers_mut().insert(VERSION, version.into());
+    response
+        .headers_mut()
+        .insert(VERSION_HEADER, version.into());
     response
 }
 
--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -23,7 +23,7 @@
         upstreams::Follower,
     },
     platform::{
-        self, Answer, Entry, Events, Object, Store, When,
+        self, CallFuture, Entry, Events, Object, Store, When,
         budget::{self, Budget},
     },
     shutdown,
@@ -38,30 +38,30 @@
 struct Counter(Cell<u32>);
 
 impl Counter {
-    fn count<'a, T: 'a>(&'a self, answer: T) -> Answer<'a, T> {
+    fn count<'a, T: 'a>(&'a self, answer: T) -> CallFuture<'a, T> {
         self.0.set(self.0.get() + 1);
         Box::pin(async move { Ok(answer) })
     }
 }
 
 impl Store for Counter {
-    fn get<'a>(&'a self, _: &'a str) -> Answer<'a, Option<Object>> {
+    fn get<'a>(&'a self, _: &'a str) -> CallFuture<'a, Option<Object>> {
         self.count(None)
     }
 
-    fn put<'a>(&'a self, _: &'a str, _: Bytes, _: When) -> Answer<'a, u64> {
+    fn put<'a>(&'a self, _: &'a str, _: Bytes, _: When) -> CallFuture<'a, u64> {
         self.count(1)
     }
 
-    fn delete<'a>(&'a self, _: &'a str, _: When) -> Answer<'a, ()> {
+    fn delete<'a>(&'a self, _: &'a str, _: When) -> CallFuture<'a, ()> {
         self.count(())
     }
 
-    fn list<'a>(&'a self, _: &'a str) -> Answer<'a, Vec<Entry>> {
+    fn list<'a>(&'a self, _: &'a str) -> CallFuture<'a, Vec<Entry>> {
         self.count(Vec::new())
     }
 
-    fn watch<'a>(&'a self, _: &'a str, _: u64, _: Duration) -> Answer<'a, Events> {
+    fn watch<'a>(&'a self, _: &'a str, _: u64, _: Duration) -> CallFuture<'a, Events> {
         self.count(Events {
             revision: 0,
             events: Vec::new(),
@@ -111,16 +111,16 @@
         assert!(all_reach(&instances, 1).await);
         let source = instances[0].source.clone();
         monoio::spawn(publish(source, client(&platform, FIRM), name("bowen")));
-        monoio::time::sleep(status::PERIOD + Duration::from_millis(300)).await;
+        monoio::time::sleep(status::WRITE_INTERVAL + Duration::from_millis(300)).await;
         let firm = name(FIRM);
-        let pause = status::PERIOD * 3 / 2;
+        let pause = status::WRITE_INTERVAL * 3 / 2;
         let report = status::read(&*store, &firm, pause).await.unwrap();
         assert_eq!((report.accepted, report.in_force), (Version(1), true));
         assert!(report.zones[0].heard);
         // The instance dies: its last status stands, and is told to be old.
         let [instance] = instances;
         instance.crash();
-        monoio::time::sleep(status::PERIOD).await;
+        monoio::time::sleep(status::WRITE_INTERVAL).await;
         let report = status::read(&*store, &firm, pause).await.unwrap();
         assert!(!report.zones[0].heard && !report.in_force);
     });
@@ -148,14 +148,14 @@
         fits.split = piece::split(&large).unwrap();
         assert_eq!(accepted(&apply(&*store, fits).await), Some(Version(1)));
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
-        let adopted = instance.source.above(Version(0)).await;
+        let adopted = instance.source.wait_for_newer(Version(0)).await;
         assert_eq!(adopted.file.services, large.services);
         large.services[0].path = format!("/{}/", "x".repeat(piece::MAX_PIECE_BYTES));
         assert!(matches!(
             piece::split(&large),
             Err(piece::Error::Large { .. })
         ));
-        instance.source.end();
+        instance.source.stop();
     });
 }
 
@@ -280,7 +280,7 @@
         }
         let before = platform.calls().reads;
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
-        let adopted = instance.source.above(Version(2)).await;
+        let adopted = instance.source.wait_for_newer(Version(2)).await;
         assert_eq!(adopted.file.customers.len(), 3_000);
         // The bundles are two versions old; what changed since is read besides.
         let reads = platform.calls().reads - before;
--- a/verbenaspool_standin/tests/config/main.rs
+++ b/verbenaspool_standin/tests/config/main.rs
@@ -30,12 +30,12 @@
         assert_eq!(store.list("firms/tidewater/").await.unwrap().len(), 1);
         assert_eq!(store.delete(key, When::Version(second)).await, Ok(()));
         assert_eq!(store.get(key).await, Ok(None));
-        let large = vec![0; verbenaspool_transport::platform::LARGEST + 1];
+        let large = vec![0; verbenaspool_transport::platform::MAX_VALUE_BYTES + 1];
         let large = store.put(key, large.into(), When::Always).await;
-        assert_eq!(large, Err(Error::Large));
+        assert_eq!(large, Err(Error::TooLarge));
         // The other firm's keys are out of reach.
         let other = store.get("firms/quetzal/head").await;
-        assert_eq!(other, Err(Error::Refused));
+        assert_eq!(other, Err(Error::Forbidden));
     });
 }
 
@@ -51,7 +51,7 @@
             let id = format!("apply-{version}");
             let outcome = apply(&*store, order(FIRM, version, &id)).await;
             assert_eq!(accepted(&outcome), Some(Version(version.into())));
-            let adopted = source.above(Version(u64::from(version) - 1)).await;
+            let adopted = source.wait_for_newer(Version(u64::from(version) - 1)).await;
             assert_eq!(mark(&adopted.file), version);
         }
     });
--- a/verbenaspool_standin/tests/config/support.rs
+++ b/verbenaspool_standin/tests/config/support.rs
@@ -139,7 +139,7 @@
         options.membership.heartbeat_interval = Duration::from_millis(100);
         let source = Source::start(store, clock, options);
         let mut module = rpc::Module::default();
-        source.methods(&mut module);
+        source.register_methods(&mut module);
         let (stop, signal) = shutdown::channel();
         monoio::spawn(rpc::serve(listener, Rc::new(module), signal));
         Self {
@@ -151,7 +151,7 @@
 
     /// Ends the instance as a crash does: no goodbye, and nobody listens.
     pub fn crash(self) {
-        self.source.end();
+        self.source.stop();
         self.stop.fire();
     }
 }
--- a/verbenaspool_standin/tests/config/zone.rs
+++ b/verbenaspool_standin/tests/config/zone.rs
@@ -40,7 +40,7 @@
         monoio::spawn(async move {
             let mut seen = Version(0);
             loop {
-                let adopted = source.above(seen).await;
+                let adopted = source.wait_for_newer(seen).await;
                 seen = adopted.version();
                 let content = mark(&adopted.file).to_string();
                 record.reverts.borrow_mut().push(reverts::Event {
@@ -110,7 +110,7 @@
     for _ in 0..500 {
         if instances
             .iter()
-            .all(|i| i.source.alive() == instances.len())
+            .all(|i| i.source.alive_count() == instances.len())
         {
             return;
         }
@@ -131,7 +131,7 @@
             assert!(accepted(&outcome).is_some());
             assert!(all_reach(&instances, version.into()).await);
         }
-        let first = instances.iter().find(|i| i.source.first()).unwrap();
+        let first = instances.iter().find(|i| i.source.is_first()).unwrap();
         monoio::time::sleep(Duration::from_millis(500)).await;
         let summary = first.source.summary();
         assert_eq!(summary.instances, 7);
@@ -265,8 +265,8 @@
         for instance in &instances {
             assert!(instance.source.current().is_none());
         }
-        let watcher = instances.iter().find(|i| i.source.first()).unwrap();
-        assert!(watcher.source.trouble().is_some());
+        let watcher = instances.iter().find(|i| i.source.is_first()).unwrap();
+        assert!(watcher.source.last_error().is_some());
         platform.set(|faults| *faults = Faults::default());
         assert!(all_reach(&instances, 1).await);
     });
@@ -316,13 +316,13 @@
         let seeds = [instances[0].control];
         let successor = Instance::start(1, client(&platform, FIRM), &seeds, 50);
         for _ in 0..500 {
-            if instances[1].source.replaced() {
+            if instances[1].source.is_replaced() {
                 break;
             }
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(instances[1].source.replaced());
-        assert!(!successor.source.replaced() && !instances[0].source.replaced());
+        assert!(instances[1].source.is_replaced());
+        assert!(!successor.source.is_replaced() && !instances[0].source.is_replaced());
     });
 }
 
--- a/verbenaspool_transport/src/config.rs
+++ b/verbenaspool_transport/src/config.rs
@@ -33,7 +33,7 @@
 pub async fn apply(store: &dyn Store, request: Request, within: Duration, seed: u64) -> Outcome {
     let firm = request.firm.clone();
     let split = request.split.clone();
-    let kept = split.pieces.keys().copied().collect();
+    let referenced = split.pieces.keys().copied().collect();
     let mut apply = Apply::new(request);
     let Some(outcome) = driver::drive(store, &mut apply, within, seed).await else {
         return apply.abandon();
@@ -45,7 +45,7 @@
     {
         // Without the bundles reading the file is slower, and no less right.
         let _ = bundle::pack(store, &firm, version, &split).await;
-        let mut collection = Collection::new(firm, object_version, kept);
+        let mut collection = Collection::new(firm, object_version, referenced);
         // What can't be collected now is left to the next apply.
         driver::drive(store, &mut collection, within, seed).await;
     }
--- a/verbenaspool_transport/src/config/bundle.rs
+++ b/verbenaspool_transport/src/config/bundle.rs
@@ -18,16 +18,16 @@
 use crate::platform::{Error, Store, When};
 
 /// Files of fewer pieces aren't packed: they are read one by one in no time.
-const LEAST: usize = 256;
+const MIN_PIECES: usize = 256;
 /// Versions between two packings. The pieces that changed since are read one by
 /// one, some 300 at most.
-const EVERY: u64 = 64;
+const VERSIONS_PER_PACK: u64 = 64;
 /// Bytes of pieces in one bundle; with their hashes and quotes escaped it stays
 /// below a megabyte.
-const BYTES: usize = 700_000;
+const MAX_BUNDLE_BYTES: usize = 700_000;
 /// Missing pieces from which the bundles are worth their reading: more than one
 /// level of the tree shows below nodes that are held.
-pub const LEVEL: usize = 16;
+pub const MIN_MISSING_PIECES: usize = 16;
 
 /// Packs a file's pieces, if it is time to.
 ///
@@ -39,15 +39,15 @@
     version: Version,
     split: &Split,
 ) -> Result<(), Error> {
-    if split.pieces.len() < LEAST {
+    if split.pieces.len() < MIN_PIECES {
         return Ok(());
     }
     let prefix = keys::bundles(firm);
-    let due = version.0.is_multiple_of(EVERY) || store.list(&prefix).await?.is_empty();
+    let due = version.0.is_multiple_of(VERSIONS_PER_PACK) || store.list(&prefix).await?.is_empty();
     if !due {
         return Ok(());
     }
-    for (number, bundle) in cut(&split.pieces).into_iter().enumerate() {
+    for (number, bundle) in split_into_bundles(&split.pieces).into_iter().enumerate() {
         let text = serde_json::to_vec(&bundle).unwrap_or_default();
         let key = format!("{prefix}{number}");
         store.put(&key, text.into(), When::Always).await?;
@@ -56,7 +56,7 @@
 }
 
 /// Cuts pieces into bundles.
-fn cut(pieces: &BTreeMap<Hash, Rc<[u8]>>) -> Vec<Vec<Piece>> {
+fn split_into_bundles(pieces: &BTreeMap<Hash, Rc<[u8]>>) -> Vec<Vec<Piece>> {
     let mut bundles = vec![Vec::new()];
     let mut bytes = 0;
     for (hash, content) in pieces {
@@ -65,7 +65,7 @@
         };
         // Every quote of a piece is escaped inside the bundle.
         let size = text.len() + text.matches('"').count() + 64;
-        if bytes + size > BYTES {
+        if bytes + size > MAX_BUNDLE_BYTES {
             bundles.push(Vec::new());
             bytes = 0;
         }
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -18,22 +18,22 @@
 use crate::rpc;
 
 /// How often a source looks what is due.
-const TICK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a heartbeat may take. Less than the time between two, so that a
 /// peer that doesn't answer holds nothing up.
-const BEAT_TIME: Duration = Duration::from_millis(800);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an offer or a fetch may take: a megabyte over a slow link.
-const FETCH_TIME: Duration = Duration::from_secs(3);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// The most rounds of fetching for one version. A tree has five levels; the rest
 /// is room for a root of many pieces.
-const ROUNDS: usize = 64;
+const MAX_FETCH_ROUNDS: usize = 64;
 
 /// Adds the methods that peers call to a module.
-pub(super) fn methods(source: &Rc<Source>, module: &mut rpc::Module) {
+pub(super) fn register_methods(source: &Rc<Source>, module: &mut rpc::Module) {
     let own = Rc::clone(source);
-    module.register(HEARTBEAT, move |beat: Heartbeat| {
-        let echo = answer_beat(&own, beat);
-        async move { Ok::<_, String>(echo) }
+    module.register(HEARTBEAT, move |heartbeat: Heartbeat| {
+        let answer = answer_heartbeat(&own, heartbeat);
+        async move { Ok::<_, String>(answer) }
     });
     let own = Rc::clone(source);
     module.register(OFFER, move |offer: Offer| {
@@ -48,38 +48,42 @@
 }
 
 /// Sends heartbeats and puts versions in force, until the source ends.
-pub(super) async fn talk(source: Rc<Source>) {
-    while !source.ended() {
-        source.enforce();
+pub(super) async fn run(source: Rc<Source>) {
+    while !source.is_stopped() {
+        source.activate_ready();
         let now = source.now();
         source.membership.borrow_mut().expire_neighbours(now);
         let peers = source.membership.borrow_mut().heartbeat_targets(now);
         let due = !peers.is_empty();
         for member in &peers {
-            monoio::spawn(beat(Rc::clone(&source), member.address, Vec::new()));
+            monoio::spawn(send_heartbeat(
+                Rc::clone(&source),
+                member.address,
+                Vec::new(),
+            ));
         }
         // Who knows nobody asks the seeds, as often as it would send heartbeats.
-        if !due && source.alive() == 1 {
+        if !due && source.alive_count() == 1 {
             for seed in &source.options.seeds {
-                monoio::spawn(beat(Rc::clone(&source), *seed, Vec::new()));
+                monoio::spawn(send_heartbeat(Rc::clone(&source), *seed, Vec::new()));
             }
             let wait = source
                 .options
                 .membership
                 .heartbeat_interval
-                .saturating_sub(TICK);
+                .saturating_sub(POLL_INTERVAL);
             source.sleep(wait).await;
         }
-        source.sleep(TICK).await;
+        source.sleep(POLL_INTERVAL).await;
     }
 }
 
 /// What the source says of itself now.
-fn message(source: &Source) -> PeerStatus {
+fn own_status(source: &Source) -> PeerStatus {
     let adoption = source.adoption.borrow();
     let held = adoption.complete_head().map(|head| head.version);
     let membership = source.membership.borrow();
-    let reaches = source.reaches();
+    let reaches = source.reaches_platform();
     membership.own_status(
         source.now(),
         held.unwrap_or_default(),
@@ -89,7 +93,7 @@
 }
 
 /// The source's table.
-fn table(source: &Source) -> Vec<Member> {
+fn member_table(source: &Source) -> Vec<Member> {
     source.membership.borrow().table().cloned().collect()
 }
 
@@ -99,94 +103,104 @@
     address: SocketAddr,
     method: &str,
     params: &P,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<R, rpc::Error>
 where
     P: serde::Serialize,
     R: serde::de::DeserializeOwned,
 {
-    match source.calls.call(address, method, params, time).await {
-        Err(rpc::Error::Io(_)) => source.calls.call(address, method, params, time).await,
+    match source.calls.call(address, method, params, timeout).await {
+        Err(rpc::Error::Io(_)) => source.calls.call(address, method, params, timeout).await,
         result => result,
     }
 }
 
 /// Sends a heartbeat and takes its answer in.
-async fn beat(source: Rc<Source>, address: SocketAddr, members: Vec<Member>) {
+async fn send_heartbeat(source: Rc<Source>, address: SocketAddr, members: Vec<Member>) {
     if address == source.options.control {
         return;
     }
-    let told = !members.is_empty();
-    let beat = Heartbeat {
-        status: message(&source),
+    let sends_table = !members.is_empty();
+    let heartbeat = Heartbeat {
+        status: own_status(&source),
         table: members,
     };
     // Silence is noticed by the membership.
-    let Ok(echo) = call::<_, HeartbeatAnswer>(&source, address, HEARTBEAT, &beat, BEAT_TIME).await
+    let Ok(answer) =
+        call::<_, HeartbeatAnswer>(&source, address, HEARTBEAT, &heartbeat, HEARTBEAT_TIMEOUT)
+            .await
     else {
         return;
     };
-    let from = echo.status.from.clone();
-    let heard = take_in(&source, &echo.table, echo.status);
-    if let Some(head) = echo.head {
-        pull(&source, &from, head).await;
+    let from = answer.status.from.clone();
+    let is_current = receive_status(&source, &answer.table, answer.status);
+    if let Some(head) = answer.head {
+        fetch_head(&source, &from, head).await;
     }
-    let differs = heard
+    let differs = is_current
         && source
             .membership
             .borrow()
-            .digest_differs(&word_of(&source, &from));
-    if differs && !told {
-        let members = table(&source);
-        Box::pin(self::beat(source, address, members)).await;
+            .digest_differs(&peer_status(&source, &from));
+    if differs && !sends_table {
+        let members = member_table(&source);
+        Box::pin(send_heartbeat(source, address, members)).await;
     }
 }
 
 /// The last message of a peer.
-fn word_of(source: &Source, from: &Member) -> PeerStatus {
+fn peer_status(source: &Source, from: &Member) -> PeerStatus {
     let membership = source.membership.borrow();
     membership
         .last_status(&from.name)
         .cloned()
-        .unwrap_or_else(|| message(source))
+        .unwrap_or_else(|| own_status(source))
 }
 
 /// Takes in a peer's table and message; whether the message counts.
-fn take_in(source: &Source, members: &[Member], message: PeerStatus) -> bool {
+fn receive_status(source: &Source, members: &[Member], status: PeerStatus) -> bool {
     let mut membership = source.membership.borrow_mut();
     if membership.merge(members) == OwnStanding::Replaced {
         source.replaced.set(true);
     }
-    let (name, held) = (message.from.name.clone(), message.held);
-    let heard = membership.receive(source.now(), message) == ReceiveOutcome::Current;
+    let (name, held) = (status.from.name.clone(), status.held);
+    let is_current = membership.receive(source.now(), status) == ReceiveOutcome::Current;
     drop(membership);
-    if heard {
+    if is_current {
         source.adoption.borrow_mut().set_peer_version(&name, held);
     }
-    heard
+    is_current
 }
 
 /// Answers a heartbeat.
-fn answer_beat(source: &Rc<Source>, beat: Heartbeat) -> HeartbeatAnswer {
-    let theirs = beat.status.held;
-    let told = beat.status.clone();
-    take_in(source, &beat.table, beat.status);
-    let differs = source.membership.borrow().digest_differs(&told);
+fn answer_heartbeat(source: &Rc<Source>, heartbeat: Heartbeat) -> HeartbeatAnswer {
+    let peer_version = heartbeat.status.held;
+    let status = heartbeat.status.clone();
+    receive_status(source, &heartbeat.table, heartbeat.status);
+    let differs = source.membership.borrow().digest_differs(&status);
     let held = source.adoption.borrow().complete_head().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
-    if theirs > own {
+    if peer_version > own {
         // Its head comes with the answer to a heartbeat of ours.
-        monoio::spawn(self::beat(Rc::clone(source), told.from.address, Vec::new()));
+        monoio::spawn(send_heartbeat(
+            Rc::clone(source),
+            status.from.address,
+            Vec::new(),
+        ));
     }
     HeartbeatAnswer {
-        status: message(source),
-        table: if differs { table(source) } else { Vec::new() },
-        head: held.filter(|head| head.version > theirs),
+        status: own_status(source),
+        table: if differs {
+            member_table(source)
+        } else {
+            Vec::new()
+        },
+        head: held.filter(|head| head.version > peer_version),
     }
 }
 
 /// Gets hold of a head that a peer holds, and passes it on.
-async fn pull(source: &Rc<Source>, from: &Member, head: Head) {
+async fn fetch_head(source: &Rc<Source>, from: &Member, head: Head) {
     match source.offer(head.clone()) {
         Verdict::Corrupt | Verdict::Old => return,
         Verdict::New | Verdict::Known => {}
@@ -194,27 +208,27 @@
     if source.adoption.borrow().complete_head() == Some(&head) {
         return;
     }
-    fetch(source, from.address, head.root).await;
-    hold(source, from, &head);
+    fetch_missing(source, from.address, head.root).await;
+    record_head(source, from, &head);
 }
 
 /// Notes that the source holds `head`, as the peer does that it came from.
-fn hold(source: &Rc<Source>, from: &Member, head: &Head) {
-    let whole = {
+fn record_head(source: &Rc<Source>, from: &Member, head: &Head) {
+    let complete = {
         let mut adoption = source.adoption.borrow_mut();
         adoption.set_peer_version(&from.name, head.version);
         adoption.missing_pieces().is_empty()
     };
-    source.enforce();
-    if whole {
-        pass_on(source, Some(from));
+    source.activate_ready();
+    if complete {
+        offer_to_neighbours(source, Some(from));
     }
 }
 
 /// Fetches what is missing of `root` from a peer.
-async fn fetch(source: &Source, address: SocketAddr, root: Hash) {
+async fn fetch_missing(source: &Source, address: SocketAddr, root: Hash) {
     let mut have = source.current().map(|adopted| adopted.head.root);
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_FETCH_ROUNDS {
         let missing = source.adoption.borrow().missing_pieces();
         if missing.is_empty() {
             return;
@@ -224,7 +238,7 @@
             root,
             missing: missing.iter().copied().take(peer::MAX_PIECES).collect(),
         };
-        let fetched = call::<_, FetchAnswer>(source, address, FETCH, &request, FETCH_TIME).await;
+        let fetched = call::<_, FetchAnswer>(source, address, FETCH, &request, FETCH_TIMEOUT).await;
         // What doesn't come from here comes with the next heartbeat, or from the
         // platform.
         let Ok(fetched) = fetched else {
@@ -264,14 +278,14 @@
                 // One that doesn't fit costs a fetch.
                 let _ = source.adoption.borrow_mut().apply_delta(&delta);
             }
-            fetch(source, from.address, head.root).await;
-            hold(source, &from, &head);
+            fetch_missing(source, from.address, head.root).await;
+            record_head(source, &from, &head);
         } else {
             source
                 .adoption
                 .borrow_mut()
                 .set_peer_version(&from.name, head.version);
-            source.enforce();
+            source.activate_ready();
         }
     }
     let adoption = source.adoption.borrow();
@@ -307,14 +321,14 @@
 }
 
 /// Offers the held head to all neighbours but the one that it came from.
-pub(super) fn pass_on(source: &Rc<Source>, from: Option<&Member>) {
+pub(super) fn offer_to_neighbours(source: &Rc<Source>, from: Option<&Member>) {
     let (head, delta) = {
         let adoption = source.adoption.borrow();
         let Some(head) = adoption.complete_head().cloned() else {
             return;
         };
-        let before = adoption.previous_root().filter(|root| *root != head.root);
-        let delta = before.and_then(|before| adoption.delta(before, head.root));
+        let previous = adoption.previous_root().filter(|root| *root != head.root);
+        let delta = previous.and_then(|previous| adoption.delta(previous, head.root));
         (head, delta)
     };
     let membership = source.membership.borrow();
@@ -328,26 +342,26 @@
         .into_iter()
         .filter(|n| from.is_none_or(|from| n.name != from.name));
     for neighbour in others {
-        monoio::spawn(hand(Rc::clone(source), neighbour, Rc::clone(&offer)));
+        monoio::spawn(offer_to(Rc::clone(source), neighbour, Rc::clone(&offer)));
     }
 }
 
 /// Offers a head to one peer. If it doesn't answer, its children are offered it:
 /// a process that is dead and not yet missed must not cut off those below it.
-async fn hand(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
-    let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIME).await;
+async fn offer_to(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
+    let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIMEOUT).await;
     match held {
         Ok(OfferAnswer { version }) => {
             source
                 .adoption
                 .borrow_mut()
                 .set_peer_version(&peer.name, version);
-            source.enforce();
+            source.activate_ready();
         }
-        Err(_) if offer.head.version >= highest(&source) => {
-            let below = source.membership.borrow().children(&peer.name);
-            for child in below {
-                monoio::spawn(hand(Rc::clone(&source), child, Rc::clone(&offer)));
+        Err(_) if offer.head.version >= highest_version(&source) => {
+            let children = source.membership.borrow().children(&peer.name);
+            for child in children {
+                monoio::spawn(offer_to(Rc::clone(&source), child, Rc::clone(&offer)));
             }
         }
         // A later version goes the same way by now.
@@ -356,7 +370,7 @@
 }
 
 /// The highest version heard of.
-fn highest(source: &Source) -> Version {
+fn highest_version(source: &Source) -> Version {
     let adoption = source.adoption.borrow();
     adoption
         .highest_head()
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -28,15 +28,15 @@
 /// How long one watch waits. Each counts as a call, so longer is cheaper; but a
 /// watch that lost its events brings nothing until it ends, and an accepted file
 /// must be in force within 9 s all the same.
-const WATCH: Duration = Duration::from_secs(4);
+const WATCH_WAIT: Duration = Duration::from_secs(4);
 /// How old the last word from the platform may be to count as fresh: a watch
 /// with time for its answer.
-const FRESH: Duration = Duration::from_secs(6);
+const MAX_ANSWER_AGE: Duration = Duration::from_secs(6);
 /// How often a process that doesn't watch looks whether it has to.
-const LOOK: Duration = Duration::from_millis(200);
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a process waits for its peers' word before it reads the platform.
 /// Without the wait, a zone that restarts reads everything once an instance.
-const PATIENCE: Duration = Duration::from_millis(300);
+const PEER_WAIT: Duration = Duration::from_millis(300);
 
 /// What a source is for.
 #[derive(Debug, Clone)]
@@ -100,15 +100,15 @@
     /// Calls to peers.
     pub(super) calls: rpc::Client,
     /// Who waits for the next version.
-    waiting: RefCell<Vec<Waker>>,
+    wakers: RefCell<Vec<Waker>>,
     /// When the platform last answered.
-    reached: Cell<Option<Duration>>,
+    answered_at: Cell<Option<Duration>>,
     /// Why the last read of the platform brought nothing.
-    trouble: RefCell<Option<String>>,
+    last_error: RefCell<Option<String>>,
     /// Whether a successor has taken over under the same name.
     pub(super) replaced: Cell<bool>,
     /// Whether the source is to end.
-    ended: Cell<bool>,
+    stopped: Cell<bool>,
 }
 
 impl fmt::Debug for Source {
@@ -122,7 +122,7 @@
 
 impl Source {
     /// Starts to follow a firm's configuration, within a monoio runtime. Where
-    /// the zone has other instances, serve [`Source::methods`] at the control
+    /// the zone has other instances, serve [`Source::register_methods`] at the control
     /// address as well.
     ///
     /// ```no_run
@@ -132,7 +132,7 @@
     /// use verbenaspool_transport::{clock::Monotonic, config::source::Source};
     ///
     /// let source = Source::start(store, Monotonic::start(), options);
-    /// let adopted = source.above(Version(0)).await;
+    /// let adopted = source.wait_for_newer(Version(0)).await;
     /// println!("version {} of {} is in force", adopted.version(), adopted.file.firm);
     /// # }
     /// ```
@@ -151,14 +151,14 @@
             store,
             clock,
             calls: rpc::Client::default(),
-            waiting: RefCell::default(),
-            reached: Cell::default(),
-            trouble: RefCell::default(),
+            wakers: RefCell::default(),
+            answered_at: Cell::default(),
+            last_error: RefCell::default(),
             replaced: Cell::default(),
-            ended: Cell::default(),
+            stopped: Cell::default(),
         });
         monoio::spawn(Rc::clone(&source).follow());
-        monoio::spawn(peers::talk(Rc::clone(&source)));
+        monoio::spawn(peers::run(Rc::clone(&source)));
         source
     }
 
@@ -167,11 +167,11 @@
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
     /// let mut module = verbenaspool_transport::rpc::Module::default();
-    /// source.methods(&mut module);
+    /// source.register_methods(&mut module);
     /// # }
     /// ```
-    pub fn methods(self: &Rc<Self>, module: &mut rpc::Module) {
-        peers::methods(self, module);
+    pub fn register_methods(self: &Rc<Self>, module: &mut rpc::Module) {
+        peers::register_methods(self, module);
     }
 
     /// The file in force; `None` until the first, while no traffic may be taken.
@@ -206,16 +206,16 @@
     ///
     /// ```no_run
     /// # async fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// let first = source.above(Default::default()).await;
-    /// let next = source.above(first.version()).await;
+    /// let first = source.wait_for_newer(Default::default()).await;
+    /// let next = source.wait_for_newer(first.version()).await;
     /// # }
     /// ```
-    pub async fn above(&self, seen: Version) -> Rc<Adopted> {
+    pub async fn wait_for_newer(&self, seen: Version) -> Rc<Adopted> {
         future::poll_fn(|context| {
             if let Some(adopted) = self.current().filter(|a| a.version() > seen) {
                 return Poll::Ready(adopted);
             }
-            self.waiting.borrow_mut().push(context.waker().clone());
+            self.wakers.borrow_mut().push(context.waker().clone());
             Poll::Pending
         })
         .await
@@ -225,12 +225,12 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// println!("{}", source.trouble().unwrap_or_default());
+    /// println!("{}", source.last_error().unwrap_or_default());
     /// # }
     /// ```
     #[must_use]
-    pub fn trouble(&self) -> Option<String> {
-        self.trouble.borrow().clone()
+    pub fn last_error(&self) -> Option<String> {
+        self.last_error.borrow().clone()
     }
 
     /// Whether another process has taken over under this instance's name. This
@@ -238,18 +238,18 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// if source.replaced() {
-    ///     source.end();
+    /// if source.is_replaced() {
+    ///     source.stop();
     /// }
     /// # }
     /// ```
     #[must_use]
-    pub fn replaced(&self) -> bool {
+    pub fn is_replaced(&self) -> bool {
         self.replaced.get()
     }
 
     /// The versions in force at this instance and those it gathers word of; the
-    /// zone's whole where [`Source::first`] holds.
+    /// zone's whole where [`Source::is_first`] holds.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -266,11 +266,11 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// println!("{}", source.first());
+    /// println!("{}", source.is_first());
     /// # }
     /// ```
     #[must_use]
-    pub fn first(&self) -> bool {
+    pub fn is_first(&self) -> bool {
         self.membership.borrow().is_first()
     }
 
@@ -278,11 +278,11 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// println!("{} entries share the zone's callers", source.live().len());
+    /// println!("{} entries share the zone's callers", source.live_names().len());
     /// # }
     /// ```
     #[must_use]
-    pub fn live(&self) -> Vec<Name> {
+    pub fn live_names(&self) -> Vec<Name> {
         self.membership.borrow().live_names()
     }
 
@@ -290,11 +290,11 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// println!("{}", source.alive());
+    /// println!("{}", source.alive_count());
     /// # }
     /// ```
     #[must_use]
-    pub fn alive(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         self.membership.borrow().alive_count()
     }
 
@@ -313,16 +313,16 @@
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
-    /// source.end();
+    /// source.stop();
     /// # }
     /// ```
-    pub fn end(&self) {
-        self.ended.set(true);
+    pub fn stop(&self) {
+        self.stopped.set(true);
     }
 
-    /// Whether the source's work has ended.
-    pub(super) fn ended(&self) -> bool {
-        self.ended.get() || self.replaced.get()
+    /// Whether the source's work has stopped.
+    pub(super) fn is_stopped(&self) -> bool {
+        self.stopped.get() || self.replaced.get()
     }
 
     /// The time since the process started.
@@ -336,9 +336,11 @@
     }
 
     /// Whether the platform answered a moment ago.
-    pub(super) fn reaches(&self) -> bool {
+    pub(super) fn reaches_platform(&self) -> bool {
         let age = |at| self.now().saturating_sub(at);
-        self.reached.get().is_some_and(|at| age(at) < FRESH)
+        self.answered_at
+            .get()
+            .is_some_and(|at| age(at) < MAX_ANSWER_AGE)
     }
 
     /// Takes in a head, wherever it comes from.
@@ -347,14 +349,14 @@
     }
 
     /// Puts in force what is ready, and tells who waits for it.
-    pub(super) fn enforce(&self) {
-        let alive = self.alive();
+    pub(super) fn activate_ready(&self) {
+        let alive = self.alive_count();
         let polled = self.adoption.borrow_mut().poll(self.now(), alive);
         match polled {
-            Ok(Some(_)) => self.waiting.take().into_iter().for_each(Waker::wake),
+            Ok(Some(_)) => self.wakers.take().into_iter().for_each(Waker::wake),
             Ok(None) => {}
             Err(e) => {
-                self.trouble.replace(Some(e.to_string()));
+                self.last_error.replace(Some(e.to_string()));
             }
         }
     }
@@ -364,25 +366,25 @@
         let mut backoff = Backoff::new(self.options.seed);
         let mut since = 0;
         if !self.options.seeds.is_empty() {
-            self.sleep(PATIENCE).await;
+            self.sleep(PEER_WAIT).await;
         }
-        while !self.ended() {
+        while !self.is_stopped() {
             if !self.membership.borrow().must_watch(self.now()) {
-                self.sleep(LOOK).await;
+                self.sleep(WATCH_CHECK_INTERVAL).await;
                 continue;
             }
-            match self.round(since).await {
+            match self.poll_store(since).await {
                 Ok(revision) => {
                     backoff.reset();
-                    self.trouble.take();
+                    self.last_error.take();
                     since = revision;
                     // Changes that come meanwhile are read together.
                     let pause = self.adoption.borrow().min_interval();
                     self.sleep(pause).await;
                 }
                 Err(e) => {
-                    self.reached.take();
-                    self.trouble.replace(Some(e.to_string()));
+                    self.answered_at.take();
+                    self.last_error.replace(Some(e.to_string()));
                     time::sleep(backoff.pause()).await;
                 }
             }
@@ -392,37 +394,37 @@
     /// Reads the head, adopts it, and waits for the next change. The watch is
     /// only a hint when to read, so gaps and stale or reordered events cost time
     /// and nothing else.
-    async fn round(self: &Rc<Self>, since: u64) -> Result<u64, Error> {
+    async fn poll_store(self: &Rc<Self>, since: u64) -> Result<u64, Error> {
         let key = keys::head(&self.options.firm);
         if let Some(object) = self.store.get(&key).await? {
-            self.take(&object.value).await?;
+            self.accept_head(&object.value).await?;
         }
-        self.reached.set(Some(self.now()));
-        let events = self.store.watch(&key, since, WATCH).await?;
-        self.reached.set(Some(self.now()));
+        self.answered_at.set(Some(self.now()));
+        let events = self.store.watch(&key, since, WATCH_WAIT).await?;
+        self.answered_at.set(Some(self.now()));
         Ok(events.revision.max(since))
     }
 
     /// Takes a stored head and all that it names.
-    async fn take(self: &Rc<Self>, value: &[u8]) -> Result<(), Error> {
-        let head = Head::from_bytes(value).ok_or_else(|| garbled("the head"))?;
+    async fn accept_head(self: &Rc<Self>, value: &[u8]) -> Result<(), Error> {
+        let head = Head::from_bytes(value).ok_or_else(|| unreadable("the head"))?;
         match self.offer(head.clone()) {
-            Verdict::Corrupt => return Err(garbled("the head")),
+            Verdict::Corrupt => return Err(unreadable("the head")),
             Verdict::Old => return Ok(()),
             Verdict::New | Verdict::Known => {}
         }
-        let fresh = self.adoption.borrow().complete_head() != Some(&head);
-        self.fetch().await?;
-        self.enforce();
-        if fresh {
-            peers::pass_on(self, None);
+        let is_new = self.adoption.borrow().complete_head() != Some(&head);
+        self.fetch_missing().await?;
+        self.activate_ready();
+        if is_new {
+            peers::offer_to_neighbours(self, None);
         }
         Ok(())
     }
 
     /// Takes the pieces of the bundles, for who holds next to none. Those that the
     /// head doesn't refer to go once its file is in force.
-    async fn unpack(&self) -> Result<(), Error> {
+    async fn read_bundles(&self) -> Result<(), Error> {
         bundle::read(&*self.store, &self.options.firm, |piece| {
             let mut adoption = self.adoption.borrow_mut();
             // One that doesn't fit its hash is read by itself.
@@ -432,23 +434,23 @@
     }
 
     /// Fetches what is missing from the platform.
-    async fn fetch(&self) -> Result<(), Error> {
+    async fn fetch_missing(&self) -> Result<(), Error> {
         let mut bundles = true;
         loop {
             let missing = self.adoption.borrow().missing_pieces();
             if missing.is_empty() {
                 return Ok(());
             }
-            if bundles && missing.len() >= bundle::LEVEL {
+            if bundles && missing.len() >= bundle::MIN_MISSING_PIECES {
                 bundles = false;
-                self.unpack().await?;
+                self.read_bundles().await?;
                 continue;
             }
             for hash in missing {
                 let key = keys::piece(&self.options.firm, hash);
                 let object = self.store.get(&key).await?;
                 // Collected, because a later head stands by now: read that.
-                let object = object.ok_or_else(|| garbled("a piece"))?;
+                let object = object.ok_or_else(|| unreadable("a piece"))?;
                 let inserted = self.adoption.borrow_mut().insert_piece(hash, &object.value);
                 inserted.map_err(|e| Error::Unknown(e.to_string()))?;
             }
@@ -457,6 +459,6 @@
 }
 
 /// The error for something stored that can't be read.
-fn garbled(what: &str) -> Error {
+fn unreadable(what: &str) -> Error {
     Error::Unknown(format!("{what} can't be read"))
 }
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -16,12 +16,12 @@
 
 /// The time between two writes. Eleven zones then write 5.5 times a second, of
 /// several hundred that the platform takes.
-pub const PERIOD: Duration = Duration::from_secs(2);
+pub const WRITE_INTERVAL: Duration = Duration::from_secs(2);
 /// What the time grows by when the platform is slow, busy or away: nothing waits
 /// for a status, so its writes are the first to be dropped.
-const GROWTH: u32 = 2;
+const INTERVAL_GROWTH: u32 = 2;
 /// The longest time between two writes.
-const LONGEST: Duration = Duration::from_mins(1);
+const MAX_WRITE_INTERVAL: Duration = Duration::from_mins(1);
 
 /// The status of a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,11 +48,11 @@
     ///
     /// ```no_run
     /// # fn example(status: verbenaspool_transport::config::status::Status) {
-    /// let in_force = status.has(verbenaspool_state::version::Version(7));
+    /// let in_force = status.is_active(verbenaspool_state::version::Version(7));
     /// # }
     /// ```
     #[must_use]
-    pub fn has(&self, version: Version) -> bool {
+    pub fn is_active(&self, version: Version) -> bool {
         self.summary.instances >= self.alive && self.summary.lowest >= version
     }
 
@@ -65,7 +65,7 @@
     /// ```
     pub fn behind(&self, version: Version) -> impl Iterator<Item = &LaggingInstance> {
         let behind = self.summary.behind.iter();
-        behind.filter(move |seen| seen.version < version)
+        behind.filter(move |instance| instance.version < version)
     }
 }
 
@@ -82,11 +82,11 @@
 /// ```
 pub async fn publish(source: Rc<Source>, store: Rc<dyn Store>, zone: Name) {
     let key = keys::status(&source.options.firm, &zone);
-    let mut period = PERIOD;
+    let mut interval = WRITE_INTERVAL;
     let mut count = 0;
-    while !source.ended() {
-        source.sleep(period).await;
-        if !source.first() {
+    while !source.is_stopped() {
+        source.sleep(interval).await;
+        if !source.is_first() {
             continue;
         }
         count += 1;
@@ -94,16 +94,16 @@
             zone: zone.clone(),
             writer: source.options.name.clone(),
             count,
-            alive: u32::try_from(source.alive()).unwrap_or(u32::MAX),
+            alive: u32::try_from(source.alive_count()).unwrap_or(u32::MAX),
             summary: source.summary(),
-            trouble: source.trouble(),
+            trouble: source.last_error(),
         };
         let Ok(text) = serde_json::to_vec(&status) else {
             continue;
         };
-        period = match store.put(&key, text.into(), When::Always).await {
-            Ok(_) => PERIOD,
-            Err(_) => (period * GROWTH).min(LONGEST),
+        interval = match store.put(&key, text.into(), When::Always).await {
+            Ok(_) => WRITE_INTERVAL,
+            Err(_) => (interval * INTERVAL_GROWTH).min(MAX_WRITE_INTERVAL),
         };
     }
 }
@@ -136,7 +136,7 @@
 }
 
 /// Reads the report of a firm. The zones' statuses are read twice, `pause` apart,
-/// to tell which zones are still heard from; [`PERIOD`] and a half is enough.
+/// to tell which zones are still heard from; [`WRITE_INTERVAL`] and a half is enough.
 ///
 /// # Errors
 /// When the platform can't be read.
@@ -146,19 +146,19 @@
 /// use verbenaspool_transport::config::status;
 ///
 /// let firm = "quetzal".parse().unwrap();
-/// let report = status::read(store, &firm, status::PERIOD * 3 / 2).await;
+/// let report = status::read(store, &firm, status::WRITE_INTERVAL * 3 / 2).await;
 /// # }
 /// ```
 pub async fn read(store: &dyn Store, firm: &Name, pause: Duration) -> Result<Report, Error> {
-    let before = statuses(store, firm).await?;
+    let before = read_statuses(store, firm).await?;
     monoio::time::sleep(pause).await;
-    let after = statuses(store, firm).await?;
+    let after = read_statuses(store, firm).await?;
     let head = match store.get(&keys::head(firm)).await? {
         Some(object) => Head::from_bytes(&object.value),
         None => None,
     };
     let places = match &head {
-        Some(head) => places(store, firm, head).await?,
+        Some(head) => read_places(store, firm, head).await?,
         None => Vec::new(),
     };
     let mut names: Vec<Name> = places.into_iter().map(|place| place.zone).collect();
@@ -167,24 +167,24 @@
     names.dedup();
     let zones: Vec<Zone> = names
         .into_iter()
-        .map(|zone| told(zone, &before, &after))
+        .map(|zone| zone_report(zone, &before, &after))
         .collect();
     let accepted = head.as_ref().map(|head| head.version).unwrap_or_default();
-    let there = |zone: &Zone| {
+    let is_current = |zone: &Zone| {
         let status = zone.status.as_ref();
-        zone.heard && status.is_some_and(|status| status.has(accepted))
+        zone.heard && status.is_some_and(|status| status.is_active(accepted))
     };
     Ok(Report {
         firm: firm.clone(),
         accepted,
         apply: head.map(|head| head.apply),
-        in_force: !zones.is_empty() && zones.iter().all(there),
+        in_force: !zones.is_empty() && zones.iter().all(is_current),
         zones,
     })
 }
 
 /// What is told of a zone, of two readings.
-fn told(zone: Name, before: &[Status], after: &[Status]) -> Zone {
+fn zone_report(zone: Name, before: &[Status], after: &[Status]) -> Zone {
     let of = |statuses: &[Status]| statuses.iter().find(|s| s.zone == zone).cloned();
     let (first, last) = (of(before), of(after));
     Zone {
@@ -195,7 +195,7 @@
 }
 
 /// The statuses that a firm's zones wrote last.
-async fn statuses(store: &dyn Store, firm: &Name) -> Result<Vec<Status>, Error> {
+async fn read_statuses(store: &dyn Store, firm: &Name) -> Result<Vec<Status>, Error> {
     let mut statuses = Vec::new();
     for entry in store.list(&format!("firms/{firm}/status/")).await? {
         let object = store.get(&entry.key).await?;
@@ -206,17 +206,17 @@
 }
 
 /// The places of the accepted file, read without its customers.
-async fn places(store: &dyn Store, firm: &Name, head: &Head) -> Result<Vec<Place>, Error> {
-    let root: Option<Root> = piece(store, &keys::piece(firm, head.root)).await?;
+async fn read_places(store: &dyn Store, firm: &Name, head: &Head) -> Result<Vec<Place>, Error> {
+    let root: Option<Root> = read_piece(store, &keys::piece(firm, head.root)).await?;
     let Some(root) = root else {
         return Ok(Vec::new());
     };
-    let base: Option<Base> = piece(store, &keys::piece(firm, root.base)).await?;
+    let base: Option<Base> = read_piece(store, &keys::piece(firm, root.base)).await?;
     Ok(base.map(|base| base.places).unwrap_or_default())
 }
 
 /// A stored piece's content.
-async fn piece<T: serde::de::DeserializeOwned>(
+async fn read_piece<T: serde::de::DeserializeOwned>(
     store: &dyn Store,
     key: &str,
 ) -> Result<Option<T>, Error> {
--- a/verbenaspool_transport/src/config/upstreams.rs
+++ b/verbenaspool_transport/src/config/upstreams.rs
@@ -20,17 +20,17 @@
 };
 
 /// How long one watch waits. Each counts as a call.
-const WATCH: Duration = Duration::from_secs(5);
+const WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// After so many watches the list is read all the same, since watches lose
 /// events. A list takes 76 bytes an instance.
-const QUIET: u32 = 3;
+const WATCHES_PER_LIST: u32 = 3;
 
 /// Instances up to which the list is small: any event makes it be read whole,
 /// which mends lost events at once. Beyond, only what an event names is read,
-/// and the whole list once in a watch for every [`SMALL`] / [`QUIET`] instances,
+/// and the whole list once in a watch for every [`SMALL_LIST_INSTANCES`] / [`WATCHES_PER_LIST`] instances,
 /// so that reading it stays below 1 KB a second at any size.
-const SMALL: usize = 90;
+const SMALL_LIST_INSTANCES: usize = 90;
 
 /// Follows the list of a firm's upstream instances.
 pub struct Follower {
@@ -38,8 +38,8 @@
     prefix: String,
     /// The instances by key, with the version each was read at.
     known: HashMap<String, (u64, Option<Upstream>)>,
-    since: u64,
-    quiet: u32,
+    revision: u64,
+    watches_since_list: u32,
 }
 
 impl std::fmt::Debug for Follower {
@@ -64,8 +64,8 @@
             store,
             prefix: keys::instances(firm),
             known: HashMap::new(),
-            since: 0,
-            quiet: QUIET,
+            revision: 0,
+            watches_since_list: WATCHES_PER_LIST,
         }
     }
 
@@ -79,7 +79,7 @@
     ) {
         let mut backoff = Backoff::new(seed);
         while !signal.fired() {
-            match self.round().await {
+            match self.poll().await {
                 Ok(Some(list)) => {
                     backoff.reset();
                     changed(&list);
@@ -91,21 +91,24 @@
     }
 
     /// Reads the list if it may have changed, then waits for the next change.
-    async fn round(&mut self) -> Result<Option<Vec<Upstream>>, Error> {
-        if self.quiet >= self.patience() {
-            let changed = self.read().await?;
-            self.quiet = 0;
+    async fn poll(&mut self) -> Result<Option<Vec<Upstream>>, Error> {
+        if self.watches_since_list >= self.watches_per_list() {
+            let changed = self.refresh_list().await?;
+            self.watches_since_list = 0;
             if changed {
                 return Ok(Some(self.list()));
             }
         }
-        let events = self.store.watch(&self.prefix, self.since, WATCH).await?;
-        self.since = events.revision.max(self.since);
-        if !events.events.is_empty() && self.known.len() <= SMALL {
-            self.quiet = QUIET;
+        let events = self
+            .store
+            .watch(&self.prefix, self.revision, WATCH_WAIT)
+            .await?;
+        self.revision = events.revision.max(self.revision);
+        if !events.events.is_empty() && self.known.len() <= SMALL_LIST_INSTANCES {
+            self.watches_since_list = WATCHES_PER_LIST;
             return Ok(None);
         }
-        self.quiet += 1;
+        self.watches_since_list += 1;
         let mut changed = false;
         let known = |event: &Event| {
             let known = self.known.get(&event.key);
@@ -114,20 +117,20 @@
         let fresh = events.events.into_iter().filter(|event| !known(event));
         let keys: BTreeSet<String> = fresh.map(|event| event.key).collect();
         for key in keys {
-            changed |= self.reread(key).await?;
+            changed |= self.refresh_instance(key).await?;
         }
         Ok(changed.then(|| self.list()))
     }
 
     /// How many watches pass between two readings of the whole list.
-    fn patience(&self) -> u32 {
-        let share = self.known.len() / SMALL;
-        QUIET * u32::try_from(share.max(1)).unwrap_or(u32::MAX)
+    fn watches_per_list(&self) -> u32 {
+        let share = self.known.len() / SMALL_LIST_INSTANCES;
+        WATCHES_PER_LIST * u32::try_from(share.max(1)).unwrap_or(u32::MAX)
     }
 
     /// Reads one instance again; whether it changed. Whether it is gone is read as
     /// well, since an event may be older than what stands there.
-    async fn reread(&mut self, key: String) -> Result<bool, Error> {
+    async fn refresh_instance(&mut self, key: String) -> Result<bool, Error> {
         let Some(object) = self.store.get(&key).await? else {
             return Ok(self.known.remove(&key).is_some());
         };
@@ -141,16 +144,17 @@
     }
 
     /// Reads what changed; whether anything did.
-    async fn read(&mut self) -> Result<bool, Error> {
-        let listed = self.store.list(&self.prefix).await?;
+    async fn refresh_list(&mut self) -> Result<bool, Error> {
+        let entries = self.store.list(&self.prefix).await?;
         // What was read with the list needn't be told again.
-        let last = listed.iter().map(|entry| entry.version).max();
-        self.since = self.since.max(last.unwrap_or_default());
-        let before = self.known.len();
-        let there: HashSet<&str> = listed.iter().map(|entry| entry.key.as_str()).collect();
-        self.known.retain(|key, _| there.contains(key.as_str()));
-        let mut changed = self.known.len() != before;
-        for entry in listed {
+        let last = entries.iter().map(|entry| entry.version).max();
+        self.revision = self.revision.max(last.unwrap_or_default());
+        let count_before = self.known.len();
+        let listed_keys: HashSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
+        self.known
+            .retain(|key, _| listed_keys.contains(key.as_str()));
+        let mut changed = self.known.len() != count_before;
+        for entry in entries {
             let known = self.known.get(&entry.key);
             if known.is_some_and(|(version, _)| *version >= entry.version) {
                 continue;
--- a/verbenaspool_transport/src/platform.rs
+++ b/verbenaspool_transport/src/platform.rs
@@ -17,32 +17,32 @@
 pub mod driver;
 
 /// The header that carries an object's version.
-pub const VERSION: &str = "x-version";
+pub const VERSION_HEADER: &str = "x-version";
 /// The header that makes a change conditional on the version it replaces.
-pub const IF_VERSION: &str = "x-if-version";
+pub const IF_VERSION_HEADER: &str = "x-if-version";
 /// The largest value that the platform takes, in bytes.
-pub const LARGEST: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// The answer of a [`Store`] call, which stays on the thread that asked.
-pub type Answer<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + 'a>>;
+pub type CallFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + 'a>>;
 
 /// The platform's object API.
 pub trait Store {
     /// Reads an object; `None` where there is none.
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Object>>;
+    fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Object>>;
 
     /// Writes an object and answers with its new version.
-    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> Answer<'a, u64>;
+    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> CallFuture<'a, u64>;
 
     /// Deletes an object. Deleting what isn't there succeeds.
-    fn delete<'a>(&'a self, key: &'a str, when: When) -> Answer<'a, ()>;
+    fn delete<'a>(&'a self, key: &'a str, when: When) -> CallFuture<'a, ()>;
 
     /// Lists the objects whose key starts with `prefix`, in key order.
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<Entry>>;
+    fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, Vec<Entry>>;
 
     /// Waits up to `wait` for changes below `prefix` after revision `since`.
     /// Events may come late, with gaps and out of order: they are hints to read.
-    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> Answer<'a, Events>;
+    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> CallFuture<'a, Events>;
 }
 
 /// An object as read.
@@ -94,18 +94,18 @@
         /// The object's version, 0 where there is none.
         current: u64,
     },
-    /// The value is over [`LARGEST`]; nothing was changed.
-    #[error("the value is over {LARGEST} bytes")]
-    Large,
+    /// The value is over [`MAX_VALUE_BYTES`]; nothing was changed.
+    #[error("the value is over {MAX_VALUE_BYTES} bytes")]
+    TooLarge,
     /// The token doesn't reach this key; nothing was changed.
     #[error("the token doesn't reach this key")]
-    Refused,
+    Forbidden,
     /// The platform has no room for the call now; nothing was changed.
     #[error("the platform is over its rate")]
     Busy,
     /// The call was never sent, so it had no effect.
     #[error("the platform can't be reached: {0}")]
-    Unsent(String),
+    NotSent(String),
     /// The call was sent and its answer is lost: a change may have taken effect.
     #[error("the platform's answer is lost: {0}")]
     Unknown(String),
--- a/verbenaspool_transport/src/platform/budget.rs
+++ b/verbenaspool_transport/src/platform/budget.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 
-use super::{Answer, Entry, Error, Events, Object, Store, When};
+use super::{CallFuture, Entry, Error, Events, Object, Store, When};
 use crate::clock::Clock;
 
 /// What a process may ask of the platform.
@@ -18,19 +18,19 @@
 pub struct Settings {
     /// Calls a second in the long run. Two watchers in each of 11 zones at this
     /// rate use half of 2,000 reads a second.
-    pub rate: f64,
+    pub calls_per_second: f64,
     /// Calls that may be made at once after a quiet time.
     pub burst: f64,
     /// Status writes are dropped when fewer calls than this are left.
-    pub reserve: f64,
+    pub status_reserve: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            rate: 45.0,
+            calls_per_second: 45.0,
             burst: 90.0,
-            reserve: 20.0,
+            status_reserve: 20.0,
         }
     }
 }
@@ -44,9 +44,9 @@
     /// The settings.
     settings: Settings,
     /// Calls left; below zero while some wait.
-    left: Cell<f64>,
-    /// When `left` was last counted.
-    at: Cell<Duration>,
+    tokens: Cell<f64>,
+    /// When `tokens` was last counted.
+    refilled_at: Cell<Duration>,
 }
 
 impl Budget {
@@ -64,8 +64,8 @@
         Rc::new(Self {
             store,
             settings,
-            left: Cell::new(settings.burst),
-            at: Cell::new(clock.now()),
+            tokens: Cell::new(settings.burst),
+            refilled_at: Cell::new(clock.now()),
             clock,
         })
     }
@@ -73,64 +73,67 @@
     /// Counts what has come in since the last call.
     fn refill(&self) {
         let now = self.clock.now();
-        let earned = now.saturating_sub(self.at.replace(now)).as_secs_f64() * self.settings.rate;
-        self.left
-            .set((self.left.get() + earned).min(self.settings.burst));
+        let added = now
+            .saturating_sub(self.refilled_at.replace(now))
+            .as_secs_f64()
+            * self.settings.calls_per_second;
+        self.tokens
+            .set((self.tokens.get() + added).min(self.settings.burst));
     }
 
     /// Waits for a call's turn.
-    async fn turn(&self) {
+    async fn acquire(&self) {
         self.refill();
-        let left = self.left.get() - 1.0;
-        self.left.set(left);
-        if left < 0.0 {
-            let wait = Duration::from_secs_f64(-left / self.settings.rate);
+        let tokens = self.tokens.get() - 1.0;
+        self.tokens.set(tokens);
+        if tokens < 0.0 {
+            let wait = Duration::from_secs_f64(-tokens / self.settings.calls_per_second);
             self.clock.sleep(wait).await;
         }
     }
 
     /// Whether a write is to be dropped for want of budget.
-    fn drops(&self, key: &str) -> bool {
+    fn is_dropped(&self, key: &str) -> bool {
         self.refill();
-        key.contains("/status/") && self.left.get() < self.settings.reserve
+        key.contains("/status/") && self.tokens.get() < self.settings.status_reserve
     }
 }
 
 impl Store for Budget {
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Object>> {
+    fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Object>> {
         Box::pin(async move {
-            self.turn().await;
+            self.acquire().await;
             self.store.get(key).await
         })
     }
 
-    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> Answer<'a, u64> {
+    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> CallFuture<'a, u64> {
         Box::pin(async move {
-            if self.drops(key) {
+            if self.is_dropped(key) {
                 return Err(Error::Busy);
             }
-            self.turn().await;
+            self.acquire().await;
             self.store.put(key, value, when).await
         })
     }
 
-    fn delete<'a>(&'a self, key: &'a str, when: When) -> Answer<'a, ()> {
+    fn delete<'a>(&'a self, key: &'a str, when: When) -> CallFuture<'a, ()> {
         Box::pin(async move {
-            self.turn().await;
+            self.acquire().await;
             self.store.delete(key, when).await
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<Entry>> {
+    fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, Vec<Entry>> {
         Box::pin(async move {
-            self.turn().await;
+            self.acquire().await;
             self.store.list(prefix).await
         })
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> Answer<'a, Events> {
+    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> CallFuture<'a, Events> {
         Box::pin(async move {
-            self.turn().await;
+            self.acquire().await;
             self.store.watch(prefix, since, wait).await
         })
     }
--- a/verbenaspool_transport/src/platform/client.rs
+++ b/verbenaspool_transport/src/platform/client.rs
@@ -20,13 +20,16 @@
 
 use verbenaspool_state::credential::Token;
 
-use super::{Answer, Entry, Error, Events, IF_VERSION, LARGEST, Object, Store, VERSION, When};
+use super::{
+    CallFuture, Entry, Error, Events, IF_VERSION_HEADER, MAX_VALUE_BYTES, Object, Store,
+    VERSION_HEADER, When,
+};
 
 /// Connections kept for later calls. One watch and a few reads and writes are
 /// all that an instance has open at a time.
-const KEPT: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 /// What a watch's deadline adds to its wait, for the way there and back.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// A connection to the platform.
 type Connection = ClientCodec<TcpStream>;
@@ -83,7 +86,7 @@
     /// Makes one call within `timeout`.
     ///
     /// # Errors
-    /// [`Error::Unsent`] where no byte of the call left, [`Error::Unknown`]
+    /// [`Error::NotSent`] where no byte of the call left, [`Error::Unknown`]
     /// where its answer is lost.
     pub async fn call(
         &self,
@@ -115,7 +118,7 @@
             .await
             .map_err(|e| Error::Unknown(e.to_string()))?;
         if head.headers.get(header::CONNECTION).is_none() {
-            self.keep(connection);
+            self.store_idle(connection);
         }
         Ok(Response::from_parts(head, body))
     }
@@ -131,18 +134,18 @@
         }
         let stream = TcpStream::connect_addr(self.address)
             .await
-            .map_err(|e| Error::Unsent(e.to_string()))?;
+            .map_err(|e| Error::NotSent(e.to_string()))?;
         // Calls are small and each waits for its answer: delay would only add up.
         stream
             .set_nodelay(true)
-            .map_err(|e| Error::Unsent(e.to_string()))?;
+            .map_err(|e| Error::NotSent(e.to_string()))?;
         Ok(ClientCodec::new(stream))
     }
 
     /// Keeps a connection for a later call.
-    fn keep(&self, connection: Connection) {
+    fn store_idle(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < KEPT {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
@@ -186,73 +189,73 @@
 }
 
 impl Store for Client {
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Object>> {
+    fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Object>> {
         Box::pin(async move {
-            let call = Call::new(Method::GET, object(key));
+            let call = Call::new(Method::GET, object_path(key));
             let response = self.call(call, self.settings.timeout).await?;
             match response.status() {
                 StatusCode::OK => Ok(Some(Object {
-                    version: version(&response)?,
+                    version: version_of(&response)?,
                     value: response.into_body(),
                 })),
                 StatusCode::NOT_FOUND => Ok(None),
-                _ => Err(error(&response)),
+                _ => Err(error_for(&response)),
             }
         })
     }
 
-    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> Answer<'a, u64> {
+    fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> CallFuture<'a, u64> {
         Box::pin(async move {
-            if value.len() > LARGEST {
-                return Err(Error::Large);
+            if value.len() > MAX_VALUE_BYTES {
+                return Err(Error::TooLarge);
             }
             let call = Call {
                 when,
                 body: Some(&value),
-                ..Call::new(Method::PUT, object(key))
+                ..Call::new(Method::PUT, object_path(key))
             };
             let response = self.call(call, self.settings.timeout).await?;
             match response.status() {
-                StatusCode::OK => version(&response),
-                _ => Err(error(&response)),
+                StatusCode::OK => version_of(&response),
+                _ => Err(error_for(&response)),
             }
         })
     }
 
-    fn delete<'a>(&'a self, key: &'a str, when: When) -> Answer<'a, ()> {
+    fn delete<'a>(&'a self, key: &'a str, when: When) -> CallFuture<'a, ()> {
         Box::pin(async move {
             let call = Call {
                 when,
-                ..Call::new(Method::DELETE, object(key))
+                ..Call::new(Method::DELETE, object_path(key))
             };
             let response = self.call(call, self.settings.timeout).await?;
             match response.status() {
                 StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-                _ => Err(error(&response)),
+                _ => Err(error_for(&response)),
             }
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<Entry>> {
+    fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, Vec<Entry>> {
         Box::pin(async move {
             let call = Call::new(Method::GET, format!("/v1/list?prefix={prefix}"));
             let response = self.call(call, self.settings.timeout).await?;
             match response.status() {
-                StatusCode::OK => read(&response),
-                _ => Err(error(&response)),
+                StatusCode::OK => parse_body(&response),
+                _ => Err(error_for(&response)),
             }
         })
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> Answer<'a, Events> {
+    fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> CallFuture<'a, Events> {
         Box::pin(async move {
             let wait_ms = wait.as_millis();
             let path = format!("/v1/watch?prefix={prefix}&since={since}&wait_ms={wait_ms}");
             let call = Call::new(Method::GET, path);
-            let response = self.call(call, wait + WATCH_SLACK).await?;
+            let response = self.call(call, wait + WATCH_TIMEOUT_MARGIN).await?;
             match response.status() {
-                StatusCode::OK => read(&response),
-                _ => Err(error(&response)),
+                StatusCode::OK => parse_body(&response),
+                _ => Err(error_for(&response)),
             }
         })
     }
@@ -291,17 +294,17 @@
                 header::AUTHORIZATION,
                 format!("Bearer {}", settings.token.reveal()),
             );
-        if let Some(version) = condition(self.when) {
-            request = request.header(IF_VERSION, version);
+        if let Some(version) = expected_version(self.when) {
+            request = request.header(IF_VERSION_HEADER, version);
         }
         request
             .body(HttpBody::Ready(self.body.cloned()))
-            .map_err(|e| Error::Unsent(e.to_string()))
+            .map_err(|e| Error::NotSent(e.to_string()))
     }
 }
 
-/// The condition of a change as the header [`IF_VERSION`] says it.
-fn condition(when: When) -> Option<u64> {
+/// The condition of a change as the header [`IF_VERSION_HEADER`] says it.
+fn expected_version(when: When) -> Option<u64> {
     match when {
         When::Always => None,
         When::Absent => Some(0),
@@ -310,33 +313,33 @@
 }
 
 /// The path of an object.
-fn object(key: &str) -> String {
+fn object_path(key: &str) -> String {
     format!("/v1/objects/{key}")
 }
 
 /// The version that a response carries.
-fn version(response: &Response<Bytes>) -> Result<u64, Error> {
+fn version_of(response: &Response<Bytes>) -> Result<u64, Error> {
     response
         .headers()
-        .get(VERSION)
+        .get(VERSION_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| Error::Unknown(format!("no {VERSION} in the answer")))
+        .ok_or_else(|| Error::Unknown(format!("no {VERSION_HEADER} in the answer")))
 }
 
 /// The body of a response, read as JSON.
-fn read<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> Result<T, Error> {
+fn parse_body<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> Result<T, Error> {
     serde_json::from_slice(response.body()).map_err(|e| Error::Unknown(e.to_string()))
 }
 
 /// The error that a response stands for.
-fn error(response: &Response<Bytes>) -> Error {
+fn error_for(response: &Response<Bytes>) -> Error {
     match response.status() {
         StatusCode::CONFLICT => {
-            version(response).map_or_else(|error| error, |current| Error::Conflict { current })
+            version_of(response).map_or_else(|error| error, |current| Error::Conflict { current })
         }
-        StatusCode::PAYLOAD_TOO_LARGE => Error::Large,
-        StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => Error::Refused,
+        StatusCode::PAYLOAD_TOO_LARGE => Error::TooLarge,
+        StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => Error::Forbidden,
         StatusCode::TOO_MANY_REQUESTS => Error::Busy,
         status => Error::Unknown(status.to_string()),
     }
--- a/verbenaspool_transport/src/platform/driver.rs
+++ b/verbenaspool_transport/src/platform/driver.rs
@@ -10,10 +10,10 @@
 
 /// The shortest pause before a call is made again. The platform answers in
 /// milliseconds, so this is long enough for a short stall to be over.
-const SHORTEST: Duration = Duration::from_millis(20);
+const INITIAL_PAUSE_LIMIT: Duration = Duration::from_millis(20);
 /// The longest pause. With 1,000 instances asking once in 2 s on average, half
 /// of the store's reads a second are left while it recovers.
-const LONGEST: Duration = Duration::from_secs(4);
+const MAX_PAUSE_LIMIT: Duration = Duration::from_secs(4);
 
 /// Pauses between calls that fail, doubling and jittered.
 ///
@@ -21,8 +21,8 @@
 /// and without growth their calls alone exceed what the store can answer.
 #[derive(Debug)]
 pub struct Backoff {
-    /// The upper bound of the next pause.
-    bound: Duration,
+    /// The upper limit of the next pause.
+    limit: Duration,
     /// Where the jitter comes from.
     random: SmallRng,
 }
@@ -39,21 +39,21 @@
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            bound: SHORTEST,
+            limit: INITIAL_PAUSE_LIMIT,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// The next pause: anything up to a bound that doubles each time.
+    /// The next pause: anything up to a limit that doubles each time.
     ///
     /// ```
     /// # use verbenaspool_transport::platform::driver::Backoff;
     /// assert!(!Backoff::new(7).pause().is_zero());
     /// ```
     pub fn pause(&mut self) -> Duration {
-        let bound = self.bound;
-        self.bound = (bound * 2).min(LONGEST);
-        bound.mul_f64(self.random.random_range(0.1..=1.0))
+        let limit = self.limit;
+        self.limit = (limit * 2).min(MAX_PAUSE_LIMIT);
+        limit.mul_f64(self.random.random_range(0.1..=1.0))
     }
 
     /// Starts again from the shortest, after a call that was answered.
@@ -63,7 +63,7 @@
     /// Backoff::new(7).reset();
     /// ```
     pub fn reset(&mut self) {
-        self.bound = SHORTEST;
+        self.limit = INITIAL_PAUSE_LIMIT;
     }
 }
 
@@ -103,7 +103,7 @@
             }
         };
         let left = end.checked_duration_since(Instant::now())?;
-        let answer = match time::timeout(left, make(store, &call)).await {
+        let answer = match time::timeout(left, self::call(store, &call)).await {
             Ok(answer) => answer,
             Err(_) => Answer::Lost("no answer in time".to_owned()),
         };
@@ -112,7 +112,7 @@
 }
 
 /// Makes one call.
-pub async fn make(store: &dyn Store, call: &Call) -> Answer {
+pub async fn call(store: &dyn Store, call: &Call) -> Answer {
     let result = match call {
         Call::Get { key } => store.get(key).await.map(|object| match object {
             Some(object) => Answer::Found {
@@ -137,15 +137,15 @@
             Answer::Listed(entries.collect())
         }),
     };
-    result.unwrap_or_else(|error| answer(&error))
+    result.unwrap_or_else(|error| error_answer(&error))
 }
 
 /// An error as a machine takes it.
-fn answer(error: &Error) -> Answer {
+fn error_answer(error: &Error) -> Answer {
     match error {
         Error::Conflict { current } => Answer::Conflict(*current),
-        Error::Large | Error::Refused => Answer::Rejected(error.to_string()),
-        Error::Busy | Error::Unsent(_) => Answer::Failed(error.to_string()),
+        Error::TooLarge | Error::Forbidden => Answer::Rejected(error.to_string()),
+        Error::Busy | Error::NotSent(_) => Answer::Failed(error.to_string()),
         Error::Unknown(_) => Answer::Lost(error.to_string()),
     }
 }
