--- a/verbenaspool_transport/src/config.rs
+++ b/verbenaspool_transport/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration of a firm over the network: applying files and adopting them.
+//! Distribution of a firm's configuration: applying a file, and following the active one.
 //!
-//! [`source::Source`] yields the files that come in force at this process;
-//! [`apply`] has a file accepted.
+//! [`apply`] submits a file for acceptance; [`source::Source`] yields each file as it
+//! becomes active in this process.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 pub mod status;
 pub mod upstreams;
 
-/// Has a file accepted, within a time bound, and then collects pieces that
-/// nothing refers to any more.
+/// Submits a file for acceptance within a time limit, then deletes the pieces that are no
+/// longer referenced.
 ///
 /// ```no_run
 /// # async fn example(store: &dyn verbenaspool_transport::platform::Store,
@@ -43,10 +43,10 @@
         version,
     } = outcome
     {
-        // Without the bundles reading the file is slower, and no less right.
+        // Bundles only make reading faster, so a failure to write them is ignored.
         let _ = bundle::pack(store, &firm, version, &split).await;
         let mut collection = Collection::new(firm, object_version, referenced);
-        // What can't be collected now is left to the next apply.
+        // Pieces that can't be deleted now are left to the next apply.
         driver::drive(store, &mut collection, within, seed).await;
     }
     outcome
--- a/verbenaspool_transport/src/config/bundle.rs
+++ b/verbenaspool_transport/src/config/bundle.rs
@@ -1,10 +1,10 @@
-//! Many pieces in few objects, for who holds none.
+//! Bundles: many pieces of a file in few objects, for instances that start without any.
 //!
-//! A file of 16,000 customers has some 4,400 pieces. Read one by one within the
-//! budget of calls they take minutes, in which a zone whose instances were all
-//! replaced takes no traffic. So an operator's apply packs all pieces into a few
-//! objects now and then. These are copies and nothing refers to them: what they
-//! hold is checked piece by piece, and what they lack is read by itself.
+//! A file of 16,000 customers has some 4,400 pieces. Reading them one by one within the
+//! call budget takes minutes, during which a zone whose instances were all replaced
+//! serves no traffic. From time to time, applying a file therefore also packs all its
+//! pieces into a few objects. These are copies that nothing refers to: each piece in them
+//! is verified by its hash, and pieces missing from them are read one by one.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -17,22 +17,22 @@
 
 use crate::platform::{Error, Store, When};
 
-/// Files of fewer pieces aren't packed: they are read one by one in no time.
+/// Files of fewer pieces aren't packed, since reading those one by one is fast enough.
 const MIN_PIECES: usize = 256;
-/// Versions between two packings. The pieces that changed since are read one by
-/// one, some 300 at most.
+/// Number of versions between two packings. The pieces that changed since the last one,
+/// 300 at most, are read one by one.
 const VERSIONS_PER_PACK: u64 = 64;
-/// Bytes of pieces in one bundle; with their hashes and quotes escaped it stays
-/// below a megabyte.
+/// Maximum size of the pieces in one bundle, with their hashes and escaped quotes. It
+/// keeps a bundle below the platform's limit of 1 MB.
 const MAX_BUNDLE_BYTES: usize = 700_000;
-/// Missing pieces from which the bundles are worth their reading: more than one
-/// level of the tree shows below nodes that are held.
+/// Number of missing pieces from which the bundles are read. It is higher than the number
+/// that one level of the tree reveals below nodes that are present.
 pub const MIN_MISSING_PIECES: usize = 16;
 
-/// Packs a file's pieces, if it is time to.
+/// Writes a file's pieces as bundles if the version is due for it.
 ///
 /// # Errors
-/// When the platform doesn't take them; the next time it may.
+/// When a call to the platform fails. A later version packs again.
 pub async fn pack(
     store: &dyn Store,
     firm: &Name,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Cuts pieces into bundles.
+/// Distributes pieces over bundles of limited size.
 fn split_into_bundles(pieces: &BTreeMap<Hash, Rc<[u8]>>) -> Vec<Vec<Piece>> {
     let mut bundles = vec![Vec::new()];
     let mut bytes = 0;
@@ -63,7 +63,7 @@
         let Ok(text) = std::str::from_utf8(content) else {
             continue;
         };
-        // Every quote of a piece is escaped inside the bundle.
+        // Every quote in a piece takes an escape character inside the bundle.
         let size = text.len() + text.matches('"').count() + 64;
         if bytes + size > MAX_BUNDLE_BYTES {
             bundles.push(Vec::new());
@@ -80,10 +80,10 @@
     bundles
 }
 
-/// Reads all bundles of a firm, and hands their pieces on.
+/// Reads all bundles of a firm and passes each piece to `take`.
 ///
 /// # Errors
-/// When the platform can't be read.
+/// When a call to the platform fails.
 pub async fn read(
     store: &dyn Store,
     firm: &Name,
@@ -93,7 +93,7 @@
         let Some(object) = store.get(&entry.key).await? else {
             continue;
         };
-        // A bundle that can't be read costs calls and nothing else.
+        // An invalid bundle is skipped; its pieces are read one by one.
         let pieces: Vec<Piece> = serde_json::from_slice(&object.value).unwrap_or_default();
         pieces.iter().for_each(&mut take);
     }
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -1,4 +1,4 @@
-//! What a source says to the peers of its zone, and takes from them.
+//! Exchange of heartbeats, heads and pieces between a source and its peers in the zone.
 
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,18 +17,18 @@
 use super::source::Source;
 use crate::rpc;
 
-/// How often a source looks what is due.
+/// Interval at which a source checks for due heartbeats and ready versions.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a heartbeat may take. Less than the time between two, so that a
-/// peer that doesn't answer holds nothing up.
+/// Timeout of a heartbeat. It is shorter than the heartbeat interval, so that a peer
+/// that doesn't answer delays nothing.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long an offer or a fetch may take: a megabyte over a slow link.
+/// Timeout of an offer or a fetch, sufficient for 1 MB over a slow link.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// The most rounds of fetching for one version. A tree has five levels; the rest
-/// is room for a root of many pieces.
+/// Maximum number of fetch calls for one version. A tree has five levels; the others
+/// allow for a root with many pieces.
 const MAX_FETCH_ROUNDS: usize = 64;
 
-/// Adds the methods that peers call to a module.
+/// Registers the methods that peers call.
 pub(super) fn register_methods(source: &Rc<Source>, module: &mut rpc::Module) {
     let own = Rc::clone(source);
     module.register(HEARTBEAT, move |heartbeat: Heartbeat| {
@@ -47,7 +47,7 @@
     });
 }
 
-/// Sends heartbeats and puts versions in force, until the source ends.
+/// Sends heartbeats and activates versions until the source stops.
 pub(super) async fn run(source: Rc<Source>) {
     while !source.is_stopped() {
         source.activate_ready();
@@ -62,7 +62,7 @@
                 Vec::new(),
             ));
         }
-        // Who knows nobody asks the seeds, as often as it would send heartbeats.
+        // An instance that knows no peer contacts the seeds at the heartbeat interval.
         if !due && source.alive_count() == 1 {
             for seed in &source.options.seeds {
                 monoio::spawn(send_heartbeat(Rc::clone(&source), *seed, Vec::new()));
@@ -78,7 +78,7 @@
     }
 }
 
-/// What the source says of itself now.
+/// The current status of this instance, as sent to peers.
 fn own_status(source: &Source) -> PeerStatus {
     let adoption = source.adoption.borrow();
     let held = adoption.complete_head().map(|head| head.version);
@@ -92,12 +92,13 @@
     )
 }
 
-/// The source's table.
+/// The source's membership table.
 fn member_table(source: &Source) -> Vec<Member> {
     source.membership.borrow().table().cloned().collect()
 }
 
-/// Calls a peer, twice if need be: a kept connection may have been closed by it.
+/// Calls a peer, with one retry on an I/O error, since the peer may have closed an idle
+/// connection.
 async fn call<P, R>(
     source: &Source,
     address: SocketAddr,
@@ -115,7 +116,8 @@
     }
 }
 
-/// Sends a heartbeat and takes its answer in.
+/// Sends a heartbeat and processes its answer. Where the membership tables differ, it is
+/// sent once more with this instance's table.
 async fn send_heartbeat(source: Rc<Source>, address: SocketAddr, members: Vec<Member>) {
     if address == source.options.control {
         return;
@@ -125,7 +127,7 @@
         status: own_status(&source),
         table: members,
     };
-    // Silence is noticed by the membership.
+    // The membership notices missed heartbeats by itself.
     let Ok(answer) =
         call::<_, HeartbeatAnswer>(&source, address, HEARTBEAT, &heartbeat, HEARTBEAT_TIMEOUT)
             .await
@@ -148,7 +150,7 @@
     }
 }
 
-/// The last message of a peer.
+/// The last status received from a peer, or the own status if there is none.
 fn peer_status(source: &Source, from: &Member) -> PeerStatus {
     let membership = source.membership.borrow();
     membership
@@ -157,7 +159,8 @@
         .unwrap_or_else(|| own_status(source))
 }
 
-/// Takes in a peer's table and message; whether the message counts.
+/// Merges a peer's membership table and records its status. Returns whether the status is
+/// current rather than outdated.
 fn receive_status(source: &Source, members: &[Member], status: PeerStatus) -> bool {
     let mut membership = source.membership.borrow_mut();
     if membership.merge(members) == OwnStanding::Replaced {
@@ -181,7 +184,7 @@
     let held = source.adoption.borrow().complete_head().cloned();
     let own = held.as_ref().map(|head| head.version).unwrap_or_default();
     if peer_version > own {
-        // Its head comes with the answer to a heartbeat of ours.
+        // The peer sends its head in the answer to a heartbeat.
         monoio::spawn(send_heartbeat(
             Rc::clone(source),
             status.from.address,
@@ -199,7 +202,8 @@
     }
 }
 
-/// Gets hold of a head that a peer holds, and passes it on.
+/// Fetches the pieces of a head from a peer that has them, and offers the head to the
+/// neighbours.
 async fn fetch_head(source: &Rc<Source>, from: &Member, head: Head) {
     match source.offer(head.clone()) {
         Verdict::Corrupt | Verdict::Old => return,
@@ -212,7 +216,8 @@
     record_head(source, from, &head);
 }
 
-/// Notes that the source holds `head`, as the peer does that it came from.
+/// Records that the peer `from` has `head`, activates what is ready, and offers the head
+/// to the other neighbours once all its pieces are here.
 fn record_head(source: &Rc<Source>, from: &Member, head: &Head) {
     let complete = {
         let mut adoption = source.adoption.borrow_mut();
@@ -225,7 +230,7 @@
     }
 }
 
-/// Fetches what is missing of `root` from a peer.
+/// Fetches the missing pieces of `root` from a peer.
 async fn fetch_missing(source: &Source, address: SocketAddr, root: Hash) {
     let mut have = source.current().map(|adopted| adopted.head.root);
     for _ in 0..MAX_FETCH_ROUNDS {
@@ -239,8 +244,8 @@
             missing: missing.iter().copied().take(peer::MAX_PIECES).collect(),
         };
         let fetched = call::<_, FetchAnswer>(source, address, FETCH, &request, FETCH_TIMEOUT).await;
-        // What doesn't come from here comes with the next heartbeat, or from the
-        // platform.
+        // Pieces that this peer doesn't deliver are fetched after the next heartbeat or
+        // read from the platform.
         let Ok(fetched) = fetched else {
             return;
         };
@@ -250,12 +255,12 @@
     }
 }
 
-/// Takes fetched pieces in; whether any was of use.
+/// Inserts fetched pieces. Returns whether any was usable.
 fn insert(source: &Source, missing: &BTreeSet<Hash>, fetched: &FetchAnswer) -> bool {
     let mut adoption = source.adoption.borrow_mut();
     let delta = fetched.delta.as_ref();
     let mut used = delta.is_some_and(|delta| adoption.apply_delta(delta).is_ok());
-    // Only what is missing is taken: a faulty peer could fill the memory.
+    // Only missing pieces are inserted, or a faulty peer could exhaust the memory.
     for piece in fetched
         .pieces
         .iter()
@@ -268,14 +273,14 @@
     used
 }
 
-/// Answers an offer once the head is held, or isn't to be had.
+/// Answers an offer once the head's pieces are here or fetching them has failed.
 async fn answer_offer(source: &Rc<Source>, offer: Offer) -> OfferAnswer {
     let Offer { from, head, delta } = offer;
     let verdict = source.offer(head.clone());
     if matches!(verdict, Verdict::New | Verdict::Known) {
         if verdict == Verdict::New {
             if let Some(delta) = delta {
-                // One that doesn't fit costs a fetch.
+                // If the delta doesn't apply, the pieces are fetched.
                 let _ = source.adoption.borrow_mut().apply_delta(&delta);
             }
             fetch_missing(source, from.address, head.root).await;
@@ -295,7 +300,7 @@
     }
 }
 
-/// Answers a request for pieces.
+/// Answers a request for pieces, with a delta where one is available.
 fn answer_fetch(source: &Source, fetch: &Fetch) -> FetchAnswer {
     let adoption = source.adoption.borrow();
     let delta = fetch.have.and_then(|have| adoption.delta(have, fetch.root));
@@ -320,7 +325,7 @@
     FetchAnswer { delta, pieces }
 }
 
-/// Offers the held head to all neighbours but the one that it came from.
+/// Offers the latest complete head to all neighbours but `from`, which sent it.
 pub(super) fn offer_to_neighbours(source: &Rc<Source>, from: Option<&Member>) {
     let (head, delta) = {
         let adoption = source.adoption.borrow();
@@ -346,8 +351,9 @@
     }
 }
 
-/// Offers a head to one peer. If it doesn't answer, its children are offered it:
-/// a process that is dead and not yet missed must not cut off those below it.
+/// Offers a head to one peer. If the peer doesn't answer, the head is offered to its
+/// children in the tree, so that a process that is dead but not yet detected as such doesn't
+/// cut them off.
 async fn offer_to(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
     let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIMEOUT).await;
     match held {
@@ -364,12 +370,12 @@
                 monoio::spawn(offer_to(Rc::clone(&source), child, Rc::clone(&offer)));
             }
         }
-        // A later version goes the same way by now.
+        // A later version is being offered the same way.
         Err(_) => {}
     }
 }
 
-/// The highest version heard of.
+/// The highest version known from any peer or the platform.
 fn highest_version(source: &Source) -> Version {
     let adoption = source.adoption.borrow();
     adoption
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -1,4 +1,4 @@
-//! Where a process gets the files that are in force from.
+//! The source from which a process gets the active configuration files.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,41 +25,40 @@
     rpc,
 };
 
-/// How long one watch waits. Each counts as a call, so longer is cheaper; but a
-/// watch that lost its events brings nothing until it ends, and an accepted file
-/// must be in force within 9 s all the same.
+/// Wait of one watch. A longer wait costs fewer calls, but a watch that lost its events
+/// returns nothing until it ends, and an accepted file must be active within 9 s even then.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// How old the last word from the platform may be to count as fresh: a watch
-/// with time for its answer.
+/// Maximum age of the platform's last answer for the platform to count as reachable: the
+/// wait of a watch and time for its answer.
 const MAX_ANSWER_AGE: Duration = Duration::from_secs(6);
-/// How often a process that doesn't watch looks whether it has to.
+/// Interval at which a process that doesn't watch the platform checks whether it must.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a process waits for its peers' word before it reads the platform.
-/// Without the wait, a zone that restarts reads everything once an instance.
+/// Time for which a starting process waits for its peers before it reads the platform.
+/// Without it, every instance of a restarting zone reads the whole file from the platform.
 const PEER_WAIT: Duration = Duration::from_millis(300);
 
-/// What a source is for.
+/// Options of a source.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The firm.
     pub firm: Name,
     /// The instance's name, unique among the firm's entry instances.
     pub name: Name,
-    /// Where peers reach the instance's control methods.
+    /// The address at which peers call this instance's control methods.
     pub control: SocketAddr,
-    /// Control addresses of some peers of the zone, to find the others by.
+    /// Control addresses of some peers of the zone, for discovery of the others.
     pub seeds: Vec<SocketAddr>,
-    /// A number that tells this process from others: it sets the jitter, and the
-    /// first guess at the incarnation, which peers correct.
+    /// A number that differs between processes. It seeds the jitter and is the initial
+    /// incarnation, which peers correct.
     pub seed: u64,
-    /// When a held file comes in force.
+    /// Settings for when a complete file becomes active.
     pub adoption: adoption::Settings,
-    /// Who counts as alive.
+    /// Settings for which members count as alive.
     pub membership: membership::Settings,
 }
 
 impl Options {
-    /// Options with the usual settings and no peers.
+    /// Returns options with default settings and no seeds.
     ///
     /// ```
     /// use verbenaspool_transport::config::source::Options;
@@ -82,32 +81,32 @@
     }
 }
 
-/// The files that come in force at this process, found together with the peers
-/// of its zone.
+/// Follows a firm's configuration together with the peers of the zone, and yields the file
+/// that is active in this process.
 ///
-/// A process takes no traffic before [`Source::current`] holds a file.
+/// A process serves no traffic before [`Source::current`] returns a file.
 pub struct Source {
-    /// What the source is for.
+    /// The options.
     pub(super) options: Options,
     /// The platform.
     store: Rc<dyn Store>,
-    /// The source of time.
+    /// The clock.
     clock: Rc<dyn Clock>,
-    /// What is in force and what comes next.
+    /// The active file and the one to activate next.
     pub(super) adoption: RefCell<Adoption>,
     /// The zone's members.
     pub(super) membership: RefCell<Membership>,
-    /// Calls to peers.
+    /// The RPC client for calls to peers.
     pub(super) calls: rpc::Client,
-    /// Who waits for the next version.
+    /// Tasks that wait for the next version.
     wakers: RefCell<Vec<Waker>>,
-    /// When the platform last answered.
+    /// The time of the platform's last answer; `None` after a failed call.
     answered_at: Cell<Option<Duration>>,
-    /// Why the last read of the platform brought nothing.
+    /// The last error while reading or activating a file, until the next successful read.
     last_error: RefCell<Option<String>>,
-    /// Whether a successor has taken over under the same name.
+    /// Whether another process has taken over this instance's name.
     pub(super) replaced: Cell<bool>,
-    /// Whether the source is to end.
+    /// Whether the source has been told to stop.
     stopped: Cell<bool>,
 }
 
@@ -121,9 +120,9 @@
 }
 
 impl Source {
-    /// Starts to follow a firm's configuration, within a monoio runtime. Where
-    /// the zone has other instances, serve [`Source::register_methods`] at the control
-    /// address as well.
+    /// Starts to follow a firm's configuration, within a monoio runtime. If the zone has
+    /// other instances, the methods of [`Source::register_methods`] must be served at the
+    /// control address.
     ///
     /// ```no_run
     /// # async fn example(store: std::rc::Rc<dyn verbenaspool_transport::platform::Store>,
@@ -133,7 +132,7 @@
     ///
     /// let source = Source::start(store, Monotonic::start(), options);
     /// let adopted = source.wait_for_newer(Version(0)).await;
-    /// println!("version {} of {} is in force", adopted.version(), adopted.file.firm);
+    /// println!("version {} of {} is active", adopted.version(), adopted.file.firm);
     /// # }
     /// ```
     #[must_use]
@@ -162,7 +161,7 @@
         source
     }
 
-    /// Adds the methods that peers call to a module.
+    /// Registers the methods that peers call.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -174,7 +173,7 @@
         peers::register_methods(self, module);
     }
 
-    /// The file in force; `None` until the first, while no traffic may be taken.
+    /// The active file; `None` before the first, while no traffic may be served.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -186,7 +185,7 @@
         self.adoption.borrow().current().cloned()
     }
 
-    /// The version in force, 0 for none.
+    /// The active version, or 0 if there is none.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -202,7 +201,7 @@
             .unwrap_or_default()
     }
 
-    /// Waits until a version above `seen` is in force.
+    /// Waits until a version above `seen` is active.
     ///
     /// ```no_run
     /// # async fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -221,7 +220,7 @@
         .await
     }
 
-    /// Why nothing newer can be learnt from the platform now, if so.
+    /// The error that currently prevents reading or activating a newer file, if any.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -233,8 +232,8 @@
         self.last_error.borrow().clone()
     }
 
-    /// Whether another process has taken over under this instance's name. This
-    /// one was paused for so long that it was given up: it must take no more work.
+    /// Whether another process has taken over this instance's name. This one was paused for
+    /// so long that it was considered dead, and must accept no more work.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -248,8 +247,8 @@
         self.replaced.get()
     }
 
-    /// The versions in force at this instance and those it gathers word of; the
-    /// zone's whole where [`Source::is_first`] holds.
+    /// A summary of the active versions of this instance and its descendants in the tree;
+    /// it covers the whole zone where [`Source::is_first`] is true.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -262,7 +261,7 @@
         membership.summary(self.clock.now(), self.version())
     }
 
-    /// Whether this instance is the zone's first, who writes its status.
+    /// Whether this instance is the zone's first, which writes the zone's status.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -274,7 +273,7 @@
         self.membership.borrow().is_first()
     }
 
-    /// The instances of the zone that take part, this one included, by name.
+    /// The names of the zone's live instances, including this one.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -286,7 +285,7 @@
         self.membership.borrow().live_names()
     }
 
-    /// How many instances of the zone are alive, as far as this one knows.
+    /// The number of the zone's instances that this one considers alive.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -298,7 +297,7 @@
         self.membership.borrow().alive_count()
     }
 
-    /// Tells the zone that this instance goes; what it holds stays to be fetched.
+    /// Announces to the zone that this instance is leaving. Peers can still fetch its pieces.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -309,7 +308,7 @@
         self.membership.borrow_mut().leave();
     }
 
-    /// Ends the source's work; the file in force stays.
+    /// Stops following the configuration. The active file stays available.
     ///
     /// ```no_run
     /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>) {
@@ -320,22 +319,22 @@
         self.stopped.set(true);
     }
 
-    /// Whether the source's work has stopped.
+    /// Whether the source has been stopped or its instance replaced.
     pub(super) fn is_stopped(&self) -> bool {
         self.stopped.get() || self.replaced.get()
     }
 
-    /// The time since the process started.
+    /// The current time of the source's clock.
     pub(super) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Waits by the source's clock.
+    /// Sleeps by the source's clock.
     pub(super) async fn sleep(&self, wait: Duration) {
         self.clock.sleep(wait).await;
     }
 
-    /// Whether the platform answered a moment ago.
+    /// Whether the platform has answered within [`MAX_ANSWER_AGE`].
     pub(super) fn reaches_platform(&self) -> bool {
         let age = |at| self.now().saturating_sub(at);
         self.answered_at
@@ -343,12 +342,12 @@
             .is_some_and(|at| age(at) < MAX_ANSWER_AGE)
     }
 
-    /// Takes in a head, wherever it comes from.
+    /// Offers a head from a peer or the platform to the adoption.
     pub(super) fn offer(&self, head: Head) -> Verdict {
         self.adoption.borrow_mut().offer(head)
     }
 
-    /// Puts in force what is ready, and tells who waits for it.
+    /// Activates the next file if it is ready, and wakes the tasks that wait for it.
     pub(super) fn activate_ready(&self) {
         let alive = self.alive_count();
         let polled = self.adoption.borrow_mut().poll(self.now(), alive);
@@ -361,7 +360,7 @@
         }
     }
 
-    /// Follows the head in the platform, as long as it falls to this instance.
+    /// Follows the stored head while this instance is one of those that must watch it.
     async fn follow(self: Rc<Self>) {
         let mut backoff = Backoff::new(self.options.seed);
         let mut since = 0;
@@ -378,7 +377,7 @@
                     backoff.reset();
                     self.last_error.take();
                     since = revision;
-                    // Changes that come meanwhile are read together.
+                    // Changes during this pause are read together.
                     let pause = self.adoption.borrow().min_interval();
                     self.sleep(pause).await;
                 }
@@ -391,9 +390,8 @@
         }
     }
 
-    /// Reads the head, adopts it, and waits for the next change. The watch is
-    /// only a hint when to read, so gaps and stale or reordered events cost time
-    /// and nothing else.
+    /// Reads and adopts the stored head, then waits for the next change. Events are only
+    /// hints to read, so missing, stale or reordered events cause delay but no error.
     async fn poll_store(self: &Rc<Self>, since: u64) -> Result<u64, Error> {
         let key = keys::head(&self.options.firm);
         if let Some(object) = self.store.get(&key).await? {
@@ -405,7 +403,7 @@
         Ok(events.revision.max(since))
     }
 
-    /// Takes a stored head and all that it names.
+    /// Adopts a stored head and reads the pieces that it refers to.
     async fn accept_head(self: &Rc<Self>, value: &[u8]) -> Result<(), Error> {
         let head = Head::from_bytes(value).ok_or_else(|| unreadable("the head"))?;
         match self.offer(head.clone()) {
@@ -422,18 +420,18 @@
         Ok(())
     }
 
-    /// Takes the pieces of the bundles, for who holds next to none. Those that the
-    /// head doesn't refer to go once its file is in force.
+    /// Inserts the pieces of the bundles. Those that the head doesn't refer to are dropped
+    /// once its file is active.
     async fn read_bundles(&self) -> Result<(), Error> {
         bundle::read(&*self.store, &self.options.firm, |piece| {
             let mut adoption = self.adoption.borrow_mut();
-            // One that doesn't fit its hash is read by itself.
+            // A piece that doesn't match its hash is read individually.
             let _ = adoption.insert_piece(piece.hash, piece.text.as_bytes());
         })
         .await
     }
 
-    /// Fetches what is missing from the platform.
+    /// Reads the missing pieces from the platform.
     async fn fetch_missing(&self) -> Result<(), Error> {
         let mut bundles = true;
         loop {
@@ -449,7 +447,7 @@
             for hash in missing {
                 let key = keys::piece(&self.options.firm, hash);
                 let object = self.store.get(&key).await?;
-                // Collected, because a later head stands by now: read that.
+                // The piece was garbage collected, so a later head exists: read that one.
                 let object = object.ok_or_else(|| unreadable("a piece"))?;
                 let inserted = self.adoption.borrow_mut().insert_piece(hash, &object.value);
                 inserted.map_err(|e| Error::Unknown(e.to_string()))?;
@@ -458,7 +456,7 @@
     }
 }
 
-/// The error for something stored that can't be read.
+/// The error for a stored object that is missing or invalid.
 fn unreadable(what: &str) -> Error {
     Error::Unknown(format!("{what} can't be read"))
 }
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -1,4 +1,5 @@
-//! The status of a zone, gathered along the tree and written by its first instance.
+//! The status of a zone, aggregated along the membership tree and written by its first
+//! instance.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,37 +15,37 @@
 use super::source::Source;
 use crate::platform::{Error, Store, When};
 
-/// The time between two writes. Eleven zones then write 5.5 times a second, of
-/// several hundred that the platform takes.
+/// Interval between two writes. Eleven zones make 5.5 writes per second, of several hundred
+/// that the platform accepts.
 pub const WRITE_INTERVAL: Duration = Duration::from_secs(2);
-/// What the time grows by when the platform is slow, busy or away: nothing waits
-/// for a status, so its writes are the first to be dropped.
+/// Factor by which the interval grows when a write fails. Nothing waits for a status, so
+/// its writes are the first to be reduced when the platform is slow, busy or unreachable.
 const INTERVAL_GROWTH: u32 = 2;
-/// The longest time between two writes.
+/// Maximum interval between two writes.
 const MAX_WRITE_INTERVAL: Duration = Duration::from_mins(1);
 
-/// The status of a zone as stored.
+/// The stored status of a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Status {
     /// The availability zone.
     pub zone: Name,
-    /// Who wrote it.
+    /// The instance that wrote it.
     pub writer: Name,
-    /// Counts the writer's writes. Who reads it twice and finds it unchanged hasn't
-    /// heard from the zone; clocks, which may step, aren't compared.
+    /// Number of writes by this writer. If two reads some time apart return the same
+    /// count, the zone isn't reporting. Timestamps aren't compared, since clocks may step.
     pub count: u64,
-    /// Instances alive.
+    /// Number of live instances.
     pub alive: u32,
-    /// The versions in force.
+    /// The active versions.
     pub summary: Summary,
-    /// Why the zone learns nothing newer from the platform, if so.
+    /// Why the zone can't read anything newer from the platform, if so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trouble: Option<String>,
 }
 
 impl Status {
-    /// Whether every live instance has `version` or a later one in force.
+    /// Whether `version` or a later one is active at every live instance.
     ///
     /// ```no_run
     /// # fn example(status: verbenaspool_transport::config::status::Status) {
@@ -56,7 +57,7 @@
         self.summary.instances >= self.alive && self.summary.lowest >= version
     }
 
-    /// The named instances that are behind `version`.
+    /// The lagging instances listed in the summary whose version is below `version`.
     ///
     /// ```no_run
     /// # fn example(status: verbenaspool_transport::config::status::Status) {
@@ -69,8 +70,8 @@
     }
 }
 
-/// Writes the zone's status for as long as the source runs, while this instance
-/// is the zone's first.
+/// Writes the zone's status whenever this instance is the zone's first, until the source
+/// stops.
 ///
 /// ```no_run
 /// # fn example(source: std::rc::Rc<verbenaspool_transport::config::source::Source>,
@@ -108,38 +109,38 @@
     }
 }
 
-/// What operators are told of a firm.
+/// The status report of a firm for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// The firm.
     pub firm: Name,
-    /// The accepted version, 0 for none.
+    /// The accepted version, or 0 if there is none.
     pub accepted: Version,
-    /// The apply that it was accepted under.
+    /// The id of the apply that had it accepted.
     pub apply: Option<String>,
-    /// Whether the accepted version is in force at every live instance of every
-    /// zone. A zone that isn't heard from leaves that open, which counts as no.
+    /// Whether the accepted version is active at every live instance of every zone. It is
+    /// false while any zone isn't reporting.
     pub in_force: bool,
-    /// The zones of the accepted file, and any other that wrote a status.
+    /// The zones of the accepted file and any other zone with a stored status.
     pub zones: Vec<Zone>,
 }
 
-/// What operators are told of a zone.
+/// The part of a status report that concerns one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Zone {
     /// The availability zone.
     pub zone: Name,
-    /// Whether the zone wrote a status while it was watched.
+    /// Whether the zone wrote a status between the two reads.
     pub heard: bool,
-    /// The last status that the zone wrote.
+    /// The status from the second read.
     pub status: Option<Status>,
 }
 
-/// Reads the report of a firm. The zones' statuses are read twice, `pause` apart,
-/// to tell which zones are still heard from; [`WRITE_INTERVAL`] and a half is enough.
+/// Reads the report of a firm. The statuses of the zones are read twice, `pause` apart, to
+/// detect which zones still report; 1.5 times [`WRITE_INTERVAL`] is sufficient.
 ///
 /// # Errors
-/// When the platform can't be read.
+/// When a call to the platform fails.
 ///
 /// ```no_run
 /// # async fn example(store: &dyn verbenaspool_transport::platform::Store) {
@@ -183,7 +184,7 @@
     })
 }
 
-/// What is told of a zone, of two readings.
+/// The report of a zone from the statuses of two reads.
 fn zone_report(zone: Name, before: &[Status], after: &[Status]) -> Zone {
     let of = |statuses: &[Status]| statuses.iter().find(|s| s.zone == zone).cloned();
     let (first, last) = (of(before), of(after));
@@ -194,7 +195,7 @@
     }
 }
 
-/// The statuses that a firm's zones wrote last.
+/// Reads the stored statuses of a firm's zones.
 async fn read_statuses(store: &dyn Store, firm: &Name) -> Result<Vec<Status>, Error> {
     let mut statuses = Vec::new();
     for entry in store.list(&format!("firms/{firm}/status/")).await? {
@@ -205,7 +206,7 @@
     Ok(statuses)
 }
 
-/// The places of the accepted file, read without its customers.
+/// Reads the places of the accepted file, without its customers.
 async fn read_places(store: &dyn Store, firm: &Name, head: &Head) -> Result<Vec<Place>, Error> {
     let root: Option<Root> = read_piece(store, &keys::piece(firm, head.root)).await?;
     let Some(root) = root else {
@@ -215,7 +216,7 @@
     Ok(base.map(|base| base.places).unwrap_or_default())
 }
 
-/// A stored piece's content.
+/// Reads a stored piece; `None` if it is missing or invalid.
 async fn read_piece<T: serde::de::DeserializeOwned>(
     store: &dyn Store,
     key: &str,
--- a/verbenaspool_transport/src/config/upstreams.rs
+++ b/verbenaspool_transport/src/config/upstreams.rs
@@ -1,8 +1,8 @@
-//! The platform's list of upstream instances, as a process follows it.
+//! Follows the platform's list of upstream instances.
 //!
-//! The list lags and has gaps, and the platform has outages. What was read last
-//! stays in use until something newer is read; agents say themselves when they
-//! leave, so a stale list costs a refused attempt, not a lost request.
+//! The list lags and may be incomplete, and the platform has outages. The list that was
+//! last read stays in use until a newer one is read. Agents announce by themselves that
+//! they are leaving, so a stale list costs a rejected attempt rather than a lost request.
 
 use std::{
     collections::{BTreeSet, HashMap, HashSet},
@@ -19,24 +19,25 @@
     shutdown::Signal,
 };
 
-/// How long one watch waits. Each counts as a call.
+/// Wait of one watch. Each watch counts as a call against the budget.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// After so many watches the list is read all the same, since watches lose
-/// events. A list takes 76 bytes an instance.
+/// Number of watches after which the list is read even without an event, since watches
+/// lose events. A list takes 76 bytes per instance.
 const WATCHES_PER_LIST: u32 = 3;
 
-/// Instances up to which the list is small: any event makes it be read whole,
-/// which mends lost events at once. Beyond, only what an event names is read,
-/// and the whole list once in a watch for every [`SMALL_LIST_INSTANCES`] / [`WATCHES_PER_LIST`] instances,
-/// so that reading it stays below 1 KB a second at any size.
+/// Maximum number of instances of a small list. On any event, a small list is read whole,
+/// which also makes up for lost events. Of a larger list, only the instances named by events
+/// are read. The number of watches between reads of the whole list then grows by one for every
+/// [`SMALL_LIST_INSTANCES`] / [`WATCHES_PER_LIST`] instances, so that these reads take less
+/// than 1 KB per second at any size.
 const SMALL_LIST_INSTANCES: usize = 90;
 
 /// Follows the list of a firm's upstream instances.
 pub struct Follower {
     store: Rc<dyn Store>,
     prefix: String,
-    /// The instances by key, with the version each was read at.
+    /// The instances by key with the version that was read; `None` for an invalid entry.
     known: HashMap<String, (u64, Option<Upstream>)>,
     revision: u64,
     watches_since_list: u32,
@@ -49,7 +50,7 @@
 }
 
 impl Follower {
-    /// A follower that has read nothing yet.
+    /// Creates a follower that hasn't read the list yet.
     ///
     /// ```no_run
     /// # fn example(store: std::rc::Rc<dyn verbenaspool_transport::platform::Store>) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Follows the list until the signal comes, and hands each change on.
+    /// Follows the list until the signal fires, and passes each changed list to `changed`.
     pub async fn run(
         mut self,
         clock: Rc<dyn Clock>,
@@ -122,14 +123,14 @@
         Ok(changed.then(|| self.list()))
     }
 
-    /// How many watches pass between two readings of the whole list.
+    /// Number of watches between two reads of the whole list.
     fn watches_per_list(&self) -> u32 {
         let share = self.known.len() / SMALL_LIST_INSTANCES;
         WATCHES_PER_LIST * u32::try_from(share.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Reads one instance again; whether it changed. Whether it is gone is read as
-    /// well, since an event may be older than what stands there.
+    /// Reads one instance again and returns whether it changed. Deletion events are
+    /// checked as well, since an event may be older than the stored object.
     async fn refresh_instance(&mut self, key: String) -> Result<bool, Error> {
         let Some(object) = self.store.get(&key).await? else {
             return Ok(self.known.remove(&key).is_some());
@@ -143,10 +144,10 @@
         Ok(true)
     }
 
-    /// Reads what changed; whether anything did.
+    /// Reads the whole list and the instances that changed in it. Returns whether any did.
     async fn refresh_list(&mut self) -> Result<bool, Error> {
         let entries = self.store.list(&self.prefix).await?;
-        // What was read with the list needn't be told again.
+        // The watch needn't report changes that the list already contains.
         let last = entries.iter().map(|entry| entry.version).max();
         self.revision = self.revision.max(last.unwrap_or_default());
         let count_before = self.known.len();
@@ -162,7 +163,7 @@
             let Some(object) = self.store.get(&entry.key).await? else {
                 continue;
             };
-            // What can't be read is no upstream; its next version may be.
+            // An invalid entry names no upstream; its next version may be valid.
             let upstream = serde_json::from_slice(&object.value).ok();
             self.known.insert(entry.key, (object.version, upstream));
             changed = true;
@@ -170,7 +171,7 @@
         Ok(changed)
     }
 
-    /// The instances, by name.
+    /// The valid instances, sorted by name.
     fn list(&self) -> Vec<Upstream> {
         let known = self.known.values();
         let mut list: Vec<_> = known.filter_map(|(_, upstream)| upstream.clone()).collect();
--- a/verbenaspool_transport/src/platform.rs
+++ b/verbenaspool_transport/src/platform.rs
@@ -1,9 +1,8 @@
-//! The platform's object API: the border that the rest of the system sees.
+//! The interface to the platform's object API.
 //!
-//! Everything that must last or be agreed on lives behind [`Store`]. The border
-//! is a trait object, so that tests can put a fake of their own in; the client
-//! that speaks to the real service is [`client::Client`], and
-//! [`driver::drive`] makes the calls that a machine without I/O asks for.
+//! All state that must be durable or agreed on is kept behind [`Store`]. It is used as a
+//! trait object, so that tests can replace it. [`client::Client`] implements it for the real
+//! service, and [`driver::drive`] makes the calls that a state machine without I/O requests.
 
 use std::{future::Future, pin::Pin, time::Duration};
 
@@ -20,32 +19,32 @@
 pub const VERSION_HEADER: &str = "x-version";
 /// The header that makes a change conditional on the version it replaces.
 pub const IF_VERSION_HEADER: &str = "x-if-version";
-/// The largest value that the platform takes, in bytes.
+/// The maximum size of a value that the platform accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// The answer of a [`Store`] call, which stays on the thread that asked.
+/// The future of a [`Store`] call. It isn't `Send`, since it stays on the calling thread.
 pub type CallFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + 'a>>;
 
 /// The platform's object API.
 pub trait Store {
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; `None` if it doesn't exist.
     fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Object>>;
 
-    /// Writes an object and answers with its new version.
+    /// Writes an object and returns its new version.
     fn put<'a>(&'a self, key: &'a str, value: Bytes, when: When) -> CallFuture<'a, u64>;
 
-    /// Deletes an object. Deleting what isn't there succeeds.
+    /// Deletes an object. Deleting an object that doesn't exist succeeds.
     fn delete<'a>(&'a self, key: &'a str, when: When) -> CallFuture<'a, ()>;
 
     /// Lists the objects whose key starts with `prefix`, in key order.
     fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, Vec<Entry>>;
 
     /// Waits up to `wait` for changes below `prefix` after revision `since`.
-    /// Events may come late, with gaps and out of order: they are hints to read.
+    /// Events may be late, missing or out of order, so they are only hints to read.
     fn watch<'a>(&'a self, prefix: &'a str, since: u64, wait: Duration) -> CallFuture<'a, Events>;
 }
 
-/// An object as read.
+/// An object with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
     /// The store's revision at the object's last change.
@@ -54,7 +53,7 @@
     pub value: Bytes,
 }
 
-/// An object as listed.
+/// An object in a listing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The object's key.
@@ -65,55 +64,55 @@
     pub size: usize,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Events {
     /// The revision to watch from next.
     pub revision: u64,
-    /// What changed.
+    /// The changes.
     pub events: Vec<Event>,
 }
 
-/// One change that a watch brought.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The changed object's key.
     pub key: String,
     /// The store's revision at the change.
     pub version: u64,
-    /// Whether the object is gone.
+    /// Whether the object was deleted.
     pub deleted: bool,
 }
 
-/// Why a call brought no result.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The condition didn't hold; nothing was changed.
-    #[error("the object is at version {current} by now")]
+    #[error("the object has been changed to version {current}")]
     Conflict {
-        /// The object's version, 0 where there is none.
+        /// The object's version, or 0 if it doesn't exist.
         current: u64,
     },
-    /// The value is over [`MAX_VALUE_BYTES`]; nothing was changed.
-    #[error("the value is over {MAX_VALUE_BYTES} bytes")]
+    /// The value exceeds [`MAX_VALUE_BYTES`]; nothing was changed.
+    #[error("the value exceeds {MAX_VALUE_BYTES} bytes")]
     TooLarge,
-    /// The token doesn't reach this key; nothing was changed.
-    #[error("the token doesn't reach this key")]
+    /// The token gives no access to this key; nothing was changed.
+    #[error("the token gives no access to this key")]
     Forbidden,
-    /// The platform has no room for the call now; nothing was changed.
-    #[error("the platform is over its rate")]
+    /// The call was rejected because of a rate limit; nothing was changed.
+    #[error("the platform's rate limit is exceeded")]
     Busy,
     /// The call was never sent, so it had no effect.
-    #[error("the platform can't be reached: {0}")]
+    #[error("the platform is unreachable: {0}")]
     NotSent(String),
-    /// The call was sent and its answer is lost: a change may have taken effect.
-    #[error("the platform's answer is lost: {0}")]
+    /// The call was sent but no valid answer received: a change may have taken effect.
+    #[error("no valid answer from the platform: {0}")]
     Unknown(String),
 }
 
 impl Error {
-    /// Whether a change may have taken effect in spite of the error. Who gets
-    /// such an error on a change has to read back what stands there.
+    /// Whether a change may have taken effect in spite of the error. The caller must then
+    /// read the object to find out.
     ///
     /// ```
     /// use verbenaspool_transport::platform::Error;
--- a/verbenaspool_transport/src/platform/budget.rs
+++ b/verbenaspool_transport/src/platform/budget.rs
@@ -1,10 +1,10 @@
-//! A bound on the calls that one process makes to the platform.
+//! A rate limit on the calls that one process makes to the platform, as a token bucket.
 //!
-//! Answers the end of an outage: every instance then has something to read and
-//! write, and a store that is asked for everything at once goes down again.
-//! Backoff spreads the calls that fail; the budget bounds those that succeed,
-//! such as a restarted zone reading thousands of pieces. What doesn't fit waits
-//! for its turn, and status writes, which nothing waits for, are dropped first.
+//! After an outage, every instance has something to read and write, and the store would
+//! fail again if all of that arrived at once. Backoff spreads the calls that fail; the
+//! budget limits those that succeed, such as a restarted zone reading thousands of pieces.
+//! Calls beyond the budget are delayed, and status writes, which nothing waits for, are
+//! dropped first.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -13,15 +13,15 @@
 use super::{CallFuture, Entry, Error, Events, Object, Store, When};
 use crate::clock::Clock;
 
-/// What a process may ask of the platform.
+/// Settings of the rate limit of one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Calls a second in the long run. Two watchers in each of 11 zones at this
-    /// rate use half of 2,000 reads a second.
+    /// Sustained rate. Two watchers in each of 11 zones at this rate use half of
+    /// the store's 2,000 reads per second.
     pub calls_per_second: f64,
-    /// Calls that may be made at once after a quiet time.
+    /// Maximum number of calls that may be made at once after a period of few calls.
     pub burst: f64,
-    /// Status writes are dropped when fewer calls than this are left.
+    /// Status writes are dropped while fewer tokens than this are left.
     pub status_reserve: f64,
 }
 
@@ -35,22 +35,22 @@
     }
 }
 
-/// A store whose calls are within a budget.
+/// A store that limits the rate of calls to another one.
 pub struct Budget {
-    /// The store itself.
+    /// The store that is called.
     store: Rc<dyn Store>,
-    /// The source of time.
+    /// The clock.
     clock: Rc<dyn Clock>,
     /// The settings.
     settings: Settings,
-    /// Calls left; below zero while some wait.
+    /// Calls left; negative while calls are waiting.
     tokens: Cell<f64>,
-    /// When `tokens` was last counted.
+    /// When tokens were last added.
     refilled_at: Cell<Duration>,
 }
 
 impl Budget {
-    /// A store that is called within `settings`.
+    /// Wraps a store with the limits in `settings`.
     ///
     /// ```no_run
     /// # fn example(store: std::rc::Rc<dyn verbenaspool_transport::platform::Store>) {
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Counts what has come in since the last call.
+    /// Adds the tokens for the time since the last refill.
     fn refill(&self) {
         let now = self.clock.now();
         let added = now
@@ -81,7 +81,7 @@
             .set((self.tokens.get() + added).min(self.settings.burst));
     }
 
-    /// Waits for a call's turn.
+    /// Takes a token for a call, and waits until the rate allows the call.
     async fn acquire(&self) {
         self.refill();
         let tokens = self.tokens.get() - 1.0;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether a write is to be dropped for want of budget.
+    /// Whether a write is to be dropped because too few tokens are left.
     fn is_dropped(&self, key: &str) -> bool {
         self.refill();
         key.contains("/status/") && self.tokens.get() < self.settings.status_reserve
--- a/verbenaspool_transport/src/platform/client.rs
+++ b/verbenaspool_transport/src/platform/client.rs
@@ -1,8 +1,8 @@
 //! The client of the platform's object API, HTTP/1.1 over monoio-http.
 //!
-//! Bodies are whole and the peer is known, which is what monoio-http does well.
-//! Each connection carries one call at a time and is dropped on any error or
-//! timeout, so that no late answer can be taken for the answer to a later call.
+//! Bodies are sent and read whole and the peer is known, a case that monoio-http handles
+//! well. Each connection carries one call at a time and is dropped on any error or timeout,
+//! so that no late answer can be mistaken for the answer to a later call.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -25,36 +25,36 @@
     VERSION_HEADER, When,
 };
 
-/// Connections kept for later calls. One watch and a few reads and writes are
-/// all that an instance has open at a time.
+/// Maximum number of idle connections to keep. An instance has one watch and a few reads
+/// and writes open at a time.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// What a watch's deadline adds to its wait, for the way there and back.
+/// Time added to the wait of a watch for its timeout, for the round trip.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// A connection to the platform.
 type Connection = ClientCodec<TcpStream>;
 
-/// What the client is to reach and how.
+/// Settings of a client.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The platform's address.
     pub address: SocketAddr,
-    /// The token that names the firm whose keys the client reaches.
+    /// The token, which gives access to the keys of one firm.
     pub token: Token,
-    /// How long a call may take, save for a watch's wait.
+    /// Timeout of a call, not counting the wait of a watch.
     pub timeout: Duration,
 }
 
-/// Connections to the platform, whatever form its calls have.
+/// A pool of connections to the platform, independent of the format of its calls.
 pub struct Channel {
     /// The platform's address.
     address: SocketAddr,
-    /// Connections with no answer outstanding.
+    /// Connections with no outstanding answer.
     idle: RefCell<Vec<Connection>>,
 }
 
 impl Channel {
-    /// A channel that connects when the first call is made.
+    /// Creates a channel. It connects on the first call.
     ///
     /// ```
     /// use verbenaspool_transport::platform::client::Channel;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Where the platform is.
+    /// Returns the platform's address.
     ///
     /// ```
     /// use verbenaspool_transport::platform::client::Channel;
@@ -86,8 +86,8 @@
     /// Makes one call within `timeout`.
     ///
     /// # Errors
-    /// [`Error::NotSent`] where no byte of the call left, [`Error::Unknown`]
-    /// where its answer is lost.
+    /// [`Error::NotSent`] if no byte of the call was sent, [`Error::Unknown`] if no valid
+    /// answer was received.
     pub async fn call(
         &self,
         request: Request<HttpBody>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends a call and reads its answer.
+    /// Sends a request and reads its answer.
     async fn exchange(&self, request: Request<HttpBody>) -> Result<Response<Bytes>, Error> {
         let mut connection = self.connect().await?;
         connection
@@ -123,10 +123,10 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection or a new one.
     ///
-    /// A kept connection may have been closed by the platform meanwhile; the
-    /// call on it then ends as unknown, which its caller settles or repeats.
+    /// The platform may have closed an idle connection. A call on it then fails with
+    /// [`Error::Unknown`], and the caller determines its outcome or retries.
     async fn connect(&self) -> Result<Connection, Error> {
         let idle = self.idle.borrow_mut().pop();
         if let Some(connection) = idle {
@@ -135,14 +135,14 @@
         let stream = TcpStream::connect_addr(self.address)
             .await
             .map_err(|e| Error::NotSent(e.to_string()))?;
-        // Calls are small and each waits for its answer: delay would only add up.
+        // Calls are small and each one waits for its answer, so batching only adds delay.
         stream
             .set_nodelay(true)
             .map_err(|e| Error::NotSent(e.to_string()))?;
         Ok(ClientCodec::new(stream))
     }
 
-    /// Keeps a connection for a later call.
+    /// Keeps a connection for a later call, if there are few enough.
     fn store_idle(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE_CONNECTIONS {
@@ -153,14 +153,14 @@
 
 /// A client of the platform's object API.
 pub struct Client {
-    /// What to reach and how.
+    /// The settings.
     settings: Settings,
     /// The connections.
     channel: Channel,
 }
 
 impl Client {
-    /// A client that connects when it is first asked for something.
+    /// Creates a client. It connects on the first call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -267,14 +267,14 @@
     method: Method,
     /// The path and query.
     path: String,
-    /// The condition of a change.
+    /// The condition of a write or deletion.
     when: When,
     /// The value of a write.
     body: Option<&'a Bytes>,
 }
 
 impl Call<'_> {
-    /// A call without condition or body.
+    /// Creates a call without condition or body.
     fn new(method: Method, path: String) -> Self {
         Self {
             method,
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The call as a request.
+    /// Builds the HTTP request.
     fn request(self, settings: &Settings) -> Result<Request<HttpBody>, Error> {
         let mut request = Request::builder()
             .method(self.method)
@@ -303,7 +303,7 @@
     }
 }
 
-/// The condition of a change as the header [`IF_VERSION_HEADER`] says it.
+/// The value of [`IF_VERSION_HEADER`] for a condition.
 fn expected_version(when: When) -> Option<u64> {
     match when {
         When::Always => None,
@@ -317,7 +317,7 @@
     format!("/v1/objects/{key}")
 }
 
-/// The version that a response carries.
+/// Parses the object version in a response.
 fn version_of(response: &Response<Bytes>) -> Result<u64, Error> {
     response
         .headers()
@@ -327,12 +327,12 @@
         .ok_or_else(|| Error::Unknown(format!("no {VERSION_HEADER} in the answer")))
 }
 
-/// The body of a response, read as JSON.
+/// Parses the JSON body of a response.
 fn parse_body<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> Result<T, Error> {
     serde_json::from_slice(response.body()).map_err(|e| Error::Unknown(e.to_string()))
 }
 
-/// The error that a response stands for.
+/// Returns the error that a response represents.
 fn error_for(response: &Response<Bytes>) -> Error {
     match response.status() {
         StatusCode::CONFLICT => {
--- a/verbenaspool_transport/src/platform/driver.rs
+++ b/verbenaspool_transport/src/platform/driver.rs
@@ -1,4 +1,4 @@
-//! Drives machines without I/O against the platform.
+//! Runs state machines without I/O against the platform.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 
 use super::{Error, Store};
 
-/// The shortest pause before a call is made again. The platform answers in
-/// milliseconds, so this is long enough for a short stall to be over.
+/// Upper limit of the first pause before a retry. The platform answers in milliseconds, so
+/// this is long enough for a short stall to end.
 const INITIAL_PAUSE_LIMIT: Duration = Duration::from_millis(20);
-/// The longest pause. With 1,000 instances asking once in 2 s on average, half
-/// of the store's reads a second are left while it recovers.
+/// Upper limit of any pause. With 1,000 instances that each retry once in 2 s on average,
+/// half of the store's reads per second are left while it recovers.
 const MAX_PAUSE_LIMIT: Duration = Duration::from_secs(4);
 
-/// Pauses between calls that fail, doubling and jittered.
+/// Exponential backoff with jitter between failed calls.
 ///
-/// Answers an outage's end: without jitter all instances ask at the same moment,
-/// and without growth their calls alone exceed what the store can answer.
+/// When an outage ends, calls without jitter would arrive from all instances at the same
+/// moment, and without exponential growth they alone would exceed the store's capacity.
 #[derive(Debug)]
 pub struct Backoff {
     /// The upper limit of the next pause.
     limit: Duration,
-    /// Where the jitter comes from.
+    /// The random generator for the jitter.
     random: SmallRng,
 }
 
 impl Backoff {
-    /// Pauses from the shortest on. Instances need different seeds.
+    /// Creates a backoff in its initial state. Instances need different seeds.
     ///
     /// ```
     /// use verbenaspool_transport::platform::driver::Backoff;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The next pause: anything up to a limit that doubles each time.
+    /// Returns the next pause, between a tenth and the whole of a limit that doubles each time.
     ///
     /// ```
     /// # use verbenaspool_transport::platform::driver::Backoff;
@@ -56,7 +56,7 @@
         limit.mul_f64(self.random.random_range(0.1..=1.0))
     }
 
-    /// Starts again from the shortest, after a call that was answered.
+    /// Resets the limit, after a successful call.
     ///
     /// ```
     /// # use verbenaspool_transport::platform::driver::Backoff;
@@ -67,9 +67,8 @@
     }
 }
 
-/// Makes the calls that a machine asks for until its outcome stands; `None` if
-/// that takes longer than `within`, when the machine's `abandon` says what to
-/// make of it.
+/// Makes the calls that a state machine requests until it has an outcome. Returns `None` if
+/// that takes longer than `within`; the machine's `abandon` then returns the outcome.
 ///
 /// ```no_run
 /// # async fn example(store: &dyn verbenaspool_transport::platform::Store,
@@ -140,7 +139,7 @@
     result.unwrap_or_else(|error| error_answer(&error))
 }
 
-/// An error as a machine takes it.
+/// Converts an error to the answer for a state machine.
 fn error_answer(error: &Error) -> Answer {
     match error {
         Error::Conflict { current } => Answer::Conflict(*current),
