--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -298,9 +298,9 @@
         last_event: Option<u64>,
     ) -> Result<Request<Body>, http::Error> {
         let mut headers = self.headers.clone();
-        header::address(&mut headers, id, self.time_left());
+        header::set_target(&mut headers, id, self.time_left());
         if let Some(event) = last_event {
-            header::resume(&mut headers, event);
+            header::set_last_event(&mut headers, event);
         }
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -355,13 +355,14 @@
             }
             WaitResult::Answered(Ok(response)) => response,
         };
-        let markers = header::answer(response.headers());
+        let markers = header::parse_answer(response.headers());
         let status = response.status();
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let nameless = misdirected && header::is_nameless(response.headers());
+        let nameless = misdirected && header::lacks_request_id(response.headers());
         // A late or duplicate response to another request may arrive in place of this one's.
         // Its connection is closed.
-        if !nameless && !header::belongs(response.headers(), self.caller_headers.id.as_ref()) {
+        if !nameless && !header::has_request_id(response.headers(), self.caller_headers.id.as_ref())
+        {
             permit.release(AttemptOutcome::Bad);
             return SendOutcome::Unknown("not-its-answer");
         }
--- a/verbenaspool/src/direct/follow.rs
+++ b/verbenaspool/src/direct/follow.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use verbenaspool_platform::{
     configuration, registry as wire,
-    store::{Change, Listing, Object, Watched},
+    store::{Change, Listing, Object, WatchOutcome},
 };
 use verbenaspool_transport::platform::Error;
 
@@ -133,7 +133,7 @@
                 () = relist => return,
             };
             match watched {
-                Ok(Watched::Changes(changes, revision)) => {
+                Ok(WatchOutcome::Changes(changes, revision)) => {
                     self.record_success();
                     self.revision = self.revision.max(revision);
                     if !changes.is_empty() {
@@ -144,7 +144,7 @@
                         self.gateway.clock.sleep(self.batch_interval).await;
                     }
                 }
-                Ok(Watched::Forgotten) => {
+                Ok(WatchOutcome::HistoryExpired) => {
                     info!(self.gateway.log, "store has compacted its history; listing all objects";
                         "kind" => self.kind.object_kind(), "revision" => self.revision);
                     return;
--- a/verbenaspool/src/direct/relay.rs
+++ b/verbenaspool/src/direct/relay.rs
@@ -98,7 +98,7 @@
     super::request::strip_hop_headers(&mut parts.headers);
     let now = request.gateway.clock.now();
     let relay = Relay {
-        splitter: Splitter::after(header::resumed(&request.headers)),
+        splitter: Splitter::after(header::last_event(&request.headers)),
         request,
         permit: Some(permit),
         body: Some(body),
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -53,7 +53,7 @@
 /// Handles one request.
 async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
-    let caller_headers = header::read(&parts.headers);
+    let caller_headers = header::parse_request(&parts.headers);
     let id = caller_headers.id.as_ref().and_then(|id| id.to_str().ok());
     let record = Record::new(gateway.clone(), id.unwrap_or("-"));
     let failure = match prepare(&gateway, &record, parts, body, caller_headers).await {
@@ -155,7 +155,7 @@
     public: bool,
 ) -> Result<Option<&'a Customer>, Failure> {
     let found = caller_headers
-        .key
+        .api_key
         .as_deref()
         .and_then(|key| table.customer(key));
     if found.is_none() && table.requires_api_key() && !public {
--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -15,7 +15,7 @@
 use verbenaspool_platform::{
     configuration,
     quarantine::{self, Entry},
-    store::{Object, Written},
+    store::{Object, WriteOutcome},
 };
 use verbenaspool_policy::quarantine::Term;
 use verbenaspool_state::fingerprint::Fingerprint;
@@ -108,13 +108,13 @@
         let (kind, name) = (configuration::KIND, configuration::NAME);
         let revision = object.revision;
         match self.store.set_status(kind, name, revision, &status).await {
-            Ok(Written::Done(object)) => {
+            Ok(WriteOutcome::Written(object)) => {
                 info!(self.log, "quarantine saved"; "revision" => object.revision);
                 self.observe_configuration(&object);
                 true
             }
             // Another entry wrote first. The caller retries on top of its status.
-            Ok(Written::Conflict(object)) => {
+            Ok(WriteOutcome::Conflict(object)) => {
                 self.observe_configuration(&object);
                 false
             }
--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -184,7 +184,7 @@
     /// Processes a report of the own rank. Returns whether its state changed so that other
     /// agents should receive it now.
     pub fn handle_report(&self, report: &Report) -> bool {
-        let Some(member) = report.member.as_ref().filter(|member| member.open) else {
+        let Some(member) = report.member.as_ref().filter(|member| member.complete) else {
             self.state.replace(None);
             return false;
         };
@@ -209,10 +209,10 @@
             report: switch::Report {
                 epoch: member.epoch,
                 step: report.step,
-                map: report.map,
-                prepared: report.prepared,
-                armed: report.armed,
-                held: report.held,
+                map: report.map_version,
+                prepared: report.prepared_version,
+                armed: report.armed_version,
+                held: report.held_step,
                 arming_blocked_through: self.arming_blocked_through(member.epoch),
                 last_arm_step: self.last_arm_step(member.epoch),
             },
--- a/verbenaspool_agent/src/direct/agent_state/tests.rs
+++ b/verbenaspool_agent/src/direct/agent_state/tests.rs
@@ -21,13 +21,13 @@
 }
 
 /// Report of the own rank as a member of a group.
-fn report(group: &str, epoch: u64, open: bool) -> Report {
+fn report(group: &str, epoch: u64, complete: bool) -> Report {
     let member = Member {
         group: group.to_owned(),
         epoch,
         rank: 0,
         size: 2,
-        open,
+        complete,
     };
     Report {
         member: Some(member),
--- a/verbenaspool_agent/src/direct/orders.rs
+++ b/verbenaspool_agent/src/direct/orders.rs
@@ -330,12 +330,14 @@
 /// Whether a rank's report shows the effect of an order.
 fn shows_effect(report: &Report, order: &order::Order) -> bool {
     match order {
-        order::Order::Prepare { version, .. } => report.busy || report.prepared == Some(*version),
+        order::Order::Prepare { version, .. } => {
+            report.order_in_progress || report.prepared_version == Some(*version)
+        }
         order::Order::Arm { version, .. } => {
-            report.armed == Some(*version) || report.map == *version
+            report.armed_version == Some(*version) || report.map_version == *version
         }
-        order::Order::Hold { step } => report.held == Some(*step),
-        order::Order::Go { step } => report.held != Some(*step),
+        order::Order::Hold { step } => report.held_step == Some(*step),
+        order::Order::Go { step } => report.held_step != Some(*step),
     }
 }
 
--- a/verbenaspool_agent/src/direct/rank.rs
+++ b/verbenaspool_agent/src/direct/rank.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use verbenaspool_platform::{
     order,
-    report::{self, Choice, Report},
+    report::{self, Choices, Report},
 };
 use verbenaspool_transport::http::{body::Body, client::Client};
 
@@ -86,17 +86,17 @@
 
     /// Reads the rank's report.
     pub async fn report(&self) -> Option<Report> {
-        report::decode(&self.get(report::REPORT).await?)
+        report::decode(&self.get(report::REPORT_PATH).await?)
     }
 
     /// Reads how often requests have chosen each expert since the rank started.
-    pub async fn choices(&self) -> Option<Choice> {
-        report::choices(&self.get(report::CHOICES).await?)
+    pub async fn choices(&self) -> Option<Choices> {
+        report::decode_choices(&self.get(report::CHOICES_PATH).await?)
     }
 
     /// Reads the experts that the rank holds under the map in use, by set of layers.
-    pub async fn experts(&self) -> Option<report::Held> {
-        report::held(&self.get(report::MAPS).await?)
+    pub async fn experts(&self) -> Option<report::RankExperts> {
+        report::decode_rank_experts(&self.get(report::MAPS_PATH).await?)
     }
 
     /// Sends an order to the rank.
--- a/verbenaspool_agent/src/direct/run.rs
+++ b/verbenaspool_agent/src/direct/run.rs
@@ -110,9 +110,11 @@
         }
         let mut changing = false;
         if let Some(report) = report {
-            incarnation.set(report.born);
+            incarnation.set(report.started_at_ms);
             let changed = shared.handle_report(&report);
-            changing = report.busy || report.armed.is_some() || report.held.is_some();
+            changing = report.order_in_progress
+                || report.armed_version.is_some()
+                || report.held_step.is_some();
             let now = clock.now();
             let to_all = now.saturating_sub(last_hello) >= hello_interval(shared);
             let interval = REPORT_INTERVALS[usize::from(!changing && !shared.is_lead_or_holder())];
