--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -152,7 +152,9 @@
             return;
         }
         match Self::body(response).await {
-            Some(body) if body == Upstream::whole(path, "body") => self.site.checks.count("whole"),
+            Some(body) if body == Upstream::expected_answer(path, "body") => {
+                self.site.checks.count("whole")
+            }
             Some(body) => {
                 let what = format!("{id} got {body:?}");
                 self.site
@@ -187,7 +189,7 @@
                 }
             }
         }
-        let events = Upstream::events(0);
+        let events = Upstream::expected_events(0);
         if whole && text != events || !events.starts_with(&text) {
             let what = format!("{id} got {text:?}, whole: {whole}");
             self.site.checks.broke("each event once and in order", what);
--- a/verbenaspool_soak/src/check.rs
+++ b/verbenaspool_soak/src/check.rs
@@ -84,7 +84,7 @@
     pub fn settle_crashes(&self, crashes: impl Iterator<Item = Crash>) {
         let mut culprits: HashMap<String, Vec<Instant>> = HashMap::new();
         for crash in crashes {
-            let (caller, _) = crash.request.split_once('-').unwrap_or_default();
+            let (caller, _) = crash.request_id.split_once('-').unwrap_or_default();
             culprits
                 .entry(caller.to_owned())
                 .or_default()
--- a/verbenaspool_soak/src/fault.rs
+++ b/verbenaspool_soak/src/fault.rs
@@ -8,21 +8,21 @@
 
 use nix::sys::signal::Signal;
 use rand::{Rng, rngs::SmallRng, seq::IndexedRandom};
-use verbenaspool_platform_standin::{store::Condition, upstream::Way};
+use verbenaspool_platform_standin::{store::Condition, upstream::Behaviour};
 
 use crate::{process::Process, proxy::Mode, site::Site};
 
 /// What upstreams do at times.
-const WAYS: [Way; 9] = [
-    Way::TurnAway,
-    Way::Lose,
-    Way::Crossed,
-    Way::Unsigned,
-    Way::Fail,
-    Way::Vague,
-    Way::Break(2),
-    Way::Stall(3),
-    Way::Double,
+const WAYS: [Behaviour; 9] = [
+    Behaviour::Reject,
+    Behaviour::LoseAnswer,
+    Behaviour::WrongId,
+    Behaviour::Unsigned,
+    Behaviour::Fail,
+    Behaviour::Unclear,
+    Behaviour::BreakOff(2),
+    Behaviour::Stall(3),
+    Behaviour::RepeatEvent,
 ];
 
 /// What connections do at times.
@@ -70,13 +70,13 @@
 /// The ways that a fault may take.
 #[derive(Debug, Clone, Copy)]
 struct Picked {
-    way: Way,
+    way: Behaviour,
     mode: Mode,
 }
 
 fn pick(rng: &mut SmallRng) -> Picked {
     Picked {
-        way: WAYS.choose(rng).copied().unwrap_or(Way::Fail),
+        way: WAYS.choose(rng).copied().unwrap_or(Behaviour::Fail),
         mode: MODES.choose(rng).copied().unwrap_or(Mode::Reset),
     }
 }
@@ -93,9 +93,9 @@
     let at = &site.servers[server];
     match kind {
         0 | 1 => {
-            at.upstream.way.set(picked.way);
+            at.upstream.behaviour.set(picked.way);
             monoio::time::sleep(lasts).await;
-            at.upstream.way.set(Way::Well);
+            at.upstream.behaviour.set(Behaviour::Healthy);
         }
         2 | 3 => {
             at.proxy.mode.set(picked.mode);
@@ -114,14 +114,14 @@
             } else {
                 Condition::Silent
             };
-            site.store.mood.set(mood);
+            site.store.condition.set(mood);
             monoio::time::sleep(lasts).await;
-            site.store.mood.set(Condition::Well);
+            site.store.condition.set(Condition::Healthy);
         }
         6 => site.change(),
         7 => {
             site.change();
-            site.store.forget();
+            site.store.drop_history();
         }
         8 => {
             site.list(server, "draining");
@@ -166,9 +166,9 @@
             .await;
         }
         3 => {
-            site.group.late.set(LATE);
+            site.group.late_percent.set(LATE);
             monoio::time::sleep(lasts).await;
-            site.group.late.set(0);
+            site.group.late_percent.set(0);
         }
         _ => site.group.break_up(),
     }
--- a/verbenaspool_soak/src/main.rs
+++ b/verbenaspool_soak/src/main.rs
@@ -169,12 +169,12 @@
         }
         monoio::time::sleep(Duration::from_millis(50)).await;
     }
-    for mixed in site.group.mixed.borrow().iter() {
+    for mixed in site.group.mixed_passes.borrow().iter() {
         site.checks.broke("one map in every pass", mixed.clone());
     }
     let mut counts = site.checks.counts.borrow_mut();
     counts.insert("passes", site.group.step());
-    counts.insert("changes of map", site.group.changes.get());
+    counts.insert("changes of map", site.group.map_changes.get());
 }
 
 /// Prints what came of a seed.
--- a/verbenaspool_soak/src/site.rs
+++ b/verbenaspool_soak/src/site.rs
@@ -134,7 +134,7 @@
             store.put(
                 "servers",
                 &upstream.id,
-                &text::listed(service, address, "ready"),
+                &text::registry_entry(service, address, "ready"),
             );
             servers.push(Server {
                 upstream,
@@ -178,7 +178,11 @@
             let group = group.clone();
             let upstream = serve(Rc::new(Member { group, rank }), &mut triggers)?;
             let id = format!("r-{rank}");
-            store.put("servers", &id, &text::listed(RANKS, upstream, "ready"));
+            store.put(
+                "servers",
+                &id,
+                &text::registry_entry(RANKS, upstream, "ready"),
+            );
             let text = agent_settings(rank, upstream, peer_port);
             let name = format!("agent-{rank}");
             agents.push(Process::start(&programs.agent, folder, &name, &text)?);
@@ -207,7 +211,7 @@
     /// Says in the registry whether an upstream leaves.
     pub fn list(&self, server: usize, state: &str) {
         let server = &self.servers[server];
-        let entry = text::listed(server.service, server.address, state);
+        let entry = text::registry_entry(server.service, server.address, state);
         self.store.put("servers", &server.upstream.id, &entry);
     }
 
@@ -215,9 +219,9 @@
     #[must_use]
     pub fn runs(&self, id: &str) -> usize {
         let servers = self.servers.iter();
-        let servers: usize = servers.map(|server| server.upstream.runs(id)).sum();
+        let servers: usize = servers.map(|server| server.upstream.run_count(id)).sum();
         let fragile = self.fragile.iter();
-        let fragile: usize = fragile.map(|process| process.runs(id)).sum();
+        let fragile: usize = fragile.map(|process| process.run_count(id)).sum();
         servers + fragile
     }
 
@@ -269,7 +273,7 @@
     let kinds = ["streaming", "unsafe"];
     let fragile = FRAGILE_PATHS.iter().zip(kinds);
     routes.extend(fragile.map(|(path, kind)| text::route(path, kind, FRAGILE_SERVICE)));
-    let services = [text::ranks(RANKS), text::service(FRAGILE_SERVICE)];
+    let services = [text::group_service(RANKS), text::service(FRAGILE_SERVICE)];
     text::configuration_with(version, &routes, &[KEY], &services)
 }
 
