--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -153,7 +153,7 @@
         }
         match Self::body(response).await {
             Some(body) if body == Upstream::expected_answer(path, "body") => {
-                self.site.checks.count("whole")
+                self.site.checks.count("whole");
             }
             Some(body) => {
                 let what = format!("{id} got {body:?}");
