--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -433,14 +433,14 @@
 
     /// Reads the missing pieces from the platform.
     async fn fetch_missing(&self) -> Result<(), Error> {
-        let mut bundles = true;
+        let mut try_bundles = true;
         loop {
             let missing = self.adoption.borrow().missing_pieces();
             if missing.is_empty() {
                 return Ok(());
             }
-            if bundles && missing.len() >= bundle::MIN_MISSING_PIECES {
-                bundles = false;
+            if try_bundles && missing.len() >= bundle::MIN_MISSING_PIECES {
+                try_bundles = false;
                 self.read_bundles().await?;
                 continue;
             }
