--- a/examples/demo/traffic.rs
+++ b/examples/demo/traffic.rs
@@ -174,7 +174,7 @@
         let expected = text::answer(&prompt, tokens);
         self.send(
             request,
-            |body| text::read(body).as_deref() == Some(&expected),
+            |body| text::parse(body).as_deref() == Some(&expected),
             None,
         )
         .await
--- a/verbenaspool/benches/path/site.rs
+++ b/verbenaspool/benches/path/site.rs
@@ -142,9 +142,9 @@
         let served = runtime::run(async {
             let (_stop, signal) = shutdown::channel();
             let config = Config {
-                places: 4_000,
-                step: Duration::from_millis(200),
-                crowding: Duration::ZERO,
+                max_batch_size: 4_000,
+                step_time: Duration::from_millis(200),
+                step_time_per_request: Duration::ZERO,
                 ..Config::default()
             };
             let engine = Engine::bind(config, Monotonic::start()).expect("a free port");
--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -156,7 +156,7 @@
             .expect("a request");
         let reply = self.send(0, sent).await;
         let got = if reply.outcome == Outcome::Ran && reply.ended {
-            text::read(&reply.body).unwrap_or_else(|| {
+            text::parse(&reply.body).unwrap_or_else(|| {
                 let body = String::from_utf8_lossy(&reply.body);
                 eprintln!("{prompt}: unreadable answer: {body:?}");
                 "no answer".to_owned()
--- a/verbenaspool_agent/benches/agent.rs
+++ b/verbenaspool_agent/benches/agent.rs
@@ -118,8 +118,8 @@
             let clock = Monotonic::start();
             if engine {
                 let config = Config {
-                    places: 2_000,
-                    step: Duration::from_millis(200),
+                    max_batch_size: 2_000,
+                    step_time: Duration::from_millis(200),
                     ..Config::default()
                 };
                 let engine = Engine::bind(config, clock).expect("an engine");
--- a/verbenaspool_agent/tests/agent/fault.rs
+++ b/verbenaspool_agent/tests/agent/fault.rs
@@ -18,12 +18,16 @@
     // The engine dies before or inside its answer. A caller that got a cleanly
     // ended half would take it for the whole.
     let table: [(&str, Break); 4] = [
-        ("before its answer", |parts| parts.faults.break_before()),
+        ("before its answer", |parts| {
+            parts.faults.fail_before_start()
+        }),
         ("before the first token", |parts| {
-            parts.faults.break_behind(0);
+            parts.faults.fail_after_tokens(0);
+        }),
+        ("between tokens", |parts| parts.faults.fail_after_tokens(2)),
+        ("before the end mark", |parts| {
+            parts.faults.fail_after_tokens(5)
         }),
-        ("between tokens", |parts| parts.faults.break_behind(2)),
-        ("before the end mark", |parts| parts.faults.break_behind(5)),
     ];
     run(async {
         let (address, parts) = engine(Config::default());
--- a/verbenaspool_agent/tests/agent/input.rs
+++ b/verbenaspool_agent/tests/agent/input.rs
@@ -159,7 +159,7 @@
                 "{name}"
             );
         }
-        assert_eq!(desk.orders.done(), []);
+        assert_eq!(desk.orders.executed(), []);
     });
 }
 
--- a/verbenaspool_agent/tests/agent/orders.rs
+++ b/verbenaspool_agent/tests/agent/orders.rs
@@ -71,12 +71,12 @@
             for _ in 0..2 {
                 assert_eq!(fleet.order("a.1", 5, Role::Decode).await, Outcome::Done);
             }
-            assert_eq!(fleet.parts.orders.done().len(), 1);
-            fleet.parts.orders.lose(1);
+            assert_eq!(fleet.parts.orders.executed().len(), 1);
+            fleet.parts.orders.lose_answers(1);
             assert_eq!(fleet.order("a.2", 6, Role::Prefill).await, Outcome::Done);
             let late = fleet.order("old.7", 5, Role::Both).await;
             assert_eq!(late, Outcome::NotRun(Reason::Fence { fence: 6 }));
-            assert_eq!(fleet.parts.orders.done().len(), 2);
+            assert_eq!(fleet.parts.orders.executed().len(), 2);
         });
     }
 }
--- a/verbenaspool_agent/tests/agent/path.rs
+++ b/verbenaspool_agent/tests/agent/path.rs
@@ -28,9 +28,9 @@
 #[test]
 fn the_first_token_passes_before_the_second_exists() {
     run(async {
-        let step = Duration::from_millis(50);
+        let step_time = Duration::from_millis(50);
         let (address, desk) = engine(Config {
-            step,
+            step_time,
             ..Config::default()
         });
         let rig = Rig::start(settings(address, "engine"));
--- a/verbenaspool_agent/tests/agent/report.rs
+++ b/verbenaspool_agent/tests/agent/report.rs
@@ -19,8 +19,8 @@
 fn the_load_is_told_and_counted_up() {
     run(async {
         let (address, _) = engine(Config {
-            places: 1,
-            lag: Duration::ZERO,
+            max_batch_size: 1,
+            report_delay: Duration::ZERO,
             ..Config::default()
         });
         let rig = Rig::start(settings(address, "engine"));
@@ -53,8 +53,8 @@
     // wipe what entries know of its cache every few requests.
     run(async {
         let (address, _) = engine(Config {
-            lag: Duration::ZERO,
-            gap: 3,
+            report_delay: Duration::ZERO,
+            dropped_event_interval: 3,
             ..Config::default()
         });
         let rig = Rig::start(settings(address, "engine"));
@@ -87,7 +87,7 @@
     run(async {
         let (address, desk) = engine(Config::default());
         let rig = Rig::start(settings(address, "engine"));
-        desk.faults.break_behind(3);
+        desk.faults.fail_after_tokens(3);
         let broken = rig.complete("Net", 8).await.unwrap();
         assert!(broken.body.is_none());
         let mut request = rig.request(rig.id(), "/v1/completions", &completion("Net", 8));
@@ -120,7 +120,7 @@
             assert_eq!(gate.send(&order(1), soon()).await, Err(Error::Fenced(2)));
             let late = gate.send(&order(3), clock.now()).await;
             assert_eq!(late, Err(Error::Late));
-            assert_eq!(desk.orders.done(), [order(2)]);
+            assert_eq!(desk.orders.executed(), [order(2)]);
             // A gate of a successor that knows no fence yet.
             let sent = Gate::new(address, clock.clone())
                 .send(&order(1), soon())
--- a/verbenaspool_agent/tests/agent/rig.rs
+++ b/verbenaspool_agent/tests/agent/rig.rs
@@ -69,7 +69,7 @@
     }
 
     pub fn text(&self) -> Option<String> {
-        text::read(self.body.as_ref()?)
+        text::parse(self.body.as_ref()?)
     }
 }
 
--- a/verbenaspool_standin/src/engine.rs
+++ b/verbenaspool_standin/src/engine.rs
@@ -40,38 +40,38 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// Requests in the batch at once; others wait.
-    pub places: usize,
+    pub max_batch_size: usize,
     /// The time of a step with one request in the batch.
-    pub step: Duration,
+    pub step_time: Duration,
     /// What each further request adds to a step.
-    pub crowding: Duration,
+    pub step_time_per_request: Duration,
     /// The time to read one prompt token that is not cached.
-    pub prefill: Duration,
+    pub prefill_time_per_token: Duration,
     /// Prefixes that the cache holds.
-    pub prefixes: usize,
+    pub max_prefixes: usize,
     /// How late the engine tells its load and its cache events.
-    pub lag: Duration,
+    pub report_delay: Duration,
     /// Every so many cache events one is lost; 0 for none.
-    pub gap: u64,
+    pub dropped_event_interval: u64,
     /// Whether it refuses an order with an old fence.
     pub checks_fences: bool,
     /// Whether it can go on after the tokens of a broken stream.
-    pub resumes: bool,
+    pub supports_resume: bool,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             listen: ([127, 0, 0, 1], 0).into(),
-            places: 32,
-            step: Duration::from_millis(2),
-            crowding: Duration::from_micros(50),
-            prefill: Duration::from_micros(5),
-            prefixes: 256,
-            lag: Duration::from_millis(100),
-            gap: 16,
+            max_batch_size: 32,
+            step_time: Duration::from_millis(2),
+            step_time_per_request: Duration::from_micros(50),
+            prefill_time_per_token: Duration::from_micros(5),
+            max_prefixes: 256,
+            report_delay: Duration::from_millis(100),
+            dropped_event_interval: 16,
             checks_fences: true,
-            resumes: true,
+            supports_resume: true,
         }
     }
 }
@@ -187,7 +187,7 @@
                 (&Method::POST, "/v1/completions") => self.complete(request).await,
                 (&Method::GET, STATE_PATH) => self.state(request.uri().query()),
                 (&Method::POST, ORDER_PATH) => self.order(request).await,
-                (&Method::GET, order::STATE_PATH) => json(&self.orders.held()),
+                (&Method::GET, order::STATE_PATH) => json(&self.orders.state()),
                 _ => error(StatusCode::NOT_FOUND, "no such path"),
             }
         })
@@ -196,7 +196,7 @@
 
 impl Parts {
     async fn complete(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let resume = self.resume(&request);
+        let resume = self.resume_offset(&request);
         let priority = priority(&request);
         let Ok(body) = request.into_body().collect().await else {
             return error(StatusCode::BAD_REQUEST, "the body broke off");
@@ -204,22 +204,25 @@
         let Ok(completion) = serde_json::from_slice::<Completion>(&body.to_bytes()) else {
             return error(StatusCode::BAD_REQUEST, "the body is no completion request");
         };
-        if self.faults.refuse_before() {
-            return broken();
+        if self.faults.take_start_failure() {
+            return broken_response();
         }
-        let place = self.batch.enter(priority, completion.max_tokens).await;
-        let computed = self.cache.touch(&completion.prompt);
+        let slot = self
+            .batch
+            .acquire_slot(priority, completion.max_tokens)
+            .await;
+        let computed = self.cache.use_prompt(&completion.prompt);
         self.batch.prefill(computed).await;
-        let stream = Stream::new(self.clone(), place, &completion, resume.unwrap_or(0));
+        let stream = Stream::new(self.clone(), slot, &completion, resume.unwrap_or(0));
         let mut response = if completion.stream {
             let mut response = Response::new(Body::wrap(stream));
-            let kind = "text/event-stream".parse().expect("a header value");
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+            let content_type = "text/event-stream".parse().expect("a header value");
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
         } else {
             match stream.collect().await {
-                Ok(tokens) => json(&text::whole(&completion, &tokens)),
-                Err(_) => broken(),
+                Ok(tokens) => json(&text::full_response(&completion, &tokens)),
+                Err(_) => broken_response(),
             }
         };
         if let Some(offset) = resume {
@@ -228,10 +231,10 @@
         response
     }
 
-    fn resume(&self, request: &Request<Incoming>) -> Option<u32> {
+    fn resume_offset(&self, request: &Request<Incoming>) -> Option<u32> {
         let value = request.headers().get(header::RESUME)?;
         let offset = value.to_str().ok()?.parse().ok()?;
-        self.config.resumes.then_some(offset)
+        self.config.supports_resume.then_some(offset)
     }
 
     fn state(&self, query: Option<&str>) -> Response<Body> {
@@ -239,8 +242,8 @@
             .and_then(|query| query.strip_prefix("since="))
             .and_then(|number| number.parse().ok())
             .unwrap_or(0);
-        let mut state = self.batch.told();
-        (state.last, state.events) = self.cache.told(since);
+        let mut state = self.batch.delayed_state();
+        (state.last, state.events) = self.cache.delayed_events(since);
         json(&state)
     }
 
@@ -251,8 +254,8 @@
         let Ok(order) = serde_json::from_slice(&body.to_bytes()) else {
             return error(StatusCode::BAD_REQUEST, "the body is no order");
         };
-        match self.orders.take(order) {
-            Ok(()) if self.orders.loses() => broken(),
+        match self.orders.execute(order) {
+            Ok(()) if self.orders.take_lost_answer() => broken_response(),
             Ok(()) => json(&serde_json::json!({"done": true})),
             Err(fence) => {
                 let mut response = json(&serde_json::json!({"done": false, "fence": fence}));
@@ -277,15 +280,15 @@
 }
 
 /// An answer that breaks off at once.
-fn broken() -> Response<Body> {
+fn broken_response() -> Response<Body> {
     Response::new(Body::wrap(stream::Broken))
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Body> {
     let text = serde_json::to_vec(value).expect("plain data");
     let mut response = Response::new(Body::full(Bytes::from(text)));
-    let kind = "application/json".parse().expect("a header value");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = "application/json".parse().expect("a header value");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
--- a/verbenaspool_standin/src/engine/batch.rs
+++ b/verbenaspool_standin/src/engine/batch.rs
@@ -19,15 +19,15 @@
 #[derive(Debug)]
 pub struct Batch {
     clock: Rc<dyn Clock>,
-    places: usize,
-    step: Duration,
-    crowding: Duration,
-    prefill: Duration,
-    lag: Duration,
+    max_size: usize,
+    step_time: Duration,
+    step_time_per_request: Duration,
+    prefill_time_per_token: Duration,
+    report_delay: Duration,
     running: Cell<usize>,
-    tokens: Cell<u64>,
+    remaining_tokens: Cell<u64>,
     waiting: RefCell<Vec<Waiter>>,
-    told: RefCell<VecDeque<(Duration, State)>>,
+    states: RefCell<VecDeque<(Duration, State)>>,
     cancelled: Cell<u64>,
     stalled: Cell<bool>,
 }
@@ -35,68 +35,69 @@
 #[derive(Debug)]
 struct Waiter {
     priority: u8,
-    call: oneshot::Sender<()>,
+    wake: oneshot::Sender<()>,
 }
 
 /// A place in the batch or in the queue, given back when the request ends.
 #[derive(Debug)]
-pub struct Place {
+pub struct Slot {
     batch: Rc<Batch>,
-    left: Cell<u32>,
-    runs: Cell<bool>,
+    remaining_tokens: Cell<u32>,
+    is_running: Cell<bool>,
 }
 
 impl Batch {
     pub(crate) fn new(config: &Config, clock: Rc<dyn Clock>) -> Self {
         Self {
             clock,
-            places: config.places,
-            step: config.step,
-            crowding: config.crowding,
-            prefill: config.prefill,
-            lag: config.lag,
+            max_size: config.max_batch_size,
+            step_time: config.step_time,
+            step_time_per_request: config.step_time_per_request,
+            prefill_time_per_token: config.prefill_time_per_token,
+            report_delay: config.report_delay,
             running: Cell::new(0),
-            tokens: Cell::new(0),
+            remaining_tokens: Cell::new(0),
             waiting: RefCell::default(),
-            told: RefCell::default(),
+            states: RefCell::default(),
             cancelled: Cell::new(0),
             stalled: Cell::new(false),
         }
     }
 
     /// Waits for a place.
-    pub(crate) async fn enter(self: &Rc<Self>, priority: u8, tokens: u32) -> Place {
-        self.tokens.set(self.tokens.get() + u64::from(tokens));
-        let place = Place {
+    pub(crate) async fn acquire_slot(self: &Rc<Self>, priority: u8, tokens: u32) -> Slot {
+        self.remaining_tokens
+            .set(self.remaining_tokens.get() + u64::from(tokens));
+        let slot = Slot {
             batch: self.clone(),
-            left: Cell::new(tokens),
-            runs: Cell::new(false),
+            remaining_tokens: Cell::new(tokens),
+            is_running: Cell::new(false),
         };
-        while self.running.get() >= self.places {
-            let (call, called) = oneshot::channel();
-            self.waiting.borrow_mut().push(Waiter { priority, call });
-            self.note();
-            let _ = called.await;
+        while self.running.get() >= self.max_size {
+            let (wake, woken) = oneshot::channel();
+            self.waiting.borrow_mut().push(Waiter { priority, wake });
+            self.record_state();
+            let _ = woken.await;
         }
-        place.runs.set(true);
+        slot.is_running.set(true);
         self.running.set(self.running.get() + 1);
-        self.note();
-        place
+        self.record_state();
+        slot
     }
 
     /// The time to read so many prompt tokens.
     pub(crate) async fn prefill(&self, tokens: u32) {
-        self.clock.sleep(self.prefill * tokens).await;
+        self.clock.sleep(self.prefill_time_per_token * tokens).await;
     }
 
     /// The step that yields each running request's next token.
     pub(crate) fn step(&self) -> Sleep {
-        let others = u32::try_from(self.running.get()).unwrap_or(u32::MAX);
-        let step = self.step + self.crowding * others.saturating_sub(1);
+        let running = u32::try_from(self.running.get()).unwrap_or(u32::MAX);
+        let step_time = self.step_time + self.step_time_per_request * running.saturating_sub(1);
         if self.stalled.get() {
             return Box::pin(std::future::pending());
         }
-        self.clock.sleep(step)
+        self.clock.sleep(step_time)
     }
 
     /// How many requests were cancelled because their caller went.
@@ -117,73 +118,74 @@
     }
 
     /// The load as it was the lag ago.
-    pub(crate) fn told(&self) -> State {
-        let seen = self.clock.now().saturating_sub(self.lag);
-        let mut told = self.told.borrow_mut();
-        while told.get(1).is_some_and(|(at, _)| *at <= seen) {
-            told.pop_front();
+    pub(crate) fn delayed_state(&self) -> State {
+        let visible_until = self.clock.now().saturating_sub(self.report_delay);
+        let mut states = self.states.borrow_mut();
+        while states.get(1).is_some_and(|(at, _)| *at <= visible_until) {
+            states.pop_front();
         }
-        match told.front() {
-            Some((at, state)) if *at <= seen => state.clone(),
+        match states.front() {
+            Some((at, state)) if *at <= visible_until => state.clone(),
             _ => State::default(),
         }
     }
 
     /// Notes the load, to be told later.
-    fn note(&self) {
+    fn record_state(&self) {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let state = State {
             running: count(self.running.get()),
             queued: count(self.waiting.borrow().len()),
-            tokens: self.tokens.get(),
+            tokens: self.remaining_tokens.get(),
             ..State::default()
         };
-        let mut told = self.told.borrow_mut();
-        told.push_back((self.clock.now(), state));
-        let seen = self.clock.now().saturating_sub(self.lag);
-        while told.get(1).is_some_and(|(at, _)| *at <= seen) {
-            told.pop_front();
+        let mut states = self.states.borrow_mut();
+        states.push_back((self.clock.now(), state));
+        let visible_until = self.clock.now().saturating_sub(self.report_delay);
+        while states.get(1).is_some_and(|(at, _)| *at <= visible_until) {
+            states.pop_front();
         }
     }
 
     /// Calls the most urgent waiter, of equals the first.
-    fn call(&self) {
+    fn wake_next(&self) {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|waiter| !waiter.call.is_closed());
-        let urgent = waiting.iter().map(|waiter| waiter.priority).max();
+        waiting.retain(|waiter| !waiter.wake.is_closed());
+        let highest_priority = waiting.iter().map(|waiter| waiter.priority).max();
         let next = waiting
             .iter()
-            .position(|waiter| Some(waiter.priority) == urgent);
+            .position(|waiter| Some(waiter.priority) == highest_priority);
         if let Some(next) = next {
-            let _ = waiting.remove(next).call.send(());
+            let _ = waiting.remove(next).wake.send(());
         }
     }
 }
 
-impl Place {
+impl Slot {
     /// Counts a generated token.
-    pub(crate) fn generated(&self) {
-        self.left.set(self.left.get().saturating_sub(1));
+    pub(crate) fn record_token(&self) {
+        self.remaining_tokens
+            .set(self.remaining_tokens.get().saturating_sub(1));
         self.batch
-            .tokens
-            .set(self.batch.tokens.get().saturating_sub(1));
+            .remaining_tokens
+            .set(self.batch.remaining_tokens.get().saturating_sub(1));
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        let left = u64::from(self.left.get());
-        if left > 0 {
+        let remaining = u64::from(self.remaining_tokens.get());
+        if remaining > 0 {
             self.batch.cancelled.set(self.batch.cancelled.get() + 1);
         }
         self.batch
-            .tokens
-            .set(self.batch.tokens.get().saturating_sub(left));
-        if self.runs.get() {
+            .remaining_tokens
+            .set(self.batch.remaining_tokens.get().saturating_sub(remaining));
+        if self.is_running.get() {
             self.batch.running.set(self.batch.running.get() - 1);
         }
         // A waiter that was called and went before it came passes the call on.
-        self.batch.call();
-        self.batch.note();
+        self.batch.wake_next();
+        self.batch.record_state();
     }
 }
--- a/verbenaspool_standin/src/engine/orders.rs
+++ b/verbenaspool_standin/src/engine/orders.rs
@@ -8,44 +8,44 @@
 /// The orders that an engine carried out.
 #[derive(Debug)]
 pub struct Orders {
-    checks: bool,
+    checks_fences: bool,
     fence: Cell<u64>,
-    done: RefCell<Vec<Order>>,
-    lose: Cell<u32>,
+    executed: RefCell<Vec<Order>>,
+    lost_answers: Cell<u32>,
 }
 
 impl Orders {
-    pub(crate) fn new(checks: bool) -> Self {
+    pub(crate) fn new(checks_fences: bool) -> Self {
         Self {
-            checks,
+            checks_fences,
             fence: Cell::new(0),
-            done: RefCell::default(),
-            lose: Cell::new(0),
+            executed: RefCell::default(),
+            lost_answers: Cell::new(0),
         }
     }
 
     /// The orders that were carried out, in their order.
     #[must_use]
-    pub fn done(&self) -> Vec<Order> {
-        self.done.borrow().clone()
+    pub fn executed(&self) -> Vec<Order> {
+        self.executed.borrow().clone()
     }
 
     /// Loses the answers to the next orders, which are carried out.
-    pub fn lose(&self, answers: u32) {
-        self.lose.set(answers);
+    pub fn lose_answers(&self, answers: u32) {
+        self.lost_answers.set(answers);
     }
 
     /// Whether the answer to the order just carried out is lost.
-    pub(crate) fn loses(&self) -> bool {
-        let left = self.lose.get();
-        self.lose.set(left.saturating_sub(1));
+    pub(crate) fn take_lost_answer(&self) -> bool {
+        let left = self.lost_answers.get();
+        self.lost_answers.set(left.saturating_sub(1));
         left > 0
     }
 
     /// What the engine has become by its orders.
-    pub(crate) fn held(&self) -> State {
+    pub(crate) fn state(&self) -> State {
         let mut state = State::default();
-        for order in self.done.borrow().iter() {
+        for order in self.executed.borrow().iter() {
             match serde_json::from_value(order.action.clone()) {
                 Ok(Action::Model { model, version }) => state.model = Some((model, version)),
                 Ok(Action::Adapter { adapter, version }) => {
@@ -59,13 +59,13 @@
     }
 
     /// Carries an order out, or names the higher fence that forbids it.
-    pub(crate) fn take(&self, order: Order) -> Result<(), u64> {
+    pub(crate) fn execute(&self, order: Order) -> Result<(), u64> {
         let fence = self.fence.get();
-        if self.checks && order.fence < fence {
+        if self.checks_fences && order.fence < fence {
             return Err(fence);
         }
         self.fence.set(fence.max(order.fence));
-        self.done.borrow_mut().push(order);
+        self.executed.borrow_mut().push(order);
         Ok(())
     }
 }
--- a/verbenaspool_standin/src/engine/stream.rs
+++ b/verbenaspool_standin/src/engine/stream.rs
@@ -12,39 +12,39 @@
 
 use verbenaspool_transport::{clock::Sleep, http::body::Error};
 
-use super::{Completion, Parts, batch::Place, text};
+use super::{Completion, Parts, batch::Slot, text};
 
 /// The tokens of one answer as a body. Dropped before its end, as when the
 /// caller goes, it leaves the batch at once.
 pub struct Stream {
     parts: Rc<Parts>,
-    place: Option<Place>,
+    slot: Option<Slot>,
     prompt: String,
     next: u32,
     end: u32,
-    breaks: Option<u32>,
+    fail_at: Option<u32>,
     step: Sleep,
-    events: bool,
+    streamed: bool,
 }
 
 impl Stream {
-    pub(crate) fn new(parts: Rc<Parts>, place: Place, completion: &Completion, from: u32) -> Self {
-        for _ in 0..from {
-            place.generated();
+    pub(crate) fn new(parts: Rc<Parts>, slot: Slot, completion: &Completion, offset: u32) -> Self {
+        for _ in 0..offset {
+            slot.record_token();
         }
-        let prompt = if parts.faults.take_crossed() {
+        let prompt = if parts.faults.take_other_answer() {
             format!("not {}", completion.prompt)
         } else {
             completion.prompt.clone()
         };
         Self {
-            breaks: parts.faults.take_behind(),
+            fail_at: parts.faults.take_token_failure(),
             step: parts.batch.step(),
-            place: Some(place),
+            slot: Some(slot),
             prompt,
-            next: from,
+            next: offset,
             end: completion.max_tokens,
-            events: completion.stream,
+            streamed: completion.stream,
             parts,
         }
     }
@@ -64,19 +64,19 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if self.breaks == Some(self.next) {
+        if self.fail_at == Some(self.next) {
             return Poll::Ready(Some(Err("the engine broke off".into())));
         }
         if self.next >= self.end {
-            let ends = self.place.take().is_some() && self.events;
-            return Poll::Ready(ends.then(|| Ok(Frame::data(text::DONE.into()))));
+            let send_done_event = self.slot.take().is_some() && self.streamed;
+            return Poll::Ready(send_done_event.then(|| Ok(Frame::data(text::DONE_EVENT.into()))));
         }
         ready!(self.step.as_mut().poll(cx));
         self.step = self.parts.batch.step();
-        if let Some(place) = &self.place {
-            place.generated();
+        if let Some(slot) = &self.slot {
+            slot.record_token();
         }
-        let token = if self.events {
+        let token = if self.streamed {
             text::event(&self.prompt, self.next)
         } else {
             text::token(&self.prompt, self.next)
--- a/verbenaspool_standin/src/engine/text.rs
+++ b/verbenaspool_standin/src/engine/text.rs
@@ -37,10 +37,10 @@
 }
 
 /// The event that ends a stream.
-pub(crate) const DONE: &str = "data: [DONE]\n\n";
+pub(crate) const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// The answer that is sent in one piece.
-pub(crate) fn whole(completion: &Completion, text: &str) -> Value {
+pub(crate) fn full_response(completion: &Completion, text: &str) -> Value {
     json!({
         "object": "text_completion",
         "choices": [{"index": 0, "text": text, "finish_reason": "length"}],
@@ -54,23 +54,23 @@
 /// ```
 /// use verbenaspool_standin::engine::text;
 ///
-/// assert_eq!(text::read(b"data: [DONE]\n\n"), Some(String::new()));
-/// assert_eq!(text::read(b"data: {\"choi"), None);
+/// assert_eq!(text::parse(b"data: [DONE]\n\n"), Some(String::new()));
+/// assert_eq!(text::parse(b"data: {\"choi"), None);
 /// ```
 #[must_use]
-pub fn read(body: &[u8]) -> Option<String> {
+pub fn parse(body: &[u8]) -> Option<String> {
     let body = std::str::from_utf8(body).ok()?;
     if !body.starts_with("data:") {
-        return piece(body);
+        return choice_text(body);
     }
-    let events = body.strip_suffix(DONE)?;
+    let events = body.strip_suffix(DONE_EVENT)?;
     events
         .split_terminator("\n\n")
-        .map(|event| piece(event.strip_prefix("data:")?))
+        .map(|event| choice_text(event.strip_prefix("data:")?))
         .collect()
 }
 
-fn piece(json: &str) -> Option<String> {
+fn choice_text(json: &str) -> Option<String> {
     let value: Value = serde_json::from_str(json).ok()?;
     value["choices"][0]["text"].as_str().map(str::to_owned)
 }
