--- a/verbenaspool/tests/history/callers.rs
+++ b/verbenaspool/tests/history/callers.rs
@@ -155,7 +155,7 @@
             .body(Body::full(body.to_string()))
             .expect("a request");
         let reply = self.send(0, sent).await;
-        let got = if reply.outcome == Outcome::Ran && reply.ended {
+        let received = if reply.outcome == Outcome::Ran && reply.ended {
             text::parse(&reply.body).unwrap_or_else(|| {
                 let body = String::from_utf8_lossy(&reply.body);
                 eprintln!("{prompt}: unreadable answer: {body:?}");
@@ -168,7 +168,7 @@
             request: self.number * 1_000_000 + self.sent,
             expected: text::answer(&prompt, tokens),
             outcome: reply.outcome,
-            got,
+            received,
             ended: reply.ended,
         }
     }
--- a/verbenaspool_standin/src/history/in_force.rs
+++ b/verbenaspool_standin/src/history/activation.rs
@@ -16,12 +16,12 @@
         content: String,
     },
     /// An operator was told that an apply isn't accepted.
-    Refused {
+    Rejected {
         /// What the file says.
         content: String,
     },
     /// A file came in force at an instance.
-    InForce {
+    Activated {
         /// When.
         at: Duration,
         /// The instance.
@@ -35,16 +35,16 @@
 
 /// What a history breaks.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Violation {
     /// Two applies were accepted as the same version.
     #[error("two files were accepted as version {0}")]
-    Twice(u64),
+    DuplicateVersion(u64),
     /// A file that its operator was told isn't accepted came in force.
     #[error("'{0}' was refused and came in force")]
-    Refused(String),
+    Rejected(String),
     /// Something else came in force than was accepted as that version.
     #[error("version {version} is in force as '{found}' at {instance}")]
-    Other {
+    WrongContent {
         /// The instance.
         instance: String,
         /// The version.
@@ -70,7 +70,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use verbenaspool_standin::history::in_force::{Event, check};
+/// use verbenaspool_standin::history::activation::{Event, check};
 ///
 /// let at = Duration::from_millis(10);
 /// let content = String::from("first");
@@ -78,7 +78,7 @@
 /// let late = check(&[accepted], &["entry-1"], Duration::from_secs(9));
 /// assert!(late.is_err());
 /// ```
-pub fn check(events: &[Event], instances: &[&str], bound: Duration) -> Result<(), Fault> {
+pub fn check(events: &[Event], instances: &[&str], max_delay: Duration) -> Result<(), Violation> {
     let mut accepted: BTreeMap<u64, (Duration, &str)> = BTreeMap::new();
     for event in events {
         if let Event::Accepted {
@@ -87,16 +87,16 @@
             content,
         } = event
         {
-            let before = accepted.insert(*version, (*at, content));
-            if before.is_some_and(|(_, other)| other != content) {
-                return Err(Fault::Twice(*version));
+            let previous = accepted.insert(*version, (*at, content));
+            if previous.is_some_and(|(_, other)| other != content) {
+                return Err(Violation::DuplicateVersion(*version));
             }
         }
     }
     for event in events {
         match event {
-            Event::Refused { content } => refused(events, content)?,
-            Event::InForce {
+            Event::Rejected { content } => check_rejected(events, content)?,
+            Event::Activated {
                 instance,
                 version,
                 content,
@@ -107,7 +107,7 @@
                 // for reverts sees to.
                 let file = accepted.get(version).map(|(_, file)| *file);
                 if file.is_some_and(|file| file != content) {
-                    return Err(Fault::Other {
+                    return Err(Violation::WrongContent {
                         instance: instance.clone(),
                         version: *version,
                         found: content.clone(),
@@ -119,8 +119,8 @@
     }
     for (version, (at, _)) in accepted {
         for instance in instances {
-            if !reached(events, instance, version, at + bound) {
-                return Err(Fault::Late {
+            if !activated_by(events, instance, version, at + max_delay) {
+                return Err(Violation::Late {
                     instance: (*instance).to_owned(),
                     version,
                 });
@@ -131,20 +131,25 @@
 }
 
 /// A refused file mustn't be in force anywhere.
-fn refused(events: &[Event], refused: &str) -> Result<(), Fault> {
+fn check_rejected(events: &[Event], rejected: &str) -> Result<(), Violation> {
     let found = events
         .iter()
-        .any(|event| matches!(event, Event::InForce { content, .. } if content == refused));
+        .any(|event| matches!(event, Event::Activated { content, .. } if content == rejected));
     if found {
-        return Err(Fault::Refused(refused.to_owned()));
+        return Err(Violation::Rejected(rejected.to_owned()));
     }
     Ok(())
 }
 
 /// Whether an instance had `version` or a later one in force by `end`.
-fn reached(events: &[Event], wanted: &str, least: u64, end: Duration) -> bool {
+fn activated_by(
+    events: &[Event],
+    instance_name: &str,
+    min_version: u64,
+    deadline: Duration,
+) -> bool {
     events.iter().any(|event| {
-        matches!(event, Event::InForce { at, instance, version, .. }
-            if instance == wanted && *version >= least && *at <= end)
+        matches!(event, Event::Activated { at, instance, version, .. }
+            if instance == instance_name && *version >= min_version && *at <= deadline)
     })
 }
--- a/verbenaspool_standin/src/history/answers.rs
+++ b/verbenaspool_standin/src/history/answers.rs
@@ -14,7 +14,7 @@
     /// The outcome that the caller was told.
     pub outcome: Outcome,
     /// What arrived, up to where it ended or broke off.
-    pub got: String,
+    pub received: String,
     /// Whether it ended as a whole answer does.
     pub ended: bool,
 }
@@ -32,7 +32,7 @@
 ///     request: 1,
 ///     expected: "splice".to_owned(),
 ///     outcome: Outcome::Ran,
-///     got: "splice".to_owned(),
+///     received: "splice".to_owned(),
 ///     ended: true,
 /// };
 /// assert_eq!(check(&[entry]), Ok(1));
@@ -45,30 +45,30 @@
         .iter()
         .map(|entry| (entry.expected.as_str(), entry.request))
         .collect();
-    let mut whole = 0;
+    let mut complete = 0;
     for entry in entries {
         if entry.outcome != Outcome::Ran {
             continue;
         }
-        let own = entry.expected.starts_with(&entry.got);
-        if !own {
+        let is_own = entry.expected.starts_with(&entry.received);
+        if !is_own {
             return Err(Violation::Foreign {
                 request: entry.request,
-                owner: owners.get(entry.got.as_str()).copied(),
+                owner: owners.get(entry.received.as_str()).copied(),
             });
         }
         if !entry.ended {
             continue;
         }
-        if entry.got.len() < entry.expected.len() {
-            return Err(Violation::Cut {
+        if entry.received.len() < entry.expected.len() {
+            return Err(Violation::Truncated {
                 request: entry.request,
-                at: entry.got.len(),
+                length: entry.received.len(),
             });
         }
-        whole += 1;
+        complete += 1;
     }
-    Ok(whole)
+    Ok(complete)
 }
 
 /// A caller got what it must not.
@@ -83,11 +83,11 @@
         owner: Option<u64>,
     },
     /// A part of an answer that ended like a whole one.
-    #[error("request {request} got {at} bytes of its answer as if that were all")]
-    Cut {
+    #[error("request {request} got {length} bytes of its answer as if that were all")]
+    Truncated {
         /// The request.
         request: u64,
         /// How many bytes arrived.
-        at: usize,
+        length: usize,
     },
 }
--- a/verbenaspool_standin/src/history/mod.rs
+++ b/verbenaspool_standin/src/history/mod.rs
@@ -1,7 +1,7 @@
 //! Histories of concurrent runs, and the checkers that judge them.
 
+pub mod activation;
 pub mod answers;
-pub mod in_force;
 pub mod outcomes;
 pub mod reverts;
 pub mod steps;
--- a/verbenaspool_standin/src/history/outcomes.rs
+++ b/verbenaspool_standin/src/history/outcomes.rs
@@ -21,26 +21,26 @@
 /// use verbenaspool_protocol::outcome::Outcome;
 /// use verbenaspool_standin::history::outcomes::{Entry, Violation, check};
 ///
-/// let told = [Entry { request: "net-7".to_owned(), outcome: Outcome::NotRun }];
-/// assert_eq!(check(&told, ["net-8"]), Ok(1));
+/// let reported = [Entry { request: "net-7".to_owned(), outcome: Outcome::NotRun }];
+/// assert_eq!(check(&reported, ["net-8"]), Ok(1));
 /// let lie = Violation::Ran("net-7".to_owned());
-/// assert_eq!(check(&told, ["net-7"]), Err(lie));
+/// assert_eq!(check(&reported, ["net-7"]), Err(lie));
 /// ```
 ///
 /// # Errors
 /// The first violation.
 pub fn check<'a>(
-    told: &[Entry],
-    begun: impl IntoIterator<Item = &'a str>,
+    reported: &[Entry],
+    started: impl IntoIterator<Item = &'a str>,
 ) -> Result<usize, Violation> {
-    let begun: HashSet<&str> = begun.into_iter().collect();
+    let started: HashSet<&str> = started.into_iter().collect();
     let mut not_run = 0;
-    for entry in told {
-        let ran = begun.contains(entry.request.as_str());
+    for entry in reported {
+        let has_run = started.contains(entry.request.as_str());
         match entry.outcome {
-            Outcome::NotRun if ran => return Err(Violation::Ran(entry.request.clone())),
+            Outcome::NotRun if has_run => return Err(Violation::Ran(entry.request.clone())),
             Outcome::NotRun => not_run += 1,
-            Outcome::Ran if !ran => return Err(Violation::NotRun(entry.request.clone())),
+            Outcome::Ran if !has_run => return Err(Violation::NotRun(entry.request.clone())),
             Outcome::Ran | Outcome::Unknown => {}
         }
     }
--- a/verbenaspool_standin/src/history/reverts.rs
+++ b/verbenaspool_standin/src/history/reverts.rs
@@ -23,7 +23,7 @@
 
 /// What a history breaks.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Violation {
     /// An instance, or its successor, went back.
     #[error("{instance} of {zone} went from version {before} back to {after}")]
     Reverted {
@@ -61,14 +61,14 @@
 /// assert_eq!(check(&[event(1), event(2)]), Ok(()));
 /// assert!(check(&[event(2), event(1)]).is_err());
 /// ```
-pub fn check(events: &[Event]) -> Result<(), Fault> {
+pub fn check(events: &[Event]) -> Result<(), Violation> {
     let mut instances: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     let mut contents: BTreeMap<u64, &str> = BTreeMap::new();
     for event in events {
         let key = (event.zone.as_str(), event.instance.as_str());
         let before = instances.insert(key, event.version).unwrap_or_default();
         if event.version < before {
-            return Err(Fault::Reverted {
+            return Err(Violation::Reverted {
                 zone: event.zone.clone(),
                 instance: event.instance.clone(),
                 before,
@@ -78,7 +78,7 @@
         let content = contents.entry(event.version).or_insert(&event.content);
         if *content != event.content {
             let version = event.version;
-            return Err(Fault::Forked { version });
+            return Err(Violation::Forked { version });
         }
     }
     Ok(())
--- a/verbenaspool_standin/src/history/steps.rs
+++ b/verbenaspool_standin/src/history/steps.rs
@@ -31,7 +31,7 @@
 /// The first violation; otherwise the number of steps.
 pub fn check(entries: &[Entry]) -> Result<usize, Violation> {
     let mut steps: BTreeMap<u64, Entry> = BTreeMap::new();
-    let mut last: BTreeMap<u16, Entry> = BTreeMap::new();
+    let mut last_entries: BTreeMap<u16, Entry> = BTreeMap::new();
     for entry in entries {
         let first = steps.entry(entry.step).or_insert(*entry);
         if first.epoch != entry.epoch {
@@ -41,18 +41,18 @@
                 seats: [first.seat, entry.seat],
             });
         }
-        let before = last.insert(entry.seat, *entry);
+        let before = last_entries.insert(entry.seat, *entry);
         let Some(before) = before else {
             continue;
         };
         if before.step >= entry.step {
-            return Err(Violation::Again {
+            return Err(Violation::Repeated {
                 step: entry.step,
                 seat: entry.seat,
             });
         }
         if before.epoch > entry.epoch {
-            return Err(Violation::Back {
+            return Err(Violation::Reverted {
                 step: entry.step,
                 seat: entry.seat,
                 epochs: [before.epoch, entry.epoch],
@@ -77,7 +77,7 @@
     },
     /// A rank ran a step again.
     #[error("rank {seat} ran step {step} again")]
-    Again {
+    Repeated {
         /// The step.
         step: u64,
         /// The rank.
@@ -85,7 +85,7 @@
     },
     /// A rank went back to an older map.
     #[error("step {step}: rank {seat} went back from epoch {} to {}", epochs[0], epochs[1])]
-    Back {
+    Reverted {
         /// The step.
         step: u64,
         /// The rank.
--- a/verbenaspool_standin/src/history/writes.rs
+++ b/verbenaspool_standin/src/history/writes.rs
@@ -18,14 +18,14 @@
 /// # Errors
 /// The first violation.
 pub fn check<'a>(
-    asked: impl IntoIterator<Item = &'a str>,
+    requested: impl IntoIterator<Item = &'a str>,
     ran: impl IntoIterator<Item = &'a str>,
 ) -> Result<usize, Violation> {
-    let asked: HashSet<&str> = asked.into_iter().collect();
+    let requested: HashSet<&str> = requested.into_iter().collect();
     let mut seen = HashSet::new();
     for key in ran {
-        if !asked.contains(key) {
-            return Err(Violation::Unasked(key.to_owned()));
+        if !requested.contains(key) {
+            return Err(Violation::Unrequested(key.to_owned()));
         }
         if !seen.insert(key) {
             return Err(Violation::Twice(key.to_owned()));
@@ -58,5 +58,5 @@
     Twice(String),
     /// A write ran that no caller asked for.
     #[error("the write {0} ran, and nobody asked for it")]
-    Unasked(String),
+    Unrequested(String),
 }
--- a/verbenaspool_standin/tests/config/zone.rs
+++ b/verbenaspool_standin/tests/config/zone.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_coordination::apply::Outcome;
 use verbenaspool_standin::{
-    history::{in_force, reverts},
+    history::{activation, reverts},
     platform::{Faults, Platform, Watch},
 };
 use verbenaspool_state::version::Version;
@@ -21,7 +21,7 @@
 struct Record {
     clock: Rc<Monotonic>,
     reverts: RefCell<Vec<reverts::Event>>,
-    in_force: RefCell<Vec<in_force::Event>>,
+    activations: RefCell<Vec<activation::Event>>,
 }
 
 impl Record {
@@ -29,7 +29,7 @@
         Rc::new(Self {
             clock: Monotonic::start(),
             reverts: RefCell::default(),
-            in_force: RefCell::default(),
+            activations: RefCell::default(),
         })
     }
 
@@ -49,12 +49,15 @@
                     version: seen.0,
                     content: content.clone(),
                 });
-                record.in_force.borrow_mut().push(in_force::Event::InForce {
-                    at: record.clock.now(),
-                    instance: text.clone(),
-                    version: seen.0,
-                    content,
-                });
+                record
+                    .activations
+                    .borrow_mut()
+                    .push(activation::Event::Activated {
+                        at: record.clock.now(),
+                        instance: text.clone(),
+                        version: seen.0,
+                        content,
+                    });
             }
         });
     }
@@ -63,15 +66,17 @@
     fn told(&self, mark: u32, outcome: &Outcome) {
         let content = mark.to_string();
         let event = match outcome {
-            Outcome::Accepted { version, .. } => in_force::Event::Accepted {
+            Outcome::Accepted { version, .. } => activation::Event::Accepted {
                 at: self.clock.now(),
                 version: version.0,
                 content,
             },
-            Outcome::Conflict { .. } | Outcome::Failed(_) => in_force::Event::Refused { content },
+            Outcome::Conflict { .. } | Outcome::Failed(_) => {
+                activation::Event::Rejected { content }
+            }
             Outcome::Unchanged(_) | Outcome::Unknown(_) => return,
         };
-        self.in_force.borrow_mut().push(event);
+        self.activations.borrow_mut().push(event);
     }
 
     /// Judges the run, once what came in force is recorded as well: the recorder
@@ -89,8 +94,8 @@
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(reverts::check(&self.reverts.borrow()), Ok(()));
-        let events = self.in_force.borrow();
-        assert_eq!(in_force::check(&events, instances, BOUND), Ok(()));
+        let events = self.activations.borrow();
+        assert_eq!(activation::check(&events, instances, BOUND), Ok(()));
     }
 }
 
@@ -171,8 +176,8 @@
         for operator in operators {
             operator.await;
         }
-        let events = record.in_force.borrow().clone();
-        let accepted = |e: &&in_force::Event| matches!(e, in_force::Event::Accepted { .. });
+        let events = record.activations.borrow().clone();
+        let accepted = |e: &&activation::Event| matches!(e, activation::Event::Accepted { .. });
         let versions = events.iter().filter(accepted).count();
         assert!(versions >= 5, "{events:?}");
         assert!(all_reach(&instances, versions as u64).await);
@@ -337,42 +342,45 @@
     let back = [event("a", 1, "x"), event("a", 2, "y"), event("a", 1, "x")];
     assert!(matches!(
         reverts::check(&back),
-        Err(reverts::Fault::Reverted { .. })
+        Err(reverts::Violation::Reverted { .. })
     ));
     let forked = [event("a", 1, "x"), event("b", 1, "y")];
     assert_eq!(
         reverts::check(&forked),
-        Err(reverts::Fault::Forked { version: 1 })
+        Err(reverts::Violation::Forked { version: 1 })
     );
 
     let at = Duration::from_secs(1);
     let text = |content: &str| content.to_owned();
-    let accepted = |version, content| in_force::Event::Accepted {
+    let accepted = |version, content| activation::Event::Accepted {
         at,
         version,
         content: text(content),
     };
-    let reached = |at, version, content| in_force::Event::InForce {
+    let reached = |at, version, content| activation::Event::Activated {
         at,
         instance: text("a"),
         version,
         content: text(content),
     };
-    let refused = in_force::Event::Refused { content: text("x") };
+    let rejected = activation::Event::Rejected { content: text("x") };
     let late = at + BOUND + Duration::from_millis(1);
     let cases = [
         ("late", vec![accepted(1, "x"), reached(late, 1, "x")]),
         ("never", vec![accepted(1, "x")]),
         ("other file", vec![accepted(1, "x"), reached(at, 1, "y")]),
-        ("refused", vec![refused, reached(at, 1, "x")]),
+        ("rejected", vec![rejected, reached(at, 1, "x")]),
         (
             "two as one",
             vec![accepted(1, "x"), accepted(1, "y"), reached(at, 1, "x")],
         ),
     ];
     for (story, events) in cases {
-        assert!(in_force::check(&events, &["a"], BOUND).is_err(), "{story}");
+        assert!(
+            activation::check(&events, &["a"], BOUND).is_err(),
+            "{story}"
+        );
     }
     let good = [accepted(1, "x"), reached(at + BOUND, 1, "x")];
-    assert_eq!(in_force::check(&good, &["a"], BOUND), Ok(()));
+    assert_eq!(activation::check(&good, &["a"], BOUND), Ok(()));
 }
--- a/verbenaspool_standin/tests/history.rs
+++ b/verbenaspool_standin/tests/history.rs
@@ -3,19 +3,19 @@
 use verbenaspool_protocol::outcome::Outcome;
 use verbenaspool_standin::history::{answers, outcomes, writes};
 
-fn answer(request: u64, got: &str, ended: bool) -> answers::Entry {
+fn answer(request: u64, received: &str, ended: bool) -> answers::Entry {
     answers::Entry {
         request,
         expected: format!("answer {request}."),
         outcome: Outcome::Ran,
-        got: got.to_owned(),
+        received: received.to_owned(),
         ended,
     }
 }
 
 #[test]
 fn answers_must_be_own_and_whole() {
-    use answers::Violation::{Cut, Foreign};
+    use answers::Violation::{Foreign, Truncated};
     let foreign = |owner| Err(Foreign { request: 1, owner });
     let table = [
         ("own", answer(1, "answer 1.", true), Ok(2)),
@@ -25,7 +25,10 @@
         (
             "cut",
             answer(1, "answer", true),
-            Err(Cut { request: 1, at: 6 }),
+            Err(Truncated {
+                request: 1,
+                length: 6,
+            }),
         ),
         (
             "too long",
@@ -41,12 +44,12 @@
 
 #[test]
 fn writes_must_run_at_most_once() {
-    use writes::Violation::{Twice, Unasked};
+    use writes::Violation::{Twice, Unrequested};
     let table: [(&str, &[&str], Result<usize, writes::Violation>); 4] = [
         ("none", &[], Ok(0)),
         ("each once", &["a", "b"], Ok(2)),
         ("twice", &["a", "b", "a"], Err(Twice("a".to_owned()))),
-        ("unasked", &["c"], Err(Unasked("c".to_owned()))),
+        ("unrequested", &["c"], Err(Unrequested("c".to_owned()))),
     ];
     for (name, ran, verdict) in table {
         let checked = writes::check(["a", "b"], ran.iter().copied());
@@ -65,10 +68,10 @@
         (Outcome::Unknown, &[], Ok(0)),
         (Outcome::Unknown, &["a"], Ok(0)),
     ];
-    for (outcome, begun, verdict) in table {
+    for (outcome, started, verdict) in table {
         let request = "a".to_owned();
-        let told = [outcomes::Entry { request, outcome }];
-        let checked = outcomes::check(&told, begun.iter().copied());
-        assert_eq!(checked, verdict, "{outcome}, {begun:?}");
+        let reported = [outcomes::Entry { request, outcome }];
+        let checked = outcomes::check(&reported, started.iter().copied());
+        assert_eq!(checked, verdict, "{outcome}, {started:?}");
     }
 }
