--- a/examples/demo/groups.rs
+++ b/examples/demo/groups.rs
@@ -50,8 +50,8 @@
         experts.rebalancing.pause_s = 1;
         let settings = ranks::Settings {
             ranks: experts.ranks,
-            step: STEP,
-            checked,
+            step_time: STEP,
+            checks_fences: checked,
             expert_bytes: experts.expert_bytes,
         };
         let group = Rc::new(RefCell::new(Group::new(settings, Store::new(STORE))));
@@ -129,7 +129,7 @@
         };
         let layer: Vec<u64> = (0..experts).map(tokens).collect();
         let layers = vec![layer; usize::from(LAYERS)];
-        group.borrow_mut().drift(layers);
+        group.borrow_mut().set_popularity(layers);
         clock.sleep(SHIFT).await;
     }
 }
--- a/verbenaspool/tests/entry/process.rs
+++ b/verbenaspool/tests/entry/process.rs
@@ -220,7 +220,7 @@
             .send_booking(&second_entry, "key-1", "another booking")
             .await;
         assert_eq!(another, expected(409, "not-run", "key-conflict"));
-        firm.journal.lose_answer();
+        firm.journal.lose_next_answer();
         let lost = firm
             .send_booking(&first_entry, "key-2", "lost booking")
             .await;
@@ -278,7 +278,7 @@
     run_test(async {
         let firm = Firm::start().await;
         let entry = firm.start_entry("entry-1").await;
-        firm.platform.set(|faults| faults.lose_answers = 1);
+        firm.platform.set(|faults| faults.lost_answers = 1);
         let first = firm.send_booking(&entry, "key-1", "one booking").await;
         assert_eq!(first, expected(200, "ran", "/bookings one booking"));
         assert_eq!(firm.journal.writes.borrow().len(), 1);
--- a/verbenaspool/tests/history/faults.rs
+++ b/verbenaspool/tests/history/faults.rs
@@ -81,14 +81,14 @@
             Self::AgentLeaves => agents[first_plain_agent].signal("TERM"),
             Self::AgentPaused => agents[first_plain_agent].signal("STOP"),
             Self::PlatformDown => deployment.platform.set(|faults| faults.down = true),
-            Self::AnswersLost => deployment.platform.set(|faults| faults.lose_answers = 20),
-            Self::UpstreamAnswersLost => (0..10).for_each(|_| deployment.journal.lose_answer()),
+            Self::AnswersLost => deployment.platform.set(|faults| faults.lost_answers = 20),
+            Self::UpstreamAnswersLost => (0..10).for_each(|_| deployment.journal.lose_next_answer()),
             Self::PlatformDownAgentKilled => {
                 deployment.platform.set(|faults| faults.down = true);
                 agents[first_plain_agent].kill();
             }
             Self::AnswersLostEntryKilled => {
-                deployment.platform.set(|faults| faults.lose_answers = 20);
+                deployment.platform.set(|faults| faults.lost_answers = 20);
                 entries[0].kill();
             }
             _ => {}
@@ -99,7 +99,7 @@
     fn clear(self, deployment: &Deployment) {
         deployment.platform.set(|faults| {
             faults.down = false;
-            faults.lose_answers = 0;
+            faults.lost_answers = 0;
         });
         match self {
             Self::ZonePaused | Self::ZonePausedPlatformDown => {
--- a/verbenaspool_agent/tests/agent/group.rs
+++ b/verbenaspool_agent/tests/agent/group.rs
@@ -74,8 +74,8 @@
         let clock: Rc<dyn Clock> = Monotonic::start();
         let settings = Settings {
             ranks: RANKS,
-            step: STEP,
-            checked,
+            step_time: STEP,
+            checks_fences: checked,
             expert_bytes: 1_000,
         };
         let group = Rc::new(RefCell::new(Group::new(settings, Store::new(1_000_000))));
@@ -213,7 +213,7 @@
         let mut tokens = vec![100; 6];
         tokens[hot] = 2_000;
         tokens[(hot + 3) % 6] = 1_000;
-        self.group.borrow_mut().drift(vec![tokens]);
+        self.group.borrow_mut().set_popularity(vec![tokens]);
     }
 
     /// Judges the history and returns how many steps were run.
@@ -233,7 +233,7 @@
         let first = fleet.changed(None).await;
         fleet.shift(0);
         let second = fleet.changed(first).await;
-        assert_eq!(fleet.group.borrow().waited(), Duration::ZERO);
+        assert_eq!(fleet.group.borrow().idle_time(), Duration::ZERO);
         let other = (lead.seat + 1) % RANKS;
         let agent = &mut fleet.agents[usize::from(other)];
         agent.kill().expect("the agent is killed");
--- a/verbenaspool_coordination/benches/switch.rs
+++ b/verbenaspool_coordination/benches/switch.rs
@@ -48,7 +48,7 @@
 
 /// Runs the group to the end of this step.
 fn run_through(group: &mut Group, now: &mut Duration, step: u64) {
-    while group.done(0) < step {
+    while group.last_step(0) < step {
         *now += TICK;
         group.advance(*now);
     }
@@ -64,8 +64,8 @@
 fn measure_stall(method: ChangeMethod, outage: Duration) -> Duration {
     let settings = Settings {
         ranks: SHAPE.ranks,
-        step: STEP_TIME,
-        checked: true,
+        step_time: STEP_TIME,
+        checks_fences: true,
         expert_bytes: EXPERT_BYTES,
     };
     let mut group = Group::new(settings, Store::new(STORE_BYTES_PER_SECOND));
@@ -102,7 +102,7 @@
     for layer in &mut second_map.layers {
         layer.ranks.rotate_left(1);
     }
-    let waited_before = group.waited();
+    let idle_time_before = group.idle_time();
     let mut top = STEPS_AHEAD;
     if let ChangeMethod::Stop = method {
         // The group runs the granted steps and then stops.
@@ -111,7 +111,7 @@
     order_all(&mut group, now, &stage(second_map));
     while !staged(&group) {
         // Steps go on while weights load, except in a stopped group.
-        if !matches!(method, ChangeMethod::Stop) && group.done(0) + STEPS_AHEAD / 2 > top {
+        if !matches!(method, ChangeMethod::Stop) && group.last_step(0) + STEPS_AHEAD / 2 > top {
             order_all(&mut group, now, &grant(top + 1, top + STEPS_AHEAD, 1));
             top += STEPS_AHEAD;
         }
@@ -132,7 +132,7 @@
     order_all(&mut group, now, &grant(top + 1, top + 400, 2));
     run_for(&mut group, &mut now, STEP_TIME * 300);
     assert!(group.history().iter().any(|entry| entry.epoch == 2));
-    group.waited().saturating_sub(waited_before)
+    group.idle_time().saturating_sub(idle_time_before)
 }
 
 fn main() {
--- a/verbenaspool_coordination/tests/group/faults.rs
+++ b/verbenaspool_coordination/tests/group/faults.rs
@@ -28,7 +28,7 @@
         let mut simulation = Simulation::running(checked);
         steps(&mut simulation);
         let case = format!("{case}, fences checked: {checked}");
-        let before = simulation.group.done(0);
+        let before = simulation.group.last_step(0);
         simulation.run_ms(8_000);
         assert!(
             simulation.check_history().is_ok(),
@@ -36,7 +36,7 @@
             simulation.check_history()
         );
         assert!(
-            simulation.group.done(0) > before + 100,
+            simulation.group.last_step(0) > before + 100,
             "{case}: the group has stopped"
         );
         let running: Vec<_> = (0..3)
@@ -52,10 +52,10 @@
 fn change_without_a_stall() {
     for checked in [true, false] {
         let mut simulation = Simulation::running(checked);
-        let waited = simulation.group.waited();
+        let idle_time = simulation.group.idle_time();
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(10_000);
-        assert_eq!(simulation.group.waited(), waited);
+        assert_eq!(simulation.group.idle_time(), idle_time);
         assert_eq!(simulation.member(2).rank().running(), Some(FIRST_EPOCH + 1));
         assert!(simulation.check_history().is_ok());
     }
@@ -271,26 +271,26 @@
 #[test]
 fn weight_store_slow_or_refusing() {
     run_case("rejecting permanently", FIRST_EPOCH, |simulation| {
-        simulation.group.store().refuse(true);
+        simulation.group.store().set_rejecting(true);
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(6_000);
         let aborted = |notice: &lead::Output| matches!(notice, lead::Output::Aborted { .. });
         assert!(simulation.notices.iter().any(aborted));
     });
     run_case("rejecting for a second", FIRST_EPOCH + 1, |simulation| {
-        simulation.group.store().refuse(true);
+        simulation.group.store().set_rejecting(true);
         assert!(simulation.propose_map(0, 1));
         simulation.run_ms(1_000);
-        simulation.group.store().refuse(false);
+        simulation.group.store().set_rejecting(false);
     });
     run_case(
         "too slow, then a change that fits",
         FIRST_EPOCH + 2,
         |simulation| {
-            simulation.group.store().limit(100);
+            simulation.group.store().set_rate(100);
             assert!(simulation.propose_map(0, 1));
             simulation.run_ms(u64::try_from(STAGING_TIMEOUT.as_millis()).unwrap() + 1_000);
-            simulation.group.store().limit(100_000);
+            simulation.group.store().set_rate(100_000);
             simulation.run_ms(60_000);
             assert!(simulation.propose_map(0, 2));
         },
@@ -336,7 +336,7 @@
         simulation.run_ms(3_000);
         assert!(simulation.propose_map(1, 1));
         simulation.run_ms(6_000);
-        let done = simulation.group.done(2);
+        let done = simulation.group.last_step(2);
         let spans = vec![Span {
             from: done + 20,
             to: done + 24,
@@ -367,7 +367,7 @@
         5_000,
         |simulation| simulation.group.state(2, 0).loaded.len() > 1
     ));
-    let step = simulation.group.done(2) + 1;
+    let step = simulation.group.last_step(2) + 1;
     let spans = vec![Span {
         from: step,
         to: step,
--- a/verbenaspool_coordination/tests/group/interleavings.rs
+++ b/verbenaspool_coordination/tests/group/interleavings.rs
@@ -98,7 +98,7 @@
             let until = simulation.now + Duration::from_millis(millis);
             simulation.group.stall(seat, until);
         }
-        Event::Refuse(refusing) => simulation.group.store().refuse(refusing),
+        Event::Refuse(refusing) => simulation.group.store().set_rejecting(refusing),
         Event::Network {
             faulty_percent,
             seed,
@@ -116,7 +116,7 @@
     }
     simulation.message_faults = Box::new(|_, _, _| Delivery::Normal);
     simulation.order_faults = Box::new(|_, _, _| Delivery::Normal);
-    simulation.group.store().refuse(false);
+    simulation.group.store().set_rejecting(false);
     simulation.run_ms(6_000);
     simulation.grant_lease(1);
     let granting =
@@ -133,9 +133,12 @@
         // All engines have lost their state, so there is no map.
         simulation.propose_map(1, 0);
     }
-    let done = simulation.group.done(1);
+    let done = simulation.group.last_step(1);
     simulation.run_ms(8_000);
-    prop_assert!(simulation.group.done(1) > done, "the group has stopped");
+    prop_assert!(
+        simulation.group.last_step(1) > done,
+        "the group has stopped"
+    );
     prop_assert!(
         simulation.check_history().is_ok(),
         "{:?}",
--- a/verbenaspool_coordination/tests/group/simulation.rs
+++ b/verbenaspool_coordination/tests/group/simulation.rs
@@ -72,8 +72,8 @@
     pub fn new(checked: bool) -> Self {
         let settings = ranks::Settings {
             ranks: SHAPE.ranks,
-            step: Duration::from_millis(20),
-            checked,
+            step_time: Duration::from_millis(20),
+            checks_fences: checked,
             expert_bytes: 1_000,
         };
         let mut simulation = Self {
--- a/verbenaspool_standin/src/address.rs
+++ b/verbenaspool_standin/src/address.rs
@@ -13,7 +13,7 @@
 const NETWORKS: u32 = 120;
 
 /// Counts the addresses of this process.
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A loopback address that was not given out before.
 ///
@@ -30,7 +30,7 @@
 #[must_use]
 #[allow(clippy::cast_possible_truncation)] // Each part is below its type's end.
 pub fn fresh() -> SocketAddr {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let process = process::id();
     let network = 128 + (process % NETWORKS) as u8;
     let host = [(number / 250 % 250) as u8, (number % 250) as u8 + 1];
--- a/verbenaspool_standin/src/crash.rs
+++ b/verbenaspool_standin/src/crash.rs
@@ -18,24 +18,24 @@
 /// The listener goes first, as with a process whose kernel closes its files in their order:
 /// whoever sees a connection break finds no listener.
 pub async fn serve(listener: TcpListener, handler: Rc<dyn Handler>, crash: Signal) {
-    let mut crashed = crash;
-    let (cut, closed) = shutdown::channel();
+    let mut crash = crash;
+    let (close_connections, closed) = shutdown::channel();
     loop {
         monoio::select! {
-            () = crashed.wait() => break,
+            () = crash.wait() => break,
             accepted = listener.accept() => {
                 if let Ok((stream, peer)) = accepted {
-                    monoio::spawn(converse(stream, peer, handler.clone(), closed.clone()));
+                    monoio::spawn(serve_connection(stream, peer, handler.clone(), closed.clone()));
                 }
             }
         }
     }
     drop(listener);
-    cut.fire();
+    close_connections.fire();
 }
 
 /// Serves a connection until its end, or until it is closed.
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     handler: Rc<dyn Handler>,
--- a/verbenaspool_standin/src/platform.rs
+++ b/verbenaspool_standin/src/platform.rs
@@ -32,7 +32,7 @@
 mod objects;
 
 /// How often a waiting watch looks for changes.
-const LOOK: Duration = Duration::from_millis(2);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The running stand-in. Clones share its objects and faults.
 #[derive(Clone)]
@@ -150,8 +150,8 @@
     /// let platform = Platform::start().unwrap();
     /// platform.with(|objects| objects.put("firms/tidewater/instances/loft-1", "{}".into()));
     /// ```
-    pub fn with<T>(&self, look: impl FnOnce(&mut Objects) -> T) -> T {
-        look(&mut self.shared.objects.borrow_mut())
+    pub fn with<T>(&self, access: impl FnOnce(&mut Objects) -> T) -> T {
+        access(&mut self.shared.objects.borrow_mut())
     }
 
     /// The calls answered so far.
@@ -183,7 +183,7 @@
     };
     let service = service_fn(move |request| {
         let shared = Rc::clone(&shared);
-        async move { answer(request, &shared).await }
+        async move { answer_call(request, &shared).await }
     });
     // The client sees a broken connection itself; there is nobody else to tell.
     let _ = http1::Builder::new()
@@ -194,51 +194,51 @@
 /// The answer is withheld: the connection closes without one.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer is withheld")]
-struct Withheld;
+struct NoAnswer;
 
 /// Answers one call under the faults in force.
-async fn answer(
+async fn answer_call(
     request: Request<Incoming>,
     shared: &Shared,
-) -> Result<Response<Full<Bytes>>, Withheld> {
+) -> Result<Response<Full<Bytes>>, NoAnswer> {
     let delay = shared.faults.borrow().delay;
     if !delay.is_zero() {
         time::sleep(delay).await;
     }
     if shared.faults.borrow().down {
-        return Err(Withheld);
+        return Err(NoAnswer);
     }
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, LARGEST).collect().await else {
-        return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE));
+        return Ok(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let path = head.uri.path();
     let query = Query::parse(head.uri.query().unwrap_or_default());
     let key = path.strip_prefix("/v1/objects/").unwrap_or(&query.prefix);
-    if let Some(refusal) = refuse(&head, key, shared) {
-        return Ok(refusal);
+    if let Some(rejection) = reject(&head, key, shared) {
+        return Ok(rejection);
     }
     let write = head.method == Method::PUT || head.method == Method::DELETE;
     if !admit(shared, write, path == "/v1/watch") {
-        return Ok(plain(StatusCode::TOO_MANY_REQUESTS));
+        return Ok(empty_response(StatusCode::TOO_MANY_REQUESTS));
     }
     let response = match (&head.method, path) {
-        (&Method::GET, "/v1/list") => json(&shared.objects.borrow().list(&query.prefix)),
-        (&Method::GET, "/v1/watch") => json(&watch(shared, &query).await),
-        _ => object(&head, key, body.to_bytes(), shared),
+        (&Method::GET, "/v1/list") => json_response(&shared.objects.borrow().list(&query.prefix)),
+        (&Method::GET, "/v1/watch") => json_response(&watch(shared, &query).await),
+        _ => access_object(&head, key, body.to_bytes(), shared),
     };
     // A platform that went down while the call waited doesn't answer it any more.
     if shared.faults.borrow().down {
-        return Err(Withheld);
+        return Err(NoAnswer);
     }
-    if write && shared.faults.borrow_mut().lose() {
-        return Err(Withheld);
+    if write && shared.faults.borrow_mut().take_lost_answer() {
+        return Err(NoAnswer);
     }
     Ok(response)
 }
 
 /// Refuses a call whose token doesn't reach `key`.
-fn refuse(
+fn reject(
     head: &http::request::Parts,
     key: &str,
     shared: &Shared,
@@ -251,10 +251,10 @@
         .unwrap_or_default();
     let tokens = shared.tokens.borrow();
     let Some(firm) = tokens.get(token) else {
-        return Some(plain(StatusCode::UNAUTHORIZED));
+        return Some(empty_response(StatusCode::UNAUTHORIZED));
     };
-    let own = key.starts_with(&format!("firms/{firm}/"));
-    (!own).then(|| plain(StatusCode::FORBIDDEN))
+    let allowed = key.starts_with(&format!("firms/{firm}/"));
+    (!allowed).then(|| empty_response(StatusCode::FORBIDDEN))
 }
 
 /// Counts a call and says whether it is within the rate.
@@ -270,7 +270,7 @@
 }
 
 /// Reads, writes or deletes one object.
-fn object(
+fn access_object(
     head: &http::request::Parts,
     key: &str,
     body: Bytes,
@@ -280,8 +280,8 @@
     let current = objects.version(key);
     if head.method == Method::GET {
         return match objects.get(key) {
-            Some(value) => versioned(StatusCode::OK, current, value),
-            None => plain(StatusCode::NOT_FOUND),
+            Some(value) => versioned_response(StatusCode::OK, current, value),
+            None => empty_response(StatusCode::NOT_FOUND),
         };
     }
     let expected = head
@@ -290,29 +290,32 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
     if expected.is_some_and(|expected: u64| expected != current) {
-        return versioned(StatusCode::CONFLICT, current, Bytes::new());
+        return versioned_response(StatusCode::CONFLICT, current, Bytes::new());
     }
     let version = match head.method {
         Method::PUT => objects.put(key, body),
         Method::DELETE => objects.delete(key),
-        _ => return plain(StatusCode::METHOD_NOT_ALLOWED),
+        _ => return empty_response(StatusCode::METHOD_NOT_ALLOWED),
     };
-    versioned(StatusCode::OK, version, Bytes::new())
+    versioned_response(StatusCode::OK, version, Bytes::new())
 }
 
 /// Waits for events as a watch asks, then bends them as the faults say.
 async fn watch(shared: &Shared, query: &Query) -> Events {
-    let end = time::Instant::now() + query.wait;
+    let deadline = time::Instant::now() + query.max_wait;
     loop {
-        let bent = {
+        let events = {
             let objects = shared.objects.borrow();
             let events = objects.events(&query.prefix, query.since);
-            shared.faults.borrow().bend(events, query.since)
+            shared.faults.borrow().distort(events, query.since)
         };
-        if !bent.events.is_empty() || time::Instant::now() >= end || shared.faults.borrow().down {
-            return bent;
+        if !events.events.is_empty()
+            || time::Instant::now() >= deadline
+            || shared.faults.borrow().down
+        {
+            return events;
         }
-        time::sleep(LOOK).await;
+        time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
@@ -324,7 +327,7 @@
     /// The revision a watch starts after.
     since: u64,
     /// How long a watch waits.
-    wait: Duration,
+    max_wait: Duration,
 }
 
 impl Query {
@@ -335,7 +338,9 @@
             match name {
                 "prefix" => value.clone_into(&mut query.prefix),
                 "since" => query.since = value.parse().unwrap_or_default(),
-                "wait_ms" => query.wait = Duration::from_millis(value.parse().unwrap_or_default()),
+                "wait_ms" => {
+                    query.max_wait = Duration::from_millis(value.parse().unwrap_or_default())
+                }
                 _ => {}
             }
         }
@@ -344,14 +349,14 @@
 }
 
 /// A response with nothing but its status.
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
 /// A response that carries a version.
-fn versioned(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
+fn versioned_response(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(value));
     *response.status_mut() = status;
     response.headers_mut().insert(VERSION, version.into());
@@ -359,9 +364,9 @@
 }
 
 /// A JSON response.
-fn json<T: serde::Serialize>(value: &T) -> Response<Full<Bytes>> {
+fn json_response<T: serde::Serialize>(value: &T) -> Response<Full<Bytes>> {
     match serde_json::to_vec(value) {
         Ok(text) => Response::new(Full::new(text.into())),
-        Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
--- a/verbenaspool_standin/src/platform/faults.rs
+++ b/verbenaspool_standin/src/platform/faults.rs
@@ -12,9 +12,9 @@
     /// What each call is held up by before it takes effect.
     pub delay: Duration,
     /// How many further writes take effect without an answer.
-    pub lose_answers: u32,
+    pub lost_answers: u32,
     /// How many writes are answered before the first is lost.
-    pub lose_after: u32,
+    pub answers_before_loss: u32,
     /// What watches bring.
     pub watch: Watch,
     /// Reads, lists and watches allowed a second.
@@ -32,7 +32,7 @@
 pub enum Watch {
     /// Every change, in order.
     #[default]
-    Whole,
+    Complete,
     /// Nothing of what changed.
     Stale,
     /// Every second change only.
@@ -54,8 +54,8 @@
     /// Counts a call and says whether it is within `limit` a second.
     fn admit(&mut self, limit: Option<u32>) -> bool {
         let now = Instant::now();
-        let over = |start: Instant| now - start >= Duration::from_secs(1);
-        if self.start.is_none_or(over) {
+        let expired = |start: Instant| now - start >= Duration::from_secs(1);
+        if self.start.is_none_or(expired) {
             self.start = Some(now);
             self.calls = 0;
         }
@@ -75,22 +75,22 @@
     }
 
     /// Whether the answer to a write that took effect is lost.
-    pub(super) fn lose(&mut self) -> bool {
-        if self.lose_answers == 0 {
+    pub(super) fn take_lost_answer(&mut self) -> bool {
+        if self.lost_answers == 0 {
             return false;
         }
-        if self.lose_after > 0 {
-            self.lose_after -= 1;
+        if self.answers_before_loss > 0 {
+            self.answers_before_loss -= 1;
             return false;
         }
-        self.lose_answers -= 1;
+        self.lost_answers -= 1;
         true
     }
 
     /// Bends what a watch from `since` brings.
-    pub(super) fn bend(&self, mut events: Events, since: u64) -> Events {
+    pub(super) fn distort(&self, mut events: Events, since: u64) -> Events {
         match self.watch {
-            Watch::Whole => {}
+            Watch::Complete => {}
             Watch::Stale => {
                 events.events.clear();
                 events.revision = since;
@@ -98,8 +98,8 @@
             Watch::Gaps => events.events.retain(|event| event.version % 2 == 0),
             Watch::Reordered => {
                 events.events.reverse();
-                let again = events.events.clone();
-                events.events.extend(again);
+                let repeated = events.events.clone();
+                events.events.extend(repeated);
             }
         }
         events
--- a/verbenaspool_standin/src/platform/objects.rs
+++ b/verbenaspool_standin/src/platform/objects.rs
@@ -6,7 +6,7 @@
 use verbenaspool_transport::platform::{Entry, Event, Events};
 
 /// Changes remembered for watches; older ones are a gap to a slow watcher.
-const LOG: usize = 10_000;
+const MAX_LOG_EVENTS: usize = 10_000;
 
 /// The stored objects and the log of their changes.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     values: BTreeMap<String, (u64, Bytes)>,
     /// The last change's revision.
     revision: u64,
-    /// The last [`LOG`] changes, oldest first.
+    /// The last [`MAX_LOG_EVENTS`] changes, oldest first.
     log: std::collections::VecDeque<Event>,
 }
 
@@ -117,7 +117,7 @@
     /// Logs a change and returns its revision.
     fn record(&mut self, key: &str, deleted: bool) -> u64 {
         self.revision += 1;
-        if self.log.len() == LOG {
+        if self.log.len() == MAX_LOG_EVENTS {
             self.log.pop_front();
         }
         self.log.push_back(Event {
--- a/verbenaspool_standin/src/ranks.rs
+++ b/verbenaspool_standin/src/ranks.rs
@@ -27,9 +27,9 @@
     /// How many ranks the group has.
     pub ranks: u16,
     /// How long a step takes.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Whether the engines refuse orders with an old fence.
-    pub checked: bool,
+    pub checks_fences: bool,
     /// The size of one expert's weights in bytes.
     pub expert_bytes: u64,
 }
@@ -42,19 +42,19 @@
     /// The highest fence seen.
     fence: u64,
     /// The last step run.
-    done: u64,
+    last_step: u64,
     /// The epoch of that step.
-    running: Option<u64>,
+    running_epoch: Option<u64>,
     /// The steps to run, with their epochs.
-    steps: VecDeque<(u64, u64)>,
+    granted_steps: VecDeque<(u64, u64)>,
     /// The maps whose weights are loaded.
-    held: BTreeSet<u64>,
+    loaded: BTreeSet<u64>,
     /// The maps known.
     maps: BTreeMap<u64, Map>,
     /// The maps that are being loaded, and when that ends.
     loading: BTreeMap<u64, Duration>,
     /// Until when it does nothing.
-    stalled: Duration,
+    stalled_until: Duration,
     /// What its agent hasn't been told yet.
     events: Vec<Event>,
     /// Samples, and when they are told.
@@ -62,13 +62,13 @@
 }
 
 /// The steps of one sample.
-const SAMPLED: u32 = 100;
+const STEPS_PER_SAMPLE: u32 = 100;
 /// Every so many samples one is lost.
-const GAP: u64 = 7;
+const DROPPED_SAMPLE_INTERVAL: u64 = 7;
 /// How late samples are told.
-const LAG: Duration = Duration::from_millis(500);
+const SAMPLE_DELAY: Duration = Duration::from_millis(500);
 /// How many samples are kept for an agent that doesn't ask.
-const KEPT: usize = 16;
+const MAX_PENDING_SAMPLES: usize = 16;
 
 /// The engines of a group.
 #[derive(Debug)]
@@ -80,11 +80,11 @@
     /// Where weights come from.
     store: Store,
     /// When the step that runs ends.
-    free: Duration,
+    step_ends_at: Duration,
     /// What was run.
     history: Vec<Entry>,
     /// How long the group stood because steps hadn't been granted.
-    waited: Duration,
+    idle_time: Duration,
     /// The tokens of each expert in a step, by layer.
     popularity: Vec<Vec<u64>>,
 }
@@ -99,8 +99,8 @@
     /// use verbenaspool_standin::{ranks::{Group, Settings}, weights::Store};
     /// use verbenaspool_state::expert_map::{Map, Shape};
     ///
-    /// let step = Duration::from_millis(25);
-    /// let settings = Settings { ranks: 1, step, checked: true, expert_bytes: 1 };
+    /// let step_time = Duration::from_millis(25);
+    /// let settings = Settings { ranks: 1, step_time, checks_fences: true, expert_bytes: 1 };
     /// let mut group = Group::new(settings, Store::new(1_000_000));
     /// let shape = Shape { ranks: 1, experts: 2, layers: 1, slots: 2 };
     /// let map = Map::spread(1, shape);
@@ -117,23 +117,23 @@
             engines: engines.collect(),
             settings,
             store,
-            free: Duration::ZERO,
+            step_ends_at: Duration::ZERO,
             history: Vec::new(),
-            waited: Duration::ZERO,
+            idle_time: Duration::ZERO,
             popularity: Vec::new(),
         }
     }
 
     /// Sets how many tokens each expert of each layer gets in a step.
-    pub fn drift(&mut self, popularity: Vec<Vec<u64>>) {
+    pub fn set_popularity(&mut self, popularity: Vec<Vec<u64>>) {
         self.popularity = popularity;
     }
 
     /// The samples that a rank's engine tells by now, once.
     pub fn samples(&mut self, now: Duration, seat: u16) -> Vec<Sample> {
         let samples = &mut self.engines[usize::from(seat)].samples;
-        let told = samples.extract_if(.., |(due, _)| *due <= now);
-        told.map(|(_, sample)| sample).collect()
+        let due_samples = samples.extract_if(.., |(due, _)| *due <= now);
+        due_samples.map(|(_, sample)| sample).collect()
     }
 
     /// What was run, in order.
@@ -144,8 +144,8 @@
 
     /// How long the group stood because steps hadn't been granted.
     #[must_use]
-    pub fn waited(&self) -> Duration {
-        self.waited
+    pub fn idle_time(&self) -> Duration {
+        self.idle_time
     }
 
     /// Where weights come from.
@@ -155,13 +155,13 @@
 
     /// The last step that a rank has run.
     #[must_use]
-    pub fn done(&self, seat: u16) -> u64 {
-        self.engines[usize::from(seat)].done
+    pub fn last_step(&self, seat: u16) -> u64 {
+        self.engines[usize::from(seat)].last_step
     }
 
     /// Has a rank do nothing until then.
     pub fn stall(&mut self, seat: u16, until: Duration) {
-        self.engines[usize::from(seat)].stalled = until;
+        self.engines[usize::from(seat)].stalled_until = until;
     }
 
     /// Restarts a rank's engine, which loses everything.
@@ -183,7 +183,7 @@
     pub fn state(&self, seat: u16, ticket: u64) -> Snapshot {
         let engine = &self.engines[usize::from(seat)];
         let mut spans: Vec<Span> = Vec::new();
-        for &(step, epoch) in &engine.steps {
+        for &(step, epoch) in &engine.granted_steps {
             match spans.last_mut() {
                 Some(span) if span.epoch == epoch => span.to = step,
                 _ => spans.push(Span {
@@ -201,11 +201,11 @@
         Snapshot {
             ticket,
             incarnation: engine.incarnation,
-            fence: self.settings.checked.then_some(engine.fence),
-            done: engine.done,
-            running: engine.running,
+            fence: self.settings.checks_fences.then_some(engine.fence),
+            done: engine.last_step,
+            running: engine.running_epoch,
             spans,
-            loaded: engine.held.iter().copied().collect(),
+            loaded: engine.loaded.iter().copied().collect(),
             maps,
         }
     }
@@ -222,7 +222,7 @@
     /// A rank's engine gets an order, and returns whether it took it. What else
     /// it has to say comes as events.
     pub fn order(&mut self, now: Duration, seat: u16, fence: u64, action: Action) -> bool {
-        let ignores = !self.settings.checked;
+        let ignores_fences = !self.settings.checks_fences;
         if let Action::Read { ticket } = action {
             let state = self.read(seat, fence, ticket);
             let engine = &mut self.engines[usize::from(seat)];
@@ -230,7 +230,7 @@
             return true;
         }
         let engine = &mut self.engines[usize::from(seat)];
-        if fence < engine.fence && !ignores {
+        if fence < engine.fence && !ignores_fences {
             return false;
         }
         engine.fence = engine.fence.max(fence);
@@ -238,12 +238,12 @@
             Action::Read { .. } => {}
             Action::Grant { spans } => engine.grant(&spans),
             Action::Replace { spans } => {
-                engine.steps.clear();
+                engine.granted_steps.clear();
                 engine.grant(&spans);
             }
             Action::Stage { map, rate } => self.stage(now, seat, map, rate),
             Action::Drop { epoch } => {
-                engine.held.remove(&epoch);
+                engine.loaded.remove(&epoch);
                 engine.maps.remove(&epoch);
                 engine.loading.remove(&epoch);
             }
@@ -252,28 +252,31 @@
     }
 
     /// A rank starts to load what a map needs.
-    fn stage(&mut self, now: Duration, seat: u16, map: Map, rate: u64) {
+    fn stage(&mut self, now: Duration, seat: u16, map: Map, max_rate: u64) {
         let engine = &mut self.engines[usize::from(seat)];
         let epoch = map.epoch;
-        if engine.held.contains(&epoch) {
+        if engine.loaded.contains(&epoch) {
             engine.events.push(Event::Staged { epoch });
             return;
         }
         if engine.loading.contains_key(&epoch) {
             return;
         }
-        let before = engine.held.last().and_then(|epoch| engine.maps.get(epoch));
+        let before = engine
+            .loaded
+            .last()
+            .and_then(|epoch| engine.maps.get(epoch));
         let experts = map.added(before, seat).len() as u64;
         let bytes = experts * self.settings.expert_bytes;
         match self.store.load(now, bytes) {
             Ok(ready) => {
-                let millis = (bytes * 1_000).checked_div(rate).unwrap_or(0);
+                let millis = (bytes * 1_000).checked_div(max_rate).unwrap_or(0);
                 let ready = ready.max(now + Duration::from_millis(millis));
                 engine.maps.insert(epoch, map);
                 engine.loading.insert(epoch, ready);
             }
-            Err(refused) => {
-                let reason = refused.to_string();
+            Err(rejected) => {
+                let reason = rejected.to_string();
                 engine.events.push(Event::Failed { epoch, reason });
             }
         }
@@ -286,46 +289,49 @@
         }
         // A step counts as run from its start, which needs the grant; counted
         // at its end, a grant that came too late for its start would pass.
-        while self.free <= now && self.step(now) {
-            self.free += self.settings.step;
+        while self.step_ends_at <= now && self.step(now) {
+            self.step_ends_at += self.settings.step_time;
         }
-        let idle = now.saturating_sub(self.free);
-        self.free += idle;
-        let able = self.engines.iter().all(|engine| engine.stalled <= now);
-        if able && !self.history.is_empty() {
-            self.waited += idle;
+        let idle = now.saturating_sub(self.step_ends_at);
+        self.step_ends_at += idle;
+        let can_run = self
+            .engines
+            .iter()
+            .all(|engine| engine.stalled_until <= now);
+        if can_run && !self.history.is_empty() {
+            self.idle_time += idle;
         }
     }
 
     /// Counts the tokens of the steps up to this one, now and then.
     fn sample(&mut self, now: Duration, step: u64) {
-        let steps = u64::from(SAMPLED);
-        let lost = (step / steps).is_multiple_of(GAP);
-        if self.popularity.is_empty() || !step.is_multiple_of(steps) || lost {
+        let steps = u64::from(STEPS_PER_SAMPLE);
+        let dropped = (step / steps).is_multiple_of(DROPPED_SAMPLE_INTERVAL);
+        if self.popularity.is_empty() || !step.is_multiple_of(steps) || dropped {
             return;
         }
         let count = |layer: &Vec<u64>| layer.iter().map(|tokens| tokens * steps).collect();
         let layers: Vec<Vec<u64>> = self.popularity.iter().map(count).collect();
         for engine in &mut self.engines {
             let sample = Sample {
-                epoch: engine.running.unwrap_or(0),
+                epoch: engine.running_epoch.unwrap_or(0),
                 step,
-                steps: SAMPLED,
+                steps: STEPS_PER_SAMPLE,
                 spare: 0.1,
                 layers: layers.clone(),
             };
-            engine.samples.push((now + LAG, sample));
-            let over = engine.samples.len().saturating_sub(KEPT);
-            engine.samples.drain(..over);
+            engine.samples.push((now + SAMPLE_DELAY, sample));
+            let excess = engine.samples.len().saturating_sub(MAX_PENDING_SAMPLES);
+            engine.samples.drain(..excess);
         }
     }
 
     /// Runs the next step, if every rank can.
     fn step(&mut self, now: Duration) -> bool {
         let next = |engine: &Engine| {
-            let &(step, epoch) = engine.steps.front()?;
-            let able = engine.stalled <= now && engine.held.contains(&epoch);
-            able.then_some(step)
+            let &(step, epoch) = engine.granted_steps.front()?;
+            let can_run = engine.stalled_until <= now && engine.loaded.contains(&epoch);
+            can_run.then_some(step)
         };
         let Some(step) = self.engines.first().and_then(next) else {
             return false;
@@ -334,9 +340,9 @@
             return false;
         }
         for (seat, engine) in (0..).zip(&mut self.engines) {
-            let (_, epoch) = engine.steps.pop_front().expect("seen above");
-            engine.done = step;
-            engine.running = Some(epoch);
+            let (_, epoch) = engine.granted_steps.pop_front().expect("seen above");
+            engine.last_step = step;
+            engine.running_epoch = Some(epoch);
             self.history.push(Entry { step, seat, epoch });
         }
         self.sample(now, step);
@@ -349,15 +355,23 @@
     /// engine that doesn't check fences obeys whoever spoke last.
     fn grant(&mut self, spans: &[Span]) {
         let steps = spans.iter().flat_map(|span| {
-            let steps = span.from.max(self.done + 1)..=span.to;
+            let steps = span.from.max(self.last_step + 1)..=span.to;
             steps.map(|step| (step, span.epoch))
         });
         for (step, epoch) in steps {
-            let top = self.steps.back().map_or(self.done, |&(step, _)| step);
-            let listed = self.steps.iter_mut().find(|listed| listed.0 == step);
+            let last_known = self
+                .granted_steps
+                .back()
+                .map_or(self.last_step, |&(step, _)| step);
+            let listed = self
+                .granted_steps
+                .iter_mut()
+                .find(|listed| listed.0 == step);
             match listed {
                 Some(listed) => listed.1 = epoch,
-                None if step == top + 1 || top == 0 => self.steps.push_back((step, epoch)),
+                None if step == last_known + 1 || last_known == 0 => {
+                    self.granted_steps.push_back((step, epoch))
+                }
                 None => return,
             }
         }
@@ -365,15 +379,15 @@
 
     /// Ends the loads that are through by now.
     fn load(&mut self, now: Duration) {
-        let through: Vec<u64> = self
+        let loaded: Vec<u64> = self
             .loading
             .iter()
             .filter(|&(_, &ready)| ready <= now)
             .map(|(&epoch, _)| epoch)
             .collect();
-        for epoch in through {
+        for epoch in loaded {
             self.loading.remove(&epoch);
-            self.held.insert(epoch);
+            self.loaded.insert(epoch);
             self.events.push(Event::Staged { epoch });
         }
     }
--- a/verbenaspool_standin/src/seat.rs
+++ b/verbenaspool_standin/src/seat.rs
@@ -24,7 +24,7 @@
 use crate::ranks::Group;
 
 /// How often time passes for the engines of a group.
-const BEAT: Duration = Duration::from_millis(2);
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// One rank's engine.
 #[derive(Debug)]
@@ -55,23 +55,23 @@
     }
 
     /// Carries out an order.
-    fn order(&self, order: Order) -> Response<Body> {
+    fn execute_order(&self, order: Order) -> Response<Body> {
         let Ok(action) = serde_json::from_value(order.action) else {
-            return answer(StatusCode::BAD_REQUEST, &"the body is no order");
+            return json_response(StatusCode::BAD_REQUEST, &"the body is no order");
         };
         let now = self.clock.now();
         let mut group = self.group.borrow_mut();
         let Action::Read { ticket } = action else {
-            let taken = group.order(now, self.index, order.fence, action);
-            let status = if taken {
+            let accepted = group.order(now, self.index, order.fence, action);
+            let status = if accepted {
                 StatusCode::OK
             } else {
                 StatusCode::CONFLICT
             };
-            return answer(status, &taken);
+            return json_response(status, &accepted);
         };
         let snapshot = group.read(self.index, order.fence, ticket);
-        answer(StatusCode::OK, &snapshot)
+        json_response(StatusCode::OK, &snapshot)
     }
 
     /// Tells what there is to tell.
@@ -83,7 +83,7 @@
             events: group.events(self.index),
             samples: group.samples(now, self.index),
         };
-        answer(StatusCode::OK, &state)
+        json_response(StatusCode::OK, &state)
     }
 }
 
@@ -100,11 +100,11 @@
                     let body = request.into_body().collect().await;
                     let order = body.ok().map(http_body_util::Collected::to_bytes);
                     match order.and_then(|body| serde_json::from_slice(&body).ok()) {
-                        Some(order) => self.order(order),
-                        None => answer(StatusCode::BAD_REQUEST, &"the body is no order"),
+                        Some(order) => self.execute_order(order),
+                        None => json_response(StatusCode::BAD_REQUEST, &"the body is no order"),
                     }
                 }
-                _ => answer(StatusCode::NOT_FOUND, &"no such path"),
+                _ => json_response(StatusCode::NOT_FOUND, &"no such path"),
             }
         })
     }
@@ -114,12 +114,12 @@
 pub async fn advance(group: Rc<RefCell<Group>>, clock: Rc<dyn Clock>) {
     loop {
         group.borrow_mut().advance(clock.now());
-        clock.sleep(BEAT).await;
+        clock.sleep(ADVANCE_INTERVAL).await;
     }
 }
 
 /// An answer in JSON.
-fn answer(status: StatusCode, body: &impl serde::Serialize) -> Response<Body> {
+fn json_response(status: StatusCode, body: &impl serde::Serialize) -> Response<Body> {
     let text = serde_json::to_vec(body).expect("an answer has only plain keys");
     let mut response = Response::new(Body::full(text));
     *response.status_mut() = status;
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -39,10 +39,10 @@
 pub struct Journal {
     clock: Rc<dyn Clock>,
     /// How long a request takes.
-    pub takes: Cell<Duration>,
+    pub request_time: Cell<Duration>,
     /// The bodies of the writes that ran, in their order.
     pub writes: RefCell<Vec<String>>,
-    lost: Cell<u32>,
+    lost_answers: Cell<u32>,
     running: Rc<Cell<u32>>,
 }
 
@@ -75,12 +75,12 @@
     /// assert!(journal.writes.borrow().is_empty());
     /// ```
     #[must_use]
-    pub fn new(takes: Duration, clock: Rc<dyn Clock>) -> Rc<Self> {
+    pub fn new(request_time: Duration, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
             clock,
-            takes: Cell::new(takes),
+            request_time: Cell::new(request_time),
             writes: RefCell::default(),
-            lost: Cell::new(0),
+            lost_answers: Cell::new(0),
             running: Rc::default(),
         })
     }
@@ -95,8 +95,8 @@
     }
 
     /// The next write runs, but its answer is lost.
-    pub fn lose_answer(&self) {
-        self.lost.set(self.lost.get() + 1);
+    pub fn lose_next_answer(&self) {
+        self.lost_answers.set(self.lost_answers.get() + 1);
     }
 }
 
@@ -156,7 +156,7 @@
         request: Request<Incoming>,
     ) -> server::ResponseFuture {
         Box::pin(async move {
-            let write = !matches!(*request.method(), Method::GET | Method::HEAD);
+            let is_write = !matches!(*request.method(), Method::GET | Method::HEAD);
             let path = request.uri().path().to_owned();
             if path == STATE_PATH {
                 return self.state();
@@ -166,16 +166,16 @@
                 return Response::new(Body::wrap(crate::engine::stream::Broken));
             };
             let body = body.to_bytes();
-            if write {
+            if is_write {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.writes.borrow_mut().push(text);
             }
             // A sleep of no time would still cost a turn of the timer, a millisecond.
-            if !self.takes.get().is_zero() {
-                self.clock.sleep(self.takes.get()).await;
+            if !self.request_time.get().is_zero() {
+                self.clock.sleep(self.request_time.get()).await;
             }
-            if write && self.lost.get() > 0 {
-                self.lost.set(self.lost.get() - 1);
+            if is_write && self.lost_answers.get() > 0 {
+                self.lost_answers.set(self.lost_answers.get() - 1);
                 return Response::new(Body::wrap(crate::engine::stream::Broken));
             }
             Response::new(Body::full(echo(&path, &body)))
--- a/verbenaspool_standin/src/weights.rs
+++ b/verbenaspool_standin/src/weights.rs
@@ -7,13 +7,13 @@
 #[derive(Debug)]
 pub struct Store {
     /// How many bytes it sends a second.
-    rate: u64,
+    bytes_per_second: u64,
     /// When it is through with all that was asked so far.
-    free: Duration,
+    busy_until: Duration,
     /// Whether it refuses everything.
-    refusing: bool,
+    rejecting: bool,
     /// The bytes sent so far.
-    sent: u64,
+    bytes_sent: u64,
 }
 
 impl Store {
@@ -22,58 +22,58 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_standin::weights::{Refused, Store};
+    /// use verbenaspool_standin::weights::{Rejected, Store};
     ///
     /// let mut store = Store::new(1_000);
     /// assert_eq!(store.load(Duration::ZERO, 500), Ok(Duration::from_millis(500)));
     /// assert_eq!(store.load(Duration::ZERO, 500), Ok(Duration::from_secs(1)));
-    /// store.refuse(true);
-    /// assert_eq!(store.load(Duration::ZERO, 500), Err(Refused));
+    /// store.set_rejecting(true);
+    /// assert_eq!(store.load(Duration::ZERO, 500), Err(Rejected));
     /// ```
     #[must_use]
-    pub fn new(rate: u64) -> Self {
+    pub fn new(bytes_per_second: u64) -> Self {
         Self {
-            rate,
-            free: Duration::ZERO,
-            refusing: false,
-            sent: 0,
+            bytes_per_second,
+            busy_until: Duration::ZERO,
+            rejecting: false,
+            bytes_sent: 0,
         }
     }
 
     /// Sets how many bytes it sends a second.
-    pub fn limit(&mut self, rate: u64) {
-        self.rate = rate;
+    pub fn set_rate(&mut self, bytes_per_second: u64) {
+        self.bytes_per_second = bytes_per_second;
     }
 
     /// Has it refuse everything, or serve again.
-    pub fn refuse(&mut self, refusing: bool) {
-        self.refusing = refusing;
+    pub fn set_rejecting(&mut self, rejecting: bool) {
+        self.rejecting = rejecting;
     }
 
     /// The bytes sent so far.
     #[must_use]
-    pub fn sent(&self) -> u64 {
-        self.sent
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent
     }
 
     /// Asks for so many bytes and returns when they will have come.
     ///
     /// # Errors
     ///
-    /// [`Refused`], while it is told to refuse.
-    pub fn load(&mut self, now: Duration, bytes: u64) -> Result<Duration, Refused> {
-        if self.refusing {
-            return Err(Refused);
+    /// [`Rejected`], while it is told to refuse.
+    pub fn load(&mut self, now: Duration, bytes: u64) -> Result<Duration, Rejected> {
+        if self.rejecting {
+            return Err(Rejected);
         }
-        let nanos = u128::from(bytes) * 1_000_000_000 / u128::from(self.rate.max(1));
+        let nanos = u128::from(bytes) * 1_000_000_000 / u128::from(self.bytes_per_second.max(1));
         let nanos = u64::try_from(nanos).unwrap_or(u64::MAX);
-        self.free = self.free.max(now) + Duration::from_nanos(nanos);
-        self.sent += bytes;
-        Ok(self.free)
+        self.busy_until = self.busy_until.max(now) + Duration::from_nanos(nanos);
+        self.bytes_sent += bytes;
+        Ok(self.busy_until)
     }
 }
 
 /// The weight store refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the weight store refuses loads")]
-pub struct Refused;
+pub struct Rejected;
--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -248,8 +248,8 @@
         let store = client(&platform, FIRM);
         let first: Request = order(FIRM, 1, "apply-1");
         platform.set(|faults| {
-            faults.lose_after = 3;
-            faults.lose_answers = 50;
+            faults.answers_before_loss = 3;
+            faults.lost_answers = 50;
         });
         let within = Duration::from_millis(400);
         let lost = verbenaspool_transport::config::apply(&*store, first.clone(), within, 7).await;
--- a/verbenaspool_standin/tests/config/main.rs
+++ b/verbenaspool_standin/tests/config/main.rs
@@ -66,12 +66,12 @@
     type Fault = (&'static str, fn(&mut Faults));
     let faults: [Fault; 6] = [
         ("none", |_| {}),
-        ("first piece's answer lost", |f| f.lose_answers = 1),
+        ("first piece's answer lost", |f| f.lost_answers = 1),
         ("swap's answer lost", |f| {
-            f.lose_after = 2;
-            f.lose_answers = 1;
+            f.answers_before_loss = 2;
+            f.lost_answers = 1;
         }),
-        ("three answers lost", |f| f.lose_answers = 3),
+        ("three answers lost", |f| f.lost_answers = 3),
         ("slow", |f| f.delay = Duration::from_millis(30)),
         ("few writes a second", |f| f.writes_per_second = Some(4)),
     ];
