--- a/verbenaspool_agent/tests/agent/fault.rs
+++ b/verbenaspool_agent/tests/agent/fault.rs
@@ -19,14 +19,14 @@
     // ended half would take it for the whole.
     let table: [(&str, Break); 4] = [
         ("before its answer", |parts| {
-            parts.faults.fail_before_start()
+            parts.faults.fail_before_start();
         }),
         ("before the first token", |parts| {
             parts.faults.fail_after_tokens(0);
         }),
         ("between tokens", |parts| parts.faults.fail_after_tokens(2)),
         ("before the end mark", |parts| {
-            parts.faults.fail_after_tokens(5)
+            parts.faults.fail_after_tokens(5);
         }),
     ];
     run(async {
