--- a/verbenaspool_standin/src/address.rs
+++ b/verbenaspool_standin/src/address.rs
@@ -1,4 +1,4 @@
-//! Addresses for programs that are told where to listen.
+//! Allocates loopback addresses for programs that are configured with a listen address.
 
 use std::{
     net::SocketAddr,
@@ -6,21 +6,20 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-/// The ports used, below those that the system gives to outgoing connections.
+/// Ports to allocate from, below the range of ephemeral ports.
 const PORTS: std::ops::Range<u32> = 20_000..32_000;
 
-/// How many loopback networks the processes of a machine share out.
+/// Number of loopback networks, of which each process uses one.
 const NETWORKS: u32 = 120;
 
-/// Counts the addresses of this process.
+/// Number of the next address that this process allocates.
 static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address that was not given out before.
+/// Returns a loopback address that this process hasn't returned before.
 ///
-/// A port that was bound, read and let go again can be taken by any outgoing
-/// connection before the program that was told of it listens there; tests then
-/// failed now and then. These differ by process and by call, and no outgoing
-/// connection gets one.
+/// Binding port 0 and releasing the port again made tests flaky: an outgoing connection can take
+/// the port before the program under test listens on it. Addresses from here differ by process
+/// and by call, and outgoing connections never get their ports.
 ///
 /// ```
 /// use verbenaspool_standin::address;
@@ -28,7 +27,7 @@
 /// assert_ne!(address::fresh(), address::fresh());
 /// ```
 #[must_use]
-#[allow(clippy::cast_possible_truncation)] // Each part is below its type's end.
+#[allow(clippy::cast_possible_truncation)] // Each part fits into its type.
 pub fn fresh() -> SocketAddr {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let process = process::id();
--- a/verbenaspool_standin/src/crash.rs
+++ b/verbenaspool_standin/src/crash.rs
@@ -1,4 +1,4 @@
-//! A server that crashes: its listener and connections are gone at once.
+//! A server that crashes: its listener and all its connections close at once.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -13,10 +13,10 @@
     shutdown::{self, Signal},
 };
 
-/// Serves requests until the signal comes, and breaks everything off then.
+/// Serves requests until the signal comes, then drops the listener and all connections.
 ///
-/// The listener goes first, as with a process whose kernel closes its files in their order:
-/// whoever sees a connection break finds no listener.
+/// The listener closes first, as when a process dies and the kernel closes its files in their
+/// order: a client whose connection breaks can't connect again.
 pub async fn serve(listener: TcpListener, handler: Rc<dyn Handler>, crash: Signal) {
     let mut crash = crash;
     let (close_connections, closed) = shutdown::channel();
@@ -34,7 +34,7 @@
     close_connections.fire();
 }
 
-/// Serves a connection until its end, or until it is closed.
+/// Serves a connection until it ends or the server crashes.
 async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
--- a/verbenaspool_standin/src/lib.rs
+++ b/verbenaspool_standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins for the platform, a model engine and a plain service, for tests and the demo.
+//! Stand-ins for the platform, a model engine and a plain service, for tests and the demo, and
+//! checkers for the histories that they record.
 
 pub mod address;
 pub mod crash;
--- a/verbenaspool_standin/src/platform.rs
+++ b/verbenaspool_standin/src/platform.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the platform's object API, with faults that tests set.
+//! A stand-in for the platform's object API, with faults that tests inject.
 //!
-//! It runs in the caller's monoio runtime on a loopback port and keeps its
-//! objects in memory. Versions are the store's revisions: they count up by one
-//! with each change, whichever object it is.
+//! It runs in the caller's monoio runtime on a loopback port and keeps its objects in memory. An
+//! object's version is the store's revision at its last change; the revision grows by one with
+//! each change of any object.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,38 +31,37 @@
 mod faults;
 mod objects;
 
-/// How often a waiting watch looks for changes.
+/// How often a pending watch checks for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The running stand-in. Clones share its objects and faults.
+/// A running stand-in. Clones share its objects and faults.
 #[derive(Clone)]
 pub struct Platform {
-    /// What the connections share.
+    /// The state shared by all connections.
     shared: Rc<Shared>,
-    /// Where the stand-in listens.
+    /// The address of the listener.
     address: SocketAddr,
 }
 
-/// What the connections share.
+/// The state shared by all connections.
 struct Shared {
-    /// The stored objects.
     objects: RefCell<Objects>,
-    /// The faults in force.
+    /// The faults being injected.
     faults: RefCell<Faults>,
-    /// The firm that each token stands for.
+    /// The firm whose keys each token may access.
     tokens: RefCell<HashMap<String, String>>,
-    /// Calls answered so far, by kind.
+    /// Calls counted so far, those rejected for their rate included.
     calls: Cell<Calls>,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Calls {
     /// Reads and lists.
     pub reads: u64,
     /// Writes and deletions.
     pub writes: u64,
-    /// Watches, each waiting one counted once.
+    /// Watches; a pending watch counts once.
     pub watches: u64,
 }
 
@@ -70,7 +69,7 @@
     /// Starts a stand-in on a free loopback port, within a monoio runtime.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// If no port can be bound.
     ///
     /// ```
     /// use verbenaspool_standin::platform::Platform;
@@ -89,7 +88,7 @@
     /// Starts a stand-in on the given address.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// If the address can't be bound.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -110,7 +109,7 @@
         Ok(platform)
     }
 
-    /// Where the stand-in listens.
+    /// Returns the address of the listener.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -121,7 +120,7 @@
         self.address
     }
 
-    /// Lets `token` reach the keys of `firm`. Other tokens reach nothing.
+    /// Gives `token` access to the keys of `firm`. Unknown tokens are rejected.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -132,7 +131,7 @@
         tokens.insert(token.to_owned(), firm.to_owned());
     }
 
-    /// Changes the faults in force.
+    /// Changes the faults to inject.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -142,8 +141,8 @@
         change(&mut self.shared.faults.borrow_mut());
     }
 
-    /// Looks at the stored objects or changes them after the API's back, as
-    /// the platform itself does with its list of instances.
+    /// Accesses the stored objects directly, without the API, as the platform itself does with its
+    /// list of instances.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -154,7 +153,7 @@
         access(&mut self.shared.objects.borrow_mut())
     }
 
-    /// The calls answered so far.
+    /// Returns the calls counted so far, those rejected for their rate included.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -166,17 +165,17 @@
     }
 }
 
-/// Takes connections until the runtime ends.
+/// Accepts connections until the runtime ends.
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     while let Ok((stream, _)) = listener.accept().await {
         monoio::spawn(serve(stream, Rc::clone(&shared)));
     }
 }
 
-/// Serves one connection. Unlike the product's server it can close one
-/// unanswered, which is what a lost answer looks like.
+/// Serves one connection. Unlike the server in `verbenaspool_transport`, it can close a connection
+/// without an answer, which simulates a lost answer.
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
-    // Without it small answers wait for the client's delayed acknowledgement.
+    // With Nagle's algorithm, small answers would wait for the client's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let Ok(stream) = stream.into_poll_io() else {
         return;
@@ -185,18 +184,18 @@
         let shared = Rc::clone(&shared);
         async move { answer_call(request, &shared).await }
     });
-    // The client sees a broken connection itself; there is nobody else to tell.
+    // The client notices a broken connection itself, and nothing else needs the error.
     let _ = http1::Builder::new()
         .serve_connection(MonoioIo::new(stream), service)
         .await;
 }
 
-/// The answer is withheld: the connection closes without one.
+/// The connection closes without an answer.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is withheld")]
+#[error("the connection closes without an answer")]
 struct NoAnswer;
 
-/// Answers one call under the faults in force.
+/// Answers one call, subject to the injected faults.
 async fn answer_call(
     request: Request<Incoming>,
     shared: &Shared,
@@ -227,7 +226,7 @@
         (&Method::GET, "/v1/watch") => json_response(&watch(shared, &query).await),
         _ => access_object(&head, key, body.to_bytes(), shared),
     };
-    // A platform that went down while the call waited doesn't answer it any more.
+    // The platform may have gone down while the call was pending.
     if shared.faults.borrow().down {
         return Err(NoAnswer);
     }
@@ -237,7 +236,7 @@
     Ok(response)
 }
 
-/// Refuses a call whose token doesn't reach `key`.
+/// Rejects a call whose token has no access to `key`.
 fn reject(
     head: &http::request::Parts,
     key: &str,
@@ -257,7 +256,7 @@
     (!allowed).then(|| empty_response(StatusCode::FORBIDDEN))
 }
 
-/// Counts a call and says whether it is within the rate.
+/// Counts a call and returns whether it is within the rate limit.
 fn admit(shared: &Shared, write: bool, watch: bool) -> bool {
     let mut calls = shared.calls.get();
     match (write, watch) {
@@ -300,7 +299,7 @@
     versioned_response(StatusCode::OK, version, Bytes::new())
 }
 
-/// Waits for events as a watch asks, then bends them as the faults say.
+/// Waits for the events of a watch and applies the injected faults to them.
 async fn watch(shared: &Shared, query: &Query) -> Events {
     let deadline = time::Instant::now() + query.max_wait;
     loop {
@@ -322,16 +321,16 @@
 /// The query of a list or watch.
 #[derive(Debug, Default)]
 struct Query {
-    /// What keys start with.
+    /// The prefix of the keys to return.
     prefix: String,
-    /// The revision a watch starts after.
+    /// The revision after which a watch starts.
     since: u64,
-    /// How long a watch waits.
+    /// How long a watch waits for the first change.
     max_wait: Duration,
 }
 
 impl Query {
-    /// Reads a query. Keys need no percent-encoding, so none is undone.
+    /// Parses a query. Keys need no percent-encoding, so nothing is decoded.
     fn parse(text: &str) -> Self {
         let mut query = Self::default();
         for (name, value) in text.split('&').filter_map(|pair| pair.split_once('=')) {
@@ -339,7 +338,7 @@
                 "prefix" => value.clone_into(&mut query.prefix),
                 "since" => query.since = value.parse().unwrap_or_default(),
                 "wait_ms" => {
-                    query.max_wait = Duration::from_millis(value.parse().unwrap_or_default())
+                    query.max_wait = Duration::from_millis(value.parse().unwrap_or_default());
                 }
                 _ => {}
             }
@@ -348,14 +347,14 @@
     }
 }
 
-/// A response with nothing but its status.
+/// Builds a response without a body.
 fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// A response that carries a version.
+/// Builds a response with a version header.
 fn versioned_response(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(value));
     *response.status_mut() = status;
@@ -363,7 +362,7 @@
     response
 }
 
-/// A JSON response.
+/// Builds a JSON response.
 fn json_response<T: serde::Serialize>(value: &T) -> Response<Full<Bytes>> {
     match serde_json::to_vec(value) {
         Ok(text) => Response::new(Full::new(text.into())),
--- a/verbenaspool_standin/src/platform/faults.rs
+++ b/verbenaspool_standin/src/platform/faults.rs
@@ -1,57 +1,57 @@
-//! Faults of the platform's stand-in.
+//! Faults that the platform stand-in injects.
 
 use std::time::{Duration, Instant};
 
 use verbenaspool_transport::platform::Events;
 
-/// The faults in force; the default is none.
+/// The faults to inject; none by default.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Whether calls end without effect or answer.
+    /// Whether calls fail without effect or answer.
     pub down: bool,
-    /// What each call is held up by before it takes effect.
+    /// How long each call is delayed before it takes effect.
     pub delay: Duration,
     /// How many further writes take effect without an answer.
     pub lost_answers: u32,
-    /// How many writes are answered before the first is lost.
+    /// How many writes are answered before the first lost answer.
     pub answers_before_loss: u32,
-    /// What watches bring.
+    /// Which changes watches return.
     pub watch: Watch,
-    /// Reads, lists and watches allowed a second.
+    /// Limit of reads, lists and watches per second.
     pub reads_per_second: Option<u32>,
-    /// Writes and deletions allowed a second.
+    /// Limit of writes and deletions per second.
     pub writes_per_second: Option<u32>,
-    /// Reads in the second under way.
+    /// Reads in the current second.
     reads: Window,
-    /// Writes in the second under way.
+    /// Writes in the current second.
     writes: Window,
 }
 
-/// What watches bring.
+/// Which changes watches return.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Watch {
     /// Every change, in order.
     #[default]
     Complete,
-    /// Nothing of what changed.
+    /// No changes.
     Stale,
-    /// Every second change only.
+    /// Only changes with an even revision.
     Gaps,
-    /// The changes from last to first, and each of them twice.
+    /// All changes in reverse order, twice.
     Reordered,
 }
 
-/// Calls counted in the second under way.
+/// Counts the calls of the current second.
 #[derive(Debug, Default)]
 struct Window {
-    /// When the second began.
+    /// When the current second started.
     start: Option<Instant>,
-    /// Calls since.
+    /// Calls since `start`.
     calls: u32,
 }
 
 impl Window {
-    /// Counts a call and says whether it is within `limit` a second.
+    /// Counts a call and returns whether it is within `limit` per second.
     fn admit(&mut self, limit: Option<u32>) -> bool {
         let now = Instant::now();
         let expired = |start: Instant| now - start >= Duration::from_secs(1);
@@ -65,7 +65,7 @@
 }
 
 impl Faults {
-    /// Counts a call and says whether it is within the rate.
+    /// Counts a call and returns whether it is within the rate limit.
     pub(super) fn admit(&mut self, write: bool) -> bool {
         if write {
             self.writes.admit(self.writes_per_second)
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the answer to a write that took effect is lost.
+    /// Returns whether the answer to a write that took effect is lost, and counts it.
     pub(super) fn take_lost_answer(&mut self) -> bool {
         if self.lost_answers == 0 {
             return false;
@@ -87,7 +87,7 @@
         true
     }
 
-    /// Bends what a watch from `since` brings.
+    /// Distorts the events of a watch from `since`.
     pub(super) fn distort(&self, mut events: Events, since: u64) -> Events {
         match self.watch {
             Watch::Complete => {}
--- a/verbenaspool_standin/src/platform/objects.rs
+++ b/verbenaspool_standin/src/platform/objects.rs
@@ -1,26 +1,26 @@
-//! The objects of the platform's stand-in and the log of their changes.
+//! The objects of the platform stand-in and the log of their changes.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use verbenaspool_transport::platform::{Entry, Event, Events};
 
-/// Changes remembered for watches; older ones are a gap to a slow watcher.
+/// Number of changes kept for watches. A watcher that falls further behind misses changes.
 const MAX_LOG_EVENTS: usize = 10_000;
 
 /// The stored objects and the log of their changes.
 #[derive(Debug, Default)]
 pub struct Objects {
-    /// Value and version by key.
+    /// Version and value by key.
     values: BTreeMap<String, (u64, Bytes)>,
-    /// The last change's revision.
+    /// The revision of the last change.
     revision: u64,
     /// The last [`MAX_LOG_EVENTS`] changes, oldest first.
     log: std::collections::VecDeque<Event>,
 }
 
 impl Objects {
-    /// An object's value.
+    /// Returns an object's value.
     ///
     /// ```
     /// # use verbenaspool_standin::platform::Objects;
@@ -31,7 +31,7 @@
         self.values.get(key).map(|(_, value)| value.clone())
     }
 
-    /// An object's version, 0 where there is none.
+    /// Returns an object's version, or 0 if it doesn't exist.
     ///
     /// ```
     /// # use verbenaspool_standin::platform::Objects;
@@ -56,7 +56,7 @@
         version
     }
 
-    /// Deletes an object and returns the revision.
+    /// Deletes an object and returns the store's revision.
     ///
     /// ```
     /// # use verbenaspool_standin::platform::Objects;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The objects whose key starts with `prefix`.
+    /// Lists the objects whose key starts with `prefix`.
     ///
     /// ```
     /// # use verbenaspool_standin::platform::Objects;
@@ -93,7 +93,7 @@
             .collect()
     }
 
-    /// The logged changes below `prefix` after `since`.
+    /// Returns the logged changes after `since` of keys that start with `prefix`.
     ///
     /// ```
     /// # use verbenaspool_standin::platform::Objects;
--- a/verbenaspool_standin/src/ranks.rs
+++ b/verbenaspool_standin/src/ranks.rs
@@ -370,7 +370,7 @@
             match listed {
                 Some(listed) => listed.1 = epoch,
                 None if step == last_known + 1 || last_known == 0 => {
-                    self.granted_steps.push_back((step, epoch))
+                    self.granted_steps.push_back((step, epoch));
                 }
                 None => return,
             }
--- a/verbenaspool_standin/src/seat.rs
+++ b/verbenaspool_standin/src/seat.rs
@@ -1,4 +1,5 @@
-//! A rank's engine over HTTP: orders and state, as its agent sees them.
+//! Serves the engine of one rank over HTTP: its orders and its state, as the rank's agent uses
+//! them.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -23,22 +24,21 @@
 
 use crate::ranks::Group;
 
-/// How often time passes for the engines of a group.
+/// How often the engines of a group advance to the current time.
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// One rank's engine.
+/// The HTTP server of one rank's engine.
 #[derive(Debug)]
 pub struct Seat {
-    /// The group that it belongs to.
+    /// The group of the rank.
     group: Rc<RefCell<Group>>,
-    /// Its place in the group, from 0.
+    /// The seat in the group, from 0.
     index: u16,
-    /// The source of time.
     clock: Rc<dyn Clock>,
 }
 
 impl Seat {
-    /// The engine at a seat of a group.
+    /// Creates the server for the engine at a seat of a group.
     #[must_use]
     pub fn new(group: Rc<RefCell<Group>>, seat: u16, clock: Rc<dyn Clock>) -> Self {
         Self {
@@ -54,7 +54,8 @@
         server::serve(listener, limits, Rc::new(self), open, signal).await;
     }
 
-    /// Carries out an order.
+    /// Executes an order and answers whether the engine accepted it; a read is answered with a
+    /// snapshot.
     fn execute_order(&self, order: Order) -> Response<Body> {
         let Ok(action) = serde_json::from_value(order.action) else {
             return json_response(StatusCode::BAD_REQUEST, &"the body is no order");
@@ -74,7 +75,7 @@
         json_response(StatusCode::OK, &snapshot)
     }
 
-    /// Tells what there is to tell.
+    /// Answers with the state, and with the events and samples since the last request.
     fn state(&self) -> Response<Body> {
         let now = self.clock.now();
         let mut group = self.group.borrow_mut();
@@ -110,7 +111,7 @@
     }
 }
 
-/// Lets time pass for the engines of a group, for as long as the loop runs.
+/// Advances the engines of a group with the clock, for as long as the event loop runs.
 pub async fn advance(group: Rc<RefCell<Group>>, clock: Rc<dyn Clock>) {
     loop {
         group.borrow_mut().advance(clock.now());
@@ -118,9 +119,9 @@
     }
 }
 
-/// An answer in JSON.
+/// Builds a JSON response.
 fn json_response(status: StatusCode, body: &impl serde::Serialize) -> Response<Body> {
-    let text = serde_json::to_vec(body).expect("an answer has only plain keys");
+    let text = serde_json::to_vec(body).expect("the keys of an answer are strings");
     let mut response = Response::new(Body::full(text));
     *response.status_mut() = status;
     response
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a plain service, which records its writes so that a checker
-//! can count those that ran twice.
+//! A stand-in for a plain service. It records the writes that ran, so that a checker can count
+//! those that ran twice.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,7 +25,7 @@
     shutdown::Signal,
 };
 
-/// A plain service whose listener is open.
+/// A plain service with an open listener.
 #[derive(Debug)]
 pub struct Service {
     listener: TcpListener,
@@ -33,20 +33,21 @@
     journal: Rc<Journal>,
 }
 
-/// What a service did, and what goes wrong in it. Instances of one service may
+/// The writes that ran at a service, and the faults of its answers. Instances of one service may
 /// share a journal.
 #[derive(Debug)]
 pub struct Journal {
     clock: Rc<dyn Clock>,
-    /// How long a request takes.
+    /// How long each request runs.
     pub request_time: Cell<Duration>,
-    /// The bodies of the writes that ran, in their order.
+    /// The bodies of the writes that ran, in order.
     pub writes: RefCell<Vec<String>>,
+    /// How many answers to further writes are lost.
     lost_answers: Cell<u32>,
     running: Rc<Cell<u32>>,
 }
 
-/// A request that runs.
+/// Counts a request as running until dropped.
 struct Running(Rc<Cell<u32>>);
 
 impl Running {
@@ -63,7 +64,7 @@
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     ///
     /// ```
     /// use std::time::Duration;
@@ -85,16 +86,18 @@
         })
     }
 
-    /// The load.
+    /// Answers with the load of the service.
     fn state(&self) -> Response<Body> {
         let state = State {
             running: self.running.get(),
             ..State::default()
         };
-        Response::new(Body::full(serde_json::to_vec(&state).expect("plain data")))
+        Response::new(Body::full(
+            serde_json::to_vec(&state).expect("the state serializes"),
+        ))
     }
 
-    /// The next write runs, but its answer is lost.
+    /// Has the connection of one more write break after the write ran.
     pub fn lose_next_answer(&self) {
         self.lost_answers.set(self.lost_answers.get() + 1);
     }
@@ -104,7 +107,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// If the address can't be bound.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,13 +132,13 @@
         })
     }
 
-    /// Where the service listens.
+    /// Returns the address of the listener.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs until the signal comes and the last request has ended.
+    /// Serves until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
         server::serve(
@@ -170,7 +173,7 @@
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.writes.borrow_mut().push(text);
             }
-            // A sleep of no time would still cost a turn of the timer, a millisecond.
+            // Even an empty sleep waits for the next tick of the timer, a millisecond.
             if !self.request_time.get().is_zero() {
                 self.clock.sleep(self.request_time.get()).await;
             }
@@ -183,7 +186,7 @@
     }
 }
 
-/// The answer to a request, which names what was asked for.
+/// Returns the answer to a request, which repeats its path and body.
 fn echo(path: &str, body: &Bytes) -> String {
     format!("{path} {}", String::from_utf8_lossy(body))
 }
--- a/verbenaspool_standin/src/weights.rs
+++ b/verbenaspool_standin/src/weights.rs
@@ -1,23 +1,21 @@
-//! A stand-in for the weight store: it serves one load after the other at a
-//! fixed rate, and may be slow or refuse.
+//! A stand-in for the weight store, which serves loads one after the other at a fixed rate.
+//! Tests can slow it down or have it reject loads.
 
 use std::time::Duration;
 
-/// The weight store.
+/// The stand-in for the weight store.
 #[derive(Debug)]
 pub struct Store {
-    /// How many bytes it sends a second.
     bytes_per_second: u64,
-    /// When it is through with all that was asked so far.
+    /// When all loads requested so far are complete.
     busy_until: Duration,
-    /// Whether it refuses everything.
+    /// Whether all loads are rejected.
     rejecting: bool,
-    /// The bytes sent so far.
     bytes_sent: u64,
 }
 
 impl Store {
-    /// A store that sends so many bytes a second.
+    /// Creates a store that sends at the given rate.
     ///
     /// ```
     /// use std::time::Duration;
@@ -40,27 +38,27 @@
         }
     }
 
-    /// Sets how many bytes it sends a second.
+    /// Sets the rate of later loads.
     pub fn set_rate(&mut self, bytes_per_second: u64) {
         self.bytes_per_second = bytes_per_second;
     }
 
-    /// Has it refuse everything, or serve again.
+    /// Sets whether later loads are rejected.
     pub fn set_rejecting(&mut self, rejecting: bool) {
         self.rejecting = rejecting;
     }
 
-    /// The bytes sent so far.
+    /// Returns the number of bytes of all loads accepted so far.
     #[must_use]
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Asks for so many bytes and returns when they will have come.
+    /// Requests a load and returns the time at which it will be complete.
     ///
     /// # Errors
     ///
-    /// [`Rejected`], while it is told to refuse.
+    /// [`Rejected`] while the store is set to reject loads.
     pub fn load(&mut self, now: Duration, bytes: u64) -> Result<Duration, Rejected> {
         if self.rejecting {
             return Err(Rejected);
@@ -73,7 +71,7 @@
     }
 }
 
-/// The weight store refused.
+/// The weight store rejected a load.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the weight store refuses loads")]
 pub struct Rejected;
