--- a/verbenaspool_standin/src/engine.rs
+++ b/verbenaspool_standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: OpenAI-style completions whose text follows
-//! from the prompt, so that each caller can check that an answer is its own.
+//! A stand-in for a model engine with OpenAI-style completions. The text of an answer is a
+//! function of the prompt, so that each caller can check that it got its own answer.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -34,28 +34,28 @@
 
 pub use self::fault::Faults;
 
-/// How the engine behaves.
+/// Settings of the engine.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Requests in the batch at once; others wait.
+    /// How many requests run at once; others are queued.
     pub max_batch_size: usize,
-    /// The time of a step with one request in the batch.
+    /// The duration of a step with one running request.
     pub step_time: Duration,
-    /// What each further request adds to a step.
+    /// How much each further running request adds to a step.
     pub step_time_per_request: Duration,
-    /// The time to read one prompt token that is not cached.
+    /// The duration of the prefill per prompt token that isn't cached.
     pub prefill_time_per_token: Duration,
-    /// Prefixes that the cache holds.
+    /// The capacity of the prefix cache.
     pub max_prefixes: usize,
-    /// How late the engine tells its load and its cache events.
+    /// How late the engine reports its load and its cache events.
     pub report_delay: Duration,
-    /// Every so many cache events one is lost; 0 for none.
+    /// One of this many cache events is dropped; 0 drops none.
     pub dropped_event_interval: u64,
-    /// Whether it refuses an order with an old fence.
+    /// Whether orders with an old fence are rejected.
     pub checks_fences: bool,
-    /// Whether it can go on after the tokens of a broken stream.
+    /// Whether a broken stream can be resumed after the tokens already sent.
     pub supports_resume: bool,
 }
 
@@ -81,10 +81,10 @@
 pub struct Completion {
     /// The prompt.
     pub prompt: String,
-    /// The tokens to generate.
+    /// How many tokens to generate.
     #[serde(default = "Completion::max_tokens")]
     pub max_tokens: u32,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// An engine whose listener is open.
+/// An engine with an open listener.
 #[derive(Debug)]
 pub struct Engine {
     listener: TcpListener,
@@ -103,16 +103,16 @@
     parts: Rc<Parts>,
 }
 
-/// The engine's parts, shared by its requests.
+/// The parts of an engine, shared by its requests.
 #[derive(Debug)]
 pub struct Parts {
-    /// The requests that run and wait.
+    /// The running and queued requests.
     pub batch: Rc<Batch>,
     /// The prefix cache.
     pub cache: Cache,
-    /// The orders that it got.
+    /// The orders that the engine executed.
     pub orders: orders::Orders,
-    /// What goes wrong.
+    /// The faults to inject.
     pub faults: Faults,
     config: Config,
 }
@@ -121,7 +121,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// If the address can't be bound.
     ///
     /// ```
     /// use verbenaspool_standin::engine::{Config, Engine};
@@ -150,19 +150,19 @@
         })
     }
 
-    /// Where the engine listens.
+    /// Returns the address of the listener.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The engine's parts, to look at and to set faults.
+    /// Returns the parts of the engine, to inspect them and to inject faults.
     #[must_use]
     pub fn parts(&self) -> Rc<Parts> {
         self.parts.clone()
     }
 
-    /// Runs until the signal comes and the last request has ended.
+    /// Serves until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
         server::serve(
@@ -231,6 +231,8 @@
         response
     }
 
+    /// Returns how many tokens of a broken stream the caller already has, if this is a resumption
+    /// that the engine supports.
     fn resume_offset(&self, request: &Request<Incoming>) -> Option<u32> {
         let value = request.headers().get(header::RESUME)?;
         let offset = value.to_str().ok()?.parse().ok()?;
@@ -266,7 +268,7 @@
     }
 }
 
-/// A higher priority takes the next place first.
+/// Returns the priority of a request; higher values leave the queue first.
 fn priority(request: &Request<Incoming>) -> u8 {
     match request
         .headers()
@@ -279,13 +281,13 @@
     }
 }
 
-/// An answer that breaks off at once.
+/// Builds a response whose body fails at once.
 fn broken_response() -> Response<Body> {
     Response::new(Body::wrap(stream::Broken))
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Body> {
-    let text = serde_json::to_vec(value).expect("plain data");
+    let text = serde_json::to_vec(value).expect("an answer serializes");
     let mut response = Response::new(Body::full(Bytes::from(text)));
     let content_type = "application/json".parse().expect("a header value");
     response.headers_mut().insert(CONTENT_TYPE, content_type);
--- a/verbenaspool_standin/src/engine/batch.rs
+++ b/verbenaspool_standin/src/engine/batch.rs
@@ -1,5 +1,5 @@
-//! Continuous batching: places in the batch, a queue before it, and steps that
-//! grow with the number of requests in it.
+//! Simulates continuous batching: a batch of limited size, a queue for further requests, and steps
+//! that get longer with the number of running requests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,8 +25,10 @@
     prefill_time_per_token: Duration,
     report_delay: Duration,
     running: Cell<usize>,
+    /// Tokens left to generate for all running and queued requests.
     remaining_tokens: Cell<u64>,
     waiting: RefCell<Vec<Waiter>>,
+    /// The states since the last one to report, with their times.
     states: RefCell<VecDeque<(Duration, State)>>,
     cancelled: Cell<u64>,
     stalled: Cell<bool>,
@@ -38,7 +40,7 @@
     wake: oneshot::Sender<()>,
 }
 
-/// A place in the batch or in the queue, given back when the request ends.
+/// A request in the batch or in the queue, removed from it when dropped.
 #[derive(Debug)]
 pub struct Slot {
     batch: Rc<Batch>,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Waits for a place.
+    /// Queues a request and waits until it runs.
     pub(crate) async fn acquire_slot(self: &Rc<Self>, priority: u8, tokens: u32) -> Slot {
         self.remaining_tokens
             .set(self.remaining_tokens.get() + u64::from(tokens));
@@ -85,12 +87,12 @@
         slot
     }
 
-    /// The time to read so many prompt tokens.
+    /// Waits for the prefill of this many prompt tokens.
     pub(crate) async fn prefill(&self, tokens: u32) {
         self.clock.sleep(self.prefill_time_per_token * tokens).await;
     }
 
-    /// The step that yields each running request's next token.
+    /// Returns a timer for the step that generates the next token of each running request.
     pub(crate) fn step(&self) -> Sleep {
         let running = u32::try_from(self.running.get()).unwrap_or(u32::MAX);
         let step_time = self.step_time + self.step_time_per_request * running.saturating_sub(1);
@@ -100,24 +102,24 @@
         self.clock.sleep(step_time)
     }
 
-    /// How many requests were cancelled because their caller went.
+    /// Returns how many requests were dropped before their last token, as when their callers leave.
     #[must_use]
     pub fn cancelled(&self) -> u64 {
         self.cancelled.get()
     }
 
-    /// How many requests are in the batch.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.get()
     }
 
-    /// Stalls the engine: requests yield no further token, for good.
+    /// Stalls the engine permanently: no request gets another step.
     pub fn stall(&self) {
         self.stalled.set(true);
     }
 
-    /// The load as it was the lag ago.
+    /// Returns the load as it was before the report delay.
     pub(crate) fn delayed_state(&self) -> State {
         let visible_until = self.clock.now().saturating_sub(self.report_delay);
         let mut states = self.states.borrow_mut();
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Notes the load, to be told later.
+    /// Records the load, to be reported after the report delay.
     fn record_state(&self) {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let state = State {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Calls the most urgent waiter, of equals the first.
+    /// Wakes the waiter with the highest priority, the oldest of equals.
     fn wake_next(&self) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|waiter| !waiter.wake.is_closed());
@@ -184,7 +186,8 @@
         if self.is_running.get() {
             self.batch.running.set(self.batch.running.get() - 1);
         }
-        // A waiter that was called and went before it came passes the call on.
+        // Runs for queued requests too: a waiter that was woken, and is dropped before it runs,
+        // must wake the next one.
         self.batch.wake_next();
         self.batch.record_state();
     }
--- a/verbenaspool_standin/src/engine/cache.rs
+++ b/verbenaspool_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache in limited memory, whose events come late and with gaps.
+//! Simulates the prefix cache: its size is limited, and its events are reported late and with gaps.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,22 +15,24 @@
 
 use super::Config;
 
-/// Bytes of a prompt that make a token, roughly.
+/// The approximate length of a prompt token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// How many events the engine keeps for those who ask.
+/// How many events the engine keeps for reports.
 const MAX_EVENTS: usize = 1_024;
 
-/// The prefix cache.
+/// The prefix cache, which evicts the least recently used prefix.
 #[derive(Debug)]
 pub struct Cache {
     clock: Rc<dyn Clock>,
     max_prefixes: usize,
     report_delay: Duration,
     dropped_event_interval: u64,
-    /// The least recently used first.
+    /// The cached prefixes, the least recently used first.
     prefixes: RefCell<VecDeque<u64>>,
+    /// The recorded events with their times.
     events: RefCell<VecDeque<(Duration, Event)>>,
+    /// The number of the last event, dropped ones included.
     last_number: Cell<u64>,
     hits: Cell<u64>,
 }
@@ -49,14 +51,14 @@
         }
     }
 
-    /// How many prefixes were found in the cache.
+    /// Returns how many prefixes of prompts were found in the cache.
     #[must_use]
     pub fn hits(&self) -> u64 {
         self.hits.get()
     }
 
-    /// Uses a prompt's prefixes and takes in those that are missing; returns
-    /// the prompt tokens that must be computed.
+    /// Looks up the prefixes of a prompt and adds those that are missing; returns how many prompt
+    /// tokens must be computed.
     pub(crate) fn use_prompt(&self, prompt: &str) -> u32 {
         let mut cached = 0;
         for prefix in prefix::hashes(prompt) {
@@ -69,8 +71,8 @@
         u32::try_from(computed).unwrap_or(u32::MAX)
     }
 
-    /// The last event's number and the events behind a number, as far as the
-    /// delay makes them visible.
+    /// Returns the number of the last event before the report delay, and the events up to it that
+    /// follow the number `since`.
     pub(crate) fn delayed_events(&self, since: u64) -> (u64, Vec<Event>) {
         let visible_until = self.clock.now().saturating_sub(self.report_delay);
         let events = self.events.borrow();
@@ -81,7 +83,7 @@
         (last, later.collect())
     }
 
-    /// Makes a prefix the most recently used; whether it was held before.
+    /// Makes a prefix the most recently used; returns whether it was cached before.
     fn use_prefix(&self, prefix: u64) -> bool {
         let mut prefixes = self.prefixes.borrow_mut();
         let found = prefixes.iter().position(|&other| other == prefix);
@@ -100,6 +102,7 @@
         found.is_some()
     }
 
+    /// Records that a prefix was added or evicted.
     fn record_event(&self, prefix: u64, added: bool) {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
--- a/verbenaspool_standin/src/engine/fault.rs
+++ b/verbenaspool_standin/src/engine/fault.rs
@@ -1,28 +1,31 @@
-//! What goes wrong in an engine, set by tests.
+//! Faults that tests inject into an engine.
 
 use std::cell::Cell;
 
-/// What goes wrong; each fault strikes once for each time it is set.
+/// The faults to inject. Each call of a method affects one request; start failures add up, the
+/// others don't.
 #[derive(Debug, Default)]
 pub struct Faults {
+    /// How many further requests fail before the engine starts them.
     start_failures: Cell<u32>,
-    /// Break off behind this many tokens of an answer.
+    /// The next answer breaks off after this many tokens.
     fail_after: Cell<Option<u32>>,
+    /// The next answer is that to another prompt.
     other_answer: Cell<bool>,
 }
 
 impl Faults {
-    /// The next request breaks off before the engine begins it.
+    /// Has the connection of one more request break before the engine starts the request.
     pub fn fail_before_start(&self) {
         self.start_failures.set(self.start_failures.get() + 1);
     }
 
-    /// The next answer breaks off behind so many of its tokens.
+    /// Has the next answer break off after this many tokens.
     pub fn fail_after_tokens(&self, tokens: u32) {
         self.fail_after.set(Some(tokens));
     }
 
-    /// The next answer is that to another prompt.
+    /// Has the next request answered with the text of another prompt.
     pub fn answer_other_prompt(&self) {
         self.other_answer.set(true);
     }
--- a/verbenaspool_standin/src/engine/orders.rs
+++ b/verbenaspool_standin/src/engine/orders.rs
@@ -1,14 +1,15 @@
-//! Orders to an engine, with fences that it checks or ignores.
+//! Executes orders to an engine, with fences that are checked or ignored.
 
 use std::cell::{Cell, RefCell};
 
 use verbenaspool_coordination::group::order::{Action, State};
 use verbenaspool_protocol::engine::Order;
 
-/// The orders that an engine carried out.
+/// The orders that an engine executed.
 #[derive(Debug)]
 pub struct Orders {
     checks_fences: bool,
+    /// The highest fence of an executed order.
     fence: Cell<u64>,
     executed: RefCell<Vec<Order>>,
     lost_answers: Cell<u32>,
@@ -24,25 +25,25 @@
         }
     }
 
-    /// The orders that were carried out, in their order.
+    /// Returns the orders that were executed, in order.
     #[must_use]
     pub fn executed(&self) -> Vec<Order> {
         self.executed.borrow().clone()
     }
 
-    /// Loses the answers to the next orders, which are carried out.
+    /// Has the answers to this many further orders lost, which are executed all the same.
     pub fn lose_answers(&self, answers: u32) {
         self.lost_answers.set(answers);
     }
 
-    /// Whether the answer to the order just carried out is lost.
+    /// Returns whether the answer to the order just executed is lost, and counts it.
     pub(crate) fn take_lost_answer(&self) -> bool {
         let left = self.lost_answers.get();
         self.lost_answers.set(left.saturating_sub(1));
         left > 0
     }
 
-    /// What the engine has become by its orders.
+    /// Returns the state that results from the executed orders.
     pub(crate) fn state(&self) -> State {
         let mut state = State::default();
         for order in self.executed.borrow().iter() {
@@ -58,7 +59,7 @@
         state
     }
 
-    /// Carries an order out, or names the higher fence that forbids it.
+    /// Executes an order, or returns the higher fence for which it is rejected.
     pub(crate) fn execute(&self, order: Order) -> Result<(), u64> {
         let fence = self.fence.get();
         if self.checks_fences && order.fence < fence {
--- a/verbenaspool_standin/src/engine/stream.rs
+++ b/verbenaspool_standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The tokens of one answer, a step apart.
+//! Streams the tokens of an answer, one per step.
 
 use std::{
     pin::Pin,
@@ -14,14 +14,15 @@
 
 use super::{Completion, Parts, batch::Slot, text};
 
-/// The tokens of one answer as a body. Dropped before its end, as when the
-/// caller goes, it leaves the batch at once.
+/// The tokens of an answer as a response body. A body that is dropped before its end, as when the
+/// caller leaves, leaves the batch at once.
 pub struct Stream {
     parts: Rc<Parts>,
     slot: Option<Slot>,
     prompt: String,
     next: u32,
     end: u32,
+    /// The token at which the stream fails.
     fail_at: Option<u32>,
     step: Sleep,
     streamed: bool,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The tokens as one text.
+    /// Collects the tokens into one text.
     pub(crate) async fn collect(self) -> Result<String, Error> {
         let bytes = BodyExt::collect(self).await?.to_bytes();
         String::from_utf8(bytes.to_vec()).map_err(Into::into)
--- a/verbenaspool_standin/src/engine/text.rs
+++ b/verbenaspool_standin/src/engine/text.rs
@@ -1,11 +1,11 @@
-//! The text of answers, which follows from the prompt alone.
+//! Generates and parses the text of answers, which is a function of the prompt.
 
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Completion;
 
-/// The token at a place of the answer to a prompt.
+/// Returns the token at an index of the answer to a prompt.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
@@ -17,7 +17,7 @@
     format!("{:08x}.{index} ", xxh3_64(prompt.as_bytes()) >> 32)
 }
 
-/// The whole answer to a prompt, as a checker expects it.
+/// Returns the complete answer to a prompt, as a checker expects it.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
@@ -29,17 +29,17 @@
     (0..tokens).map(|index| token(prompt, index)).collect()
 }
 
-/// A server-sent event with one token.
+/// Formats a server-sent event with one token.
 pub(crate) fn event(prompt: &str, index: u32) -> String {
     let text = token(prompt, index);
     let data = json!({"object": "text_completion", "choices": [{"index": 0, "text": text}]});
     format!("data: {data}\n\n")
 }
 
-/// The event that ends a stream.
+/// The last event of a stream.
 pub(crate) const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// The answer that is sent in one piece.
+/// Returns the body of an answer that is not streamed.
 pub(crate) fn full_response(completion: &Completion, text: &str) -> Value {
     json!({
         "object": "text_completion",
@@ -48,8 +48,8 @@
     })
 }
 
-/// The text that a body carries, streamed or in one piece; none where it is
-/// cut off or something else.
+/// Extracts the text from a response body, streamed or not; returns `None` if the body is
+/// truncated or not an answer.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
@@ -70,6 +70,7 @@
         .collect()
 }
 
+/// Extracts the text from the first choice of an answer or event.
 fn choice_text(json: &str) -> Option<String> {
     let value: Value = serde_json::from_str(json).ok()?;
     value["choices"][0]["text"].as_str().map(str::to_owned)
