--- a/verbenaspool_standin/src/ranks.rs
+++ b/verbenaspool_standin/src/ranks.rs
@@ -1,11 +1,10 @@
-//! A stand-in for the engines of a group: ranks that advance in lock-step,
-//! within the steps that they were granted.
+//! A stand-in for the engines of a group, whose ranks advance in lockstep within the steps that
+//! they were granted.
 //!
-//! It runs on the time it is told, so tests play hours in milliseconds. A step
-//! starts when every rank is there, was granted that step and holds the
-//! weights of the map that it believes the step runs on. As in an engine's
-//! collective calls, nobody compares those maps: that they agree is what the
-//! group's protocol is for, and what the recorded history is checked for.
+//! It runs on virtual time, so tests simulate hours in milliseconds. A step starts when every rank
+//! is running, was granted the step and has loaded the weights of the map that it was granted the
+//! step for. As in collective calls of real engines, the ranks don't compare these maps: the
+//! group's protocol has to make them agree, and `history::steps` checks that they do.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -21,76 +20,75 @@
 
 use crate::{history::steps::Entry, weights::Store};
 
-/// Fixed properties of the group.
+/// Fixed settings of the group.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// How many ranks the group has.
+    /// The number of ranks.
     pub ranks: u16,
-    /// How long a step takes.
+    /// The duration of a step.
     pub step_time: Duration,
-    /// Whether the engines refuse orders with an old fence.
+    /// Whether the engines reject orders with an old fence.
     pub checks_fences: bool,
     /// The size of one expert's weights in bytes.
     pub expert_bytes: u64,
 }
 
-/// One rank's engine.
+/// The engine of one rank.
 #[derive(Debug, Default)]
 struct Engine {
-    /// The start of the engine.
+    /// The number of the engine's start.
     incarnation: u64,
     /// The highest fence seen.
     fence: u64,
-    /// The last step run.
+    /// The last step that was run.
     last_step: u64,
-    /// The epoch of that step.
+    /// The epoch of the last step.
     running_epoch: Option<u64>,
-    /// The steps to run, with their epochs.
+    /// The granted steps that haven't run, with their epochs.
     granted_steps: VecDeque<(u64, u64)>,
-    /// The maps whose weights are loaded.
+    /// The epochs of the maps whose weights are loaded.
     loaded: BTreeSet<u64>,
-    /// The maps known.
+    /// The staged maps by epoch.
     maps: BTreeMap<u64, Map>,
-    /// The maps that are being loaded, and when that ends.
+    /// The epochs of the maps that are being loaded, and when their loads end.
     loading: BTreeMap<u64, Duration>,
-    /// Until when it does nothing.
+    /// Until when the engine runs no step.
     stalled_until: Duration,
-    /// What its agent hasn't been told yet.
+    /// Events that haven't been reported to the agent.
     events: Vec<Event>,
-    /// Samples, and when they are told.
+    /// Samples, and when they are reported.
     samples: Vec<(Duration, Sample)>,
 }
 
-/// The steps of one sample.
+/// How many steps a sample covers.
 const STEPS_PER_SAMPLE: u32 = 100;
-/// Every so many samples one is lost.
+/// One of this many samples is dropped.
 const DROPPED_SAMPLE_INTERVAL: u64 = 7;
-/// How late samples are told.
+/// How late samples are reported.
 const SAMPLE_DELAY: Duration = Duration::from_millis(500);
-/// How many samples are kept for an agent that doesn't ask.
+/// How many unreported samples an engine keeps, in case its agent doesn't poll.
 const MAX_PENDING_SAMPLES: usize = 16;
 
 /// The engines of a group.
 #[derive(Debug)]
 pub struct Group {
-    /// Fixed properties.
     settings: Settings,
-    /// The ranks.
+    /// The engines, by seat.
     engines: Vec<Engine>,
-    /// Where weights come from.
+    /// The weight store from which the engines load.
     store: Store,
-    /// When the step that runs ends.
+    /// When the current step ends.
     step_ends_at: Duration,
-    /// What was run.
+    /// The steps that were run.
     history: Vec<Entry>,
-    /// How long the group stood because steps hadn't been granted.
+    /// How long no step ran though no engine was stalled.
     idle_time: Duration,
-    /// The tokens of each expert in a step, by layer.
+    /// The tokens per step of each expert, by layer.
     popularity: Vec<Vec<u64>>,
 }
 
 impl Group {
-    /// A group that has run nothing.
+    /// Creates a group that has run no steps.
     ///
     /// ```
     /// use std::time::Duration;
@@ -124,47 +122,47 @@
         }
     }
 
-    /// Sets how many tokens each expert of each layer gets in a step.
+    /// Sets how many tokens each expert of each layer gets per step.
     pub fn set_popularity(&mut self, popularity: Vec<Vec<u64>>) {
         self.popularity = popularity;
     }
 
-    /// The samples that a rank's engine tells by now, once.
+    /// Takes the samples that a rank's engine has to report by now.
     pub fn samples(&mut self, now: Duration, seat: u16) -> Vec<Sample> {
         let samples = &mut self.engines[usize::from(seat)].samples;
         let due_samples = samples.extract_if(.., |(due, _)| *due <= now);
         due_samples.map(|(_, sample)| sample).collect()
     }
 
-    /// What was run, in order.
+    /// Returns the steps that were run, in order.
     #[must_use]
     pub fn history(&self) -> &[Entry] {
         &self.history
     }
 
-    /// How long the group stood because steps hadn't been granted.
+    /// Returns how long no step ran though no engine was stalled, since the first step.
     #[must_use]
     pub fn idle_time(&self) -> Duration {
         self.idle_time
     }
 
-    /// Where weights come from.
+    /// Returns the weight store from which the engines load.
     pub fn store(&mut self) -> &mut Store {
         &mut self.store
     }
 
-    /// The last step that a rank has run.
+    /// Returns the last step that a rank has run.
     #[must_use]
     pub fn last_step(&self, seat: u16) -> u64 {
         self.engines[usize::from(seat)].last_step
     }
 
-    /// Has a rank do nothing until then.
+    /// Stalls a rank: it runs no step before the given time.
     pub fn stall(&mut self, seat: u16, until: Duration) {
         self.engines[usize::from(seat)].stalled_until = until;
     }
 
-    /// Restarts a rank's engine, which loses everything.
+    /// Restarts a rank's engine, which loses its state.
     pub fn restart(&mut self, seat: u16) {
         let engine = &mut self.engines[usize::from(seat)];
         *engine = Engine {
@@ -173,12 +171,13 @@
         };
     }
 
-    /// What a rank has to tell its agent.
+    /// Takes the events that a rank has to report to its agent.
     pub fn events(&mut self, seat: u16) -> Vec<Event> {
         std::mem::take(&mut self.engines[usize::from(seat)].events)
     }
 
-    /// Where a rank stands. The ticket is repeated; 0 where nobody asked.
+    /// Returns the state of a rank. The ticket is returned as given; without one (0), the maps are
+    /// left out.
     #[must_use]
     pub fn state(&self, seat: u16, ticket: u64) -> Snapshot {
         let engine = &self.engines[usize::from(seat)];
@@ -210,17 +209,17 @@
         }
     }
 
-    /// A rank's engine is read under a fence, which it refuses lower ones from
-    /// then on if it checks them. It is answered in any case: that is how an
-    /// agent learns that its fence is old.
+    /// Reads the state of a rank's engine with a fence. From then on the engine rejects lower
+    /// fences, if it checks them. The read itself is always answered, so that an agent learns that
+    /// its fence is old.
     pub fn read(&mut self, seat: u16, fence: u64, ticket: u64) -> Snapshot {
         let engine = &mut self.engines[usize::from(seat)];
         engine.fence = engine.fence.max(fence);
         self.state(seat, ticket)
     }
 
-    /// A rank's engine gets an order, and returns whether it took it. What else
-    /// it has to say comes as events.
+    /// Sends an order to a rank's engine and returns whether the engine accepted it. Results are
+    /// reported as events.
     pub fn order(&mut self, now: Duration, seat: u16, fence: u64, action: Action) -> bool {
         let ignores_fences = !self.settings.checks_fences;
         if let Action::Read { ticket } = action {
@@ -251,7 +250,7 @@
         true
     }
 
-    /// A rank starts to load what a map needs.
+    /// Starts to load the weights that a rank lacks for a map, at no more than `max_rate`.
     fn stage(&mut self, now: Duration, seat: u16, map: Map, max_rate: u64) {
         let engine = &mut self.engines[usize::from(seat)];
         let epoch = map.epoch;
@@ -282,13 +281,13 @@
         }
     }
 
-    /// Lets time pass up to `now`: loads end, steps run.
+    /// Advances to `now`: completes loads and runs steps.
     pub fn advance(&mut self, now: Duration) {
         for engine in &mut self.engines {
             engine.load(now);
         }
-        // A step counts as run from its start, which needs the grant; counted
-        // at its end, a grant that came too late for its start would pass.
+        // A step is recorded at its start, which requires the grant. Recorded at its end, it could
+        // run on a grant that came after its start.
         while self.step_ends_at <= now && self.step(now) {
             self.step_ends_at += self.settings.step_time;
         }
@@ -303,7 +302,7 @@
         }
     }
 
-    /// Counts the tokens of the steps up to this one, now and then.
+    /// Takes a sample of the token counts if one is due at this step.
     fn sample(&mut self, now: Duration, step: u64) {
         let steps = u64::from(STEPS_PER_SAMPLE);
         let dropped = (step / steps).is_multiple_of(DROPPED_SAMPLE_INTERVAL);
@@ -326,7 +325,7 @@
         }
     }
 
-    /// Runs the next step, if every rank can.
+    /// Runs the next step if every rank can run it.
     fn step(&mut self, now: Duration) -> bool {
         let next = |engine: &Engine| {
             let &(step, epoch) = engine.granted_steps.front()?;
@@ -340,7 +339,7 @@
             return false;
         }
         for (seat, engine) in (0..).zip(&mut self.engines) {
-            let (_, epoch) = engine.granted_steps.pop_front().expect("seen above");
+            let (_, epoch) = engine.granted_steps.pop_front().expect("checked above");
             engine.last_step = step;
             engine.running_epoch = Some(epoch);
             self.history.push(Entry { step, seat, epoch });
@@ -351,8 +350,8 @@
 }
 
 impl Engine {
-    /// Takes up steps. Those that haven't run get the new order's map: an
-    /// engine that doesn't check fences obeys whoever spoke last.
+    /// Adds granted steps. Steps that were granted before but haven't run get the new order's map:
+    /// an engine that doesn't check fences follows the latest order.
     fn grant(&mut self, spans: &[Span]) {
         let steps = spans.iter().flat_map(|span| {
             let steps = span.from.max(self.last_step + 1)..=span.to;
@@ -377,7 +376,7 @@
         }
     }
 
-    /// Ends the loads that are through by now.
+    /// Completes the loads that end by `now`.
     fn load(&mut self, now: Duration) {
         let loaded: Vec<u64> = self
             .loading
