--- a/verbenaspool_standin/src/history/activation.rs
+++ b/verbenaspool_standin/src/history/activation.rs
@@ -1,59 +1,58 @@
-//! Checks that what is accepted comes in force everywhere in time, and that
-//! nothing else does.
+//! Checks that accepted files become active on all instances in time, and that no other files do.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Something that happened in a run, with its time.
+/// An event of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// An operator was told that an apply is accepted.
+    /// An apply was reported to its operator as accepted.
     Accepted {
-        /// When the operator was told.
+        /// When it was reported.
         at: Duration,
-        /// The version that it got.
+        /// The accepted version.
         version: u64,
-        /// What the file says.
+        /// The content of the file.
         content: String,
     },
-    /// An operator was told that an apply isn't accepted.
+    /// An apply was reported to its operator as not accepted.
     Rejected {
-        /// What the file says.
+        /// The content of the file.
         content: String,
     },
-    /// A file came in force at an instance.
+    /// A file became active on an instance.
     Activated {
-        /// When.
+        /// When it became active.
         at: Duration,
         /// The instance.
         instance: String,
         /// The version.
         version: u64,
-        /// What the file says.
+        /// The content of the file.
         content: String,
     },
 }
 
-/// What a history breaks.
+/// A file became active that must not, or didn't in time.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// Two applies were accepted as the same version.
+    /// Two different files were accepted as the same version.
     #[error("two files were accepted as version {0}")]
     DuplicateVersion(u64),
-    /// A file that its operator was told isn't accepted came in force.
-    #[error("'{0}' was refused and came in force")]
+    /// A file became active that was reported as not accepted.
+    #[error("'{0}' was rejected, but became active")]
     Rejected(String),
-    /// Something else came in force than was accepted as that version.
-    #[error("version {version} is in force as '{found}' at {instance}")]
+    /// Another file became active than was accepted as its version.
+    #[error("version {version} is active on {instance} with the wrong content '{found}'")]
     WrongContent {
         /// The instance.
         instance: String,
         /// The version.
         version: u64,
-        /// What is in force there.
+        /// The content that is active there.
         found: String,
     },
-    /// An instance had neither an accepted version nor a later one in time.
-    #[error("version {version} was not in force at {instance} in time")]
+    /// Neither an accepted version nor a later one became active on an instance in time.
+    #[error("version {version} was not active on {instance} in time")]
     Late {
         /// The instance.
         instance: String,
@@ -62,11 +61,11 @@
     },
 }
 
-/// Checks the events of one firm: each accepted version, or a later one, has to
-/// be in force at each of `instances` within `bound`.
+/// Checks the events of one firm: each accepted version, or a later one, must be active on each of
+/// `instances` within `max_delay`.
 ///
 /// # Errors
-/// The first fault found.
+/// The first violation.
 ///
 /// ```
 /// use std::time::Duration;
@@ -102,9 +101,8 @@
                 content,
                 ..
             } => {
-                // A version nobody was told about may be an apply whose operator
-                // gave up; it must be the same file everywhere, which the check
-                // for reverts sees to.
+                // A version that wasn't reported may come from an apply whose operator gave up. It
+                // must be the same file everywhere, which the `reverts` checker verifies.
                 let file = accepted.get(version).map(|(_, file)| *file);
                 if file.is_some_and(|file| file != content) {
                     return Err(Violation::WrongContent {
@@ -130,7 +128,7 @@
     Ok(())
 }
 
-/// A refused file mustn't be in force anywhere.
+/// Checks that a rejected file is not active anywhere.
 fn check_rejected(events: &[Event], rejected: &str) -> Result<(), Violation> {
     let found = events
         .iter()
@@ -141,7 +139,7 @@
     Ok(())
 }
 
-/// Whether an instance had `version` or a later one in force by `end`.
+/// Returns whether `min_version` or a later one became active on an instance by `deadline`.
 fn activated_by(
     events: &[Event],
     instance_name: &str,
--- a/verbenaspool_standin/src/history/answers.rs
+++ b/verbenaspool_standin/src/history/answers.rs
@@ -1,28 +1,29 @@
-//! The check that each caller got the whole answer to its own request.
+//! Checks that each caller got the complete answer to its own request.
 
 use std::collections::HashMap;
 
 use verbenaspool_protocol::outcome::Outcome;
 
-/// What one caller asked for and got.
+/// The answer expected and received by one caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Names the request within the history.
+    /// Identifies the request within the history.
     pub request: u64,
-    /// The answer that the request has.
+    /// The correct answer to the request.
     pub expected: String,
-    /// The outcome that the caller was told.
+    /// The outcome reported to the caller.
     pub outcome: Outcome,
-    /// What arrived, up to where it ended or broke off.
+    /// The text received until the answer ended or broke off.
     pub received: String,
-    /// Whether it ended as a whole answer does.
+    /// Whether the answer ended like a complete one.
     pub ended: bool,
 }
 
-/// Judges what callers got; returns how many got a whole answer.
+/// Checks the answers that callers received; returns how many are complete.
 ///
-/// An answer that visibly broke off is no violation, as its caller knows.
-/// One that ended must be the caller's own and whole, whatever it was told.
+/// Only answers with the outcome `Ran` are checked. What was received must be the beginning of the
+/// caller's own answer, and all of it if the answer ended. An answer that visibly broke off is no
+/// violation, since its caller knows.
 ///
 /// ```
 /// use verbenaspool_protocol::outcome::Outcome;
@@ -71,23 +72,25 @@
     Ok(complete)
 }
 
-/// A caller got what it must not.
+/// A caller received a wrong answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// An answer that isn't the request's own.
-    #[error("request {request} got another's answer, that of {owner:?}")]
+    /// The answer isn't a beginning of the request's own.
+    #[error("request {request} got an answer that isn't its own, but that of {owner:?}")]
     Foreign {
         /// The request.
         request: u64,
-        /// Whose answer it is, where that can be told.
+        /// The request whose complete answer it is, if any.
         owner: Option<u64>,
     },
-    /// A part of an answer that ended like a whole one.
-    #[error("request {request} got {length} bytes of its answer as if that were all")]
+    /// A truncated answer ended like a complete one.
+    #[error(
+        "request {request} got only {length} bytes of its answer, which ended like a complete one"
+    )]
     Truncated {
         /// The request.
         request: u64,
-        /// How many bytes arrived.
+        /// The number of bytes received.
         length: usize,
     },
 }
--- a/verbenaspool_standin/src/history/mod.rs
+++ b/verbenaspool_standin/src/history/mod.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent runs, and the checkers that judge them.
+//! Histories of concurrent runs and their checkers.
 
 pub mod activation;
 pub mod answers;
--- a/verbenaspool_standin/src/history/outcomes.rs
+++ b/verbenaspool_standin/src/history/outcomes.rs
@@ -1,21 +1,20 @@
-//! The check that the outcomes told to callers are true.
+//! Checks that the outcomes reported to callers are true.
 
 use std::collections::HashSet;
 
 use verbenaspool_protocol::outcome::Outcome;
 
-/// What a caller was told in the end about one request.
+/// The final outcome of a request, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Names the request within the history.
+    /// Identifies the request within the history.
     pub request: String,
     /// The outcome.
     pub outcome: Outcome,
 }
 
-/// Judges what callers were told against what upstreams had begun by the end
-/// of the run, when nothing is on its way any more; returns how many requests
-/// were told "not run".
+/// Checks the reported outcomes against the requests that upstreams had started by the end of the
+/// run, when no request is in flight; returns how many requests were reported as not run.
 ///
 /// ```
 /// use verbenaspool_protocol::outcome::Outcome;
@@ -23,8 +22,8 @@
 ///
 /// let reported = [Entry { request: "net-7".to_owned(), outcome: Outcome::NotRun }];
 /// assert_eq!(check(&reported, ["net-8"]), Ok(1));
-/// let lie = Violation::Ran("net-7".to_owned());
-/// assert_eq!(check(&reported, ["net-7"]), Err(lie));
+/// let violation = Violation::Ran("net-7".to_owned());
+/// assert_eq!(check(&reported, ["net-7"]), Err(violation));
 /// ```
 ///
 /// # Errors
@@ -47,13 +46,13 @@
     Ok(not_run)
 }
 
-/// A caller was told what isn't true.
+/// A caller got a false outcome.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A request ran that was said not to.
-    #[error("the request {0} ran, and its caller was told that it did not")]
+    /// A request ran that was reported as not run.
+    #[error("request {0} ran, but was reported as not run")]
     Ran(String),
-    /// A request was said to have run that no upstream began.
-    #[error("the request {0} was begun by no upstream, and its caller was told that it ran")]
+    /// A request was reported as run that no upstream started.
+    #[error("request {0} was reported as run, but no upstream started it")]
     NotRun(String),
 }
--- a/verbenaspool_standin/src/history/reverts.rs
+++ b/verbenaspool_standin/src/history/reverts.rs
@@ -1,31 +1,30 @@
-//! Checks that a configuration never goes back.
+//! Checks that the active configuration never reverts to an older version.
 //!
-//! Callers of a zone see the instances that are there, not processes: an
-//! instance that is replaced and comes back with an older version has reverted
-//! just as one that steps back while it runs. So an instance's successor is held
-//! to what its predecessor had in force, and no instance may come in force with
-//! a version below what the whole zone had reached before.
+//! Callers of a zone see instances, not processes: an instance whose successor starts with an older
+//! version has reverted, just like one that returns to an older version while it runs. So the
+//! successor, which has the same name, must not activate a version below that of its predecessor.
+//! Instances of different names are not compared with each other.
 
 use std::collections::BTreeMap;
 
-/// What an instance had in force, in the order of the run.
+/// An instance activated a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The availability zone.
     pub zone: String,
-    /// The instance's name, which a successor takes over.
+    /// The name of the instance, which a successor takes over.
     pub instance: String,
     /// The version.
     pub version: u64,
-    /// What the version says, so that two files under one version are told.
+    /// The content of the file, to detect different files with the same version.
     pub content: String,
 }
 
-/// What a history breaks.
+/// An instance activated a wrong file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// An instance, or its successor, went back.
-    #[error("{instance} of {zone} went from version {before} back to {after}")]
+    /// An instance or its successor reverted to an older version.
+    #[error("{instance} of {zone} reverted from version {before} to {after}")]
     Reverted {
         /// The availability zone.
         zone: String,
@@ -36,18 +35,18 @@
         /// The version after.
         after: u64,
     },
-    /// Two files were in force under one version.
-    #[error("version {version} was in force as two files")]
+    /// Two different files were active as the same version.
+    #[error("two files were active as version {version}")]
     Forked {
         /// The version.
         version: u64,
     },
 }
 
-/// Checks the events of one firm.
+/// Checks the events of one firm, in the order of the run.
 ///
 /// # Errors
-/// The first fault found.
+/// The first violation.
 ///
 /// ```
 /// use verbenaspool_standin::history::reverts::{Event, check};
--- a/verbenaspool_standin/src/history/steps.rs
+++ b/verbenaspool_standin/src/history/steps.rs
@@ -1,29 +1,29 @@
-//! The check that all ranks of a group use one expert map in every step.
+//! Checks that all ranks of a group use the same expert map in every step.
 
 use std::collections::BTreeMap;
 
-/// One rank ran one step.
+/// A step run by one rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
     /// The step.
     pub step: u64,
-    /// The rank's seat.
+    /// The seat of the rank.
     pub seat: u16,
-    /// The epoch of the map that the rank used.
+    /// The epoch of the expert map that the rank used.
     pub epoch: u64,
 }
 
-/// Judges what the ranks of one group ran, in the order in which they ran it.
+/// Checks the steps that the ranks of one group ran, in the order in which they ran them.
 ///
 /// ```
 /// use verbenaspool_standin::history::steps::{Entry, Violation, check};
 ///
 /// let entry = |step, seat, epoch| Entry { step, seat, epoch };
-/// let good = [entry(1, 0, 1), entry(1, 1, 1), entry(2, 0, 2), entry(2, 1, 2)];
-/// assert_eq!(check(&good), Ok(2));
-/// let bad = [entry(1, 0, 1), entry(1, 1, 2)];
+/// let valid = [entry(1, 0, 1), entry(1, 1, 1), entry(2, 0, 2), entry(2, 1, 2)];
+/// assert_eq!(check(&valid), Ok(2));
+/// let invalid = [entry(1, 0, 1), entry(1, 1, 2)];
 /// let mixed = Violation::Mixed { step: 1, epochs: [1, 2], seats: [0, 1] };
-/// assert_eq!(check(&bad), Err(mixed));
+/// assert_eq!(check(&invalid), Err(mixed));
 /// ```
 ///
 /// # Errors
@@ -62,7 +62,7 @@
     Ok(steps.len())
 }
 
-/// What is wrong with a history.
+/// A step ran on a wrong map or out of order.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// Two ranks used different maps in one step.
@@ -72,23 +72,23 @@
         step: u64,
         /// The two epochs.
         epochs: [u64; 2],
-        /// The two ranks.
+        /// The seats of the two ranks.
         seats: [u16; 2],
     },
-    /// A rank ran a step again.
+    /// A rank ran a step again, or an earlier one.
     #[error("rank {seat} ran step {step} again")]
     Repeated {
         /// The step.
         step: u64,
-        /// The rank.
+        /// The seat of the rank.
         seat: u16,
     },
-    /// A rank went back to an older map.
-    #[error("step {step}: rank {seat} went back from epoch {} to {}", epochs[0], epochs[1])]
+    /// A rank returned to an older map.
+    #[error("step {step}: rank {seat} returned from epoch {} to {}", epochs[0], epochs[1])]
     Reverted {
         /// The step.
         step: u64,
-        /// The rank.
+        /// The seat of the rank.
         seat: u16,
         /// The epochs before and after.
         epochs: [u64; 2],
--- a/verbenaspool_standin/src/history/writes.rs
+++ b/verbenaspool_standin/src/history/writes.rs
@@ -1,11 +1,11 @@
-//! The check that no write ran twice.
+//! Checks that no write ran twice.
 
 use std::collections::{HashMap, HashSet};
 
-/// Judges the writes that ran, as all instances of a service recorded them,
-/// against those that callers asked for; returns how many ran.
+/// Checks the writes that ran, as all instances of a service recorded them, against those that
+/// callers requested; returns how many ran.
 ///
-/// A write is named by its caller's key, which a repeat of it carries too.
+/// A write is identified by its caller's key, which a retry carries too.
 ///
 /// ```
 /// use verbenaspool_standin::history::writes::{Violation, check};
@@ -50,13 +50,13 @@
     runs.values().map(|runs| runs - 1).sum()
 }
 
-/// A write ran that must not.
+/// A write ran that must not run.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A write ran a second time.
-    #[error("the write {0} ran twice")]
+    /// A write ran more than once.
+    #[error("write {0} ran twice")]
     Twice(String),
-    /// A write ran that no caller asked for.
-    #[error("the write {0} ran, and nobody asked for it")]
+    /// A write ran that no caller requested.
+    #[error("write {0} ran, but no caller requested it")]
     Unrequested(String),
 }
