--- a/verbenaspool_standin/src/history/answers.rs
+++ b/verbenaspool_standin/src/history/answers.rs
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// The answer isn't a beginning of the request's own.
-    #[error("request {request} got an answer that isn't its own, but that of {owner:?}")]
+    #[error("request {request} got an answer that isn't its own (that of request {owner:?})")]
     Foreign {
         /// The request.
         request: u64,
--- a/verbenaspool_standin/src/history/reverts.rs
+++ b/verbenaspool_standin/src/history/reverts.rs
@@ -3,7 +3,7 @@
 //! Callers of a zone see instances, not processes: an instance whose successor starts with an older
 //! version has reverted, just like one that returns to an older version while it runs. So the
 //! successor, which has the same name, must not activate a version below that of its predecessor.
-//! Instances of different names are not compared with each other.
+//! The versions of instances with different names are not compared.
 
 use std::collections::BTreeMap;
 
