--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -30,21 +30,21 @@
 };
 
 use crate::support::{
-    FIRM, Instance, accepted, all_reach, apply, client, file, name, order, platform, run,
+    FIRM, Instance, accepted, all_activate, apply, client, file, name, platform, request, run,
 };
 
 /// A store that counts its calls.
 #[derive(Default)]
-struct Counter(Cell<u32>);
+struct CountingStore(Cell<u32>);
 
-impl Counter {
+impl CountingStore {
     fn count<'a, T: 'a>(&'a self, answer: T) -> Answer<'a, T> {
         self.0.set(self.0.get() + 1);
         Box::pin(async move { Ok(answer) })
     }
 }
 
-impl Store for Counter {
+impl Store for CountingStore {
     fn get<'a>(&'a self, _: &'a str) -> Answer<'a, Option<Object>> {
         self.count(None)
     }
@@ -74,7 +74,10 @@
 #[test]
 fn calls_stay_within_the_budget() {
     run(async {
-        let (counter, clock) = (Rc::new(Counter::default()), Rc::new(Paused::default()));
+        let (counter, clock) = (
+            Rc::new(CountingStore::default()),
+            Rc::new(Paused::default()),
+        );
         let settings = budget::Settings::default();
         let store = Budget::new(counter.clone(), clock.clone(), settings);
         for _ in 0..1_000 {
@@ -83,12 +86,12 @@
                 store.get("firms/tidewater/pieces/1").await.unwrap();
             });
         }
-        for (seconds, most) in [(0, 90), (1, 135), (2, 180)] {
+        for (seconds, max_calls) in [(0, 90), (1, 135), (2, 180)] {
             if seconds > 0 {
                 clock.advance(Duration::from_secs(1));
             }
             monoio::time::sleep(Duration::from_millis(5)).await;
-            assert_eq!(counter.0.get(), most, "after {seconds} s");
+            assert_eq!(counter.0.get(), max_calls, "after {seconds} s");
         }
         // A status is dropped rather than queued behind them.
         let key = "firms/tidewater/status/bowen";
@@ -101,27 +104,27 @@
 }
 
 #[test]
-fn status_tells_where_a_version_is_in_force() {
+fn status_reports_where_a_version_is_active() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        let first = apply(&*store, order(FIRM, 1, "apply-1")).await;
+        let first = apply(&*store, request(FIRM, 1, "apply-1")).await;
         assert!(accepted(&first).is_some());
         let instances = [Instance::start(1, client(&platform, FIRM), &[], 1)];
-        assert!(all_reach(&instances, 1).await);
+        assert!(all_activate(&instances, 1).await);
         let source = instances[0].source.clone();
         monoio::spawn(publish(source, client(&platform, FIRM), name("bowen")));
         monoio::time::sleep(status::PERIOD + Duration::from_millis(300)).await;
         let firm = name(FIRM);
-        let pause = status::PERIOD * 3 / 2;
-        let report = status::read(&*store, &firm, pause).await.unwrap();
+        let max_age = status::PERIOD * 3 / 2;
+        let report = status::read(&*store, &firm, max_age).await.unwrap();
         assert_eq!((report.accepted, report.in_force), (Version(1), true));
         assert!(report.zones[0].heard);
         // The instance dies: its last status stands, and is told to be old.
         let [instance] = instances;
         instance.crash();
         monoio::time::sleep(status::PERIOD).await;
-        let report = status::read(&*store, &firm, pause).await.unwrap();
+        let report = status::read(&*store, &firm, max_age).await.unwrap();
         assert!(!report.zones[0].heard && !report.in_force);
     });
 }
@@ -142,9 +145,9 @@
             decisions: Decisions::default(),
         };
         large.services = vec![service];
-        let room = piece::MAX_PIECE_BYTES - 600;
-        large.services[0].path = format!("/{}/", "x".repeat(room));
-        let mut fits = order(FIRM, 1, "apply-1");
+        let path_length = piece::MAX_PIECE_BYTES - 600;
+        large.services[0].path = format!("/{}/", "x".repeat(path_length));
+        let mut fits = request(FIRM, 1, "apply-1");
         fits.split = piece::split(&large).unwrap();
         assert_eq!(accepted(&apply(&*store, fits).await), Some(Version(1)));
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
@@ -162,11 +165,11 @@
 // The platform refuses the pieces of an apply as too large or not ours. Nothing
 // may be accepted, and the operator hears why.
 #[test]
-fn refused_pieces() {
+fn rejected_pieces() {
     run(async {
         let platform = platform();
         let other = client(&platform, "quetzal");
-        let outcome = apply(&*other, order(FIRM, 1, "apply-1")).await;
+        let outcome = apply(&*other, request(FIRM, 1, "apply-1")).await;
         assert!(matches!(outcome, Outcome::Failed(_)), "{outcome:?}");
         platform.set(|faults| *faults = Faults::default());
         platform.with(|objects| assert!(objects.list("firms/").is_empty()));
@@ -176,7 +179,7 @@
 // A peer passes on what is old, garbled, or another firm's. What is in force
 // must stay, whatever comes.
 #[test]
-fn garbage_from_peers() {
+fn invalid_heads_from_peers() {
     let split = piece::split(&file(FIRM, 1)).unwrap();
     let head = |version: u64, root: Hash| {
         let first = Head::first("apply", root);
@@ -197,15 +200,15 @@
         ("other file", head(5, other.root), Verdict::Corrupt),
         ("raised version", raised, Verdict::Corrupt),
     ];
-    for (story, head, verdict) in cases {
-        assert_eq!(adoption.offer(head), verdict, "{story}");
+    for (case, head, verdict) in cases {
+        assert_eq!(adoption.offer(head), verdict, "{case}");
     }
     assert_eq!(adoption.offer(head(6, other.root)), Verdict::New);
     for (hash, bytes) in &other.pieces {
         adoption.insert_piece(*hash, bytes).unwrap();
     }
-    let refused = adoption.poll(Duration::from_secs(1), 1);
-    assert!(matches!(refused, Err(Error::Firm { .. })), "{refused:?}");
+    let rejected = adoption.poll(Duration::from_secs(1), 1);
+    assert!(matches!(rejected, Err(Error::Firm { .. })), "{rejected:?}");
     let current = adoption.current().map(|adopted| adopted.version());
     assert_eq!(current, Some(Version(5)));
     // A later version of the firm still comes in force.
@@ -223,7 +226,7 @@
         ("other silent for the bound", 2, false, 1_000, true),
         ("other holds it", 2, true, 0, true),
     ];
-    for (story, alive, holds, at, in_force) in cases {
+    for (case, alive, other_holds, at_ms, active) in cases {
         let split = piece::split(&file(FIRM, 1)).unwrap();
         let mut adoption = Adoption::new(name(FIRM), Settings::default());
         adoption.offer(Head::first("apply", split.root));
@@ -231,28 +234,28 @@
             adoption.insert_piece(*hash, bytes).unwrap();
         }
         let early = adoption.poll(Duration::ZERO, alive.max(2)).unwrap();
-        assert!(early.is_none(), "{story}");
-        if holds {
+        assert!(early.is_none(), "{case}");
+        if other_holds {
             adoption.set_peer_version(&name("entry-2"), Version(1));
         }
-        let adopted = adoption.poll(Duration::from_millis(at), alive).unwrap();
-        assert_eq!(adopted.is_some(), in_force, "{story}");
+        let adopted = adoption.poll(Duration::from_millis(at_ms), alive).unwrap();
+        assert_eq!(adopted.is_some(), active, "{case}");
     }
 }
 
-// The order's type is what the operators' command builds; its id settles it.
+// The request's type is what the operators' command builds; its id settles it.
 #[test]
-fn same_id_settles() {
+fn same_id_gets_the_outcome() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        let first: Request = order(FIRM, 1, "apply-1");
+        let first: Request = request(FIRM, 1, "apply-1");
         platform.set(|faults| {
             faults.answers_before_loss = 3;
             faults.lost_answers = 50;
         });
-        let within = Duration::from_millis(400);
-        let lost = verbenaspool_transport::config::apply(&*store, first.clone(), within, 7).await;
+        let timeout = Duration::from_millis(400);
+        let lost = verbenaspool_transport::config::apply(&*store, first.clone(), timeout, 7).await;
         platform.set(|faults| *faults = Faults::default());
         let settled = apply(&*store, first).await;
         assert_eq!(accepted(&settled), Some(Version(1)), "{lost:?}");
@@ -272,11 +275,11 @@
             ..large.customers[0].clone()
         };
         large.customers = (0..3_000).map(customer).collect();
-        for mark in 1..=3 {
-            large.customers[7].share = mark;
-            let mut order = order(FIRM, mark, &format!("apply-{mark}"));
-            order.split = piece::split(&large).unwrap();
-            assert!(accepted(&apply(&*store, order).await).is_some());
+        for marker in 1..=3 {
+            large.customers[7].share = marker;
+            let mut request = request(FIRM, marker, &format!("apply-{marker}"));
+            request.split = piece::split(&large).unwrap();
+            assert!(accepted(&apply(&*store, request).await).is_some());
         }
         let before = platform.calls().reads;
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
@@ -294,7 +297,7 @@
 #[test]
 fn stream_of_changes() {
     // Customers, and versions that may come in force within ten seconds.
-    for (customers, least, most) in [(10_u32, 9, 10), (16_000, 3, 6)] {
+    for (customers, min, max) in [(10_u32, 9, 10), (16_000, 3, 6)] {
         let firm = name(FIRM);
         let mut large = file(FIRM, 1);
         let customer = |i: u32| verbenaspool_state::customer::Customer {
@@ -319,7 +322,7 @@
         }
         assert!(versions.is_sorted(), "{versions:?}");
         let count = versions.len();
-        assert!((least..=most).contains(&count), "{customers}: {versions:?}");
+        assert!((min..=max).contains(&count), "{customers}: {versions:?}");
     }
 }
 
@@ -338,30 +341,30 @@
             platform.with(|objects| objects.put(&key, text.into()));
         };
         (0..300).for_each(|number| put(number, "bowen"));
-        let seen = Rc::new(Cell::new((0, 0)));
-        let told = Rc::clone(&seen);
+        let observed = Rc::new(Cell::new((0, 0)));
+        let last_seen = Rc::clone(&observed);
         let (stop, signal) = shutdown::channel();
         let follower = Follower::new(client(&platform, FIRM), &name(FIRM));
         let changed = move |list: &[Upstream]| {
             let moved = list.iter().filter(|u| u.zone == name("tweed")).count();
-            told.set((list.len(), moved));
+            last_seen.set((list.len(), moved));
         };
         monoio::spawn(follower.run(Monotonic::start(), 7, signal, changed));
-        let reach = async |wanted| {
+        let wait_until = async |wanted| {
             for _ in 0..500 {
-                if seen.get() == wanted {
+                if observed.get() == wanted {
                     return;
                 }
                 monoio::time::sleep(Duration::from_millis(10)).await;
             }
-            panic!("{:?} instead of {wanted:?}", seen.get());
+            panic!("{:?} instead of {wanted:?}", observed.get());
         };
-        reach((300, 0)).await;
+        wait_until((300, 0)).await;
         platform.set(|faults| faults.watch = Watch::Reordered);
         let before = platform.calls().reads;
         (0..5).for_each(|number| put(number, "tweed"));
         platform.with(|objects| objects.delete(&format!("firms/{FIRM}/instances/loft-9")));
-        reach((299, 5)).await;
+        wait_until((299, 5)).await;
         let reads = platform.calls().reads - before;
         assert!(reads <= 30, "{reads} reads");
         stop.fire();
--- a/verbenaspool_standin/tests/config/main.rs
+++ b/verbenaspool_standin/tests/config/main.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use support::{FIRM, Instance, accepted, apply, client, mark, order, platform, run};
+use support::{FIRM, Instance, accepted, apply, client, marker, platform, request, run};
 use verbenaspool_standin::platform::Faults;
 use verbenaspool_state::version::Version;
 use verbenaspool_transport::platform::{Error, Store, When};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn accepted_file_comes_in_force() {
+fn accepted_file_becomes_active() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
@@ -49,10 +49,10 @@
         assert!(source.current().is_none());
         for version in 1..4 {
             let id = format!("apply-{version}");
-            let outcome = apply(&*store, order(FIRM, version, &id)).await;
+            let outcome = apply(&*store, request(FIRM, version, &id)).await;
             assert_eq!(accepted(&outcome), Some(Version(version.into())));
             let adopted = source.above(Version(u64::from(version) - 1)).await;
-            assert_eq!(mark(&adopted.file), version);
+            assert_eq!(marker(&adopted.file), version);
         }
     });
 }
@@ -79,15 +79,15 @@
         run(async move {
             let platform = platform();
             let store = client(&platform, FIRM);
-            let first = apply(&*store, order(FIRM, 1, "apply-1")).await;
+            let first = apply(&*store, request(FIRM, 1, "apply-1")).await;
             assert_eq!(accepted(&first), Some(Version(1)), "{fault}");
             platform.set(set);
-            let second = apply(&*store, order(FIRM, 2, "apply-2")).await;
+            let second = apply(&*store, request(FIRM, 2, "apply-2")).await;
             assert_eq!(accepted(&second), Some(Version(2)), "{fault}");
             platform.set(|faults| *faults = Faults::default());
             // The same apply again only tells what became of it.
-            let again = apply(&*store, order(FIRM, 2, "apply-2")).await;
-            assert_eq!(accepted(&again), Some(Version(2)), "{fault}");
+            let repeated = apply(&*store, request(FIRM, 2, "apply-2")).await;
+            assert_eq!(accepted(&repeated), Some(Version(2)), "{fault}");
         });
     }
 }
--- a/verbenaspool_standin/tests/config/support.rs
+++ b/verbenaspool_standin/tests/config/support.rs
@@ -58,11 +58,11 @@
     }))
 }
 
-/// A file whose customers differ with `mark`.
-pub fn file(firm: &str, mark: u32) -> File {
+/// A file whose customers differ with `marker`.
+pub fn file(firm: &str, marker: u32) -> File {
     let customer = |i: u32| Customer {
         name: name(&format!("customer-{i}")),
-        share: 1 + mark * u32::from(i == 0),
+        share: 1 + marker * u32::from(i == 0),
         credentials: Vec::new(),
         services: Vec::new(),
     };
@@ -74,19 +74,19 @@
     }
 }
 
-/// What a file says, by its mark.
-pub fn mark(file: &File) -> u32 {
+/// What a file says, by its marker.
+pub fn marker(file: &File) -> u32 {
     let first = file.customers.iter().find(|c| c.name == name("customer-0"));
     first.map_or(0, |customer| customer.share - 1)
 }
 
-/// An order to apply that file.
-pub fn order(firm: &str, mark: u32, id: &str) -> Request {
+/// Builds a request to apply that file.
+pub fn request(firm: &str, marker: u32, id: &str) -> Request {
     Request {
         firm: name(firm),
         id: id.to_owned(),
         expected_version: None,
-        split: piece::split(&file(firm, mark)).expect("the file fits"),
+        split: piece::split(&file(firm, marker)).expect("the file fits"),
     }
 }
 
@@ -158,10 +158,10 @@
 
 /// Waits until all instances have `version` or a later one in force; false if
 /// that takes over 9 s.
-pub async fn all_reach(instances: &[Instance], version: u64) -> bool {
+pub async fn all_activate(instances: &[Instance], version: u64) -> bool {
     for _ in 0..900 {
-        let reached = |i: &Instance| i.source.version() >= Version(version);
-        if instances.iter().all(reached) {
+        let has_activated = |i: &Instance| i.source.version() >= Version(version);
+        if instances.iter().all(has_activated) {
             return true;
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
--- a/verbenaspool_standin/tests/config/zone.rs
+++ b/verbenaspool_standin/tests/config/zone.rs
@@ -11,11 +11,12 @@
 use verbenaspool_transport::clock::{Clock, Monotonic};
 
 use crate::support::{
-    FIRM, Instance, accepted, all_reach, apply, client, client_at, mark, order, platform, run,
+    FIRM, Instance, accepted, all_activate, apply, client, client_at, marker, platform, request,
+    run,
 };
 
 /// The bound within which an accepted file has to be in force.
-const BOUND: Duration = Duration::from_secs(9);
+const MAX_ACTIVATION_DELAY: Duration = Duration::from_secs(9);
 
 /// What is recorded of a run, for both checkers.
 struct Record {
@@ -34,18 +35,18 @@
     }
 
     /// Records what comes in force at an instance until it is dropped.
-    fn follow(self: &Rc<Self>, text: &str, instance: &Instance) {
+    fn follow(self: &Rc<Self>, name: &str, instance: &Instance) {
         let (record, source) = (Rc::clone(self), Rc::clone(&instance.source));
-        let text = text.to_owned();
+        let name = name.to_owned();
         monoio::spawn(async move {
             let mut seen = Version(0);
             loop {
                 let adopted = source.above(seen).await;
                 seen = adopted.version();
-                let content = mark(&adopted.file).to_string();
+                let content = marker(&adopted.file).to_string();
                 record.reverts.borrow_mut().push(reverts::Event {
                     zone: "bowen".to_owned(),
-                    instance: text.clone(),
+                    instance: name.clone(),
                     version: seen.0,
                     content: content.clone(),
                 });
@@ -54,7 +55,7 @@
                     .borrow_mut()
                     .push(activation::Event::Activated {
                         at: record.clock.now(),
-                        instance: text.clone(),
+                        instance: name.clone(),
                         version: seen.0,
                         content,
                     });
@@ -62,9 +63,9 @@
         });
     }
 
-    /// Records what an operator was told.
-    fn told(&self, mark: u32, outcome: &Outcome) {
-        let content = mark.to_string();
+    /// Records the outcome that an operator got.
+    fn record_outcome(&self, marker: u32, outcome: &Outcome) {
+        let content = marker.to_string();
         let event = match outcome {
             Outcome::Accepted { version, .. } => activation::Event::Accepted {
                 at: self.clock.now(),
@@ -95,7 +96,10 @@
         }
         assert_eq!(reverts::check(&self.reverts.borrow()), Ok(()));
         let events = self.activations.borrow();
-        assert_eq!(activation::check(&events, instances, BOUND), Ok(()));
+        assert_eq!(
+            activation::check(&events, instances, MAX_ACTIVATION_DELAY),
+            Ok(())
+        );
     }
 }
 
@@ -111,7 +115,7 @@
 }
 
 /// Waits until all instances know each other.
-async fn settle(instances: &[Instance]) {
+async fn wait_for_membership(instances: &[Instance]) {
     for _ in 0..500 {
         if instances
             .iter()
@@ -125,16 +129,16 @@
 }
 
 #[test]
-fn few_watch_and_all_adopt() {
+fn all_instances_adopt_versions() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
         let instances = zone(&platform, 7);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         for version in 1..=5 {
-            let outcome = apply(&*store, order(FIRM, version, &format!("{version}"))).await;
+            let outcome = apply(&*store, request(FIRM, version, &format!("{version}"))).await;
             assert!(accepted(&outcome).is_some());
-            assert!(all_reach(&instances, version.into()).await);
+            assert!(all_activate(&instances, version.into()).await);
         }
         let first = instances.iter().find(|i| i.source.first()).unwrap();
         monoio::time::sleep(Duration::from_millis(500)).await;
@@ -161,16 +165,16 @@
             let store = client(&platform, FIRM);
             operators.push(monoio::spawn(async move {
                 for turn in 0..5 {
-                    let mark = operator * 10 + turn + 1;
-                    let order = order(FIRM, mark, &format!("apply-{mark}"));
-                    record.told(mark, &apply(&*store, order).await);
+                    let marker = operator * 10 + turn + 1;
+                    let request = request(FIRM, marker, &format!("apply-{marker}"));
+                    record.record_outcome(marker, &apply(&*store, request).await);
                 }
             }));
         }
         let other = client(&platform, "quetzal");
         for turn in 1..=5 {
-            let order = order("quetzal", turn, &format!("q-{turn}"));
-            let outcome = apply(&*other, order).await;
+            let request = request("quetzal", turn, &format!("q-{turn}"));
+            let outcome = apply(&*other, request).await;
             assert_eq!(accepted(&outcome), Some(Version(turn.into())));
         }
         for operator in operators {
@@ -180,7 +184,7 @@
         let accepted = |e: &&activation::Event| matches!(e, activation::Event::Accepted { .. });
         let versions = events.iter().filter(accepted).count();
         assert!(versions >= 5, "{events:?}");
-        assert!(all_reach(&instances, versions as u64).await);
+        assert!(all_activate(&instances, versions as u64).await);
         record
             .check(&["entry-0", "entry-1", "entry-2"], versions as u64)
             .await;
@@ -194,8 +198,8 @@
 // and twice. Files must come in force within the bound all the same, because
 // the watch is only a hint to read.
 #[test]
-fn watch_lies() {
-    for lie in [Watch::Stale, Watch::Gaps, Watch::Reordered] {
+fn watch_loses_and_reorders_changes() {
+    for watch_fault in [Watch::Stale, Watch::Gaps, Watch::Reordered] {
         run(async move {
             let platform = platform();
             let instances = zone(&platform, 2);
@@ -203,13 +207,13 @@
             for (i, instance) in instances.iter().enumerate() {
                 record.follow(&format!("entry-{i}"), instance);
             }
-            platform.set(|faults| faults.watch = lie);
+            platform.set(|faults| faults.watch = watch_fault);
             let store = client(&platform, FIRM);
-            for mark in 1..=3 {
-                let order = order(FIRM, mark, &format!("apply-{mark}"));
-                record.told(mark, &apply(&*store, order).await);
+            for marker in 1..=3 {
+                let request = request(FIRM, marker, &format!("apply-{marker}"));
+                record.record_outcome(marker, &apply(&*store, request).await);
             }
-            assert!(all_reach(&instances, 3).await, "{lie:?}");
+            assert!(all_activate(&instances, 3).await, "{watch_fault:?}");
             record.check(&["entry-0", "entry-1"], 3).await;
         });
     }
@@ -225,19 +229,19 @@
         let store = client(&platform, FIRM);
         let record = Record::new();
         let mut instances = zone(&platform, 3);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         for (i, instance) in instances.iter().enumerate() {
             record.follow(&format!("entry-{i}"), instance);
         }
-        for mark in 1..=2 {
-            let order = order(FIRM, mark, &format!("apply-{mark}"));
-            record.told(mark, &apply(&*store, order).await);
+        for marker in 1..=2 {
+            let request = request(FIRM, marker, &format!("apply-{marker}"));
+            record.record_outcome(marker, &apply(&*store, request).await);
         }
-        assert!(all_reach(&instances, 2).await);
+        assert!(all_activate(&instances, 2).await);
         platform.set(|faults| faults.down = true);
-        let failed = apply(&*store, order(FIRM, 9, "apply-9")).await;
+        let failed = apply(&*store, request(FIRM, 9, "apply-9")).await;
         assert!(matches!(failed, Outcome::Failed(_)), "{failed:?}");
-        record.told(9, &failed);
+        record.record_outcome(9, &failed);
         for number in 0..3_u32 {
             instances.remove(0).crash();
             let seeds: Vec<_> = instances.iter().map(|i| i.control).collect();
@@ -245,11 +249,11 @@
             let successor = Instance::start(number, store, &seeds, 100 + u64::from(number));
             record.follow(&format!("entry-{number}"), &successor);
             instances.push(successor);
-            assert!(all_reach(&instances, 2).await, "entry-{number}");
+            assert!(all_activate(&instances, 2).await, "entry-{number}");
         }
         platform.set(|faults| *faults = Faults::default());
-        record.told(3, &apply(&*store, order(FIRM, 3, "apply-3")).await);
-        assert!(all_reach(&instances, 3).await);
+        record.record_outcome(3, &apply(&*store, request(FIRM, 3, "apply-3")).await);
+        assert!(all_activate(&instances, 3).await);
         record.check(&["entry-0", "entry-1", "entry-2"], 3).await;
     });
 }
@@ -262,10 +266,10 @@
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        assert!(accepted(&apply(&*store, order(FIRM, 1, "apply-1")).await).is_some());
+        assert!(accepted(&apply(&*store, request(FIRM, 1, "apply-1")).await).is_some());
         platform.set(|faults| faults.down = true);
         let instances = zone(&platform, 3);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         monoio::time::sleep(Duration::from_millis(300)).await;
         for instance in &instances {
             assert!(instance.source.current().is_none());
@@ -273,7 +277,7 @@
         let watcher = instances.iter().find(|i| i.source.first()).unwrap();
         assert!(watcher.source.trouble().is_some());
         platform.set(|faults| *faults = Faults::default());
-        assert!(all_reach(&instances, 1).await);
+        assert!(all_activate(&instances, 1).await);
     });
 }
 
@@ -281,27 +285,30 @@
 // still reaches it a watcher or not. Accepted files must come in force at all.
 #[test]
 fn one_still_reaches_the_platform() {
-    for reaching in 0..3 {
+    for connected_instance in 0..3 {
         run(async move {
             let platform = platform();
             let store = client(&platform, FIRM);
-            let nowhere = ([127, 0, 0, 1], 9).into();
+            let unreachable = ([127, 0, 0, 1], 9).into();
             let mut instances: Vec<Instance> = Vec::new();
             for number in 0..3_u32 {
                 let seeds: Vec<_> = instances.iter().map(|i| i.control).take(1).collect();
-                let reach = if number == reaching {
+                let address = if number == connected_instance {
                     platform.address()
                 } else {
-                    nowhere
+                    unreachable
                 };
-                let store = client_at(reach, FIRM);
+                let store = client_at(address, FIRM);
                 instances.push(Instance::start(number, store, &seeds, number.into()));
             }
-            settle(&instances).await;
+            wait_for_membership(&instances).await;
             for version in 1..=3 {
-                let order = order(FIRM, version, &format!("apply-{version}"));
-                assert!(accepted(&apply(&*store, order).await).is_some());
-                assert!(all_reach(&instances, version.into()).await, "{reaching}");
+                let request = request(FIRM, version, &format!("apply-{version}"));
+                assert!(accepted(&apply(&*store, request).await).is_some());
+                assert!(
+                    all_activate(&instances, version.into()).await,
+                    "{connected_instance}"
+                );
             }
         });
     }
@@ -314,10 +321,10 @@
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        assert!(accepted(&apply(&*store, order(FIRM, 1, "apply-1")).await).is_some());
+        assert!(accepted(&apply(&*store, request(FIRM, 1, "apply-1")).await).is_some());
         let instances = zone(&platform, 2);
-        settle(&instances).await;
-        assert!(all_reach(&instances, 1).await);
+        wait_for_membership(&instances).await;
+        assert!(all_activate(&instances, 1).await);
         let seeds = [instances[0].control];
         let successor = Instance::start(1, client(&platform, FIRM), &seeds, 50);
         for _ in 0..500 {
@@ -332,16 +339,16 @@
 }
 
 #[test]
-fn checkers_refuse_bad_histories() {
+fn checkers_reject_invalid_histories() {
     let event = |instance: &str, version, content: &str| reverts::Event {
         zone: "bowen".to_owned(),
         instance: instance.to_owned(),
         version,
         content: content.to_owned(),
     };
-    let back = [event("a", 1, "x"), event("a", 2, "y"), event("a", 1, "x")];
+    let reverted = [event("a", 1, "x"), event("a", 2, "y"), event("a", 1, "x")];
     assert!(matches!(
-        reverts::check(&back),
+        reverts::check(&reverted),
         Err(reverts::Violation::Reverted { .. })
     ));
     let forked = [event("a", 1, "x"), event("b", 1, "y")];
@@ -357,30 +364,36 @@
         version,
         content: text(content),
     };
-    let reached = |at, version, content| activation::Event::Activated {
+    let activated = |at, version, content| activation::Event::Activated {
         at,
         instance: text("a"),
         version,
         content: text(content),
     };
     let rejected = activation::Event::Rejected { content: text("x") };
-    let late = at + BOUND + Duration::from_millis(1);
+    let late = at + MAX_ACTIVATION_DELAY + Duration::from_millis(1);
     let cases = [
-        ("late", vec![accepted(1, "x"), reached(late, 1, "x")]),
+        ("late", vec![accepted(1, "x"), activated(late, 1, "x")]),
         ("never", vec![accepted(1, "x")]),
-        ("other file", vec![accepted(1, "x"), reached(at, 1, "y")]),
-        ("rejected", vec![rejected, reached(at, 1, "x")]),
+        ("other file", vec![accepted(1, "x"), activated(at, 1, "y")]),
+        ("rejected", vec![rejected, activated(at, 1, "x")]),
         (
             "two as one",
-            vec![accepted(1, "x"), accepted(1, "y"), reached(at, 1, "x")],
+            vec![accepted(1, "x"), accepted(1, "y"), activated(at, 1, "x")],
         ),
     ];
-    for (story, events) in cases {
+    for (case, events) in cases {
         assert!(
-            activation::check(&events, &["a"], BOUND).is_err(),
-            "{story}"
+            activation::check(&events, &["a"], MAX_ACTIVATION_DELAY).is_err(),
+            "{case}"
         );
     }
-    let good = [accepted(1, "x"), reached(at + BOUND, 1, "x")];
-    assert_eq!(activation::check(&good, &["a"], BOUND), Ok(()));
+    let valid = [
+        accepted(1, "x"),
+        activated(at + MAX_ACTIVATION_DELAY, 1, "x"),
+    ];
+    assert_eq!(
+        activation::check(&valid, &["a"], MAX_ACTIVATION_DELAY),
+        Ok(())
+    );
 }
--- a/verbenaspool_standin/tests/history.rs
+++ b/verbenaspool_standin/tests/history.rs
@@ -36,9 +36,9 @@
             foreign(None),
         ),
     ];
-    for (name, entry, verdict) in table {
+    for (case, entry, verdict) in table {
         let other = answer(2, "answer 2.", true);
-        assert_eq!(answers::check(&[entry, other]), verdict, "{name}");
+        assert_eq!(answers::check(&[entry, other]), verdict, "{case}");
     }
 }
 
@@ -51,9 +51,9 @@
         ("twice", &["a", "b", "a"], Err(Twice("a".to_owned()))),
         ("unrequested", &["c"], Err(Unrequested("c".to_owned()))),
     ];
-    for (name, ran, verdict) in table {
+    for (case, ran, verdict) in table {
         let checked = writes::check(["a", "b"], ran.iter().copied());
-        assert_eq!(checked, verdict, "{name}");
+        assert_eq!(checked, verdict, "{case}");
     }
 }
 
