--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds: what the platform is asked for, and how large a file may be.
+//! Limits on calls to the platform and on the size of files, and robustness against invalid input.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -33,7 +33,7 @@
     FIRM, Instance, accepted, all_activate, apply, client, file, name, platform, request, run,
 };
 
-/// A store that counts its calls.
+/// A store that only counts the calls to it.
 #[derive(Default)]
 struct CountingStore(Cell<u32>);
 
@@ -69,8 +69,8 @@
     }
 }
 
-// The platform comes back after an outage and an instance has a thousand pieces
-// to read. Read all at once, by every instance, they would take it down again.
+/// Guards against overloading the platform as it comes back from an outage: an instance that has
+/// a thousand pieces to read must not read them all at once.
 #[test]
 fn calls_stay_within_the_budget() {
     run(async {
@@ -93,7 +93,7 @@
             monoio::time::sleep(Duration::from_millis(5)).await;
             assert_eq!(counter.0.get(), max_calls, "after {seconds} s");
         }
-        // A status is dropped rather than queued behind them.
+        // A status write is dropped rather than queued behind the reads.
         let key = "firms/tidewater/status/bowen";
         let dropped = store.put(key, Bytes::new(), When::Always).await;
         assert_eq!(dropped, Err(platform::Error::Busy));
@@ -120,7 +120,7 @@
         let report = status::read(&*store, &firm, max_age).await.unwrap();
         assert_eq!((report.accepted, report.in_force), (Version(1), true));
         assert!(report.zones[0].heard);
-        // The instance dies: its last status stands, and is told to be old.
+        // After a crash, the last status remains in the store and is reported as outdated.
         let [instance] = instances;
         instance.crash();
         monoio::time::sleep(status::PERIOD).await;
@@ -129,8 +129,8 @@
     });
 }
 
-// Files grow until they don't fit. At the limit they must be accepted and come
-// in force; over it nothing may be accepted, in part or whole.
+/// Guards against partly accepted files: a file at the size limit is accepted and becomes active,
+/// and one above it is rejected as a whole.
 #[test]
 fn large_files() {
     run(async {
@@ -162,8 +162,8 @@
     });
 }
 
-// The platform refuses the pieces of an apply as too large or not ours. Nothing
-// may be accepted, and the operator hears why.
+/// Guards against an apply that is accepted without its pieces. The platform rejects the pieces
+/// because the token belongs to another firm; the apply fails and stores nothing.
 #[test]
 fn rejected_pieces() {
     run(async {
@@ -176,8 +176,8 @@
     });
 }
 
-// A peer passes on what is old, garbled, or another firm's. What is in force
-// must stay, whatever comes.
+/// Guards against losing the active file when a peer sends a head that is old, corrupt or another
+/// firm's.
 #[test]
 fn invalid_heads_from_peers() {
     let split = piece::split(&file(FIRM, 1)).unwrap();
@@ -211,19 +211,19 @@
     assert!(matches!(rejected, Err(Error::Firm { .. })), "{rejected:?}");
     let current = adoption.current().map(|adopted| adopted.version());
     assert_eq!(current, Some(Version(5)));
-    // A later version of the firm still comes in force.
+    // A later version of the firm can still become active.
     assert_eq!(adoption.offer(head(7, split.root)), Verdict::New);
     assert!(adoption.poll(Duration::from_secs(2), 1).unwrap().is_some());
 }
 
-// A version waits until a second instance holds it, and no longer than the bound
-// when the other can't be reached.
+/// Guards against the loss of a version with the only instance that has it: a version becomes
+/// active only when a second instance holds it, or after a bounded wait.
 #[test]
 fn second_holder() {
     let cases = [
         ("alone", 1, false, 0, true),
         ("other silent", 2, false, 999, false),
-        ("other silent for the bound", 2, false, 1_000, true),
+        ("other silent for the maximum wait", 2, false, 1_000, true),
         ("other holds it", 2, true, 0, true),
     ];
     for (case, alive, other_holds, at_ms, active) in cases {
@@ -243,7 +243,8 @@
     }
 }
 
-// The request's type is what the operators' command builds; its id settles it.
+/// Guards against a second version when an operator repeats an apply whose answers were lost: the
+/// same id must return the outcome of the first request.
 #[test]
 fn same_id_gets_the_outcome() {
     run(async {
@@ -262,8 +263,8 @@
     });
 }
 
-// Every instance of a large firm's zone was replaced. Reading thousands of
-// pieces one by one within the budget would keep it from serving for minutes.
+/// Guards against a slow start of a large firm's instances. Reading thousands of pieces one by one
+/// within the call budget would take minutes, so they are read from bundles.
 #[test]
 fn large_firm_is_read_in_few_calls() {
     run(async {
@@ -285,18 +286,18 @@
         let instance = Instance::start(1, client(&platform, FIRM), &[], 1);
         let adopted = instance.source.above(Version(2)).await;
         assert_eq!(adopted.file.customers.len(), 3_000);
-        // The bundles are two versions old; what changed since is read besides.
+        // The bundles are two versions old; pieces changed since are read separately.
         let reads = platform.calls().reads - before;
         assert!(reads <= 40, "{reads} reads");
     });
 }
 
-// Operators change a file a hundred times a second and no peer answers. Each
-// version that comes in must not push out the one that waits, or none is ever in
-// force; nor may a large firm's instances do nothing but adopt.
+/// Guards against starvation when a file changes a hundred times a second and no peer answers. New
+/// versions must not displace the one that is waiting, or none would ever become active. Instances
+/// of a large firm must not spend all their time on adopting versions either.
 #[test]
 fn stream_of_changes() {
-    // Customers, and versions that may come in force within ten seconds.
+    // Number of customers, and of versions that may become active within ten seconds.
     for (customers, min, max) in [(10_u32, 9, 10), (16_000, 3, 6)] {
         let firm = name(FIRM);
         let mut large = file(FIRM, 1);
@@ -326,9 +327,9 @@
     }
 }
 
-// A large firm's instances change while the watch loses and reorders events.
-// Reading the whole list at each event would take all of the budget of bytes;
-// reading only what events name must end at what stands there.
+/// Guards against reading the whole list of a large firm's instances at each event, which would use
+/// up the byte budget. Although the watch repeats and reorders events, reading only the objects
+/// that they name must result in the stored list.
 #[test]
 fn large_list_of_instances() {
     run(async {
--- a/verbenaspool_standin/tests/config/main.rs
+++ b/verbenaspool_standin/tests/config/main.rs
@@ -1,4 +1,4 @@
-//! Configuration over real sockets: the platform's contract, applies and adoption.
+//! Tests configuration over real sockets: the platform's contract, applies and adoption.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         let large = vec![0; verbenaspool_transport::platform::LARGEST + 1];
         let large = store.put(key, large.into(), When::Always).await;
         assert_eq!(large, Err(Error::Large));
-        // The other firm's keys are out of reach.
+        // The token gives no access to another firm's keys.
         let other = store.get("firms/quetzal/head").await;
         assert_eq!(other, Err(Error::Refused));
     });
@@ -57,17 +57,17 @@
     });
 }
 
-// An operator's apply meets a platform that acts up at some point of it. The
-// operator must hear what really happened: accepted once, or not at all. Lost
-// answers are the dangerous ones, because the write did take effect.
+/// Guards against wrong outcomes of an apply when the platform fails during it. The operator must
+/// learn whether the file was accepted, and it must be accepted only once. Lost answers are the
+/// critical fault, because the write did take effect.
 #[test]
 fn faults_during_apply() {
-    /// What the platform does, by a name for the failing case.
+    /// The name of a case and the fault of the platform.
     type Fault = (&'static str, fn(&mut Faults));
     let faults: [Fault; 6] = [
         ("none", |_| {}),
         ("first piece's answer lost", |f| f.lost_answers = 1),
-        ("swap's answer lost", |f| {
+        ("compare-and-swap's answer lost", |f| {
             f.answers_before_loss = 2;
             f.lost_answers = 1;
         }),
@@ -85,7 +85,7 @@
             let second = apply(&*store, request(FIRM, 2, "apply-2")).await;
             assert_eq!(accepted(&second), Some(Version(2)), "{fault}");
             platform.set(|faults| *faults = Faults::default());
-            // The same apply again only tells what became of it.
+            // The same apply again only returns the outcome of the first.
             let repeated = apply(&*store, request(FIRM, 2, "apply-2")).await;
             assert_eq!(accepted(&repeated), Some(Version(2)), "{fault}");
         });
--- a/verbenaspool_standin/tests/config/support.rs
+++ b/verbenaspool_standin/tests/config/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of this binary share.
+//! Shared helpers of the configuration tests.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,20 +23,20 @@
     shutdown::{self, Trigger},
 };
 
-/// The firm that most tests speak of.
+/// The firm that most tests use.
 pub const FIRM: &str = "tidewater";
 
-/// Runs a test on a loop of its own.
+/// Runs a test on an event loop of its own.
 pub fn run(test: impl Future<Output = ()>) {
-    runtime::run(test).expect("a loop starts");
+    runtime::run(test).expect("the event loop starts");
 }
 
-/// A name from text that is known to be one.
+/// Parses a name that is known to be valid.
 pub fn name(text: &str) -> Name {
-    text.parse().expect("the tests' names are names")
+    text.parse().expect("the tests' names are valid")
 }
 
-/// A platform that lets a token of each firm in.
+/// Starts a platform with a token for each firm.
 pub fn platform() -> Platform {
     let platform = Platform::start().expect("a loopback port is free");
     platform.allow("tidewater-token", "tidewater");
@@ -44,12 +44,12 @@
     platform
 }
 
-/// A client of the platform for one firm.
+/// Creates a client of the platform for one firm.
 pub fn client(platform: &Platform, firm: &str) -> Rc<Client> {
     client_at(platform.address(), firm)
 }
 
-/// A client of whatever listens at an address.
+/// Creates a client for one firm of the platform at an address.
 pub fn client_at(address: SocketAddr, firm: &str) -> Rc<Client> {
     Rc::new(Client::new(Settings {
         address,
@@ -58,7 +58,7 @@
     }))
 }
 
-/// A file whose customers differ with `marker`.
+/// Creates a file whose content depends on `marker`.
 pub fn file(firm: &str, marker: u32) -> File {
     let customer = |i: u32| Customer {
         name: name(&format!("customer-{i}")),
@@ -74,13 +74,13 @@
     }
 }
 
-/// What a file says, by its marker.
+/// Returns the marker of a file.
 pub fn marker(file: &File) -> u32 {
     let first = file.customers.iter().find(|c| c.name == name("customer-0"));
     first.map_or(0, |customer| customer.share - 1)
 }
 
-/// Builds a request to apply that file.
+/// Builds a request to apply the file with a marker.
 pub fn request(firm: &str, marker: u32, id: &str) -> Request {
     Request {
         firm: name(firm),
@@ -90,12 +90,12 @@
     }
 }
 
-/// Applies a file within a bound that is long beside the faults of the tests.
+/// Applies a file with a timeout that is long compared to the faults of the tests.
 pub async fn apply(store: &dyn Store, request: Request) -> Outcome {
     config::apply(store, request, Duration::from_secs(5), 7).await
 }
 
-/// The version of an accepted outcome.
+/// Returns the version if the outcome is `Accepted`.
 pub fn accepted(outcome: &Outcome) -> Option<Version> {
     match outcome {
         Outcome::Accepted { version, .. } => Some(*version),
@@ -103,7 +103,7 @@
     }
 }
 
-/// An entry instance of a test: its source, and its control methods served.
+/// An entry instance: its configuration source, and a server for its control methods.
 pub struct Instance {
     pub source: Rc<Source>,
     pub control: SocketAddr,
@@ -111,7 +111,7 @@
 }
 
 impl Instance {
-    /// Starts an instance that looks for its peers at `seeds`.
+    /// Starts an instance that discovers its peers through `seeds`.
     pub fn start(number: u32, store: Rc<dyn Store>, seeds: &[SocketAddr], seed: u64) -> Self {
         Self::named(
             &format!("entry-{number}"),
@@ -122,7 +122,7 @@
         )
     }
 
-    /// Starts an instance with a clock of its own.
+    /// Starts an instance with the given name and clock.
     pub fn named(
         text: &str,
         store: Rc<dyn Store>,
@@ -135,7 +135,7 @@
         let mut options = Options::new(name(FIRM), name(text), control);
         options.seeds = seeds.to_vec();
         options.seed = seed;
-        // The tests' zones are small and their time is short.
+        // A shorter interval than the default keeps the tests fast.
         options.membership.heartbeat_interval = Duration::from_millis(100);
         let source = Source::start(store, clock, options);
         let mut module = rpc::Module::default();
@@ -149,15 +149,15 @@
         }
     }
 
-    /// Ends the instance as a crash does: no goodbye, and nobody listens.
+    /// Crashes the instance: it doesn't say that it leaves, and its listener closes.
     pub fn crash(self) {
         self.source.end();
         self.stop.fire();
     }
 }
 
-/// Waits until all instances have `version` or a later one in force; false if
-/// that takes over 9 s.
+/// Waits until `version` or a later one is active on all instances; returns false if that takes
+/// more than 9 s.
 pub async fn all_activate(instances: &[Instance], version: u64) -> bool {
     for _ in 0..900 {
         let has_activated = |i: &Instance| i.source.version() >= Version(version);
--- a/verbenaspool_standin/tests/config/zone.rs
+++ b/verbenaspool_standin/tests/config/zone.rs
@@ -1,4 +1,4 @@
-//! A zone's instances through outages, replacements and races.
+//! Tests the instances of a zone during outages, replacements and races.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -15,10 +15,10 @@
     run,
 };
 
-/// The bound within which an accepted file has to be in force.
+/// How long an accepted file may take to become active.
 const MAX_ACTIVATION_DELAY: Duration = Duration::from_secs(9);
 
-/// What is recorded of a run, for both checkers.
+/// Records the events of a run for both checkers.
 struct Record {
     clock: Rc<Monotonic>,
     reverts: RefCell<Vec<reverts::Event>>,
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Records what comes in force at an instance until it is dropped.
+    /// Records the versions that become active on an instance.
     fn follow(self: &Rc<Self>, name: &str, instance: &Instance) {
         let (record, source) = (Rc::clone(self), Rc::clone(&instance.source));
         let name = name.to_owned();
@@ -80,8 +80,8 @@
         self.activations.borrow_mut().push(event);
     }
 
-    /// Judges the run, once what came in force is recorded as well: the recorder
-    /// is woken by the same event that a test waits for, and may run after it.
+    /// Checks the run once the activations of `version` are recorded: the recorder is woken by the
+    /// same event as the test, and may run after it.
     async fn check(&self, instances: &[&str], version: u64) {
         let recorded = |wanted: &str| {
             let events = self.reverts.borrow();
@@ -103,7 +103,7 @@
     }
 }
 
-/// Instances that find each other by the first one's address.
+/// Starts instances that discover each other through the first one's address.
 fn zone(platform: &Platform, count: u32) -> Vec<Instance> {
     let mut instances: Vec<Instance> = Vec::new();
     for number in 0..count {
@@ -125,7 +125,7 @@
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("the instances didn't find each other");
+    panic!("the instances didn't discover each other");
 }
 
 #[test]
@@ -148,8 +148,8 @@
     });
 }
 
-// Operators of one firm race, and so do those of two. Each operator must hear
-// what became of the own file, and only accepted files may come in force.
+/// Guards against wrong outcomes when operators of one or two firms apply concurrently. Each
+/// operator must get the outcome of its own file, and only accepted files may become active.
 #[test]
 fn operators_race() {
     run(async {
@@ -188,15 +188,15 @@
         record
             .check(&["entry-0", "entry-1", "entry-2"], versions as u64)
             .await;
-        // Nothing that the head refers to was collected, and little else is left.
+        // Garbage collection kept the pieces that the head refers to and few others.
         let left = platform.with(|o| o.list("firms/tidewater/pieces/").len());
         assert!((2..=20).contains(&left), "{left} pieces");
     });
 }
 
-// The watch lies: it brings nothing, every other change, or changes backwards
-// and twice. Files must come in force within the bound all the same, because
-// the watch is only a hint to read.
+/// Guards against relying on the watch, which may return no changes, every other change, or all
+/// changes repeated in reverse order. Files must become active in time all the same, because the
+/// watch is only a hint to read.
 #[test]
 fn watch_loses_and_reorders_changes() {
     for watch_fault in [Watch::Stale, Watch::Gaps, Watch::Reordered] {
@@ -219,9 +219,9 @@
     }
 }
 
-// The platform goes down. An apply must say that nothing was accepted. Then all
-// instances are replaced one by one: each successor must come back with what
-// its zone had in force, from its peers alone.
+/// Guards against the loss of the active version during an outage of the platform. All instances
+/// are replaced one by one, and each successor must get the active version from its peers. An
+/// apply during the outage must report that nothing was accepted.
 #[test]
 fn replaced_one_by_one_in_an_outage() {
     run(async {
@@ -258,9 +258,9 @@
     });
 }
 
-// All instances of a zone are replaced at once while the platform is down. The
-// successors have nobody to ask: they must take no traffic, say why, and come
-// back with the accepted version when the platform does.
+/// Guards against serving without a configuration. All instances of a zone are replaced at once
+/// while the platform is down, so no peer has a version: the successors must take no traffic,
+/// report why, and activate the accepted version when the platform is back.
 #[test]
 fn replaced_at_once_in_an_outage() {
     run(async {
@@ -281,8 +281,8 @@
     });
 }
 
-// All but one instance lose the platform, as by a broken switch, be the one that
-// still reaches it a watcher or not. Accepted files must come in force at all.
+/// Guards against missing versions when only one instance can reach the platform, as after a network
+/// fault, whether it is a watcher or not. Accepted files must become active on all instances.
 #[test]
 fn one_still_reaches_the_platform() {
     for connected_instance in 0..3 {
@@ -314,8 +314,8 @@
     }
 }
 
-// A process is paused, given up and replaced under its name; then it wakes up.
-// It must find out that it was replaced and take no more work.
+/// Guards against two processes that serve under one name. A process is paused and replaced under
+/// its name; when it resumes, it must detect the replacement and take no more work.
 #[test]
 fn paused_process_wakes_up() {
     run(async {
--- a/verbenaspool_standin/tests/history.rs
+++ b/verbenaspool_standin/tests/history.rs
@@ -1,4 +1,4 @@
-//! Each checker refuses bad histories and takes good ones.
+//! Tests that each checker rejects invalid histories and accepts valid ones.
 
 use verbenaspool_protocol::outcome::Outcome;
 use verbenaspool_standin::history::{answers, outcomes, writes};
