--- a/verbenaspool_standin/src/ranks.rs
+++ b/verbenaspool_standin/src/ranks.rs
@@ -1,10 +1,10 @@
 //! A stand-in for the engines of a group, whose ranks advance in lockstep within the steps that
 //! they were granted.
 //!
-//! It runs on virtual time, so tests simulate hours in milliseconds. A step starts when every rank
-//! is running, was granted the step and has loaded the weights of the map that it was granted the
-//! step for. As in collective calls of real engines, the ranks don't compare these maps: the
-//! group's protocol has to make them agree, and `history::steps` checks that they do.
+//! It runs on virtual time, so tests simulate hours in milliseconds. A step starts when no rank is
+//! stalled, and every rank was granted the step and has loaded the weights of the map that it was
+//! granted the step for. As in collective calls of real engines, the ranks don't compare these
+//! maps: the group's protocol has to make them agree, and `history::steps` checks that they do.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -378,13 +378,13 @@
 
     /// Completes the loads that end by `now`.
     fn load(&mut self, now: Duration) {
-        let loaded: Vec<u64> = self
+        let completed: Vec<u64> = self
             .loading
             .iter()
             .filter(|&(_, &ready)| ready <= now)
             .map(|(&epoch, _)| epoch)
             .collect();
-        for epoch in loaded {
+        for epoch in completed {
             self.loading.remove(&epoch);
             self.loaded.insert(epoch);
             self.events.push(Event::Staged { epoch });
