--- a/verbenaspool/tests/history/faults.rs
+++ b/verbenaspool/tests/history/faults.rs
@@ -82,7 +82,9 @@
             Self::AgentPaused => agents[first_plain_agent].signal("STOP"),
             Self::PlatformDown => deployment.platform.set(|faults| faults.down = true),
             Self::AnswersLost => deployment.platform.set(|faults| faults.lost_answers = 20),
-            Self::UpstreamAnswersLost => (0..10).for_each(|_| deployment.journal.lose_next_answer()),
+            Self::UpstreamAnswersLost => {
+                (0..10).for_each(|_| deployment.journal.lose_next_answer());
+            }
             Self::PlatformDownAgentKilled => {
                 deployment.platform.set(|faults| faults.down = true);
                 agents[first_plain_agent].kill();
