--- a/verbenaspool_standin/src/engine.rs
+++ b/verbenaspool_standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: OpenAI-style completions whose text follows
-//! from the prompt, so that each caller can check that an answer is its own.
+//! A stand-in for a model engine with OpenAI-style completions. The text of an answer is a
+//! function of the prompt, so that each caller can check that it got its own answer.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -34,44 +34,44 @@
 
 pub use self::fault::Faults;
 
-/// How the engine behaves.
+/// Settings of the engine.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Requests in the batch at once; others wait.
-    pub places: usize,
-    /// The time of a step with one request in the batch.
-    pub step: Duration,
-    /// What each further request adds to a step.
-    pub crowding: Duration,
-    /// The time to read one prompt token that is not cached.
-    pub prefill: Duration,
-    /// Prefixes that the cache holds.
-    pub prefixes: usize,
-    /// How late the engine tells its load and its cache events.
-    pub lag: Duration,
-    /// Every so many cache events one is lost; 0 for none.
-    pub gap: u64,
-    /// Whether it refuses an order with an old fence.
+    /// How many requests run at once; others are queued.
+    pub max_batch_size: usize,
+    /// The duration of a step with one running request.
+    pub step_time: Duration,
+    /// How much each further running request adds to a step.
+    pub step_time_per_request: Duration,
+    /// The duration of the prefill per prompt token that isn't cached.
+    pub prefill_time_per_token: Duration,
+    /// The capacity of the prefix cache.
+    pub max_prefixes: usize,
+    /// How late the engine reports its load and its cache events.
+    pub report_delay: Duration,
+    /// One of this many cache events is dropped; 0 drops none.
+    pub dropped_event_interval: u64,
+    /// Whether orders with an old fence are rejected.
     pub checks_fences: bool,
-    /// Whether it can go on after the tokens of a broken stream.
-    pub resumes: bool,
+    /// Whether a broken stream can be resumed after the tokens already sent.
+    pub supports_resume: bool,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             listen: ([127, 0, 0, 1], 0).into(),
-            places: 32,
-            step: Duration::from_millis(2),
-            crowding: Duration::from_micros(50),
-            prefill: Duration::from_micros(5),
-            prefixes: 256,
-            lag: Duration::from_millis(100),
-            gap: 16,
+            max_batch_size: 32,
+            step_time: Duration::from_millis(2),
+            step_time_per_request: Duration::from_micros(50),
+            prefill_time_per_token: Duration::from_micros(5),
+            max_prefixes: 256,
+            report_delay: Duration::from_millis(100),
+            dropped_event_interval: 16,
             checks_fences: true,
-            resumes: true,
+            supports_resume: true,
         }
     }
 }
@@ -81,10 +81,10 @@
 pub struct Completion {
     /// The prompt.
     pub prompt: String,
-    /// The tokens to generate.
+    /// How many tokens to generate.
     #[serde(default = "Completion::max_tokens")]
     pub max_tokens: u32,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// An engine whose listener is open.
+/// An engine with an open listener.
 #[derive(Debug)]
 pub struct Engine {
     listener: TcpListener,
@@ -103,16 +103,16 @@
     parts: Rc<Parts>,
 }
 
-/// The engine's parts, shared by its requests.
+/// The parts of an engine, shared by its requests.
 #[derive(Debug)]
 pub struct Parts {
-    /// The requests that run and wait.
+    /// The running and queued requests.
     pub batch: Rc<Batch>,
     /// The prefix cache.
     pub cache: Cache,
-    /// The orders that it got.
+    /// The orders that the engine executed.
     pub orders: orders::Orders,
-    /// What goes wrong.
+    /// The faults to inject.
     pub faults: Faults,
     config: Config,
 }
@@ -121,7 +121,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// If the address can't be bound.
     ///
     /// ```
     /// use verbenaspool_standin::engine::{Config, Engine};
@@ -150,19 +150,19 @@
         })
     }
 
-    /// Where the engine listens.
+    /// Returns the address of the listener.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The engine's parts, to look at and to set faults.
+    /// Returns the parts of the engine, to inspect them and to inject faults.
     #[must_use]
     pub fn parts(&self) -> Rc<Parts> {
         self.parts.clone()
     }
 
-    /// Runs until the signal comes and the last request has ended.
+    /// Serves until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
         server::serve(
@@ -187,7 +187,7 @@
                 (&Method::POST, "/v1/completions") => self.complete(request).await,
                 (&Method::GET, STATE_PATH) => self.state(request.uri().query()),
                 (&Method::POST, ORDER_PATH) => self.order(request).await,
-                (&Method::GET, order::STATE_PATH) => json(&self.orders.held()),
+                (&Method::GET, order::STATE_PATH) => json(&self.orders.state()),
                 _ => error(StatusCode::NOT_FOUND, "no such path"),
             }
         })
@@ -196,7 +196,7 @@
 
 impl Parts {
     async fn complete(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let resume = self.resume(&request);
+        let resume = self.resume_offset(&request);
         let priority = priority(&request);
         let Ok(body) = request.into_body().collect().await else {
             return error(StatusCode::BAD_REQUEST, "the body broke off");
@@ -204,22 +204,25 @@
         let Ok(completion) = serde_json::from_slice::<Completion>(&body.to_bytes()) else {
             return error(StatusCode::BAD_REQUEST, "the body is no completion request");
         };
-        if self.faults.refuse_before() {
-            return broken();
+        if self.faults.take_start_failure() {
+            return broken_response();
         }
-        let place = self.batch.enter(priority, completion.max_tokens).await;
-        let computed = self.cache.touch(&completion.prompt);
+        let slot = self
+            .batch
+            .acquire_slot(priority, completion.max_tokens)
+            .await;
+        let computed = self.cache.use_prompt(&completion.prompt);
         self.batch.prefill(computed).await;
-        let stream = Stream::new(self.clone(), place, &completion, resume.unwrap_or(0));
+        let stream = Stream::new(self.clone(), slot, &completion, resume.unwrap_or(0));
         let mut response = if completion.stream {
             let mut response = Response::new(Body::wrap(stream));
-            let kind = "text/event-stream".parse().expect("a header value");
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+            let content_type = "text/event-stream".parse().expect("a header value");
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
         } else {
             match stream.collect().await {
-                Ok(tokens) => json(&text::whole(&completion, &tokens)),
-                Err(_) => broken(),
+                Ok(tokens) => json(&text::full_response(&completion, &tokens)),
+                Err(_) => broken_response(),
             }
         };
         if let Some(offset) = resume {
@@ -228,10 +231,12 @@
         response
     }
 
-    fn resume(&self, request: &Request<Incoming>) -> Option<u32> {
+    /// Returns how many tokens of a broken stream the caller already has, if this is a resumption
+    /// that the engine supports.
+    fn resume_offset(&self, request: &Request<Incoming>) -> Option<u32> {
         let value = request.headers().get(header::RESUME)?;
         let offset = value.to_str().ok()?.parse().ok()?;
-        self.config.resumes.then_some(offset)
+        self.config.supports_resume.then_some(offset)
     }
 
     fn state(&self, query: Option<&str>) -> Response<Body> {
@@ -239,8 +244,8 @@
             .and_then(|query| query.strip_prefix("since="))
             .and_then(|number| number.parse().ok())
             .unwrap_or(0);
-        let mut state = self.batch.told();
-        (state.last, state.events) = self.cache.told(since);
+        let mut state = self.batch.delayed_state();
+        (state.last, state.events) = self.cache.delayed_events(since);
         json(&state)
     }
 
@@ -251,8 +256,8 @@
         let Ok(order) = serde_json::from_slice(&body.to_bytes()) else {
             return error(StatusCode::BAD_REQUEST, "the body is no order");
         };
-        match self.orders.take(order) {
-            Ok(()) if self.orders.loses() => broken(),
+        match self.orders.execute(order) {
+            Ok(()) if self.orders.take_lost_answer() => broken_response(),
             Ok(()) => json(&serde_json::json!({"done": true})),
             Err(fence) => {
                 let mut response = json(&serde_json::json!({"done": false, "fence": fence}));
@@ -263,7 +268,7 @@
     }
 }
 
-/// A higher priority takes the next place first.
+/// Returns the priority of a request; higher values leave the queue first.
 fn priority(request: &Request<Incoming>) -> u8 {
     match request
         .headers()
@@ -276,16 +281,16 @@
     }
 }
 
-/// An answer that breaks off at once.
-fn broken() -> Response<Body> {
+/// Builds a response whose body fails at once.
+fn broken_response() -> Response<Body> {
     Response::new(Body::wrap(stream::Broken))
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Body> {
-    let text = serde_json::to_vec(value).expect("plain data");
+    let text = serde_json::to_vec(value).expect("an answer serializes");
     let mut response = Response::new(Body::full(Bytes::from(text)));
-    let kind = "application/json".parse().expect("a header value");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = "application/json".parse().expect("a header value");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
--- a/verbenaspool_standin/src/engine/text.rs
+++ b/verbenaspool_standin/src/engine/text.rs
@@ -1,11 +1,11 @@
-//! The text of answers, which follows from the prompt alone.
+//! Generates and parses the text of answers, which is a function of the prompt.
 
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Completion;
 
-/// The token at a place of the answer to a prompt.
+/// Returns the token at an index of the answer to a prompt.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
@@ -17,7 +17,7 @@
     format!("{:08x}.{index} ", xxh3_64(prompt.as_bytes()) >> 32)
 }
 
-/// The whole answer to a prompt, as a checker expects it.
+/// Returns the complete answer to a prompt, as a checker expects it.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
@@ -29,18 +29,18 @@
     (0..tokens).map(|index| token(prompt, index)).collect()
 }
 
-/// A server-sent event with one token.
+/// Formats a server-sent event with one token.
 pub(crate) fn event(prompt: &str, index: u32) -> String {
     let text = token(prompt, index);
     let data = json!({"object": "text_completion", "choices": [{"index": 0, "text": text}]});
     format!("data: {data}\n\n")
 }
 
-/// The event that ends a stream.
-pub(crate) const DONE: &str = "data: [DONE]\n\n";
+/// The last event of a stream.
+pub(crate) const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// The answer that is sent in one piece.
-pub(crate) fn whole(completion: &Completion, text: &str) -> Value {
+/// Returns the body of an answer that is not streamed.
+pub(crate) fn full_response(completion: &Completion, text: &str) -> Value {
     json!({
         "object": "text_completion",
         "choices": [{"index": 0, "text": text, "finish_reason": "length"}],
@@ -48,29 +48,30 @@
     })
 }
 
-/// The text that a body carries, streamed or in one piece; none where it is
-/// cut off or something else.
+/// Extracts the text from a response body, streamed or not; returns `None` if the body is
+/// truncated or not an answer.
 ///
 /// ```
 /// use verbenaspool_standin::engine::text;
 ///
-/// assert_eq!(text::read(b"data: [DONE]\n\n"), Some(String::new()));
-/// assert_eq!(text::read(b"data: {\"choi"), None);
+/// assert_eq!(text::parse(b"data: [DONE]\n\n"), Some(String::new()));
+/// assert_eq!(text::parse(b"data: {\"choi"), None);
 /// ```
 #[must_use]
-pub fn read(body: &[u8]) -> Option<String> {
+pub fn parse(body: &[u8]) -> Option<String> {
     let body = std::str::from_utf8(body).ok()?;
     if !body.starts_with("data:") {
-        return piece(body);
+        return choice_text(body);
     }
-    let events = body.strip_suffix(DONE)?;
+    let events = body.strip_suffix(DONE_EVENT)?;
     events
         .split_terminator("\n\n")
-        .map(|event| piece(event.strip_prefix("data:")?))
+        .map(|event| choice_text(event.strip_prefix("data:")?))
         .collect()
 }
 
-fn piece(json: &str) -> Option<String> {
+/// Extracts the text from the first choice of an answer or event.
+fn choice_text(json: &str) -> Option<String> {
     let value: Value = serde_json::from_str(json).ok()?;
     value["choices"][0]["text"].as_str().map(str::to_owned)
 }
--- a/verbenaspool_standin/src/platform.rs
+++ b/verbenaspool_standin/src/platform.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the platform's object API, with faults that tests set.
+//! A stand-in for the platform's object API, with faults that tests inject.
 //!
-//! It runs in the caller's monoio runtime on a loopback port and keeps its
-//! objects in memory. Versions are the store's revisions: they count up by one
-//! with each change, whichever object it is.
+//! It runs in the caller's monoio runtime on a loopback port and keeps its objects in memory. An
+//! object's version is the store's revision at its last change; the revision grows by one with
+//! each change of any object.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,38 +33,37 @@
 mod faults;
 mod objects;
 
-/// How often a waiting watch looks for changes.
-const LOOK: Duration = Duration::from_millis(2);
+/// How often a pending watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The running stand-in. Clones share its objects and faults.
+/// A running stand-in. Clones share its objects and faults.
 #[derive(Clone)]
 pub struct Platform {
-    /// What the connections share.
+    /// The state shared by all connections.
     shared: Rc<Shared>,
-    /// Where the stand-in listens.
+    /// The address of the listener.
     address: SocketAddr,
 }
 
-/// What the connections share.
+/// The state shared by all connections.
 struct Shared {
-    /// The stored objects.
     objects: RefCell<Objects>,
-    /// The faults in force.
+    /// The faults being injected.
     faults: RefCell<Faults>,
-    /// The firm that each token stands for.
+    /// The firm whose keys each token may access.
     tokens: RefCell<HashMap<String, String>>,
-    /// Calls answered so far, by kind.
+    /// Calls counted so far, those rejected for their rate included.
     calls: Cell<Calls>,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Calls {
     /// Reads and lists.
     pub reads: u64,
     /// Writes and deletions.
     pub writes: u64,
-    /// Watches, each waiting one counted once.
+    /// Watches; a pending watch counts once.
     pub watches: u64,
 }
 
@@ -72,7 +71,7 @@
     /// Starts a stand-in on a free loopback port, within a monoio runtime.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// If no port can be bound.
     ///
     /// ```
     /// use verbenaspool_standin::platform::Platform;
@@ -91,7 +90,7 @@
     /// Starts a stand-in on the given address.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// If the address can't be bound.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -112,7 +111,7 @@
         Ok(platform)
     }
 
-    /// Where the stand-in listens.
+    /// Returns the address of the listener.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -123,7 +122,7 @@
         self.address
     }
 
-    /// Lets `token` reach the keys of `firm`. Other tokens reach nothing.
+    /// Gives `token` access to the keys of `firm`. Unknown tokens are rejected.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -134,7 +133,7 @@
         tokens.insert(token.to_owned(), firm.to_owned());
     }
 
-    /// Changes the faults in force.
+    /// Changes the faults to inject.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -144,19 +143,19 @@
         change(&mut self.shared.faults.borrow_mut());
     }
 
-    /// Looks at the stored objects or changes them after the API's back, as
-    /// the platform itself does with its list of instances.
+    /// Accesses the stored objects directly, without the API, as the platform itself does with its
+    /// list of instances.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
     /// let platform = Platform::start().unwrap();
     /// platform.with(|objects| objects.put("firms/tidewater/instances/loft-1", "{}".into()));
     /// ```
-    pub fn with<T>(&self, look: impl FnOnce(&mut Objects) -> T) -> T {
-        look(&mut self.shared.objects.borrow_mut())
+    pub fn with<T>(&self, access: impl FnOnce(&mut Objects) -> T) -> T {
+        access(&mut self.shared.objects.borrow_mut())
     }
 
-    /// The calls answered so far.
+    /// Returns the calls counted so far, those rejected for their rate included.
     ///
     /// ```no_run
     /// # use verbenaspool_standin::platform::Platform;
@@ -168,79 +167,79 @@
     }
 }
 
-/// Takes connections until the runtime ends.
+/// Accepts connections until the runtime ends.
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     while let Ok((stream, _)) = listener.accept().await {
         monoio::spawn(serve(stream, Rc::clone(&shared)));
     }
 }
 
-/// Serves one connection. Unlike the product's server it can close one
-/// unanswered, which is what a lost answer looks like.
+/// Serves one connection. Unlike the server in `verbenaspool_transport`, it can close a connection
+/// without an answer, which simulates a lost answer.
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
-    // Without it small answers wait for the client's delayed acknowledgement.
+    // With Nagle's algorithm, small answers would wait for the client's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let Ok(stream) = stream.into_poll_io() else {
         return;
     };
     let service = service_fn(move |request| {
         let shared = Rc::clone(&shared);
-        async move { answer(request, &shared).await }
+        async move { answer_call(request, &shared).await }
     });
-    // The client sees a broken connection itself; there is nobody else to tell.
+    // The client notices a broken connection itself, and nothing else needs the error.
     let _ = http1::Builder::new()
         .serve_connection(MonoioIo::new(stream), service)
         .await;
 }
 
-/// The answer is withheld: the connection closes without one.
+/// The connection closes without an answer.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is withheld")]
-struct Withheld;
+#[error("the connection closes without an answer")]
+struct NoAnswer;
 
-/// Answers one call under the faults in force.
-async fn answer(
+/// Answers one call, subject to the injected faults.
+async fn answer_call(
     request: Request<Incoming>,
     shared: &Shared,
-) -> Result<Response<Full<Bytes>>, Withheld> {
+) -> Result<Response<Full<Bytes>>, NoAnswer> {
     let delay = shared.faults.borrow().delay;
     if !delay.is_zero() {
         time::sleep(delay).await;
     }
     if shared.faults.borrow().down {
-        return Err(Withheld);
+        return Err(NoAnswer);
     }
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, MAX_VALUE_BYTES).collect().await else {
-        return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE));
+        return Ok(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let path = head.uri.path();
     let query = Query::parse(head.uri.query().unwrap_or_default());
     let key = path.strip_prefix("/v1/objects/").unwrap_or(&query.prefix);
-    if let Some(refusal) = refuse(&head, key, shared) {
-        return Ok(refusal);
+    if let Some(rejection) = reject(&head, key, shared) {
+        return Ok(rejection);
     }
     let write = head.method == Method::PUT || head.method == Method::DELETE;
     if !admit(shared, write, path == "/v1/watch") {
-        return Ok(plain(StatusCode::TOO_MANY_REQUESTS));
+        return Ok(empty_response(StatusCode::TOO_MANY_REQUESTS));
     }
     let response = match (&head.method, path) {
-        (&Method::GET, "/v1/list") => json(&shared.objects.borrow().list(&query.prefix)),
-        (&Method::GET, "/v1/watch") => json(&watch(shared, &query).await),
-        _ => object(&head, key, body.to_bytes(), shared),
+        (&Method::GET, "/v1/list") => json_response(&shared.objects.borrow().list(&query.prefix)),
+        (&Method::GET, "/v1/watch") => json_response(&watch(shared, &query).await),
+        _ => access_object(&head, key, body.to_bytes(), shared),
     };
-    // A platform that went down while the call waited doesn't answer it any more.
+    // The platform may have gone down while the call was pending.
     if shared.faults.borrow().down {
-        return Err(Withheld);
+        return Err(NoAnswer);
     }
-    if write && shared.faults.borrow_mut().lose() {
-        return Err(Withheld);
+    if write && shared.faults.borrow_mut().take_lost_answer() {
+        return Err(NoAnswer);
     }
     Ok(response)
 }
 
-/// Refuses a call whose token doesn't reach `key`.
-fn refuse(
+/// Rejects a call whose token has no access to `key`.
+fn reject(
     head: &http::request::Parts,
     key: &str,
     shared: &Shared,
@@ -253,13 +252,13 @@
         .unwrap_or_default();
     let tokens = shared.tokens.borrow();
     let Some(firm) = tokens.get(token) else {
-        return Some(plain(StatusCode::UNAUTHORIZED));
+        return Some(empty_response(StatusCode::UNAUTHORIZED));
     };
-    let own = key.starts_with(&format!("firms/{firm}/"));
-    (!own).then(|| plain(StatusCode::FORBIDDEN))
+    let allowed = key.starts_with(&format!("firms/{firm}/"));
+    (!allowed).then(|| empty_response(StatusCode::FORBIDDEN))
 }
 
-/// Counts a call and says whether it is within the rate.
+/// Counts a call and returns whether it is within the rate limit.
 fn admit(shared: &Shared, write: bool, watch: bool) -> bool {
     let mut calls = shared.calls.get();
     match (write, watch) {
@@ -272,7 +271,7 @@
 }
 
 /// Reads, writes or deletes one object.
-fn object(
+fn access_object(
     head: &http::request::Parts,
     key: &str,
     body: Bytes,
@@ -282,8 +281,8 @@
     let current = objects.version(key);
     if head.method == Method::GET {
         return match objects.get(key) {
-            Some(value) => versioned(StatusCode::OK, current, value),
-            None => plain(StatusCode::NOT_FOUND),
+            Some(value) => versioned_response(StatusCode::OK, current, value),
+            None => empty_response(StatusCode::NOT_FOUND),
         };
     }
     let expected = head
@@ -292,52 +291,57 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
     if expected.is_some_and(|expected: u64| expected != current) {
-        return versioned(StatusCode::CONFLICT, current, Bytes::new());
+        return versioned_response(StatusCode::CONFLICT, current, Bytes::new());
     }
     let version = match head.method {
         Method::PUT => objects.put(key, body),
         Method::DELETE => objects.delete(key),
-        _ => return plain(StatusCode::METHOD_NOT_ALLOWED),
+        _ => return empty_response(StatusCode::METHOD_NOT_ALLOWED),
     };
-    versioned(StatusCode::OK, version, Bytes::new())
+    versioned_response(StatusCode::OK, version, Bytes::new())
 }
 
-/// Waits for events as a watch asks, then bends them as the faults say.
+/// Waits for the events of a watch and applies the injected faults to them.
 async fn watch(shared: &Shared, query: &Query) -> Events {
-    let end = time::Instant::now() + query.wait;
+    let deadline = time::Instant::now() + query.max_wait;
     loop {
-        let bent = {
+        let events = {
             let objects = shared.objects.borrow();
             let events = objects.events(&query.prefix, query.since);
-            shared.faults.borrow().bend(events, query.since)
+            shared.faults.borrow().distort(events, query.since)
         };
-        if !bent.events.is_empty() || time::Instant::now() >= end || shared.faults.borrow().down {
-            return bent;
+        if !events.events.is_empty()
+            || time::Instant::now() >= deadline
+            || shared.faults.borrow().down
+        {
+            return events;
         }
-        time::sleep(LOOK).await;
+        time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
 /// The query of a list or watch.
 #[derive(Debug, Default)]
 struct Query {
-    /// What keys start with.
+    /// The prefix of the keys to return.
     prefix: String,
-    /// The revision a watch starts after.
+    /// The revision after which a watch starts.
     since: u64,
-    /// How long a watch waits.
-    wait: Duration,
+    /// How long a watch waits for the first change.
+    max_wait: Duration,
 }
 
 impl Query {
-    /// Reads a query. Keys need no percent-encoding, so none is undone.
+    /// Parses a query. Keys need no percent-encoding, so nothing is decoded.
     fn parse(text: &str) -> Self {
         let mut query = Self::default();
         for (name, value) in text.split('&').filter_map(|pair| pair.split_once('=')) {
             match name {
                 "prefix" => value.clone_into(&mut query.prefix),
                 "since" => query.since = value.parse().unwrap_or_default(),
-                "wait_ms" => query.wait = Duration::from_millis(value.parse().unwrap_or_default()),
+                "wait_ms" => {
+                    query.max_wait = Duration::from_millis(value.parse().unwrap_or_default());
+                }
                 _ => {}
             }
         }
@@ -345,15 +349,15 @@
     }
 }
 
-/// A response with nothing but its status.
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+/// Builds a response without a body.
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// A response that carries a version.
-fn versioned(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
+/// Builds a response with a version header.
+fn versioned_response(status: StatusCode, version: u64, value: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(value));
     *response.status_mut() = status;
     response
@@ -362,10 +366,10 @@
     response
 }
 
-/// A JSON response.
-fn json<T: serde::Serialize>(value: &T) -> Response<Full<Bytes>> {
+/// Builds a JSON response.
+fn json_response<T: serde::Serialize>(value: &T) -> Response<Full<Bytes>> {
     match serde_json::to_vec(value) {
         Ok(text) => Response::new(Full::new(text.into())),
-        Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
--- a/verbenaspool_standin/src/platform/faults.rs
+++ b/verbenaspool_standin/src/platform/faults.rs
@@ -1,61 +1,61 @@
-//! Faults of the platform's stand-in.
+//! Faults that the platform stand-in injects.
 
 use std::time::{Duration, Instant};
 
 use verbenaspool_transport::platform::Events;
 
-/// The faults in force; the default is none.
+/// The faults to inject; none by default.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Whether calls end without effect or answer.
+    /// Whether calls fail without effect or answer.
     pub down: bool,
-    /// What each call is held up by before it takes effect.
+    /// How long each call is delayed before it takes effect.
     pub delay: Duration,
     /// How many further writes take effect without an answer.
-    pub lose_answers: u32,
-    /// How many writes are answered before the first is lost.
-    pub lose_after: u32,
-    /// What watches bring.
+    pub lost_answers: u32,
+    /// How many writes are answered before the first lost answer.
+    pub answers_before_loss: u32,
+    /// Which changes watches return.
     pub watch: Watch,
-    /// Reads, lists and watches allowed a second.
+    /// Limit of reads, lists and watches per second.
     pub reads_per_second: Option<u32>,
-    /// Writes and deletions allowed a second.
+    /// Limit of writes and deletions per second.
     pub writes_per_second: Option<u32>,
-    /// Reads in the second under way.
+    /// Reads in the current second.
     reads: Window,
-    /// Writes in the second under way.
+    /// Writes in the current second.
     writes: Window,
 }
 
-/// What watches bring.
+/// Which changes watches return.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Watch {
     /// Every change, in order.
     #[default]
-    Whole,
-    /// Nothing of what changed.
+    Complete,
+    /// No changes.
     Stale,
-    /// Every second change only.
+    /// Only changes with an even revision.
     Gaps,
-    /// The changes from last to first, and each of them twice.
+    /// All changes in reverse order, twice.
     Reordered,
 }
 
-/// Calls counted in the second under way.
+/// Counts the calls of the current second.
 #[derive(Debug, Default)]
 struct Window {
-    /// When the second began.
+    /// When the current second started.
     start: Option<Instant>,
-    /// Calls since.
+    /// Calls since `start`.
     calls: u32,
 }
 
 impl Window {
-    /// Counts a call and says whether it is within `limit` a second.
+    /// Counts a call and returns whether it is within `limit` per second.
     fn admit(&mut self, limit: Option<u32>) -> bool {
         let now = Instant::now();
-        let over = |start: Instant| now - start >= Duration::from_secs(1);
-        if self.start.is_none_or(over) {
+        let expired = |start: Instant| now - start >= Duration::from_secs(1);
+        if self.start.is_none_or(expired) {
             self.start = Some(now);
             self.calls = 0;
         }
@@ -65,7 +65,7 @@
 }
 
 impl Faults {
-    /// Counts a call and says whether it is within the rate.
+    /// Counts a call and returns whether it is within the rate limit.
     pub(super) fn admit(&mut self, write: bool) -> bool {
         if write {
             self.writes.admit(self.writes_per_second)
@@ -74,23 +74,23 @@
         }
     }
 
-    /// Whether the answer to a write that took effect is lost.
-    pub(super) fn lose(&mut self) -> bool {
-        if self.lose_answers == 0 {
+    /// Returns whether the answer to a write that took effect is lost, and counts it.
+    pub(super) fn take_lost_answer(&mut self) -> bool {
+        if self.lost_answers == 0 {
             return false;
         }
-        if self.lose_after > 0 {
-            self.lose_after -= 1;
+        if self.answers_before_loss > 0 {
+            self.answers_before_loss -= 1;
             return false;
         }
-        self.lose_answers -= 1;
+        self.lost_answers -= 1;
         true
     }
 
-    /// Bends what a watch from `since` brings.
-    pub(super) fn bend(&self, mut events: Events, since: u64) -> Events {
+    /// Distorts the events of a watch from `since`.
+    pub(super) fn distort(&self, mut events: Events, since: u64) -> Events {
         match self.watch {
-            Watch::Whole => {}
+            Watch::Complete => {}
             Watch::Stale => {
                 events.events.clear();
                 events.revision = since;
@@ -98,8 +98,8 @@
             Watch::Gaps => events.events.retain(|event| event.version % 2 == 0),
             Watch::Reordered => {
                 events.events.reverse();
-                let again = events.events.clone();
-                events.events.extend(again);
+                let repeated = events.events.clone();
+                events.events.extend(repeated);
             }
         }
         events
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a plain service, which records its writes so that a checker
-//! can count those that ran twice.
+//! A stand-in for a plain service. It records the writes that ran, so that a checker can count
+//! those that ran twice.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,7 +25,7 @@
     shutdown::Signal,
 };
 
-/// A plain service whose listener is open.
+/// A plain service with an open listener.
 #[derive(Debug)]
 pub struct Service {
     listener: TcpListener,
@@ -33,20 +33,21 @@
     journal: Rc<Journal>,
 }
 
-/// What a service did, and what goes wrong in it. Instances of one service may
+/// The writes that ran at a service, and the faults of its answers. Instances of one service may
 /// share a journal.
 #[derive(Debug)]
 pub struct Journal {
     clock: Rc<dyn Clock>,
-    /// How long a request takes.
-    pub takes: Cell<Duration>,
-    /// The bodies of the writes that ran, in their order.
+    /// How long each request runs.
+    pub request_time: Cell<Duration>,
+    /// The bodies of the writes that ran, in order.
     pub writes: RefCell<Vec<String>>,
-    lost: Cell<u32>,
+    /// How many answers to further writes are lost.
+    lost_answers: Cell<u32>,
     running: Rc<Cell<u32>>,
 }
 
-/// A request that runs.
+/// Counts a request as running until dropped.
 struct Running(Rc<Cell<u32>>);
 
 impl Running {
@@ -63,7 +64,7 @@
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     ///
     /// ```
     /// use std::time::Duration;
@@ -75,28 +76,30 @@
     /// assert!(journal.writes.borrow().is_empty());
     /// ```
     #[must_use]
-    pub fn new(takes: Duration, clock: Rc<dyn Clock>) -> Rc<Self> {
+    pub fn new(request_time: Duration, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
             clock,
-            takes: Cell::new(takes),
+            request_time: Cell::new(request_time),
             writes: RefCell::default(),
-            lost: Cell::new(0),
+            lost_answers: Cell::new(0),
             running: Rc::default(),
         })
     }
 
-    /// The load.
+    /// Answers with the load of the service.
     fn state(&self) -> Response<Body> {
         let state = State {
             running: self.running.get(),
             ..State::default()
         };
-        Response::new(Body::full(serde_json::to_vec(&state).expect("plain data")))
+        Response::new(Body::full(
+            serde_json::to_vec(&state).expect("the state serializes"),
+        ))
     }
 
-    /// The next write runs, but its answer is lost.
-    pub fn lose_answer(&self) {
-        self.lost.set(self.lost.get() + 1);
+    /// Has the connection of one more write break after the write ran.
+    pub fn lose_next_answer(&self) {
+        self.lost_answers.set(self.lost_answers.get() + 1);
     }
 }
 
@@ -104,7 +107,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// If the address can't be bound.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,13 +132,13 @@
         })
     }
 
-    /// Where the service listens.
+    /// Returns the address of the listener.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs until the signal comes and the last request has ended.
+    /// Serves until the signal comes and the last request has ended.
     pub async fn run(self, signal: Signal) {
         let limits = Limits::default();
         server::serve(
@@ -156,7 +159,7 @@
         request: Request<Incoming>,
     ) -> server::ResponseFuture {
         Box::pin(async move {
-            let write = !matches!(*request.method(), Method::GET | Method::HEAD);
+            let is_write = !matches!(*request.method(), Method::GET | Method::HEAD);
             let path = request.uri().path().to_owned();
             if path == STATE_PATH {
                 return self.state();
@@ -166,16 +169,16 @@
                 return Response::new(Body::wrap(crate::engine::stream::Broken));
             };
             let body = body.to_bytes();
-            if write {
+            if is_write {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.writes.borrow_mut().push(text);
             }
-            // A sleep of no time would still cost a turn of the timer, a millisecond.
-            if !self.takes.get().is_zero() {
-                self.clock.sleep(self.takes.get()).await;
+            // Even an empty sleep waits for the next tick of the timer, a millisecond.
+            if !self.request_time.get().is_zero() {
+                self.clock.sleep(self.request_time.get()).await;
             }
-            if write && self.lost.get() > 0 {
-                self.lost.set(self.lost.get() - 1);
+            if is_write && self.lost_answers.get() > 0 {
+                self.lost_answers.set(self.lost_answers.get() - 1);
                 return Response::new(Body::wrap(crate::engine::stream::Broken));
             }
             Response::new(Body::full(echo(&path, &body)))
@@ -183,7 +186,7 @@
     }
 }
 
-/// The answer to a request, which names what was asked for.
+/// Returns the answer to a request, which repeats its path and body.
 fn echo(path: &str, body: &Bytes) -> String {
     format!("{path} {}", String::from_utf8_lossy(body))
 }
--- a/verbenaspool_standin/tests/config/main.rs
+++ b/verbenaspool_standin/tests/config/main.rs
@@ -1,8 +1,8 @@
-//! Configuration over real sockets: the platform's contract, applies and adoption.
+//! Tests configuration over real sockets: the platform's contract, applies and adoption.
 
 use std::time::Duration;
 
-use support::{FIRM, Instance, accepted, apply, client, mark, order, platform, run};
+use support::{FIRM, Instance, accepted, apply, client, marker, platform, request, run};
 use verbenaspool_standin::platform::Faults;
 use verbenaspool_state::version::Version;
 use verbenaspool_transport::platform::{Error, Store, When};
@@ -33,14 +33,14 @@
         let large = vec![0; verbenaspool_transport::platform::MAX_VALUE_BYTES + 1];
         let large = store.put(key, large.into(), When::Always).await;
         assert_eq!(large, Err(Error::TooLarge));
-        // The other firm's keys are out of reach.
+        // The token gives no access to another firm's keys.
         let other = store.get("firms/quetzal/head").await;
         assert_eq!(other, Err(Error::Forbidden));
     });
 }
 
 #[test]
-fn accepted_file_comes_in_force() {
+fn accepted_file_becomes_active() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
@@ -49,29 +49,29 @@
         assert!(source.current().is_none());
         for version in 1..4 {
             let id = format!("apply-{version}");
-            let outcome = apply(&*store, order(FIRM, version, &id)).await;
+            let outcome = apply(&*store, request(FIRM, version, &id)).await;
             assert_eq!(accepted(&outcome), Some(Version(version.into())));
             let adopted = source.wait_for_newer(Version(u64::from(version) - 1)).await;
-            assert_eq!(mark(&adopted.file), version);
+            assert_eq!(marker(&adopted.file), version);
         }
     });
 }
 
-// An operator's apply meets a platform that acts up at some point of it. The
-// operator must hear what really happened: accepted once, or not at all. Lost
-// answers are the dangerous ones, because the write did take effect.
+/// Guards against wrong outcomes of an apply when the platform fails during it. The operator must
+/// learn whether the file was accepted, and it must be accepted only once. Lost answers are the
+/// critical fault, because the write did take effect.
 #[test]
 fn faults_during_apply() {
-    /// What the platform does, by a name for the failing case.
+    /// The name of a case and the fault of the platform.
     type Fault = (&'static str, fn(&mut Faults));
     let faults: [Fault; 6] = [
         ("none", |_| {}),
-        ("first piece's answer lost", |f| f.lose_answers = 1),
-        ("swap's answer lost", |f| {
-            f.lose_after = 2;
-            f.lose_answers = 1;
+        ("first piece's answer lost", |f| f.lost_answers = 1),
+        ("compare-and-swap's answer lost", |f| {
+            f.answers_before_loss = 2;
+            f.lost_answers = 1;
         }),
-        ("three answers lost", |f| f.lose_answers = 3),
+        ("three answers lost", |f| f.lost_answers = 3),
         ("slow", |f| f.delay = Duration::from_millis(30)),
         ("few writes a second", |f| f.writes_per_second = Some(4)),
     ];
@@ -79,15 +79,15 @@
         run(async move {
             let platform = platform();
             let store = client(&platform, FIRM);
-            let first = apply(&*store, order(FIRM, 1, "apply-1")).await;
+            let first = apply(&*store, request(FIRM, 1, "apply-1")).await;
             assert_eq!(accepted(&first), Some(Version(1)), "{fault}");
             platform.set(set);
-            let second = apply(&*store, order(FIRM, 2, "apply-2")).await;
+            let second = apply(&*store, request(FIRM, 2, "apply-2")).await;
             assert_eq!(accepted(&second), Some(Version(2)), "{fault}");
             platform.set(|faults| *faults = Faults::default());
-            // The same apply again only tells what became of it.
-            let again = apply(&*store, order(FIRM, 2, "apply-2")).await;
-            assert_eq!(accepted(&again), Some(Version(2)), "{fault}");
+            // The same apply again only returns the outcome of the first.
+            let repeated = apply(&*store, request(FIRM, 2, "apply-2")).await;
+            assert_eq!(accepted(&repeated), Some(Version(2)), "{fault}");
         });
     }
 }
--- a/verbenaspool_standin/tests/config/zone.rs
+++ b/verbenaspool_standin/tests/config/zone.rs
@@ -1,27 +1,28 @@
-//! A zone's instances through outages, replacements and races.
+//! Tests the instances of a zone during outages, replacements and races.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use verbenaspool_coordination::apply::Outcome;
 use verbenaspool_standin::{
-    history::{in_force, reverts},
+    history::{activation, reverts},
     platform::{Faults, Platform, Watch},
 };
 use verbenaspool_state::version::Version;
 use verbenaspool_transport::clock::{Clock, Monotonic};
 
 use crate::support::{
-    FIRM, Instance, accepted, all_reach, apply, client, client_at, mark, order, platform, run,
+    FIRM, Instance, accepted, all_activate, apply, client, client_at, marker, platform, request,
+    run,
 };
 
-/// The bound within which an accepted file has to be in force.
-const BOUND: Duration = Duration::from_secs(9);
+/// How long an accepted file may take to become active.
+const MAX_ACTIVATION_DELAY: Duration = Duration::from_secs(9);
 
-/// What is recorded of a run, for both checkers.
+/// Records the events of a run for both checkers.
 struct Record {
     clock: Rc<Monotonic>,
     reverts: RefCell<Vec<reverts::Event>>,
-    in_force: RefCell<Vec<in_force::Event>>,
+    activations: RefCell<Vec<activation::Event>>,
 }
 
 impl Record {
@@ -29,53 +30,58 @@
         Rc::new(Self {
             clock: Monotonic::start(),
             reverts: RefCell::default(),
-            in_force: RefCell::default(),
+            activations: RefCell::default(),
         })
     }
 
-    /// Records what comes in force at an instance until it is dropped.
-    fn follow(self: &Rc<Self>, text: &str, instance: &Instance) {
+    /// Records the versions that become active on an instance.
+    fn follow(self: &Rc<Self>, name: &str, instance: &Instance) {
         let (record, source) = (Rc::clone(self), Rc::clone(&instance.source));
-        let text = text.to_owned();
+        let name = name.to_owned();
         monoio::spawn(async move {
             let mut seen = Version(0);
             loop {
                 let adopted = source.wait_for_newer(seen).await;
                 seen = adopted.version();
-                let content = mark(&adopted.file).to_string();
+                let content = marker(&adopted.file).to_string();
                 record.reverts.borrow_mut().push(reverts::Event {
                     zone: "bowen".to_owned(),
-                    instance: text.clone(),
+                    instance: name.clone(),
                     version: seen.0,
                     content: content.clone(),
                 });
-                record.in_force.borrow_mut().push(in_force::Event::InForce {
-                    at: record.clock.now(),
-                    instance: text.clone(),
-                    version: seen.0,
-                    content,
-                });
+                record
+                    .activations
+                    .borrow_mut()
+                    .push(activation::Event::Activated {
+                        at: record.clock.now(),
+                        instance: name.clone(),
+                        version: seen.0,
+                        content,
+                    });
             }
         });
     }
 
-    /// Records what an operator was told.
-    fn told(&self, mark: u32, outcome: &Outcome) {
-        let content = mark.to_string();
+    /// Records the outcome that an operator got.
+    fn record_outcome(&self, marker: u32, outcome: &Outcome) {
+        let content = marker.to_string();
         let event = match outcome {
-            Outcome::Accepted { version, .. } => in_force::Event::Accepted {
+            Outcome::Accepted { version, .. } => activation::Event::Accepted {
                 at: self.clock.now(),
                 version: version.0,
                 content,
             },
-            Outcome::Conflict { .. } | Outcome::Failed(_) => in_force::Event::Refused { content },
+            Outcome::Conflict { .. } | Outcome::Failed(_) => {
+                activation::Event::Rejected { content }
+            }
             Outcome::Unchanged(_) | Outcome::Unknown(_) => return,
         };
-        self.in_force.borrow_mut().push(event);
+        self.activations.borrow_mut().push(event);
     }
 
-    /// Judges the run, once what came in force is recorded as well: the recorder
-    /// is woken by the same event that a test waits for, and may run after it.
+    /// Checks the run once the activations of `version` are recorded: the recorder is woken by the
+    /// same event as the test, and may run after it.
     async fn check(&self, instances: &[&str], version: u64) {
         let recorded = |wanted: &str| {
             let events = self.reverts.borrow();
@@ -89,12 +95,15 @@
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(reverts::check(&self.reverts.borrow()), Ok(()));
-        let events = self.in_force.borrow();
-        assert_eq!(in_force::check(&events, instances, BOUND), Ok(()));
+        let events = self.activations.borrow();
+        assert_eq!(
+            activation::check(&events, instances, MAX_ACTIVATION_DELAY),
+            Ok(())
+        );
     }
 }
 
-/// Instances that find each other by the first one's address.
+/// Starts instances that discover each other through the first one's address.
 fn zone(platform: &Platform, count: u32) -> Vec<Instance> {
     let mut instances: Vec<Instance> = Vec::new();
     for number in 0..count {
@@ -106,7 +115,7 @@
 }
 
 /// Waits until all instances know each other.
-async fn settle(instances: &[Instance]) {
+async fn wait_for_membership(instances: &[Instance]) {
     for _ in 0..500 {
         if instances
             .iter()
@@ -116,20 +125,20 @@
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("the instances didn't find each other");
+    panic!("the instances didn't discover each other");
 }
 
 #[test]
-fn few_watch_and_all_adopt() {
+fn all_instances_adopt_versions() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
         let instances = zone(&platform, 7);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         for version in 1..=5 {
-            let outcome = apply(&*store, order(FIRM, version, &format!("{version}"))).await;
+            let outcome = apply(&*store, request(FIRM, version, &format!("{version}"))).await;
             assert!(accepted(&outcome).is_some());
-            assert!(all_reach(&instances, version.into()).await);
+            assert!(all_activate(&instances, version.into()).await);
         }
         let first = instances.iter().find(|i| i.source.is_first()).unwrap();
         monoio::time::sleep(Duration::from_millis(500)).await;
@@ -139,8 +148,8 @@
     });
 }
 
-// Operators of one firm race, and so do those of two. Each operator must hear
-// what became of the own file, and only accepted files may come in force.
+/// Guards against wrong outcomes when operators of one or two firms apply concurrently. Each
+/// operator must get the outcome of its own file, and only accepted files may become active.
 #[test]
 fn operators_race() {
     run(async {
@@ -156,41 +165,41 @@
             let store = client(&platform, FIRM);
             operators.push(monoio::spawn(async move {
                 for turn in 0..5 {
-                    let mark = operator * 10 + turn + 1;
-                    let order = order(FIRM, mark, &format!("apply-{mark}"));
-                    record.told(mark, &apply(&*store, order).await);
+                    let marker = operator * 10 + turn + 1;
+                    let request = request(FIRM, marker, &format!("apply-{marker}"));
+                    record.record_outcome(marker, &apply(&*store, request).await);
                 }
             }));
         }
         let other = client(&platform, "quetzal");
         for turn in 1..=5 {
-            let order = order("quetzal", turn, &format!("q-{turn}"));
-            let outcome = apply(&*other, order).await;
+            let request = request("quetzal", turn, &format!("q-{turn}"));
+            let outcome = apply(&*other, request).await;
             assert_eq!(accepted(&outcome), Some(Version(turn.into())));
         }
         for operator in operators {
             operator.await;
         }
-        let events = record.in_force.borrow().clone();
-        let accepted = |e: &&in_force::Event| matches!(e, in_force::Event::Accepted { .. });
+        let events = record.activations.borrow().clone();
+        let accepted = |e: &&activation::Event| matches!(e, activation::Event::Accepted { .. });
         let versions = events.iter().filter(accepted).count();
         assert!(versions >= 5, "{events:?}");
-        assert!(all_reach(&instances, versions as u64).await);
+        assert!(all_activate(&instances, versions as u64).await);
         record
             .check(&["entry-0", "entry-1", "entry-2"], versions as u64)
             .await;
-        // Nothing that the head refers to was collected, and little else is left.
+        // Garbage collection kept the pieces that the head refers to and few others.
         let left = platform.with(|o| o.list("firms/tidewater/pieces/").len());
         assert!((2..=20).contains(&left), "{left} pieces");
     });
 }
 
-// The watch lies: it brings nothing, every other change, or changes backwards
-// and twice. Files must come in force within the bound all the same, because
-// the watch is only a hint to read.
+/// Guards against relying on the watch, which may return no changes, every other change, or all
+/// changes repeated in reverse order. Files must become active in time all the same, because the
+/// watch is only a hint to read.
 #[test]
-fn watch_lies() {
-    for lie in [Watch::Stale, Watch::Gaps, Watch::Reordered] {
+fn watch_loses_and_reorders_changes() {
+    for watch_fault in [Watch::Stale, Watch::Gaps, Watch::Reordered] {
         run(async move {
             let platform = platform();
             let instances = zone(&platform, 2);
@@ -198,21 +207,21 @@
             for (i, instance) in instances.iter().enumerate() {
                 record.follow(&format!("entry-{i}"), instance);
             }
-            platform.set(|faults| faults.watch = lie);
+            platform.set(|faults| faults.watch = watch_fault);
             let store = client(&platform, FIRM);
-            for mark in 1..=3 {
-                let order = order(FIRM, mark, &format!("apply-{mark}"));
-                record.told(mark, &apply(&*store, order).await);
+            for marker in 1..=3 {
+                let request = request(FIRM, marker, &format!("apply-{marker}"));
+                record.record_outcome(marker, &apply(&*store, request).await);
             }
-            assert!(all_reach(&instances, 3).await, "{lie:?}");
+            assert!(all_activate(&instances, 3).await, "{watch_fault:?}");
             record.check(&["entry-0", "entry-1"], 3).await;
         });
     }
 }
 
-// The platform goes down. An apply must say that nothing was accepted. Then all
-// instances are replaced one by one: each successor must come back with what
-// its zone had in force, from its peers alone.
+/// Guards against the loss of the active version during an outage of the platform. All instances
+/// are replaced one by one, and each successor must get the active version from its peers. An
+/// apply during the outage must report that nothing was accepted.
 #[test]
 fn replaced_one_by_one_in_an_outage() {
     run(async {
@@ -220,19 +229,19 @@
         let store = client(&platform, FIRM);
         let record = Record::new();
         let mut instances = zone(&platform, 3);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         for (i, instance) in instances.iter().enumerate() {
             record.follow(&format!("entry-{i}"), instance);
         }
-        for mark in 1..=2 {
-            let order = order(FIRM, mark, &format!("apply-{mark}"));
-            record.told(mark, &apply(&*store, order).await);
+        for marker in 1..=2 {
+            let request = request(FIRM, marker, &format!("apply-{marker}"));
+            record.record_outcome(marker, &apply(&*store, request).await);
         }
-        assert!(all_reach(&instances, 2).await);
+        assert!(all_activate(&instances, 2).await);
         platform.set(|faults| faults.down = true);
-        let failed = apply(&*store, order(FIRM, 9, "apply-9")).await;
+        let failed = apply(&*store, request(FIRM, 9, "apply-9")).await;
         assert!(matches!(failed, Outcome::Failed(_)), "{failed:?}");
-        record.told(9, &failed);
+        record.record_outcome(9, &failed);
         for number in 0..3_u32 {
             instances.remove(0).crash();
             let seeds: Vec<_> = instances.iter().map(|i| i.control).collect();
@@ -240,27 +249,27 @@
             let successor = Instance::start(number, store, &seeds, 100 + u64::from(number));
             record.follow(&format!("entry-{number}"), &successor);
             instances.push(successor);
-            assert!(all_reach(&instances, 2).await, "entry-{number}");
+            assert!(all_activate(&instances, 2).await, "entry-{number}");
         }
         platform.set(|faults| *faults = Faults::default());
-        record.told(3, &apply(&*store, order(FIRM, 3, "apply-3")).await);
-        assert!(all_reach(&instances, 3).await);
+        record.record_outcome(3, &apply(&*store, request(FIRM, 3, "apply-3")).await);
+        assert!(all_activate(&instances, 3).await);
         record.check(&["entry-0", "entry-1", "entry-2"], 3).await;
     });
 }
 
-// All instances of a zone are replaced at once while the platform is down. The
-// successors have nobody to ask: they must take no traffic, say why, and come
-// back with the accepted version when the platform does.
+/// Guards against serving without a configuration. All instances of a zone are replaced at once
+/// while the platform is down, so no peer has a version: the successors must take no traffic,
+/// report why, and activate the accepted version when the platform is back.
 #[test]
 fn replaced_at_once_in_an_outage() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        assert!(accepted(&apply(&*store, order(FIRM, 1, "apply-1")).await).is_some());
+        assert!(accepted(&apply(&*store, request(FIRM, 1, "apply-1")).await).is_some());
         platform.set(|faults| faults.down = true);
         let instances = zone(&platform, 3);
-        settle(&instances).await;
+        wait_for_membership(&instances).await;
         monoio::time::sleep(Duration::from_millis(300)).await;
         for instance in &instances {
             assert!(instance.source.current().is_none());
@@ -268,51 +277,54 @@
         let watcher = instances.iter().find(|i| i.source.is_first()).unwrap();
         assert!(watcher.source.last_error().is_some());
         platform.set(|faults| *faults = Faults::default());
-        assert!(all_reach(&instances, 1).await);
+        assert!(all_activate(&instances, 1).await);
     });
 }
 
-// All but one instance lose the platform, as by a broken switch, be the one that
-// still reaches it a watcher or not. Accepted files must come in force at all.
+/// Guards against missing versions when only one instance can reach the platform, as after a network
+/// fault, whether it is a watcher or not. Accepted files must become active on all instances.
 #[test]
 fn one_still_reaches_the_platform() {
-    for reaching in 0..3 {
+    for connected_instance in 0..3 {
         run(async move {
             let platform = platform();
             let store = client(&platform, FIRM);
-            let nowhere = ([127, 0, 0, 1], 9).into();
+            let unreachable = ([127, 0, 0, 1], 9).into();
             let mut instances: Vec<Instance> = Vec::new();
             for number in 0..3_u32 {
                 let seeds: Vec<_> = instances.iter().map(|i| i.control).take(1).collect();
-                let reach = if number == reaching {
+                let address = if number == connected_instance {
                     platform.address()
                 } else {
-                    nowhere
+                    unreachable
                 };
-                let store = client_at(reach, FIRM);
+                let store = client_at(address, FIRM);
                 instances.push(Instance::start(number, store, &seeds, number.into()));
             }
-            settle(&instances).await;
+            wait_for_membership(&instances).await;
             for version in 1..=3 {
-                let order = order(FIRM, version, &format!("apply-{version}"));
-                assert!(accepted(&apply(&*store, order).await).is_some());
-                assert!(all_reach(&instances, version.into()).await, "{reaching}");
+                let request = request(FIRM, version, &format!("apply-{version}"));
+                assert!(accepted(&apply(&*store, request).await).is_some());
+                assert!(
+                    all_activate(&instances, version.into()).await,
+                    "{connected_instance}"
+                );
             }
         });
     }
 }
 
-// A process is paused, given up and replaced under its name; then it wakes up.
-// It must find out that it was replaced and take no more work.
+/// Guards against two processes that serve under one name. A process is paused and replaced under
+/// its name; when it resumes, it must detect the replacement and take no more work.
 #[test]
 fn paused_process_wakes_up() {
     run(async {
         let platform = platform();
         let store = client(&platform, FIRM);
-        assert!(accepted(&apply(&*store, order(FIRM, 1, "apply-1")).await).is_some());
+        assert!(accepted(&apply(&*store, request(FIRM, 1, "apply-1")).await).is_some());
         let instances = zone(&platform, 2);
-        settle(&instances).await;
-        assert!(all_reach(&instances, 1).await);
+        wait_for_membership(&instances).await;
+        assert!(all_activate(&instances, 1).await);
         let seeds = [instances[0].control];
         let successor = Instance::start(1, client(&platform, FIRM), &seeds, 50);
         for _ in 0..500 {
@@ -327,52 +339,61 @@
 }
 
 #[test]
-fn checkers_refuse_bad_histories() {
+fn checkers_reject_invalid_histories() {
     let event = |instance: &str, version, content: &str| reverts::Event {
         zone: "bowen".to_owned(),
         instance: instance.to_owned(),
         version,
         content: content.to_owned(),
     };
-    let back = [event("a", 1, "x"), event("a", 2, "y"), event("a", 1, "x")];
+    let reverted = [event("a", 1, "x"), event("a", 2, "y"), event("a", 1, "x")];
     assert!(matches!(
-        reverts::check(&back),
-        Err(reverts::Fault::Reverted { .. })
+        reverts::check(&reverted),
+        Err(reverts::Violation::Reverted { .. })
     ));
     let forked = [event("a", 1, "x"), event("b", 1, "y")];
     assert_eq!(
         reverts::check(&forked),
-        Err(reverts::Fault::Forked { version: 1 })
+        Err(reverts::Violation::Forked { version: 1 })
     );
 
     let at = Duration::from_secs(1);
     let text = |content: &str| content.to_owned();
-    let accepted = |version, content| in_force::Event::Accepted {
+    let accepted = |version, content| activation::Event::Accepted {
         at,
         version,
         content: text(content),
     };
-    let reached = |at, version, content| in_force::Event::InForce {
+    let activated = |at, version, content| activation::Event::Activated {
         at,
         instance: text("a"),
         version,
         content: text(content),
     };
-    let refused = in_force::Event::Refused { content: text("x") };
-    let late = at + BOUND + Duration::from_millis(1);
+    let rejected = activation::Event::Rejected { content: text("x") };
+    let late = at + MAX_ACTIVATION_DELAY + Duration::from_millis(1);
     let cases = [
-        ("late", vec![accepted(1, "x"), reached(late, 1, "x")]),
+        ("late", vec![accepted(1, "x"), activated(late, 1, "x")]),
         ("never", vec![accepted(1, "x")]),
-        ("other file", vec![accepted(1, "x"), reached(at, 1, "y")]),
-        ("refused", vec![refused, reached(at, 1, "x")]),
+        ("other file", vec![accepted(1, "x"), activated(at, 1, "y")]),
+        ("rejected", vec![rejected, activated(at, 1, "x")]),
         (
             "two as one",
-            vec![accepted(1, "x"), accepted(1, "y"), reached(at, 1, "x")],
+            vec![accepted(1, "x"), accepted(1, "y"), activated(at, 1, "x")],
         ),
     ];
-    for (story, events) in cases {
-        assert!(in_force::check(&events, &["a"], BOUND).is_err(), "{story}");
+    for (case, events) in cases {
+        assert!(
+            activation::check(&events, &["a"], MAX_ACTIVATION_DELAY).is_err(),
+            "{case}"
+        );
     }
-    let good = [accepted(1, "x"), reached(at + BOUND, 1, "x")];
-    assert_eq!(in_force::check(&good, &["a"], BOUND), Ok(()));
+    let valid = [
+        accepted(1, "x"),
+        activated(at + MAX_ACTIVATION_DELAY, 1, "x"),
+    ];
+    assert_eq!(
+        activation::check(&valid, &["a"], MAX_ACTIVATION_DELAY),
+        Ok(())
+    );
 }
