--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -11,17 +11,17 @@
 };
 use verbenaspool_transport::http::{body::Body, client::Client};
 
-use crate::site::{FRAGILE_PATHS, KEY, Site, version_path};
+use crate::deployment::{Deployment, FRAGILE_PATHS, KEY, version_path};
 
 /// How long a caller waits for an answer: longer than any route allows, so that
 /// an entry that holds one back is found.
-const WAIT: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long after a route's time a final answer may come, on a busy machine.
-const LATE: Duration = Duration::from_millis(3_500);
+const LATE_AFTER: Duration = Duration::from_millis(3_500);
 
 /// The statuses that promise that a request didn't run and won't.
-const PROMISES: [StatusCode; 4] = [
+const NOT_RUN_STATUSES: [StatusCode; 4] = [
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
     StatusCode::REQUEST_TIMEOUT,
@@ -30,8 +30,8 @@
 
 /// One caller.
 pub struct Caller {
-    /// The site that it calls.
-    pub site: Rc<Site>,
+    /// The deployment that it calls.
+    pub deployment: Rc<Deployment>,
     /// Its number, for its requests' ids.
     pub number: usize,
     /// What decides its requests.
@@ -42,18 +42,24 @@
 
 impl Caller {
     /// Sends requests until the deadline on the loop's clock.
-    pub async fn run(mut self, until: std::time::Instant) {
+    pub async fn run(mut self, deadline: std::time::Instant) {
         let mut sent = 0;
-        while std::time::Instant::now() < until {
+        while std::time::Instant::now() < deadline {
             sent += 1;
             let id = format!("c{}-{sent}", self.number);
             match self.rng.random_range(0..12) {
-                0..4 => self.stream("/stream/", &id).await,
-                4 => self.stream(&format!("/{}/", FRAGILE_PATHS[0]), &id).await,
-                5..8 => self.book("/book/slot", &id).await,
-                8 => self.book(&format!("/{}/", FRAGILE_PATHS[1]), &id).await,
-                9..11 => self.look(&id).await,
-                _ => self.version(&id).await,
+                0..4 => self.send_stream("/stream/", &id).await,
+                4 => {
+                    self.send_stream(&format!("/{}/", FRAGILE_PATHS[0]), &id)
+                        .await
+                }
+                5..8 => self.send_booking("/book/slot", &id).await,
+                8 => {
+                    self.send_booking(&format!("/{}/", FRAGILE_PATHS[1]), &id)
+                        .await
+                }
+                9..11 => self.send_lookup(&id).await,
+                _ => self.check_version(&id).await,
             }
             let pause = self.rng.random_range(1..40);
             monoio::time::sleep(Duration::from_millis(pause)).await;
@@ -62,16 +68,16 @@
 
     /// Sends the same request again and again until the deadline, each time to some entry,
     /// though it crashes the upstreams that run it.
-    pub async fn insist(mut self, until: std::time::Instant) {
+    pub async fn run_crashing(mut self, deadline: std::time::Instant) {
         let path = FRAGILE_PATHS[self.number % FRAGILE_PATHS.len()];
         let path = format!("/{path}/{}", self.number);
         let mut sent = 0;
-        while std::time::Instant::now() < until {
+        while std::time::Instant::now() < deadline {
             sent += 1;
             let id = format!("x{}-{sent}", self.number);
             if let Some(response) = self.request(&path, &id, CRASHING_BODY).await {
-                self.judge(&id, &response);
-                let _ = Self::body(response).await;
+                self.check_status(&id, &response);
+                let _ = Self::read_body(response).await;
             }
             let pause = self.rng.random_range(50..400);
             monoio::time::sleep(Duration::from_millis(pause)).await;
@@ -85,96 +91,102 @@
 
     /// Sends a request to some entry; nothing where no head came back.
     async fn request(&mut self, path: &str, id: &str, body: &str) -> Option<http::Response<Body>> {
-        let entries = self.site.entries.borrow().len();
+        let entries = self.deployment.entries.borrow().len();
         let entry = self.rng.random_range(0..entries);
-        let listen = self.site.entries.borrow()[entry].listen;
+        let listen = self.deployment.entries.borrow()[entry].listen;
         let request = text::request(path, id, KEY)
             .body(Body::full(body.to_owned()))
             .ok()?;
-        let began = std::time::Instant::now();
-        let sent = monoio::time::timeout(WAIT, self.client.send(listen, request)).await;
-        if began.elapsed() > LATE && matches!(sent, Ok(Ok(_))) {
-            let what = format!("{id} after {:?}", began.elapsed());
-            self.site.checks.count("late");
-            if began.elapsed() > WAIT {
-                self.site.checks.broke("an answer in time", what);
+        let started_at = std::time::Instant::now();
+        let sent = monoio::time::timeout(ANSWER_TIMEOUT, self.client.send(listen, request)).await;
+        if started_at.elapsed() > LATE_AFTER && matches!(sent, Ok(Ok(_))) {
+            let details = format!("{id} after {:?}", started_at.elapsed());
+            self.deployment.checks.count("late");
+            if started_at.elapsed() > ANSWER_TIMEOUT {
+                self.deployment
+                    .checks
+                    .record_violation("an answer in time", details);
             }
         }
         let response = sent.ok()?.ok();
         if response.is_none() {
-            self.site.checks.count("closed");
+            self.deployment.checks.count("closed");
         }
         response
     }
 
     /// The whole body of an answer, or nothing where it broke off.
-    async fn body(response: http::Response<Body>) -> Option<String> {
-        let body = monoio::time::timeout(WAIT, response.into_body().collect()).await;
+    async fn read_body(response: http::Response<Body>) -> Option<String> {
+        let body = monoio::time::timeout(ANSWER_TIMEOUT, response.into_body().collect()).await;
         let body = body.ok()?.ok()?.to_bytes();
         String::from_utf8(body.to_vec()).ok()
     }
 
     /// Notes what a status promises; tells whether it is a success.
-    fn judge(&self, id: &str, response: &http::Response<Body>) -> bool {
+    fn check_status(&self, id: &str, response: &http::Response<Body>) -> bool {
         let status = response.status();
-        if PROMISES.contains(&status) {
-            self.site.checks.refused(id);
-            self.site.checks.count("refused");
+        if NOT_RUN_STATUSES.contains(&status) {
+            self.deployment.checks.record_not_run(id);
+            self.deployment.checks.count("refused");
         } else if status.is_success() {
             if !text::is_signed(response.headers()) {
-                let what = format!("{id} has no signature");
-                self.site.checks.broke("the upstream's own answer", what);
+                let details = format!("{id} has no signature");
+                self.deployment
+                    .checks
+                    .record_violation("the upstream's own answer", details);
             }
             return true;
         } else {
-            self.site.checks.count("failed");
+            self.deployment.checks.count("failed");
         }
         false
     }
 
     /// A booking, which may run once.
-    async fn book(&mut self, path: &str, id: &str) {
-        self.site.checks.once(id);
-        self.whole(path, id).await;
+    async fn send_booking(&mut self, path: &str, id: &str) {
+        self.deployment.checks.record_at_most_once(id);
+        self.send_plain(path, id).await;
     }
 
     /// A look-up, which may run any number of times.
-    async fn look(&mut self, id: &str) {
-        self.whole("/look/up", id).await;
+    async fn send_lookup(&mut self, id: &str) {
+        self.send_plain("/look/up", id).await;
     }
 
     /// A plain request, whose answer must be its own and whole.
-    async fn whole(&mut self, path: &str, id: &str) {
+    async fn send_plain(&mut self, path: &str, id: &str) {
         let Some(response) = self.send(path, id).await else {
             return;
         };
-        if !self.judge(id, &response) {
+        if !self.check_status(id, &response) {
             return;
         }
-        match Self::body(response).await {
-            Some(body) if body == Upstream::whole(path, "body") => self.site.checks.count("whole"),
+        match Self::read_body(response).await {
+            Some(body) if body == Upstream::whole(path, "body") => {
+                self.deployment.checks.count("whole")
+            }
             Some(body) => {
-                let what = format!("{id} got {body:?}");
-                self.site
+                let details = format!("{id} got {body:?}");
+                self.deployment
                     .checks
-                    .broke("the whole answer to its own request", what);
+                    .record_violation("the whole answer to its own request", details);
             }
-            None => self.site.checks.count("broken off"),
+            None => self.deployment.checks.count("broken off"),
         }
     }
 
     /// A stream: each event once and in order, and none missing where it ends whole.
-    async fn stream(&mut self, path: &str, id: &str) {
+    async fn send_stream(&mut self, path: &str, id: &str) {
         let Some(response) = self.send(path, id).await else {
             return;
         };
-        if !self.judge(id, &response) {
+        if !self.check_status(id, &response) {
             return;
         }
         let mut body = response.into_body();
         let mut text = String::new();
-        let mut whole = false;
-        while let Ok(frame) = monoio::time::timeout(WAIT, body.frame()).await {
+        let mut complete = false;
+        while let Ok(frame) = monoio::time::timeout(ANSWER_TIMEOUT, body.frame()).await {
             match frame {
                 Some(Ok(frame)) => {
                     let data = frame.into_data().unwrap_or_default();
@@ -182,54 +194,62 @@
                 }
                 Some(Err(_)) => break,
                 None => {
-                    whole = true;
+                    complete = true;
                     break;
                 }
             }
         }
         let events = Upstream::events(0);
-        if whole && text != events || !events.starts_with(&text) {
-            let what = format!("{id} got {text:?}, whole: {whole}");
-            self.site.checks.broke("each event once and in order", what);
+        if complete && text != events || !events.starts_with(&text) {
+            let details = format!("{id} got {text:?}, whole: {complete}");
+            self.deployment
+                .checks
+                .record_violation("each event once and in order", details);
         }
-        self.site
+        self.deployment
             .checks
-            .count(if whole { "whole" } else { "broken off" });
+            .count(if complete { "whole" } else { "broken off" });
     }
 
     /// Asks an entry for what only the newest version has.
-    async fn version(&mut self, id: &str) {
-        let version = self.site.version.get();
+    async fn check_version(&mut self, id: &str) {
+        let version = self.deployment.version.get();
         let entry = {
-            let entries = self.site.entries.borrow().len();
+            let entries = self.deployment.entries.borrow().len();
             self.rng.random_range(0..entries)
         };
         let (listen, incarnation) = {
-            let entries = self.site.entries.borrow();
+            let entries = self.deployment.entries.borrow();
             (entries[entry].listen, entries[entry].process.incarnation)
         };
         let path = format!("/{}/", version_path(version));
         let Ok(request) = text::request(&path, id, KEY).body(Body::empty()) else {
             return;
         };
-        let sent =
-            monoio::time::timeout(WAIT, self.client.send_on_new_connection(listen, request)).await;
+        let sent = monoio::time::timeout(
+            ANSWER_TIMEOUT,
+            self.client.send_on_new_connection(listen, request),
+        )
+        .await;
         let Ok(Ok(response)) = sent else {
             return;
         };
         let (now, process) = {
-            let entries = self.site.entries.borrow();
-            (self.site.version.get(), entries[entry].process.incarnation)
+            let entries = self.deployment.entries.borrow();
+            (
+                self.deployment.version.get(),
+                entries[entry].process.incarnation,
+            )
         };
         // A change or a new process meanwhile makes the answer say nothing.
         if now != version || process != incarnation {
             return;
         }
-        let serves = response.status() != StatusCode::NOT_FOUND;
-        if !serves || response.status().is_success() {
-            self.site
+        let found = response.status() != StatusCode::NOT_FOUND;
+        if !found || response.status().is_success() {
+            self.deployment
                 .checks
-                .version(entry, incarnation, version, serves);
+                .record_version(entry, incarnation, version, found);
         }
     }
 }
--- a/verbenaspool_soak/src/site.rs
+++ b/verbenaspool_soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The site under test: the store, upstreams and entries, with proxies between.
+//! The deployment under test: the store, upstreams and entries, with proxies between.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,7 +12,7 @@
 use monoio::net::TcpListener;
 use verbenaspool_platform_standin::{
     group::{Group, Member},
-    process::Process as Crashing,
+    process::Process as CrashingProcess,
     store::Store,
     text,
     upstream::Upstream,
@@ -29,7 +29,7 @@
 pub const UPSTREAMS: usize = 3;
 
 /// The service whose upstreams are the ranks of the group.
-const RANKS: &str = "ranks";
+const RANK_SERVICE: &str = "ranks";
 
 /// The service whose upstreams some requests crash.
 const FRAGILE_SERVICE: &str = "fragile";
@@ -58,7 +58,7 @@
     address: SocketAddr,
 }
 
-/// One entry of the site.
+/// One entry of the deployment.
 #[derive(Debug)]
 pub struct Entry {
     /// Where callers connect.
@@ -76,16 +76,16 @@
     pub agent: PathBuf,
 }
 
-/// The site.
-pub struct Site {
+/// The deployment.
+pub struct Deployment {
     /// The platform's store.
     pub store: Rc<Store>,
     /// The way of each entry to the store.
-    pub ways: Vec<Rc<Proxy>>,
+    pub store_proxies: Vec<Rc<Proxy>>,
     /// The upstreams: first those of streams, then those of bookings.
     pub servers: Vec<Server>,
     /// The upstreams that some requests crash.
-    pub fragile: Vec<Rc<Crashing>>,
+    pub fragile: Vec<Rc<CrashingProcess>>,
     /// The entries.
     pub entries: RefCell<Vec<Entry>>,
     /// The ranks that make passes together.
@@ -105,13 +105,19 @@
     let listener = TcpListener::bind(address)?;
     let (trigger, signal) = shutdown::channel();
     triggers.push(trigger);
-    let (limits, open) = (Limits::default(), Connections::default());
-    monoio::spawn(server::serve(listener, limits, handler, open, signal));
+    let (limits, connections) = (Limits::default(), Connections::default());
+    monoio::spawn(server::serve(
+        listener,
+        limits,
+        handler,
+        connections,
+        signal,
+    ));
     Ok(address)
 }
 
-impl Site {
-    /// Starts a site with so many entries, and so many ranks with an agent each.
+impl Deployment {
+    /// Starts a deployment with so many entries, and so many ranks with an agent each.
     ///
     /// # Errors
     /// An address can't be listened at, or a program can't be started.
@@ -145,7 +151,7 @@
         }
         let fragile = (0..FRAGILE_UPSTREAMS).map(|number| {
             let (store, name) = (store.clone(), format!("f-{number}"));
-            Crashing::start(
+            CrashingProcess::start(
                 store,
                 FRAGILE_SERVICE,
                 &name,
@@ -161,13 +167,13 @@
             .map_or(0, |address| address.port() ^ 0x4000);
         let control = |ip: IpAddr| SocketAddr::new(ip, peer_port + 1);
         let seeds: Vec<SocketAddr> = addresses.iter().take(3).map(|a| control(a.ip())).collect();
-        let (mut ways, mut processes) = (Vec::new(), Vec::new());
-        let site_version = 2;
-        store.put("config", "main", &configuration(site_version));
+        let (mut store_proxies, mut processes) = (Vec::new(), Vec::new());
+        let initial_version = 2;
+        store.put("config", "main", &configuration(initial_version));
         for (number, listen) in addresses.into_iter().enumerate() {
-            let way = address::fresh();
-            ways.push(Proxy::start(way, platform)?);
-            let text = entry_settings(number, listen, peer_port, way, &seeds);
+            let proxy = address::fresh();
+            store_proxies.push(Proxy::start(proxy, platform)?);
+            let text = entry_settings(number, listen, peer_port, proxy, &seeds);
             let name = format!("entry-{number}");
             let process = Process::start(&programs.entry, folder, &name, &text)?;
             processes.push(Entry { listen, process });
@@ -178,34 +184,38 @@
             let group = group.clone();
             let upstream = serve(Rc::new(Member { group, rank }), &mut triggers)?;
             let id = format!("r-{rank}");
-            store.put("servers", &id, &text::listed(RANKS, upstream, "ready"));
+            store.put(
+                "servers",
+                &id,
+                &text::listed(RANK_SERVICE, upstream, "ready"),
+            );
             let text = agent_settings(rank, upstream, peer_port);
             let name = format!("agent-{rank}");
             agents.push(Process::start(&programs.agent, folder, &name, &text)?);
         }
         Ok(Rc::new(Self {
             store,
-            ways,
+            store_proxies,
             servers,
             fragile,
             entries: RefCell::new(processes),
             group,
             agents: RefCell::new(agents),
             checks: Checks::default(),
-            version: Cell::new(site_version),
+            version: Cell::new(initial_version),
             triggers,
         }))
     }
 
     /// Writes the next version of the configuration, which adds a route of its own.
-    pub fn change(&self) {
+    pub fn change_configuration(&self) {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.store.put("config", "main", &configuration(version));
     }
 
     /// Says in the registry whether an upstream leaves.
-    pub fn list(&self, server: usize, state: &str) {
+    pub fn set_listed_state(&self, server: usize, state: &str) {
         let server = &self.servers[server];
         let entry = text::listed(server.service, server.address, state);
         self.store.put("servers", &server.upstream.id, &entry);
@@ -213,7 +223,7 @@
 
     /// How often upstreams ran a request.
     #[must_use]
-    pub fn runs(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         let servers = self.servers.iter();
         let servers: usize = servers.map(|server| server.upstream.runs(id)).sum();
         let fragile = self.fragile.iter();
@@ -222,7 +232,7 @@
     }
 
     /// Ends the stand-ins.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.entries.borrow_mut().clear();
         self.agents.borrow_mut().clear();
         for trigger in &self.triggers {
@@ -256,7 +266,7 @@
 fn agent_settings(rank: usize, upstream: SocketAddr, peer_port: u16) -> String {
     format!(
         "path: direct\nname: agent-{rank}\naddress: {}\nupstream: '{upstream}'\n\
-         service: {RANKS}\npeer_port: {peer_port}\n\
+         service: {RANK_SERVICE}\npeer_port: {peer_port}\n\
          log: {{form: json}}\n",
         upstream.ip()
     )
@@ -269,7 +279,7 @@
     let kinds = ["streaming", "unsafe"];
     let fragile = FRAGILE_PATHS.iter().zip(kinds);
     routes.extend(fragile.map(|(path, kind)| text::route(path, kind, FRAGILE_SERVICE)));
-    let services = [text::ranks(RANKS), text::service(FRAGILE_SERVICE)];
+    let services = [text::ranks(RANK_SERVICE), text::service(FRAGILE_SERVICE)];
     text::configuration_with(version, &routes, &[KEY], &services)
 }
 
--- a/verbenaspool_soak/src/fault.rs
+++ b/verbenaspool_soak/src/fault.rs
@@ -10,10 +10,10 @@
 use rand::{Rng, rngs::SmallRng, seq::IndexedRandom};
 use verbenaspool_platform_standin::{store::Condition, upstream::Way};
 
-use crate::{process::Process, proxy::Mode, site::Site};
+use crate::{deployment::Deployment, process::Process, proxy::Mode};
 
 /// What upstreams do at times.
-const WAYS: [Way; 9] = [
+const BEHAVIOURS: [Way; 9] = [
     Way::TurnAway,
     Way::Lose,
     Way::Crossed,
@@ -26,7 +26,7 @@
 ];
 
 /// What connections do at times.
-const MODES: [Mode; 4] = [
+const PROXY_MODES: [Mode; 4] = [
     Mode::Delay(Duration::from_millis(80)),
     Mode::Reset,
     Mode::Silent,
@@ -34,33 +34,50 @@
 ];
 
 /// Kinds of faults around entries.
-const ENTRY_KINDS: u32 = 12;
+const ENTRY_FAULT_KINDS: u32 = 12;
 
 /// All kinds of faults.
-const KINDS: u32 = ENTRY_KINDS + 5;
+const FAULT_KINDS: u32 = ENTRY_FAULT_KINDS + 5;
 
 /// Of a hundred orders to ranks, how many get no answer while that is the fault.
-const LATE: u32 = 35;
+const LATE_PERCENT: u32 = 35;
 
 /// How long an entry may take to end behind SIGTERM: its grace and a second.
-const GRACE: Duration = Duration::from_secs(6);
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Makes faults until the deadline.
-pub async fn run(site: Rc<Site>, mut rng: SmallRng, until: Instant, note: impl Fn(String)) {
-    while Instant::now() < until {
-        let kind = rng.random_range(0..KINDS);
-        let lasts = Duration::from_millis(rng.random_range(100..2_500));
-        let server = rng.random_range(0..site.servers.len());
-        let entry = rng.random_range(0..site.ways.len());
-        let agent = rng.random_range(0..site.agents.borrow().len().max(1));
-        note(format!(
-            "fault {kind}: server {server}, entry {entry}, agent {agent}, {lasts:?}"
+pub async fn run(
+    deployment: Rc<Deployment>,
+    mut rng: SmallRng,
+    deadline: Instant,
+    write_fault: impl Fn(String),
+) {
+    while Instant::now() < deadline {
+        let kind = rng.random_range(0..FAULT_KINDS);
+        let duration = Duration::from_millis(rng.random_range(100..2_500));
+        let server = rng.random_range(0..deployment.servers.len());
+        let entry = rng.random_range(0..deployment.store_proxies.len());
+        let agent = rng.random_range(0..deployment.agents.borrow().len().max(1));
+        write_fault(format!(
+            "fault {kind}: server {server}, entry {entry}, agent {agent}, {duration:?}"
         ));
-        if kind < ENTRY_KINDS {
-            let task = strike(site.clone(), kind, server, entry, lasts, pick(&mut rng));
+        if kind < ENTRY_FAULT_KINDS {
+            let task = inject_entry_fault(
+                deployment.clone(),
+                kind,
+                server,
+                entry,
+                duration,
+                choose(&mut rng),
+            );
             monoio::spawn(task);
         } else {
-            monoio::spawn(strike_group(site.clone(), kind - ENTRY_KINDS, agent, lasts));
+            monoio::spawn(inject_group_fault(
+                deployment.clone(),
+                kind - ENTRY_FAULT_KINDS,
+                agent,
+                duration,
+            ));
         }
         let pause = rng.random_range(50..900);
         monoio::time::sleep(Duration::from_millis(pause)).await;
@@ -69,148 +86,162 @@
 
 /// The ways that a fault may take.
 #[derive(Debug, Clone, Copy)]
-struct Picked {
-    way: Way,
+struct FaultChoice {
+    behaviour: Way,
     mode: Mode,
 }
 
-fn pick(rng: &mut SmallRng) -> Picked {
-    Picked {
-        way: WAYS.choose(rng).copied().unwrap_or(Way::Fail),
-        mode: MODES.choose(rng).copied().unwrap_or(Mode::Reset),
+fn choose(rng: &mut SmallRng) -> FaultChoice {
+    FaultChoice {
+        behaviour: BEHAVIOURS.choose(rng).copied().unwrap_or(Way::Fail),
+        mode: PROXY_MODES.choose(rng).copied().unwrap_or(Mode::Reset),
     }
 }
 
 /// Makes one fault and ends it.
-async fn strike(
-    site: Rc<Site>,
+async fn inject_entry_fault(
+    deployment: Rc<Deployment>,
     kind: u32,
     server: usize,
     entry: usize,
-    lasts: Duration,
-    picked: Picked,
+    duration: Duration,
+    choice: FaultChoice,
 ) {
-    let at = &site.servers[server];
+    let target = &deployment.servers[server];
     match kind {
         0 | 1 => {
-            at.upstream.way.set(picked.way);
-            monoio::time::sleep(lasts).await;
-            at.upstream.way.set(Way::Well);
+            target.upstream.way.set(choice.behaviour);
+            monoio::time::sleep(duration).await;
+            target.upstream.way.set(Way::Well);
         }
         2 | 3 => {
-            at.proxy.mode.set(picked.mode);
-            monoio::time::sleep(lasts).await;
-            at.proxy.mode.set(Mode::Pass);
+            target.proxy.mode.set(choice.mode);
+            monoio::time::sleep(duration).await;
+            target.proxy.mode.set(Mode::Pass);
         }
         4 => {
-            site.ways[entry].mode.set(picked.mode);
-            monoio::time::sleep(lasts).await;
-            site.ways[entry].mode.set(Mode::Pass);
+            deployment.store_proxies[entry].mode.set(choice.mode);
+            monoio::time::sleep(duration).await;
+            deployment.store_proxies[entry].mode.set(Mode::Pass);
         }
         5 => {
-            let busy = lasts.as_millis().is_multiple_of(2);
+            let busy = duration.as_millis().is_multiple_of(2);
             let mood = if busy {
                 Condition::Busy
             } else {
                 Condition::Silent
             };
-            site.store.mood.set(mood);
-            monoio::time::sleep(lasts).await;
-            site.store.mood.set(Condition::Well);
+            deployment.store.mood.set(mood);
+            monoio::time::sleep(duration).await;
+            deployment.store.mood.set(Condition::Well);
         }
-        6 => site.change(),
+        6 => deployment.change_configuration(),
         7 => {
-            site.change();
-            site.store.forget();
+            deployment.change_configuration();
+            deployment.store.forget();
         }
         8 => {
-            site.list(server, "draining");
-            monoio::time::sleep(lasts).await;
-            site.list(server, "ready");
+            deployment.set_listed_state(server, "draining");
+            monoio::time::sleep(duration).await;
+            deployment.set_listed_state(server, "ready");
         }
         9 => {
-            signal(&site, entry, Signal::SIGSTOP);
-            monoio::time::sleep(lasts).await;
-            signal(&site, entry, Signal::SIGCONT);
+            signal(&deployment, entry, Signal::SIGSTOP);
+            monoio::time::sleep(duration).await;
+            signal(&deployment, entry, Signal::SIGCONT);
         }
         10 => {
-            signal(&site, entry, Signal::SIGKILL);
-            revive_entry(&site, entry).await;
+            signal(&deployment, entry, Signal::SIGKILL);
+            restart_entry(&deployment, entry).await;
         }
         _ => {
-            signal(&site, entry, Signal::SIGHUP);
-            signal(&site, entry, Signal::SIGTERM);
-            revive_entry(&site, entry).await;
+            signal(&deployment, entry, Signal::SIGHUP);
+            signal(&deployment, entry, Signal::SIGTERM);
+            restart_entry(&deployment, entry).await;
         }
     }
 }
 
 /// Makes one fault of a group or an agent and ends it.
-async fn strike_group(site: Rc<Site>, kind: u32, agent: usize, lasts: Duration) {
-    let tell = |signal| {
-        if let Some(process) = site.agents.borrow().get(agent) {
+async fn inject_group_fault(
+    deployment: Rc<Deployment>,
+    kind: u32,
+    agent: usize,
+    duration: Duration,
+) {
+    let signal_agent = |signal| {
+        if let Some(process) = deployment.agents.borrow().get(agent) {
             process.signal(signal);
         }
     };
     match kind {
         0 | 1 => {
-            tell(Signal::SIGSTOP);
-            monoio::time::sleep(lasts).await;
-            tell(Signal::SIGCONT);
+            signal_agent(Signal::SIGSTOP);
+            monoio::time::sleep(duration).await;
+            signal_agent(Signal::SIGCONT);
         }
         2 => {
-            tell(Signal::SIGKILL);
-            revive(&site, |site| {
-                site.agents.borrow_mut().get_mut(agent).map(again)
+            signal_agent(Signal::SIGKILL);
+            restart_when_ended(&deployment, |deployment| {
+                deployment
+                    .agents
+                    .borrow_mut()
+                    .get_mut(agent)
+                    .map(restart_if_ended)
             })
             .await;
         }
         3 => {
-            site.group.late.set(LATE);
-            monoio::time::sleep(lasts).await;
-            site.group.late.set(0);
+            deployment.group.late.set(LATE_PERCENT);
+            monoio::time::sleep(duration).await;
+            deployment.group.late.set(0);
         }
-        _ => site.group.break_up(),
+        _ => deployment.group.break_up(),
     }
 }
 
 /// Sends a signal to an entry's process.
-fn signal(site: &Site, entry: usize, signal: Signal) {
-    if let Some(entry) = site.entries.borrow().get(entry) {
+fn signal(deployment: &Deployment, entry: usize, signal: Signal) {
+    if let Some(entry) = deployment.entries.borrow().get(entry) {
         entry.process.signal(signal);
     }
 }
 
 /// Starts an entry anew once its process has ended; ends it after its grace.
-async fn revive_entry(site: &Site, entry: usize) {
-    let began = Instant::now();
-    let entry = |site: &Site| {
-        let mut entries = site.entries.borrow_mut();
+async fn restart_entry(deployment: &Deployment, entry: usize) {
+    let started_at = Instant::now();
+    let entry = |deployment: &Deployment| {
+        let mut entries = deployment.entries.borrow_mut();
         let entry = entries.get_mut(entry)?;
-        if began.elapsed() > GRACE {
+        if started_at.elapsed() > STOP_TIMEOUT {
             entry.process.signal(Signal::SIGKILL);
         }
-        Some(again(&mut entry.process))
+        Some(restart_if_ended(&mut entry.process))
     };
-    revive(site, entry).await;
+    restart_when_ended(deployment, entry).await;
 }
 
 /// Whether a program runs anew whose process has ended.
-fn again(process: &mut Process) -> io::Result<bool> {
-    if process.ended().is_none() {
+fn restart_if_ended(process: &mut Process) -> io::Result<bool> {
+    if process.poll_exit().is_none() {
         return Ok(false);
     }
     process.restart().map(|()| true)
 }
 
 /// Starts a program anew once its process has ended.
-async fn revive(site: &Site, again: impl Fn(&Site) -> Option<io::Result<bool>>) {
+async fn restart_when_ended(
+    deployment: &Deployment,
+    restart: impl Fn(&Deployment) -> Option<io::Result<bool>>,
+) {
     loop {
         monoio::time::sleep(Duration::from_millis(20)).await;
-        match again(site) {
+        match restart(deployment) {
             Some(Ok(false)) => {}
-            Some(Err(why)) => {
-                site.checks.broke("a program starts again", why.to_string());
+            Some(Err(error)) => {
+                deployment
+                    .checks
+                    .record_violation("a program starts again", error.to_string());
                 return;
             }
             None | Some(Ok(true)) => return,
--- a/verbenaspool_soak/src/lib.rs
+++ b/verbenaspool_soak/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod caller;
 pub mod check;
+pub mod deployment;
 pub mod fault;
 pub mod process;
 pub mod proxy;
-pub mod site;
--- a/verbenaspool_soak/src/main.rs
+++ b/verbenaspool_soak/src/main.rs
@@ -14,20 +14,20 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use verbenaspool_soak::{
     caller::Caller,
+    deployment::{Deployment, Programs},
     fault,
-    site::{Programs, Site},
 };
 use verbenaspool_transport::{http::client::Client, runtime};
 
 /// How long entries have to be ready before faults begin, and to calm down behind.
-const SETTLE: Duration = Duration::from_millis(1_500);
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long a group may stand once all faults are over: an agent may be paused for 2.5 s
 /// after the last one, and others look into a held pass within 2 s.
-const STOOD: Duration = Duration::from_secs(8);
+const MAX_TIME_WITHOUT_PASS: Duration = Duration::from_secs(8);
 
 /// The most entries, and agents, of one run; each is a process.
-const MOST: usize = 200;
+const MAX_PROCESSES: usize = 200;
 
 /// Runs entries and agents under random faults and checks what callers and upstreams see.
 #[derive(Debug, Parser)]
@@ -66,11 +66,11 @@
     let options = Options::parse();
     let mut failed = 0;
     for seed in options.seed..options.seed + options.seeds {
-        match play(&options, seed) {
+        match run_seed(&options, seed) {
             Ok(0) => {}
             Ok(_) => failed += 1,
-            Err(why) => {
-                eprintln!("seed {seed}: {why}");
+            Err(error) => {
+                eprintln!("seed {seed}: {error}");
                 return ExitCode::from(2);
             }
         }
@@ -80,7 +80,7 @@
 }
 
 /// Plays one seed; tells how many promises were broken.
-fn play(options: &Options, seed: u64) -> std::io::Result<usize> {
+fn run_seed(options: &Options, seed: u64) -> std::io::Result<usize> {
     let folder = options.folder.join(format!("seed-{seed}"));
     fs::create_dir_all(&folder)?;
     let own = std::env::current_exe()?;
@@ -92,102 +92,118 @@
         entry: programs.join("verbenaspool"),
         agent: programs.join("verbenaspool-agent"),
     };
-    let broken = runtime::run(soak(options, seed, programs, folder.clone()))??;
-    if broken == 0 {
+    let violations = runtime::run(run_deployment(options, seed, programs, folder.clone()))??;
+    if violations == 0 {
         fs::remove_dir_all(&folder)?;
     }
-    Ok(broken)
+    Ok(violations)
 }
 
-/// Runs the site, its callers and faults.
-async fn soak(
+/// Runs the deployment, its callers and faults.
+async fn run_deployment(
     options: &Options,
     seed: u64,
     programs: Programs,
     folder: PathBuf,
 ) -> std::io::Result<usize> {
     let faults = RefCell::new(fs::File::create(folder.join("faults.log"))?);
-    let entries = options.processes.clamp(1, MOST);
-    let ranks = options.ranks.clamp(2, MOST);
-    let site = Site::start(entries, ranks, &programs, &folder)?;
-    monoio::time::sleep(SETTLE).await;
-    let began = Instant::now();
-    let until = began + Duration::from_secs(options.seconds);
+    let entries = options.processes.clamp(1, MAX_PROCESSES);
+    let ranks = options.ranks.clamp(2, MAX_PROCESSES);
+    let deployment = Deployment::start(entries, ranks, &programs, &folder)?;
+    monoio::time::sleep(SETTLE_TIME).await;
+    let started_at = Instant::now();
+    let deadline = started_at + Duration::from_secs(options.seconds);
     let mut callers = Vec::new();
     for number in 0..options.callers {
         let caller = Caller {
-            site: site.clone(),
+            deployment: deployment.clone(),
             number,
             rng: SmallRng::seed_from_u64(seed * 10_000 + number as u64),
             client: Client::new(Duration::from_secs(1)),
         };
-        callers.push(monoio::spawn(caller.run(until)));
+        callers.push(monoio::spawn(caller.run(deadline)));
     }
     for number in 0..options.crashing {
         let caller = Caller {
-            site: site.clone(),
+            deployment: deployment.clone(),
             number,
             rng: SmallRng::seed_from_u64(seed * 10_000 + 5_000 + number as u64),
             client: Client::new(Duration::from_secs(1)),
         };
-        callers.push(monoio::spawn(caller.insist(until)));
+        callers.push(monoio::spawn(caller.run_crashing(deadline)));
     }
-    let note = |fault: String| {
-        let at = began.elapsed().as_millis();
+    let write_fault = |fault: String| {
+        let at = started_at.elapsed().as_millis();
         // A line that can't be written is missed by nobody but who reads it.
         let _ = writeln!(faults.borrow_mut(), "{at} ms {fault}");
     };
-    fault::run(site.clone(), SmallRng::seed_from_u64(seed), until, note).await;
+    fault::run(
+        deployment.clone(),
+        SmallRng::seed_from_u64(seed),
+        deadline,
+        write_fault,
+    )
+    .await;
     for caller in callers {
         caller.await;
     }
-    monoio::time::sleep(SETTLE).await;
-    let checked = site.clone();
-    site.checks.settle(move |id| checked.runs(id));
-    let crashes = site.fragile.iter().flat_map(|process| process.crashes());
+    monoio::time::sleep(SETTLE_TIME).await;
+    let checked = deployment.clone();
+    deployment
+        .checks
+        .check_runs(move |id| checked.run_count(id));
+    let crashes = deployment
+        .fragile
+        .iter()
+        .flat_map(|process| process.crashes());
     let crashes: Vec<_> = crashes.collect();
-    site.checks
+    deployment
+        .checks
         .counts
         .borrow_mut()
         .insert("crashes", crashes.len() as u64);
-    site.checks.settle_crashes(crashes.into_iter());
-    settle_group(&site).await;
-    report(seed, &site);
-    let broken = site.checks.broken.borrow().len();
-    site.end();
-    Ok(broken)
+    deployment.checks.check_crashes(crashes.into_iter());
+    check_group(&deployment).await;
+    report(seed, &deployment);
+    let violations = deployment.checks.violations.borrow().len();
+    deployment.stop();
+    Ok(violations)
 }
 
 /// Checks what the group saw: passes on one map, and that it goes on.
-async fn settle_group(site: &Rc<Site>) {
-    let (before, began) = (site.group.step(), Instant::now());
-    while site.group.step() == before {
-        if began.elapsed() > STOOD {
-            let what = format!("pass {before} isn't followed by another");
-            site.checks.broke("a group goes on", what);
+async fn check_group(deployment: &Rc<Deployment>) {
+    let (step_before, started_at) = (deployment.group.step(), Instant::now());
+    while deployment.group.step() == step_before {
+        if started_at.elapsed() > MAX_TIME_WITHOUT_PASS {
+            let details = format!("pass {step_before} isn't followed by another");
+            deployment
+                .checks
+                .record_violation("a group goes on", details);
             break;
         }
         monoio::time::sleep(Duration::from_millis(50)).await;
     }
-    for mixed in site.group.mixed.borrow().iter() {
-        site.checks.broke("one map in every pass", mixed.clone());
+    for mixed in deployment.group.mixed.borrow().iter() {
+        deployment
+            .checks
+            .record_violation("one map in every pass", mixed.clone());
     }
-    let mut counts = site.checks.counts.borrow_mut();
-    counts.insert("passes", site.group.step());
-    counts.insert("changes of map", site.group.changes.get());
+    let mut counts = deployment.checks.counts.borrow_mut();
+    counts.insert("passes", deployment.group.step());
+    counts.insert("changes of map", deployment.group.changes.get());
 }
 
 /// Prints what came of a seed.
-fn report(seed: u64, site: &Rc<Site>) {
-    let counts = site.checks.counts.borrow();
+fn report(seed: u64, deployment: &Rc<Deployment>) {
+    let counts = deployment.checks.counts.borrow();
     let mut counts: Vec<(&&str, &u64)> = counts.iter().collect();
     counts.sort();
     let counts: Vec<String> = counts
         .iter()
-        .map(|(what, n)| format!("{n} {what}"))
+        .map(|(result, n)| format!("{n} {result}"))
         .collect();
     println!("seed {seed}: {}", counts.join(", "));
-    for broken in site.checks.broken.borrow().iter().take(10) {
-        println!("  broken: {broken}");
+    for violation in deployment.checks.violations.borrow().iter().take(10) {
+        println!("  broken: {violation}");
     }
 }
--- a/verbenaspool_soak/src/process.rs
+++ b/verbenaspool_soak/src/process.rs
@@ -67,13 +67,13 @@
         if let Some(child) = &self.child
             && let Ok(id) = i32::try_from(child.id())
         {
-            // One that has ended by itself is found by `ended`.
+            // One that has ended by itself is found by `poll_exit`.
             let _ = signal::kill(Pid::from_raw(id), signal);
         }
     }
 
     /// Whether the process has ended, and with which code.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
+    pub fn poll_exit(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.code())
--- a/verbenaspool_soak/src/proxy.rs
+++ b/verbenaspool_soak/src/proxy.rs
@@ -31,7 +31,7 @@
 }
 
 /// How often a silenced connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Proxy {
     /// Starts a proxy that listens at one address and passes on to another.
@@ -54,48 +54,48 @@
     }
 
     /// Passes one connection on.
-    async fn connect(self: Rc<Self>, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target).await else {
+    async fn connect(self: Rc<Self>, client: TcpStream) {
+        let Ok(server) = TcpStream::connect(self.target).await else {
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let there = self.copy(near_read, far_write, false);
-        let back = self.copy(far_read, near_write, true);
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
+        let requests = self.copy(client_read, server_write, false);
+        let answers = self.copy(server_read, client_write, true);
         // The first end closes both ways, as a broken connection would.
         monoio::select! {
-            () = there => {}
-            () = back => {}
+            () = requests => {}
+            () = answers => {}
         }
     }
 
     /// Passes the bytes of one way on until the connection ends.
     async fn copy(
         &self,
-        mut from: impl AsyncReadRent,
-        mut to: impl AsyncWriteRentExt,
-        answers: bool,
+        mut source: impl AsyncReadRent,
+        mut target: impl AsyncWriteRentExt,
+        is_answer: bool,
     ) {
         let mut buffer = vec![0_u8; 8 * 1024];
         loop {
-            let (read, filled) = from.read(buffer).await;
+            let (read, filled) = source.read(buffer).await;
             let Ok(length @ 1..) = read else {
                 return;
             };
             loop {
                 match self.mode.get() {
                     Mode::Reset => return,
-                    Mode::Silent => monoio::time::sleep(LOOK).await,
-                    Mode::OneWay if answers => monoio::time::sleep(LOOK).await,
-                    Mode::Delay(by) => {
-                        monoio::time::sleep(by).await;
+                    Mode::Silent => monoio::time::sleep(POLL_INTERVAL).await,
+                    Mode::OneWay if is_answer => monoio::time::sleep(POLL_INTERVAL).await,
+                    Mode::Delay(delay) => {
+                        monoio::time::sleep(delay).await;
                         break;
                     }
                     Mode::Pass | Mode::OneWay => break,
                 }
             }
-            let (written, _) = to.write_all(filled[..length].to_vec()).await;
+            let (written, _) = target.write_all(filled[..length].to_vec()).await;
             if written.is_err() {
                 return;
             }
