--- a/verbenaspool_soak/src/deployment.rs
+++ b/verbenaspool_soak/src/deployment.rs
@@ -171,9 +171,9 @@
         let initial_version = 2;
         store.put("config", "main", &configuration(initial_version));
         for (number, listen) in addresses.into_iter().enumerate() {
-            let proxy = address::fresh();
-            store_proxies.push(Proxy::start(proxy, platform)?);
-            let text = entry_settings(number, listen, peer_port, proxy, &seeds);
+            let proxy_address = address::fresh();
+            store_proxies.push(Proxy::start(proxy_address, platform)?);
+            let text = entry_settings(number, listen, peer_port, proxy_address, &seeds);
             let name = format!("entry-{number}");
             let process = Process::start(&programs.entry, folder, &name, &text)?;
             processes.push(Entry { listen, process });
--- a/verbenaspool_soak/src/fault.rs
+++ b/verbenaspool_soak/src/fault.rs
@@ -68,7 +68,7 @@
                 server,
                 entry,
                 duration,
-                choose(&mut rng),
+                choose_fault(&mut rng),
             );
             monoio::spawn(task);
         } else {
@@ -91,7 +91,7 @@
     mode: Mode,
 }
 
-fn choose(rng: &mut SmallRng) -> FaultChoice {
+fn choose_fault(rng: &mut SmallRng) -> FaultChoice {
     FaultChoice {
         behaviour: BEHAVIOURS.choose(rng).copied().unwrap_or(Way::Fail),
         mode: PROXY_MODES.choose(rng).copied().unwrap_or(Mode::Reset),
