--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests without pause and check their answers.
+//! Callers that send requests continuously and check the responses.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,14 +13,15 @@
 
 use crate::deployment::{Deployment, FRAGILE_PATHS, KEY, version_path};
 
-/// How long a caller waits for an answer: longer than any route allows, so that
-/// an entry that holds one back is found.
+/// How long a caller waits for a response: longer than the deadline of any route, so
+/// that an entry that answers too late is detected.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long after a route's time a final answer may come, on a busy machine.
+/// Responses that take longer are counted as late; a busy machine may delay them beyond
+/// the deadline of the route.
 const LATE_AFTER: Duration = Duration::from_millis(3_500);
 
-/// The statuses that promise that a request didn't run and won't.
+/// Statuses that guarantee that a request didn't run and won't run.
 const NOT_RUN_STATUSES: [StatusCode; 4] = [
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
@@ -28,20 +29,20 @@
     StatusCode::MISDIRECTED_REQUEST,
 ];
 
-/// One caller.
+/// Sends requests to the entries of a deployment.
 pub struct Caller {
-    /// The deployment that it calls.
+    /// The deployment under test.
     pub deployment: Rc<Deployment>,
-    /// Its number, for its requests' ids.
+    /// Number of the caller, part of its request ids.
     pub number: usize,
-    /// What decides its requests.
+    /// Determines the requests.
     pub rng: SmallRng,
-    /// Its connections, which it keeps open.
+    /// Client with the caller's keep-alive connections.
     pub client: Client,
 }
 
 impl Caller {
-    /// Sends requests until the deadline on the loop's clock.
+    /// Sends requests of all kinds until the deadline.
     pub async fn run(mut self, deadline: std::time::Instant) {
         let mut sent = 0;
         while std::time::Instant::now() < deadline {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Sends the same request again and again until the deadline, each time to some entry,
-    /// though it crashes the upstreams that run it.
+    /// Repeats a request that crashes the upstreams that run it until the deadline, each
+    /// time at a random entry.
     pub async fn run_crashing(mut self, deadline: std::time::Instant) {
         let path = FRAGILE_PATHS[self.number % FRAGILE_PATHS.len()];
         let path = format!("/{path}/{}", self.number);
@@ -84,12 +85,12 @@
         }
     }
 
-    /// Sends a request with the usual body.
+    /// Sends a request with the default body.
     async fn send(&mut self, path: &str, id: &str) -> Option<http::Response<Body>> {
         self.request(path, id, "body").await
     }
 
-    /// Sends a request to some entry; nothing where no head came back.
+    /// Sends a request to a random entry; `None` if no response head was received.
     async fn request(&mut self, path: &str, id: &str, body: &str) -> Option<http::Response<Body>> {
         let entries = self.deployment.entries.borrow().len();
         let entry = self.rng.random_range(0..entries);
@@ -115,14 +116,14 @@
         response
     }
 
-    /// The whole body of an answer, or nothing where it broke off.
+    /// Reads the whole body of a response; `None` if it was cut off.
     async fn read_body(response: http::Response<Body>) -> Option<String> {
         let body = monoio::time::timeout(ANSWER_TIMEOUT, response.into_body().collect()).await;
         let body = body.ok()?.ok()?.to_bytes();
         String::from_utf8(body.to_vec()).ok()
     }
 
-    /// Notes what a status promises; tells whether it is a success.
+    /// Records what the status guarantees and returns whether it is a success.
     fn check_status(&self, id: &str, response: &http::Response<Body>) -> bool {
         let status = response.status();
         if NOT_RUN_STATUSES.contains(&status) {
@@ -142,18 +143,18 @@
         false
     }
 
-    /// A booking, which may run once.
+    /// Sends a request that may run at most once.
     async fn send_booking(&mut self, path: &str, id: &str) {
         self.deployment.checks.record_at_most_once(id);
         self.send_plain(path, id).await;
     }
 
-    /// A look-up, which may run any number of times.
+    /// Sends a request that may run any number of times.
     async fn send_lookup(&mut self, id: &str) {
         self.send_plain("/look/up", id).await;
     }
 
-    /// A plain request, whose answer must be its own and whole.
+    /// Sends a request without streaming and checks that the response is complete and its own.
     async fn send_plain(&mut self, path: &str, id: &str) {
         let Some(response) = self.send(path, id).await else {
             return;
@@ -175,7 +176,8 @@
         }
     }
 
-    /// A stream: each event once and in order, and none missing where it ends whole.
+    /// Requests a stream and checks that each event arrives once and in order, and that a
+    /// stream that ends without an error lacks none.
     async fn send_stream(&mut self, path: &str, id: &str) {
         let Some(response) = self.send(path, id).await else {
             return;
@@ -211,7 +213,7 @@
             .count(if complete { "whole" } else { "broken off" });
     }
 
-    /// Asks an entry for what only the newest version has.
+    /// Checks whether an entry serves the route that only the newest version has.
     async fn check_version(&mut self, id: &str) {
         let version = self.deployment.version.get();
         let entry = {
@@ -241,7 +243,8 @@
                 entries[entry].process.incarnation,
             )
         };
-        // A change or a new process meanwhile makes the answer say nothing.
+        // After a change of the configuration or a restart in the meantime, the response
+        // shows nothing.
         if now != version || process != incarnation {
             return;
         }
--- a/verbenaspool_soak/src/check.rs
+++ b/verbenaspool_soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams saw, against what is promised.
+//! Checks of what callers and upstreams observed against the guarantees.
 
 use std::{
     cell::RefCell,
@@ -9,18 +9,18 @@
 
 use verbenaspool_platform_standin::process::Crash;
 
-/// How long after a crash all entries know of it.
+/// Time in which all entries learn of a crash.
 const CRASH_SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// Crashes that a request may still cause from then on.
+/// Crashes that a request may still cause after [`CRASH_SYNC_TIME`].
 const MAX_LATE_CRASHES: usize = 3;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The guarantee.
     pub guarantee: &'static str,
-    /// The request or entry, and what was seen.
+    /// The request or entry, and the observation.
     pub details: String,
 }
 
@@ -30,46 +30,46 @@
     }
 }
 
-/// The checks of one run.
+/// Observations and violations of one run.
 #[derive(Debug, Default)]
 pub struct Checks {
-    /// What was found.
+    /// Violations in order of detection.
     pub violations: RefCell<Vec<Violation>>,
-    /// Requests that callers were told didn't run.
+    /// Requests that were reported to callers as not run.
     not_run: RefCell<Vec<String>>,
-    /// Requests that may run once.
+    /// Requests that may run at most once.
     at_most_once: RefCell<Vec<String>>,
-    /// The newest version that each process of an entry was seen to use.
+    /// Newest version observed by entry and incarnation.
     served_versions: RefCell<HashMap<(usize, u32), u64>>,
-    /// Counts by what callers got.
+    /// Counts by result, such as whole or late responses.
     pub counts: RefCell<HashMap<&'static str, u64>>,
 }
 
 impl Checks {
-    /// Notes a broken promise.
+    /// Records a violation of a guarantee.
     pub fn record_violation(&self, guarantee: &'static str, details: String) {
         self.violations
             .borrow_mut()
             .push(Violation { guarantee, details });
     }
 
-    /// Counts what a caller got.
+    /// Counts a caller's result.
     pub fn count(&self, result: &'static str) {
         *self.counts.borrow_mut().entry(result).or_default() += 1;
     }
 
-    /// A request that may run once is sent.
+    /// Records a request that may run at most once.
     pub fn record_at_most_once(&self, id: &str) {
         self.at_most_once.borrow_mut().push(id.to_owned());
     }
 
-    /// A caller was told that its request didn't run and won't.
+    /// Records a request that was reported as not run.
     pub fn record_not_run(&self, id: &str) {
         self.not_run.borrow_mut().push(id.to_owned());
     }
 
-    /// A process of an entry uses a version; whether it serves what only older
-    /// versions don't have says `serves`.
+    /// Records whether a process of an entry has the route of `version` (`found`), and
+    /// checks that it never goes back to an older version.
     pub fn record_version(&self, entry: usize, incarnation: u32, version: u64, found: bool) {
         let mut versions = self.served_versions.borrow_mut();
         let newest = versions.entry((entry, incarnation)).or_default();
@@ -81,8 +81,9 @@
         }
     }
 
-    /// Checks the crashes that requests caused, each under ids that begin alike: after the
-    /// third a few may be on their way, and no more than a few follow.
+    /// Checks that entries stop sending a request that crashes upstreams. Ids of the same
+    /// request share the part before the hyphen. Attempts already in flight at the third
+    /// crash may still crash a few upstreams.
     pub fn check_crashes(&self, crashes: impl Iterator<Item = Crash>) {
         let mut crash_times: HashMap<String, Vec<Instant>> = HashMap::new();
         for crash in crashes {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Checks all requests against what upstreams ran.
+    /// Checks the recorded requests against how often upstreams ran them.
     pub fn check_runs(&self, run_count: impl Fn(&str) -> usize) {
         for id in self.at_most_once.borrow().iter() {
             if run_count(id) > 1 {
--- a/verbenaspool_soak/src/deployment.rs
+++ b/verbenaspool_soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment under test: the store, upstreams and entries, with proxies between.
+//! Deployment under test: store, upstreams, entries and agents, with proxies between them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,29 +31,29 @@
 /// The service whose upstreams are the ranks of the group.
 const RANK_SERVICE: &str = "ranks";
 
-/// The service whose upstreams some requests crash.
+/// The service whose upstreams crash on some requests.
 const FRAGILE_SERVICE: &str = "fragile";
 
-/// Upstreams of that service.
+/// Upstreams of [`FRAGILE_SERVICE`].
 const FRAGILE_UPSTREAMS: usize = 4;
 
-/// How long one of them takes to start again.
+/// How long one of these upstreams takes to restart.
 const RESTART_TIME: Duration = Duration::from_millis(400);
 
-/// The paths of its routes: streams, and requests that may run once.
+/// Route paths of [`FRAGILE_SERVICE`]: streams, and requests that may run at most once.
 pub const FRAGILE_PATHS: [&str; 2] = ["stream/fragile", "fragile"];
 
-/// The customer's key.
+/// API key of the customer.
 pub const KEY: &str = "key-1";
 
-/// An upstream with the proxy before it.
+/// An upstream with a proxy in front of it.
 #[derive(Debug)]
 pub struct Server {
-    /// The upstream.
+    /// Stand-in of the upstream.
     pub upstream: Rc<Upstream>,
-    /// What stands before it.
+    /// Proxy between entries and upstream.
     pub proxy: Rc<Proxy>,
-    /// Its service.
+    /// Service of the upstream.
     pub service: &'static str,
     address: SocketAddr,
 }
@@ -61,45 +61,45 @@
 /// One entry of the deployment.
 #[derive(Debug)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Its program.
+    /// Process of the entry.
     pub process: Process,
 }
 
-/// Where the programs are.
+/// Paths of the programs.
 #[derive(Debug)]
 pub struct Programs {
-    /// That of entries.
+    /// Program of the entries.
     pub entry: PathBuf,
-    /// That of agents.
+    /// Program of the agents.
     pub agent: PathBuf,
 }
 
-/// The deployment.
+/// Processes, stand-ins and checks of one run.
 pub struct Deployment {
-    /// The platform's store.
+    /// Stand-in of the platform's store.
     pub store: Rc<Store>,
-    /// The way of each entry to the store.
+    /// Proxy between each entry and the store.
     pub store_proxies: Vec<Rc<Proxy>>,
-    /// The upstreams: first those of streams, then those of bookings.
+    /// The upstreams: first those of streams, then those of requests that may run at most once.
     pub servers: Vec<Server>,
-    /// The upstreams that some requests crash.
+    /// The upstreams that crash on some requests.
     pub fragile: Vec<Rc<CrashingProcess>>,
     /// The entries.
     pub entries: RefCell<Vec<Entry>>,
-    /// The ranks that make passes together.
+    /// The ranks that run passes together.
     pub group: Rc<Group>,
-    /// The agents beside them.
+    /// The agents of the ranks.
     pub agents: RefCell<Vec<Process>>,
-    /// What was seen.
+    /// Observations and violations.
     pub checks: Checks,
-    /// The version of the configuration that was written last.
+    /// Version of the configuration written last.
     pub version: Cell<u64>,
     triggers: Vec<Trigger>,
 }
 
-/// Serves a handler at a fresh address.
+/// Serves a handler at an unused address.
 fn serve(handler: Rc<dyn Handler>, triggers: &mut Vec<Trigger>) -> io::Result<SocketAddr> {
     let address = address::fresh();
     let listener = TcpListener::bind(address)?;
@@ -117,10 +117,11 @@
 }
 
 impl Deployment {
-    /// Starts a deployment with so many entries, and so many ranks with an agent each.
+    /// Starts a deployment with the given numbers of entries and of ranks, each rank with
+    /// an agent.
     ///
     /// # Errors
-    /// An address can't be listened at, or a program can't be started.
+    /// An address can't be bound, or a program can't be started.
     pub fn start(
         entries: usize,
         ranks: usize,
@@ -161,7 +162,7 @@
         });
         let fragile = fragile.collect();
         let addresses: Vec<SocketAddr> = (0..entries).map(|_| address::fresh()).collect();
-        // Entries and agents have the same port for each other; their addresses differ.
+        // Entries and agents use one peer port on different IP addresses.
         let peer_port = addresses
             .first()
             .map_or(0, |address| address.port() ^ 0x4000);
@@ -207,21 +208,21 @@
         }))
     }
 
-    /// Writes the next version of the configuration, which adds a route of its own.
+    /// Writes the next version of the configuration, which adds a route named after it.
     pub fn change_configuration(&self) {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.store.put("config", "main", &configuration(version));
     }
 
-    /// Says in the registry whether an upstream leaves.
+    /// Sets the state of an upstream in the registry.
     pub fn set_listed_state(&self, server: usize, state: &str) {
         let server = &self.servers[server];
         let entry = text::listed(server.service, server.address, state);
         self.store.put("servers", &server.upstream.id, &entry);
     }
 
-    /// How often upstreams ran a request.
+    /// Returns how often upstreams ran a request.
     #[must_use]
     pub fn run_count(&self, id: &str) -> usize {
         let servers = self.servers.iter();
@@ -231,7 +232,7 @@
         servers + fragile
     }
 
-    /// Ends the stand-ins.
+    /// Stops the processes and the stand-ins.
     pub fn stop(&self) {
         self.entries.borrow_mut().clear();
         self.agents.borrow_mut().clear();
@@ -241,7 +242,7 @@
     }
 }
 
-/// What an entry is told.
+/// Settings of an entry.
 fn entry_settings(
     number: usize,
     listen: SocketAddr,
@@ -262,7 +263,7 @@
     )
 }
 
-/// What an agent is told. Its instance has the address of the rank beside it.
+/// Settings of an agent. It has the IP address of its rank.
 fn agent_settings(rank: usize, upstream: SocketAddr, peer_port: u16) -> String {
     format!(
         "path: direct\nname: agent-{rank}\naddress: {}\nupstream: '{upstream}'\n\
@@ -272,7 +273,7 @@
     )
 }
 
-/// The configuration of a version: the usual routes, and one that tells it.
+/// Configuration of a version: the default routes, and one named after the version.
 fn configuration(version: u64) -> String {
     let mut routes = text::routes();
     routes.push(text::route(&version_path(version), "safe", "jobs"));
@@ -283,7 +284,7 @@
     text::configuration_with(version, &routes, &[KEY], &services)
 }
 
-/// The first part of the path that a version adds. Versions keep the one before.
+/// First segment of the path that only this version of the configuration routes.
 #[must_use]
 pub fn version_path(version: u64) -> String {
     format!("v{version}")
--- a/verbenaspool_soak/src/fault.rs
+++ b/verbenaspool_soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, one after another and overlapping.
+//! Injects faults from outside, which may overlap.
 
 use std::{
     io,
@@ -12,7 +12,7 @@
 
 use crate::{deployment::Deployment, process::Process, proxy::Mode};
 
-/// What upstreams do at times.
+/// Faulty behaviours of upstreams.
 const BEHAVIOURS: [Way; 9] = [
     Way::TurnAway,
     Way::Lose,
@@ -25,7 +25,7 @@
     Way::Double,
 ];
 
-/// What connections do at times.
+/// Faulty modes of proxies.
 const PROXY_MODES: [Mode; 4] = [
     Mode::Delay(Duration::from_millis(80)),
     Mode::Reset,
@@ -33,19 +33,19 @@
     Mode::OneWay,
 ];
 
-/// Kinds of faults around entries.
+/// Number of fault kinds around entries.
 const ENTRY_FAULT_KINDS: u32 = 12;
 
-/// All kinds of faults.
+/// Number of all fault kinds.
 const FAULT_KINDS: u32 = ENTRY_FAULT_KINDS + 5;
 
-/// Of a hundred orders to ranks, how many get no answer while that is the fault.
+/// Percentage of orders to ranks that get no answer during this fault.
 const LATE_PERCENT: u32 = 35;
 
-/// How long an entry may take to end behind SIGTERM: its grace and a second.
+/// How long an entry may take to terminate after SIGTERM: its grace period and a second.
 const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Makes faults until the deadline.
+/// Injects faults until the deadline.
 pub async fn run(
     deployment: Rc<Deployment>,
     mut rng: SmallRng,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The ways that a fault may take.
+/// Randomly chosen forms of a fault.
 #[derive(Debug, Clone, Copy)]
 struct FaultChoice {
     behaviour: Way,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Makes one fault and ends it.
+/// Injects one fault around an entry and ends it after its duration.
 async fn inject_entry_fault(
     deployment: Rc<Deployment>,
     kind: u32,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Makes one fault of a group or an agent and ends it.
+/// Injects one fault of a group or an agent and ends it after its duration.
 async fn inject_group_fault(
     deployment: Rc<Deployment>,
     kind: u32,
@@ -207,7 +207,8 @@
     }
 }
 
-/// Starts an entry anew once its process has ended; ends it after its grace.
+/// Restarts an entry once its process has ended, and kills a process that outlasts
+/// [`STOP_TIMEOUT`].
 async fn restart_entry(deployment: &Deployment, entry: usize) {
     let started_at = Instant::now();
     let entry = |deployment: &Deployment| {
@@ -221,7 +222,7 @@
     restart_when_ended(deployment, entry).await;
 }
 
-/// Whether a program runs anew whose process has ended.
+/// Restarts a program if its process has ended, and returns whether it did.
 fn restart_if_ended(process: &mut Process) -> io::Result<bool> {
     if process.poll_exit().is_none() {
         return Ok(false);
@@ -229,7 +230,7 @@
     process.restart().map(|()| true)
 }
 
-/// Starts a program anew once its process has ended.
+/// Polls until a program has ended and been restarted.
 async fn restart_when_ended(
     deployment: &Deployment,
     restart: impl Fn(&Deployment) -> Option<io::Result<bool>>,
--- a/verbenaspool_soak/src/lib.rs
+++ b/verbenaspool_soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! A soak: the real entry programs as separate processes on loopback, under
-//! random faults from outside, with callers that check what they are promised.
+//! Soak test: runs the real entry and agent programs as separate processes on
+//! loopback, injects random faults from outside and checks the guarantees that
+//! callers rely on.
 //!
-//! One seed decides all faults and requests. Processes are ended and paused by
-//! signals, connections are delayed, reset and silenced by loopback proxies, the
-//! store and upstreams misbehave, and configurations change meanwhile.
+//! One seed determines all faults and requests. Processes are terminated and paused
+//! by signals, loopback proxies delay, reset and block connections, the store and
+//! the upstreams fail in several ways, and the configuration changes during the run.
 
 pub mod caller;
 pub mod check;
--- a/verbenaspool_soak/src/main.rs
+++ b/verbenaspool_soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `verbenaspool-soak`: random faults on the real programs, by a seed.
+//! `verbenaspool-soak`: injects random faults, determined by a seed, into the real
+//! programs.
 
 use std::{
     cell::RefCell,
@@ -19,14 +20,15 @@
 };
 use verbenaspool_transport::{http::client::Client, runtime};
 
-/// How long entries have to be ready before faults begin, and to calm down behind.
+/// Time for entries to become ready before the first fault, and to recover after the
+/// last one.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long a group may stand once all faults are over: an agent may be paused for 2.5 s
-/// after the last one, and others look into a held pass within 2 s.
+/// How long a group may run no pass at the end of a run: the last fault may still pause an
+/// agent for 2.5 s, and the other agents examine a held pass within 2 s.
 const MAX_TIME_WITHOUT_PASS: Duration = Duration::from_secs(8);
 
-/// The most entries, and agents, of one run; each is a process.
+/// Maximum number of entries, and of agents, in one run; each is a process.
 const MAX_PROCESSES: usize = 200;
 
 /// Runs entries and agents under random faults and checks what callers and upstreams see.
@@ -79,7 +81,7 @@
     ExitCode::from(u8::from(failed > 0))
 }
 
-/// Plays one seed; tells how many promises were broken.
+/// Runs one seed and returns the number of violations.
 fn run_seed(options: &Options, seed: u64) -> std::io::Result<usize> {
     let folder = options.folder.join(format!("seed-{seed}"));
     fs::create_dir_all(&folder)?;
@@ -99,7 +101,7 @@
     Ok(violations)
 }
 
-/// Runs the deployment, its callers and faults.
+/// Runs the deployment with callers and faults, and returns the number of violations.
 async fn run_deployment(
     options: &Options,
     seed: u64,
@@ -134,7 +136,7 @@
     }
     let write_fault = |fault: String| {
         let at = started_at.elapsed().as_millis();
-        // A line that can't be written is missed by nobody but who reads it.
+        // The checks don't depend on the log, so a failed write is ignored.
         let _ = writeln!(faults.borrow_mut(), "{at} ms {fault}");
     };
     fault::run(
@@ -170,7 +172,7 @@
     Ok(violations)
 }
 
-/// Checks what the group saw: passes on one map, and that it goes on.
+/// Checks that every pass of the group used one map and that the group still runs passes.
 async fn check_group(deployment: &Rc<Deployment>) {
     let (step_before, started_at) = (deployment.group.step(), Instant::now());
     while deployment.group.step() == step_before {
@@ -193,7 +195,7 @@
     counts.insert("changes of map", deployment.group.changes.get());
 }
 
-/// Prints what came of a seed.
+/// Prints the counts and the first violations of a seed.
 fn report(seed: u64, deployment: &Rc<Deployment>) {
     let counts = deployment.checks.counts.borrow();
     let mut counts: Vec<(&&str, &u64)> = counts.iter().collect();
--- a/verbenaspool_soak/src/process.rs
+++ b/verbenaspool_soak/src/process.rs
@@ -1,4 +1,4 @@
-//! The programs as processes, and signals to them.
+//! Starts the programs as processes and sends them signals.
 
 use std::{
     fs::{self, File},
@@ -12,10 +12,10 @@
     unistd::Pid,
 };
 
-/// One instance's program, through all its processes.
+/// The program of one instance, across restarts of its process.
 #[derive(Debug)]
 pub struct Process {
-    /// How many processes there were, counting this one.
+    /// Number of processes started so far, including the current one.
     pub incarnation: u32,
     program: PathBuf,
     settings: PathBuf,
@@ -24,11 +24,11 @@
 }
 
 impl Process {
-    /// Writes settings and starts a program with them. Its settings and log bear its
-    /// name in the folder.
+    /// Writes the settings to `folder` and starts the program with them. The files of
+    /// settings and log are named after the instance.
     ///
     /// # Errors
-    /// Its files can't be written, or the program can't be started.
+    /// A file can't be written, or the program can't be started.
     pub fn start(program: &Path, folder: &Path, name: &str, settings: &str) -> io::Result<Self> {
         let path = folder.join(format!("{name}.yaml"));
         fs::write(&path, settings)?;
@@ -43,7 +43,7 @@
         Ok(process)
     }
 
-    /// Starts the program anew.
+    /// Starts a new process of the program.
     ///
     /// # Errors
     /// The program can't be started.
@@ -62,17 +62,18 @@
         Ok(())
     }
 
-    /// Sends a signal to the process that this soak started, if it still runs.
+    /// Sends a signal to the current process, if it still runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child
             && let Ok(id) = i32::try_from(child.id())
         {
-            // One that has ended by itself is found by `poll_exit`.
+            // `poll_exit` detects a process that has already ended.
             let _ = signal::kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Whether the process has ended, and with which code.
+    /// Returns the exit code of a process that has ended, with `Some(None)` for one that
+    /// was terminated by a signal.
     pub fn poll_exit(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -83,7 +84,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may be paused; what isn't waited for stays in the process table.
+            // SIGKILL also ends a paused process, and waiting for it avoids a zombie.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/verbenaspool_soak/src/proxy.rs
+++ b/verbenaspool_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, silences or cuts connections one way.
+//! Loopback proxy that delays, resets or blocks connections, also in one direction only.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,37 +7,37 @@
     net::{TcpListener, TcpStream},
 };
 
-/// What a proxy does with the bytes of its connections.
+/// How a proxy handles the bytes of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes them on.
+    /// Forwards bytes.
     Pass,
-    /// It passes them on a while later.
+    /// Forwards bytes after a delay.
     Delay(Duration),
-    /// It closes connections as soon as bytes come.
+    /// Closes a connection as soon as bytes arrive.
     Reset,
-    /// It takes bytes and passes none on, either way.
+    /// Accepts bytes and forwards none in either direction.
     Silent,
-    /// It passes requests on, but no answers.
+    /// Forwards requests but no responses.
     OneWay,
 }
 
-/// A proxy before one address.
+/// Proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// What it does.
+    /// How bytes are handled now.
     pub mode: Cell<Mode>,
     target: SocketAddr,
 }
 
-/// How often a silenced connection looks whether it may go on.
+/// How often a blocked connection checks whether the mode has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Proxy {
-    /// Starts a proxy that listens at one address and passes on to another.
+    /// Starts a proxy that forwards connections from one address to another.
     ///
     /// # Errors
-    /// The address can't be listened at.
+    /// The address can't be bound.
     pub fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind(listen)?;
         let proxy = Rc::new(Self {
@@ -53,7 +53,7 @@
         Ok(proxy)
     }
 
-    /// Passes one connection on.
+    /// Forwards one connection.
     async fn connect(self: Rc<Self>, client: TcpStream) {
         let Ok(server) = TcpStream::connect(self.target).await else {
             return;
@@ -63,14 +63,14 @@
         let (server_read, server_write) = server.into_split();
         let requests = self.copy(client_read, server_write, false);
         let answers = self.copy(server_read, client_write, true);
-        // The first end closes both ways, as a broken connection would.
+        // The end of one direction closes both, as with a broken connection.
         monoio::select! {
             () = requests => {}
             () = answers => {}
         }
     }
 
-    /// Passes the bytes of one way on until the connection ends.
+    /// Copies the bytes of one direction until the connection ends.
     async fn copy(
         &self,
         mut source: impl AsyncReadRent,
--- a/verbenaspool_soak/tests/seeds.rs
+++ b/verbenaspool_soak/tests/seeds.rs
@@ -1,9 +1,9 @@
-//! Seeds of the soak that run with the tests.
+//! Soak seeds that run with the tests.
 
 use std::process::Command;
 
-/// Plays a seed for a few seconds.
-fn play(seed: u64) {
+/// Runs a seed for a few seconds and checks that it reports no violation.
+fn run_seed(seed: u64) {
     let soak = env!("CARGO_BIN_EXE_verbenaspool-soak");
     let folder = std::env::temp_dir().join(format!("verbenaspool-soak-{}", std::process::id()));
     let run = Command::new(soak)
@@ -27,9 +27,9 @@
     );
 }
 
-/// Processes are stopped, paused and killed, connections break, the store and
-/// upstreams misbehave: nothing is lost that was promised.
+/// Guards against lost or repeated requests and wrong responses while processes are
+/// stopped, paused and killed, connections break and the store and upstreams fail.
 #[test]
 fn a_few_seconds_of_faults_break_no_promise() {
-    play(1);
+    run_seed(1);
 }
