--- a/verbenaspool/benches/capacity/agent.rs
+++ b/verbenaspool/benches/capacity/agent.rs
@@ -8,16 +8,16 @@
 };
 use verbenaspool_state::upstream::Identity;
 
-use super::{Output, wire};
+use super::{Output, exchange_bytes};
 
 /// Cache events in an answer.
-const SIZES: [u64; 4] = [0, 4, 16, 64];
-/// Answers measured at each size.
-const ANSWERS: u32 = 20_000;
+const EVENT_COUNTS: [u64; 4] = [0, 4, 16, 64];
+/// Answers measured at each event_count.
+const REPORTS: u32 = 20_000;
 
-/// Measures answers of each size.
+/// Measures answers of each event_count.
 pub fn run(output: &Output) {
-    for size in SIZES {
+    for event_count in EVENT_COUNTS {
         let event = |number| Event {
             number,
             prefix: u64::MAX - number,
@@ -27,12 +27,12 @@
             load: Load::default(),
             cache: Cache {
                 reset: false,
-                last: size,
-                events: (1..=size).map(event).collect(),
+                last: event_count,
+                events: (1..=event_count).map(event).collect(),
             },
             crashes: Vec::new(),
         };
-        let question = Request {
+        let request = Request {
             instance: Identity {
                 firm: "tidewater".parse().expect("a name"),
                 instance: "loft-assistant-12000".parse().expect("a name"),
@@ -40,20 +40,26 @@
             since: 1 << 30,
         };
         #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
-        let bytes = wire(&question, &report) as f64;
-        output.say("agent", "one report, by cache events", size, bytes, "B");
+        let bytes = exchange_bytes(&request, &report) as f64;
+        output.print(
+            "agent",
+            "one report, by cache events",
+            event_count,
+            bytes,
+            "B",
+        );
         let start = Instant::now();
-        for _ in 0..ANSWERS {
+        for _ in 0..REPORTS {
             let text = serde_json::to_string(&report).expect("plain data");
             let read: Report = serde_json::from_str(&text).expect("what was written");
             black_box(read);
         }
-        let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(ANSWERS);
-        output.say(
+        let micros_per_report = start.elapsed().as_secs_f64() * 1e6 / f64::from(REPORTS);
+        output.print(
             "agent",
             "one report written and read, by cache events",
-            size,
-            each,
+            event_count,
+            micros_per_report,
             "us",
         );
     }
--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -17,19 +17,19 @@
 use verbenaspool_state::{credential::Digest, customer::Customer, file::File, version::Version};
 use verbenaspool_transport::{clock::Monotonic, http::server::Limits, runtime};
 
-use super::{Output, PACKET, wire};
+use super::{Output, PACKET_OVERHEAD_BYTES, exchange_bytes};
 
 /// Customers of a firm.
-const SIZES: [usize; 4] = [10, 1_000, 4_000, 16_000];
-/// Changes measured at each size.
+const CUSTOMER_COUNTS: [usize; 4] = [10, 1_000, 4_000, 16_000];
+/// Changes measured at each customer_count.
 const CHANGES: u32 = 20;
 /// Time between two changes, longer than the longest between two versions.
-const PAUSE: Duration = Duration::from_secs(10);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
 /// HTTP heads of a read and its answer, as the client and the platform send them.
-const HEADS: usize = 260;
+const HTTP_HEAD_BYTES: usize = 260;
 
 /// A file of so many customers, with nine models as in two years.
-pub fn file(count: usize) -> File {
+pub fn file_with_customers(count: usize) -> File {
     let yaml = include_str!("../../../examples/tidewater.yaml");
     let mut file = File::read(yaml).expect("the example is sound");
     let model = file.services[0].clone();
@@ -72,51 +72,53 @@
 /// What changes cost in all.
 #[derive(Default)]
 struct Cost {
-    follow: Duration,
-    table: Duration,
-    offer: usize,
-    pieces: usize,
+    adoption_time: Duration,
+    table_time: Duration,
+    offer_bytes: usize,
+    read_bytes: usize,
     calls: usize,
 }
 
-/// Measures changes at each size.
+/// Measures changes at each customer_count.
 pub fn run(output: &Output) {
-    for size in SIZES {
+    for customer_count in CUSTOMER_COUNTS {
         // The entry's queues need a loop to be tended on.
-        let cost = runtime::run(async move { changes(size) }).expect("a loop starts");
-        let each = f64::from(CHANGES);
-        let say = |role, quantity, value, unit| output.say(role, quantity, size, value, unit);
-        let us = |time: Duration| time.as_secs_f64() * 1e6 / each;
+        let cost =
+            runtime::run(async move { measure_changes(customer_count) }).expect("a loop starts");
+        let change_count = f64::from(CHANGES);
+        let print =
+            |role, quantity, value, unit| output.print(role, quantity, customer_count, value, unit);
+        let micros = |time: Duration| time.as_secs_f64() * 1e6 / change_count;
         #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
-        let bytes = |bytes: usize| bytes as f64 / each;
-        say(
+        let mean_bytes = |bytes: usize| bytes as f64 / change_count;
+        print(
             "entry",
             "one change, adoption by customers",
-            us(cost.follow),
+            micros(cost.adoption_time),
             "us",
         );
-        say(
+        print(
             "entry",
             "one change, tables by customers",
-            us(cost.table),
+            micros(cost.table_time),
             "us",
         );
-        say(
+        print(
             "entry",
             "one change, offer and answer by customers",
-            bytes(cost.offer),
+            mean_bytes(cost.offer_bytes),
             "B",
         );
-        say(
+        print(
             "watcher",
             "one change, read by customers",
-            bytes(cost.pieces),
+            mean_bytes(cost.read_bytes),
             "B",
         );
-        say(
+        print(
             "watcher",
             "one change, calls by customers",
-            bytes(cost.calls),
+            mean_bytes(cost.calls),
             "calls",
         );
     }
@@ -124,9 +126,9 @@
 
 /// Runs changes through two instances, one that hands them on and one that
 /// takes them.
-fn changes(size: usize) -> Cost {
+fn measure_changes(customer_count: usize) -> Cost {
     let mut cost = Cost::default();
-    let mut file = file(size);
+    let mut file = file_with_customers(customer_count);
     let entry = entry();
     let mut sender = Adoption::new(file.firm.clone(), Settings::default());
     let mut receiver = Adoption::new(file.firm.clone(), Settings::default());
@@ -146,10 +148,10 @@
         state: MemberState::Live,
     };
     for change in 0..CHANGES {
-        let number = (change as usize * 7_919) % size;
+        let number = (change as usize * 7_919) % customer_count;
         file.customers[number].share += 1;
         let split = piece::split(&file).expect("the file fits");
-        let before = head.root;
+        let previous_root = head.root;
         head = head.next("0123456789abcdef", split.root);
         // The watcher reads what it lacks.
         sender.offer(head.clone());
@@ -162,37 +164,38 @@
             for hash in missing {
                 let bytes = &split.pieces[&hash];
                 read.insert(hash);
-                cost.pieces += bytes.len() + HEADS + 2 * PACKET;
+                cost.read_bytes += bytes.len() + HTTP_HEAD_BYTES + 2 * PACKET_OVERHEAD_BYTES;
                 sender.insert_piece(hash, bytes).expect("a sound piece");
             }
         }
         // Each change ends a watch, and its head is read as well.
-        cost.pieces += head.to_bytes().len() + 2 * (HEADS + 2 * PACKET) + 120;
+        cost.read_bytes +=
+            head.to_bytes().len() + 2 * (HTTP_HEAD_BYTES + 2 * PACKET_OVERHEAD_BYTES) + 120;
         cost.calls += read.len() + 2;
         // Versions of a large file are seconds apart.
-        let now = PAUSE * (change + 1);
+        let now = CHANGE_INTERVAL * (change + 1);
         sender.poll(now, 1).expect("a sound file");
-        let delta = sender.delta(before, head.root);
+        let delta = sender.delta(previous_root, head.root);
         let offer = Offer {
             from: from.clone(),
             head: head.clone(),
             delta: delta.clone(),
         };
-        let holding = OfferAnswer {
+        let answer = OfferAnswer {
             version: head.version,
         };
-        cost.offer += wire(&offer, &holding);
+        cost.offer_bytes += exchange_bytes(&offer, &answer);
         let start = Instant::now();
         receiver.offer(head.clone());
         receiver
             .apply_delta(&delta.expect("one change is told"))
             .expect("a sound change");
         let adopted = receiver.poll(now, 1).expect("a sound file");
-        cost.follow += start.elapsed();
+        cost.adoption_time += start.elapsed();
         let adopted = adopted.expect("all pieces are held");
         let start = Instant::now();
         entry.apply_configuration(Version(adopted.version().0), &adopted.file);
-        cost.table += start.elapsed();
+        cost.table_time += start.elapsed();
         black_box(&adopted);
     }
     cost
--- a/verbenaspool/benches/capacity/instances.rs
+++ b/verbenaspool/benches/capacity/instances.rs
@@ -3,28 +3,41 @@
 use verbenaspool_state::upstream::{Rank, State, Upstream};
 use verbenaspool_transport::platform::Entry;
 
-use super::{Output, PACKET};
+use super::{Output, PACKET_OVERHEAD_BYTES};
 
 /// Upstream instances of a firm: today's, and two years' replicas.
-const SIZES: [usize; 4] = [19, 1_000, 4_000, 12_000];
+const INSTANCE_COUNTS: [usize; 4] = [19, 1_000, 4_000, 12_000];
 
-/// Measures the list at each size.
+/// Measures the list at each instance_count.
 pub fn run(output: &Output) {
-    for size in SIZES {
-        let upstreams: Vec<Upstream> = (0..size).map(upstream).collect();
-        let listed: Vec<Entry> = upstreams.iter().map(listed).collect();
+    for instance_count in INSTANCE_COUNTS {
+        let upstreams: Vec<Upstream> = (0..instance_count).map(upstream).collect();
+        let entries: Vec<Entry> = upstreams.iter().map(list_entry).collect();
         let length = |text: Result<Vec<u8>, _>| text.map_or(0, |text| text.len());
-        let list = length(serde_json::to_vec(&listed));
-        let objects: usize = upstreams
+        let list_bytes = length(serde_json::to_vec(&entries));
+        let object_bytes: usize = upstreams
             .iter()
-            .map(|u| length(serde_json::to_vec(u)))
+            .map(|upstream| length(serde_json::to_vec(upstream)))
             .sum();
         // Each object is read by a call of its own.
-        let whole = list + objects + size * (260 + 2 * PACKET);
+        let first_read_bytes =
+            list_bytes + object_bytes + instance_count * (260 + 2 * PACKET_OVERHEAD_BYTES);
         #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
-        let (list, whole) = (list as f64, whole as f64);
-        output.say("entry", "instances, one look at the list", size, list, "B");
-        output.say("entry", "instances, first reading", size, whole, "B");
+        let (list_bytes, first_read_bytes) = (list_bytes as f64, first_read_bytes as f64);
+        output.print(
+            "entry",
+            "instances, one look at the list",
+            instance_count,
+            list_bytes,
+            "B",
+        );
+        output.print(
+            "entry",
+            "instances, first reading",
+            instance_count,
+            first_read_bytes,
+            "B",
+        );
     }
 }
 
@@ -49,7 +62,7 @@
 }
 
 /// An upstream as the platform lists it.
-fn listed(upstream: &Upstream) -> Entry {
+fn list_entry(upstream: &Upstream) -> Entry {
     Entry {
         key: format!("firms/tidewater/instances/{}", upstream.name),
         version: 1 << 24,
--- a/verbenaspool/benches/capacity/main.rs
+++ b/verbenaspool/benches/capacity/main.rs
@@ -16,13 +16,13 @@
 use std::fmt::Display;
 
 /// Bytes that the network adds to a packet: Ethernet, IP and TCP with timestamps.
-const PACKET: usize = 66;
+const PACKET_OVERHEAD_BYTES: usize = 66;
 /// Packets of an exchange on a kept connection: question, answer, and an
 /// acknowledgement of each.
-const PACKETS: usize = 4;
+const PACKETS_PER_EXCHANGE: usize = 4;
 /// Bytes of a frame's length and of the JSON-RPC envelopes around a question and
 /// its answer.
-const ENVELOPE: usize = 4 + 57 + 4 + 36;
+const ENVELOPE_BYTES: usize = 4 + 57 + 4 + 36;
 
 /// Where figures go.
 pub struct Output {
@@ -31,7 +31,7 @@
 
 impl Output {
     /// Tells one figure.
-    pub fn say(&self, role: &str, quantity: &str, n: impl Display, value: f64, unit: &str) {
+    pub fn print(&self, role: &str, quantity: &str, n: impl Display, value: f64, unit: &str) {
         if self.json {
             let line = serde_json::json!({
                 "role": role,
@@ -48,11 +48,11 @@
 }
 
 /// The bytes on the wire of a question and its answer.
-pub fn wire<P: serde::Serialize, R: serde::Serialize>(question: &P, answer: &R) -> usize {
+pub fn exchange_bytes<P: serde::Serialize, R: serde::Serialize>(request: &P, answer: &R) -> usize {
     let length = |text: Result<Vec<u8>, _>| text.map_or(0, |text| text.len());
-    let question = length(serde_json::to_vec(question));
+    let request = length(serde_json::to_vec(request));
     let answer = length(serde_json::to_vec(answer));
-    question + answer + ENVELOPE + PACKET * PACKETS
+    request + answer + ENVELOPE_BYTES + PACKET_OVERHEAD_BYTES * PACKETS_PER_EXCHANGE
 }
 
 /// A part of the bench, by its name.
--- a/verbenaspool/benches/capacity/members.rs
+++ b/verbenaspool/benches/capacity/members.rs
@@ -9,12 +9,12 @@
 use verbenaspool_protocol::peer::{Heartbeat, HeartbeatAnswer};
 use verbenaspool_state::version::Version;
 
-use super::{Output, wire};
+use super::{Output, exchange_bytes};
 
 /// Members of a zone: today's, and what two years' 1,000 nodes in 11 zones make.
-const SIZES: [u16; 4] = [2, 9, 30, 91];
+const MEMBER_COUNTS: [u16; 4] = [2, 9, 30, 91];
 /// Seconds measured, after the zone has found itself.
-const SECONDS: u32 = 20;
+const MEASURED_SECONDS: u32 = 20;
 
 /// A zone whose members talk without loss.
 struct Zone {
@@ -26,34 +26,52 @@
     exchanges: u32,
 }
 
-/// Measures a zone at each size.
+/// Measures a zone at each member_count.
 pub fn run(output: &Output) {
-    for size in SIZES {
-        let mut zone = Zone::new(size);
-        zone.pass(40);
+    for member_count in MEMBER_COUNTS {
+        let mut zone = Zone::new(member_count);
+        zone.advance(40);
         zone.bytes.clear();
         zone.exchanges = 0;
         let start = Instant::now();
-        zone.pass(SECONDS);
-        let spent = start.elapsed();
+        zone.advance(MEASURED_SECONDS);
+        let processor_time = start.elapsed();
         #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
-        let rate = |count: usize| count as f64 / f64::from(SECONDS);
-        let most = zone.bytes.values().copied().max().unwrap_or_default();
+        let rate = |count: usize| count as f64 / f64::from(MEASURED_SECONDS);
+        let busiest = zone.bytes.values().copied().max().unwrap_or_default();
         let total: usize = zone.bytes.values().sum();
-        output.say(
+        output.print(
             "entry",
             "heartbeats, busiest member",
-            size,
-            rate(most),
+            member_count,
+            rate(busiest),
             "B/s",
         );
-        let mean = rate(total) / f64::from(size);
-        output.say("entry", "heartbeats, mean member", size, mean, "B/s");
-        let each = spent.as_secs_f64() * 1e6 / f64::from(size) / f64::from(SECONDS);
-        output.say("entry", "heartbeats, processor time", size, each, "us/s");
-        let watchers = zone.members.values().filter(|one| one.is_watcher()).count();
-        let watchers = rate(watchers) * f64::from(SECONDS);
-        output.say("zone", "watchers", size, watchers, "instances");
+        let mean = rate(total) / f64::from(member_count);
+        output.print(
+            "entry",
+            "heartbeats, mean member",
+            member_count,
+            mean,
+            "B/s",
+        );
+        let micros_per_second = processor_time.as_secs_f64() * 1e6
+            / f64::from(member_count)
+            / f64::from(MEASURED_SECONDS);
+        output.print(
+            "entry",
+            "heartbeats, processor time",
+            member_count,
+            micros_per_second,
+            "us/s",
+        );
+        let watchers = zone
+            .members
+            .values()
+            .filter(|member| member.is_watcher())
+            .count();
+        let watchers = rate(watchers) * f64::from(MEASURED_SECONDS);
+        output.print("zone", "watchers", member_count, watchers, "instances");
     }
 }
 
@@ -68,9 +86,9 @@
         };
         let mut members = BTreeMap::new();
         for number in 0..count {
-            let mut one = Membership::new(member(number), Settings::default());
-            one.merge(&[member(0)]);
-            members.insert(number, one);
+            let mut membership = Membership::new(member(number), Settings::default());
+            membership.merge(&[member(0)]);
+            members.insert(number, membership);
         }
         Self {
             now: Duration::ZERO,
@@ -81,14 +99,14 @@
     }
 
     /// Lets time pass as the driver does, which looks 20 times a second.
-    fn pass(&mut self, seconds: u32) {
+    fn advance(&mut self, seconds: u32) {
         for _ in 0..seconds * 20 {
             self.now += Duration::from_millis(50);
             let numbers: Vec<u16> = self.members.keys().copied().collect();
             for number in numbers {
-                let one = self.members.get_mut(&number).expect("a member");
-                one.expire_neighbours(self.now);
-                for peer in one.heartbeat_targets(self.now) {
+                let member = self.members.get_mut(&number).expect("a member");
+                member.expire_neighbours(self.now);
+                for peer in member.heartbeat_targets(self.now) {
                     self.exchange(number, peer.address.port());
                 }
             }
@@ -96,31 +114,31 @@
     }
 
     /// A heartbeat and its answer.
-    fn exchange(&mut self, number: u16, other: u16) {
+    fn exchange(&mut self, sender_number: u16, receiver_number: u16) {
         let (version, now) = (Version(79_000), self.now);
-        let one = &self.members[&number];
-        let beat = Heartbeat {
-            status: one.own_status(now, version, version, true),
+        let sender = &self.members[&sender_number];
+        let heartbeat = Heartbeat {
+            status: sender.own_status(now, version, version, true),
             table: Vec::new(),
         };
-        let sent: Vec<Member> = one.table().cloned().collect();
-        let two = self.members.get_mut(&other).expect("a member");
-        let differs = two.digest_differs(&beat.status);
+        let sender_table: Vec<Member> = sender.table().cloned().collect();
+        let receiver = self.members.get_mut(&receiver_number).expect("a member");
+        let differs = receiver.digest_differs(&heartbeat.status);
         if differs {
-            two.merge(&sent);
+            receiver.merge(&sender_table);
         }
-        two.receive(now, beat.status.clone());
-        let table: Vec<Member> = two.table().cloned().collect();
-        let echo = HeartbeatAnswer {
-            status: two.own_status(now, version, version, true),
+        receiver.receive(now, heartbeat.status.clone());
+        let table: Vec<Member> = receiver.table().cloned().collect();
+        let answer = HeartbeatAnswer {
+            status: receiver.own_status(now, version, version, true),
             table: if differs { table } else { Vec::new() },
             head: None,
         };
-        let bytes = wire(&beat, &echo);
-        let one = self.members.get_mut(&number).expect("a member");
-        one.merge(&echo.table);
-        one.receive(now, echo.status);
-        for end in [number, other] {
+        let bytes = exchange_bytes(&heartbeat, &answer);
+        let sender = self.members.get_mut(&sender_number).expect("a member");
+        sender.merge(&answer.table);
+        sender.receive(now, answer.status);
+        for end in [sender_number, receiver_number] {
             *self.bytes.entry(end).or_default() += bytes;
         }
         self.exchanges += 1;
--- a/verbenaspool/benches/capacity/processes.rs
+++ b/verbenaspool/benches/capacity/processes.rs
@@ -5,7 +5,7 @@
     io::{Read, Write},
     net::{SocketAddr, TcpStream},
     path::PathBuf,
-    process::{Child, Command, Stdio},
+    process::{self, Child, Stdio},
     sync::mpsc::{Receiver, Sender, channel},
     thread,
     time::{Duration, Instant},
@@ -26,17 +26,17 @@
     runtime,
 };
 
-use super::{Output, change::file, instances::upstream};
+use super::{Output, change::file_with_customers, instances::upstream};
 
 /// The places of each firm's four entries.
 const ZONES: [&str; 4] = ["zone-1", "zone-1", "zone-2", "zone-3"];
 /// Changes timed on today's sizes.
 const CHANGES: u32 = 40;
 /// How long processor time is measured.
-const SPAN: Duration = Duration::from_secs(4);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
 
 /// What the stand-in's thread is asked to do.
-enum Ask {
+enum Command {
     /// Accept a file, and say when.
     Apply(Box<File>, Sender<Instant>),
     /// Count the calls so far.
@@ -48,53 +48,55 @@
 /// The stand-in of the platform, on a thread of its own.
 struct Store {
     address: SocketAddr,
-    ask: Sender<Ask>,
+    commands: Sender<Command>,
 }
 
 impl Store {
     fn start() -> Self {
-        let (ask, asked) = channel();
-        let (tell, told) = channel();
-        thread::spawn(move || runtime::run(serve(asked, tell)));
-        let address = told.recv().expect("the stand-in starts");
-        Self { address, ask }
+        let (commands, receiver) = channel();
+        let (sender, reply) = channel();
+        thread::spawn(move || runtime::run(serve(receiver, sender)));
+        let address = reply.recv().expect("the stand-in starts");
+        Self { address, commands }
     }
 
     /// Has a file accepted and says when it was.
     fn apply(&self, file: File) -> Instant {
-        let (tell, told) = channel();
-        self.ask
-            .send(Ask::Apply(Box::new(file), tell))
+        let (sender, reply) = channel();
+        self.commands
+            .send(Command::Apply(Box::new(file), sender))
             .expect("the stand-in runs");
-        told.recv().expect("an answer")
+        reply.recv().expect("an answer")
     }
 
     fn calls(&self) -> Calls {
-        let (tell, told) = channel();
-        self.ask.send(Ask::Count(tell)).expect("the stand-in runs");
-        told.recv().expect("an answer")
+        let (sender, reply) = channel();
+        self.commands
+            .send(Command::Count(sender))
+            .expect("the stand-in runs");
+        reply.recv().expect("an answer")
     }
 }
 
 /// Serves the object API and does what it is asked.
-async fn serve(asked: Receiver<Ask>, tell: Sender<SocketAddr>) {
+async fn serve(commands: Receiver<Command>, address: Sender<SocketAddr>) {
     let platform = Platform::start().expect("a free port");
     for firm in ["tidewater", "quetzal"] {
         platform.allow(firm, firm);
     }
-    tell.send(platform.address()).expect("the bench waits");
+    address.send(platform.address()).expect("the bench waits");
     let mut number = 0_u32;
     loop {
-        let ask = match asked.try_recv() {
-            Ok(ask) => ask,
+        let command = match commands.try_recv() {
+            Ok(command) => command,
             Err(std::sync::mpsc::TryRecvError::Empty) => {
                 monoio::time::sleep(Duration::from_millis(1)).await;
                 continue;
             }
             Err(std::sync::mpsc::TryRecvError::Disconnected) => return,
         };
-        match ask {
-            Ask::Apply(file, told) => {
+        match command {
+            Command::Apply(file, reply) => {
                 number += 1;
                 let store = Client::new(Settings {
                     address: platform.address(),
@@ -109,10 +111,10 @@
                 };
                 let outcome = config::apply(&store, request, Duration::from_mins(2), 7).await;
                 assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
-                told.send(Instant::now()).expect("the bench waits");
+                reply.send(Instant::now()).expect("the bench waits");
             }
-            Ask::Count(told) => told.send(platform.calls()).expect("the bench waits"),
-            Ask::List(count) => platform.with(|objects| {
+            Command::Count(reply) => reply.send(platform.calls()).expect("the bench waits"),
+            Command::List(count) => platform.with(|objects| {
                 for number in 0..count {
                     let upstream = upstream(number);
                     let key = format!("firms/tidewater/instances/{}", upstream.name);
@@ -125,7 +127,7 @@
 }
 
 /// Where an entry stands, and whom it asks for the others.
-struct Place<'a> {
+struct Location<'a> {
     zone: &'a str,
     control: SocketAddr,
     peers: String,
@@ -148,13 +150,13 @@
 
 impl Process {
     /// Starts an entry.
-    fn start(firm: &str, number: usize, place: &Place<'_>, store: &Store) -> Self {
+    fn start(firm: &str, number: usize, location: &Location<'_>, store: &Store) -> Self {
         let (listen, admin) = (address::fresh(), address::fresh());
-        let Place {
+        let Location {
             zone,
             control,
             peers,
-        } = place;
+        } = location;
         let text = format!(
             "firm: {firm}\nname: entry-{number}\nzone: {zone}\nlisten: {listen}\n\
              control: {control}\nadmin: {admin}\npeers: [{peers}]\n\
@@ -163,11 +165,11 @@
         );
         let name = format!(
             "verbenaspool-capacity-{}-{firm}-{number}.yaml",
-            std::process::id()
+            process::id()
         );
         let settings = std::env::temp_dir().join(name);
         fs::write(&settings, text).expect("a written file");
-        let child = Command::new(env!("CARGO_BIN_EXE_verbenaspool"))
+        let child = process::Command::new(env!("CARGO_BIN_EXE_verbenaspool"))
             .args(["run", "--settings"])
             .arg(&settings)
             .stderr(Stdio::inherit())
@@ -200,7 +202,7 @@
     }
 
     /// Processor time of the loop's thread in microseconds.
-    fn processor(&self) -> f64 {
+    fn processor_micros(&self) -> f64 {
         let path = format!("/proc/{}/schedstat", self.child.id());
         let text = fs::read_to_string(path).unwrap_or_default();
         let ns = text
@@ -211,7 +213,7 @@
     }
 
     /// Resident memory in megabytes.
-    fn memory(&self) -> f64 {
+    fn resident_mb(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let text = fs::read_to_string(path).unwrap_or_default();
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
@@ -230,69 +232,72 @@
             .take(3)
             .map(|n| format!("'{}'", controls[n]))
             .collect();
-        let place = Place {
+        let location = Location {
             zone: zone(number),
             control: controls[number],
             peers: peers.join(", "),
         };
-        Process::start(firm, number, &place, store)
+        Process::start(firm, number, &location, store)
     };
     (0..count).map(start).collect()
 }
 
 /// Waits until all have a version in force.
-fn reach(processes: &[Process], version: u64) {
-    let end = Instant::now() + Duration::from_mins(2);
+fn wait_for_version(processes: &[Process], version: u64) {
+    let deadline = Instant::now() + Duration::from_mins(2);
     while !processes.iter().all(|process| process.version() >= version) {
-        assert!(Instant::now() < end, "version {version} comes in force");
+        assert!(
+            Instant::now() < deadline,
+            "version {version} comes in force"
+        );
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// A firm's file with a mark that tells versions apart.
-fn marked(firm: &str, customers: usize, mark: u32) -> File {
-    let mut file = file(customers);
+fn file_revision(firm: &str, customers: usize, revision: u32) -> File {
+    let mut file = file_with_customers(customers);
     file.firm = firm.parse().expect("a name");
-    file.customers[0].share = 1 + mark;
+    file.customers[0].share = 1 + revision;
     file
 }
 
 /// Measures processes.
 pub fn run(output: &Output) {
-    in_force(output);
-    spread(output);
+    activation(output);
+    propagation(output);
     memory(output);
-    rate(output);
+    change_rate(output);
 }
 
 /// The time from acceptance to in force on both firms' four entries.
-fn in_force(output: &Output) {
+fn activation(output: &Output) {
     let store = Store::start();
     let firms = ["tidewater", "quetzal"];
     let processes: Vec<Vec<Process>> = firms.map(|firm| entries(firm, 4, &ZONES, &store)).into();
     let mut times = Vec::new();
     for change in 1..=CHANGES {
         for (firm, processes) in firms.iter().zip(&processes) {
-            let accepted = store.apply(marked(firm, 10, change));
-            reach(processes, u64::from(change));
+            let accepted = store.apply(file_revision(firm, 10, change));
+            wait_for_version(processes, u64::from(change));
             if change > 1 {
                 times.push(accepted.elapsed().as_secs_f64() * 1e3);
             }
         }
     }
     times.sort_by(f64::total_cmp);
-    let at = |part: usize| times[(times.len() - 1) * part / 100];
-    for (name, part) in [("median", 50), ("95 in 100", 95), ("longest", 100)] {
+    let percentile = |percent: usize| times[(times.len() - 1) * percent / 100];
+    for (name, percent) in [("median", 50), ("95 in 100", 95), ("longest", 100)] {
         let quantity = format!("acceptance to in force, {name}");
-        output.say("firm", &quantity, 4, at(part), "ms");
+        output.print("firm", &quantity, 4, percentile(percent), "ms");
     }
     let before = store.calls();
-    thread::sleep(SPAN);
+    thread::sleep(MEASUREMENT_TIME);
     let after = store.calls();
     #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
-    let rate = |count: u64| count as f64 / SPAN.as_secs_f64() / 8.0;
+    let rate = |count: u64| count as f64 / MEASUREMENT_TIME.as_secs_f64() / 8.0;
     let watches = rate(after.watches - before.watches);
-    output.say(
+    output.print(
         "entry",
         "idle, watches of the platform",
         8,
@@ -300,9 +305,9 @@
         "calls/s",
     );
     let reads = rate(after.reads - before.reads);
-    output.say("entry", "idle, reads of the platform", 8, reads, "calls/s");
+    output.print("entry", "idle, reads of the platform", 8, reads, "calls/s");
     let writes = rate(after.writes - before.writes);
-    output.say(
+    output.print(
         "entry",
         "idle, writes to the platform",
         8,
@@ -312,31 +317,31 @@
 }
 
 /// The time from acceptance to in force in one zone, by its members.
-fn spread(output: &Output) {
+fn propagation(output: &Output) {
     for members in [2, 12, 48] {
         let store = Store::start();
-        store.apply(marked("tidewater", 10, 1));
+        store.apply(file_revision("tidewater", 10, 1));
         let processes = entries("tidewater", members, &ZONES[..1], &store);
-        reach(&processes, 1);
+        wait_for_version(&processes, 1);
         // The members find each other.
         thread::sleep(Duration::from_secs(8));
         let mut times = Vec::new();
         for change in 2..12 {
-            let accepted = store.apply(marked("tidewater", 10, change));
-            reach(&processes, u64::from(change));
+            let accepted = store.apply(file_revision("tidewater", 10, change));
+            wait_for_version(&processes, u64::from(change));
             times.push(accepted.elapsed().as_secs_f64() * 1e3);
             thread::sleep(Duration::from_millis(100));
         }
         times.sort_by(f64::total_cmp);
         let (median, longest) = (times[times.len() / 2], times[times.len() - 1]);
-        output.say(
+        output.print(
             "zone",
             "acceptance to in force, median",
             members,
             median,
             "ms",
         );
-        output.say(
+        output.print(
             "zone",
             "acceptance to in force, longest",
             members,
@@ -350,66 +355,66 @@
 fn memory(output: &Output) {
     for customers in [10, 4_000, 16_000] {
         let store = Store::start();
-        store.apply(marked("tidewater", customers, 1));
+        store.apply(file_revision("tidewater", customers, 1));
         let processes = entries("tidewater", 1, &ZONES, &store);
-        reach(&processes, 1);
-        output.say(
+        wait_for_version(&processes, 1);
+        output.print(
             "entry",
             "memory by customers",
             customers,
-            processes[0].memory(),
+            processes[0].resident_mb(),
             "MB",
         );
     }
     for instances in [19, 300, 900] {
         let store = Store::start();
-        store.apply(marked("tidewater", 10, 1));
+        store.apply(file_revision("tidewater", 10, 1));
         store
-            .ask
-            .send(Ask::List(instances))
+            .commands
+            .send(Command::List(instances))
             .expect("the stand-in runs");
         let processes = entries("tidewater", 1, &ZONES, &store);
-        reach(&processes, 1);
+        wait_for_version(&processes, 1);
         // The list is read within the budget of calls, 45 a second.
         thread::sleep(Duration::from_millis(1_500) + Duration::from_secs(instances as u64 / 45));
-        output.say(
+        output.print(
             "entry",
             "memory by instances",
             instances,
-            processes[0].memory(),
+            processes[0].resident_mb(),
             "MB",
         );
     }
 }
 
 /// The processor time of two entries of a zone by changes a second.
-fn rate(output: &Output) {
+fn change_rate(output: &Output) {
     let store = Store::start();
-    store.apply(marked("tidewater", 4_000, 1));
+    store.apply(file_revision("tidewater", 4_000, 1));
     let processes = entries("tidewater", 2, &ZONES[..1], &store);
-    reach(&processes, 1);
+    wait_for_version(&processes, 1);
     thread::sleep(Duration::from_secs(2));
     let mut version = 1;
     for changes in [0_u32, 1, 4] {
-        let before: f64 = processes.iter().map(Process::processor).sum();
+        let before: f64 = processes.iter().map(Process::processor_micros).sum();
         let start = Instant::now();
-        let total = changes * u32::try_from(SPAN.as_secs()).unwrap_or_default();
-        for change in 0..total {
+        let change_count = changes * u32::try_from(MEASUREMENT_TIME.as_secs()).unwrap_or_default();
+        for change in 0..change_count {
             version += 1;
-            store.apply(marked("tidewater", 4_000, version));
-            let due = SPAN * (change + 1) / total;
+            store.apply(file_revision("tidewater", 4_000, version));
+            let due = MEASUREMENT_TIME * (change + 1) / change_count;
             thread::sleep(due.saturating_sub(start.elapsed()));
         }
-        thread::sleep(SPAN.saturating_sub(start.elapsed()));
-        let spent: f64 = processes.iter().map(Process::processor).sum::<f64>() - before;
-        let share = spent / 2.0 / start.elapsed().as_secs_f64() / 1e4;
-        output.say(
+        thread::sleep(MEASUREMENT_TIME.saturating_sub(start.elapsed()));
+        let micros: f64 = processes.iter().map(Process::processor_micros).sum::<f64>() - before;
+        let share = micros / 2.0 / start.elapsed().as_secs_f64() / 1e4;
+        output.print(
             "entry",
             "processor by changes a second, 4,000 customers",
             changes,
             share,
             "%",
         );
-        reach(&processes, u64::from(version));
+        wait_for_version(&processes, u64::from(version));
     }
 }
--- a/verbenaspool/benches/path/child.rs
+++ b/verbenaspool/benches/path/child.rs
@@ -9,7 +9,7 @@
 };
 
 /// Clock ticks a second in `/proc`, which is fixed on Linux.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// A process of the bench; it ends with this value.
 pub struct Child {
@@ -32,9 +32,9 @@
 
     /// Starts this program as an agent.
     pub fn agent(settings: &Path, address: SocketAddr) -> Self {
-        let this = std::env::current_exe().expect("this program's path");
+        let program = std::env::current_exe().expect("this program's path");
         Self::start(
-            Command::new(this).arg(super::agent::ROLE),
+            Command::new(program).arg(super::agent::ROLE),
             settings,
             address,
         )
@@ -42,8 +42,8 @@
 
     /// Starts this program as the bare echo.
     pub fn echo() -> Self {
-        let this = std::env::current_exe().expect("this program's path");
-        let mut process = Command::new(this)
+        let program = std::env::current_exe().expect("this program's path");
+        let mut process = Command::new(program)
             .arg(super::echo::ROLE)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -59,18 +59,18 @@
     }
 
     /// Processor time used so far, in seconds.
-    pub fn processor(&self) -> f64 {
+    pub fn processor_seconds(&self) -> f64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id()));
         let stat = stat.expect("the process runs");
         // The name in brackets may hold spaces; fields are counted behind it.
         let fields = stat.rsplit(')').next().expect("the end of the line");
         let fields: Vec<_> = fields.split_whitespace().collect();
         let ticks = |index: usize| fields[index].parse::<f64>().expect("a number");
-        (ticks(11) + ticks(12)) / TICKS
+        (ticks(11) + ticks(12)) / TICKS_PER_SECOND
     }
 
     /// Resident memory in kilobytes.
-    pub fn memory(&self) -> u64 {
+    pub fn resident_kb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.process.id()));
         let status = status.expect("the process runs");
         let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/verbenaspool/benches/path/site.rs
+++ b/verbenaspool/benches/path/deployment.rs
@@ -1,4 +1,4 @@
-//! The site that is measured: the platform, the upstreams and the processes.
+//! The deployment that is measured: the platform, the upstreams and the processes.
 
 use std::{
     fs,
@@ -35,13 +35,13 @@
 
 /// Instances of the service whose throughput is measured, so that these and
 /// their agents are not the bottleneck.
-const JOBS: usize = 3;
+const JOBS_INSTANCES: usize = 3;
 
 /// How long the entry may take to be ready.
-const READY: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The running site.
-pub struct Site {
+/// The running deployment.
+pub struct Deployment {
     /// The entry.
     pub entry: Child,
     /// The agent beside the engine.
@@ -54,28 +54,28 @@
     folder: PathBuf,
 }
 
-impl Site {
+impl Deployment {
     /// Starts everything and waits until the entry is ready.
     pub fn start() -> Self {
         let folder = std::env::temp_dir().join(format!("verbenaspool-path-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder for settings");
         let mut upstreams = Vec::new();
-        let mut start = |name: &str, service: &str, beside: SocketAddr, kind: &str| {
-            let (child, upstream) = start_agent(&folder, name, service, beside, kind);
+        let mut start = |name: &str, service: &str, upstream_address: SocketAddr, kind: &str| {
+            let (child, upstream) = start_agent(&folder, name, service, upstream_address, kind);
             upstreams.push(upstream);
             child
         };
         let mut agents = Vec::new();
         let mut jobs = Vec::new();
-        for i in 0..JOBS {
-            let service = plain(Duration::ZERO);
+        for i in 0..JOBS_INSTANCES {
+            let service = start_plain(Duration::ZERO);
             agents.push(start(&format!("jobs-{i}"), "jobs", service, "plain"));
             jobs.push(service);
         }
-        let slow = plain(Duration::from_millis(1));
+        let slow = start_plain(Duration::from_millis(1));
         agents.push(start("slow-1", "slow", slow, "plain"));
-        let engine = start("loft-1", "assistant", model(), "engine");
-        let platform = platform(upstreams);
+        let engine = start("loft-1", "assistant", start_engine(), "engine");
+        let platform = start_platform(upstreams);
         let entry = start_entry(&folder, platform);
         Self {
             entry,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
@@ -113,23 +113,23 @@
 }
 
 /// Starts a thread that serves and tells its address.
-fn serving<F>(serve: F) -> SocketAddr
+fn spawn_standin<F>(serve: F) -> SocketAddr
 where
     F: FnOnce(mpsc::Sender<SocketAddr>) + Send + 'static,
 {
-    let (tell, told) = mpsc::channel();
-    thread::spawn(move || serve(tell));
-    told.recv().expect("a stand-in starts")
+    let (sender, address) = mpsc::channel();
+    thread::spawn(move || serve(sender));
+    address.recv().expect("a stand-in starts")
 }
 
 /// Starts a plain service whose calls take so long.
-fn plain(takes: Duration) -> SocketAddr {
-    serving(move |tell| {
+fn start_plain(request_time: Duration) -> SocketAddr {
+    spawn_standin(move |address| {
         let served = runtime::run(async {
             let (_stop, signal) = shutdown::channel();
-            let book = Journal::new(takes, Monotonic::start());
-            let service = Service::bind(([127, 0, 0, 1], 0).into(), book).expect("a free port");
-            tell.send(service.address()).expect("the bench waits");
+            let journal = Journal::new(request_time, Monotonic::start());
+            let service = Service::bind(([127, 0, 0, 1], 0).into(), journal).expect("a free port");
+            address.send(service.address()).expect("the bench waits");
             service.run(signal).await;
         });
         served.expect("the loop starts");
@@ -137,8 +137,8 @@
 }
 
 /// Starts an engine whose streams stay open long enough to be counted.
-fn model() -> SocketAddr {
-    serving(|tell| {
+fn start_engine() -> SocketAddr {
+    spawn_standin(|address| {
         let served = runtime::run(async {
             let (_stop, signal) = shutdown::channel();
             let config = Config {
@@ -148,7 +148,7 @@
                 ..Config::default()
             };
             let engine = Engine::bind(config, Monotonic::start()).expect("a free port");
-            tell.send(engine.address()).expect("the bench waits");
+            address.send(engine.address()).expect("the bench waits");
             engine.run(signal).await;
         });
         served.expect("the loop starts");
@@ -156,8 +156,8 @@
 }
 
 /// Starts the platform with an accepted file and these upstreams.
-fn platform(upstreams: Vec<Upstream>) -> SocketAddr {
-    serving(move |tell| {
+fn start_platform(upstreams: Vec<Upstream>) -> SocketAddr {
+    spawn_standin(move |address| {
         let served = runtime::run(async {
             let platform = Platform::start().expect("a free port");
             platform.allow("token", "tidewater");
@@ -178,7 +178,7 @@
                 split: piece::split(&file()).expect("a file that can be split"),
             };
             config::apply(&store, request, Duration::from_secs(5), 7).await;
-            tell.send(platform.address()).expect("the bench waits");
+            address.send(platform.address()).expect("the bench waits");
             std::future::pending::<()>().await;
         });
         served.expect("the loop starts");
@@ -190,7 +190,7 @@
     folder: &Path,
     name: &str,
     service: &str,
-    beside: SocketAddr,
+    upstream_address: SocketAddr,
     kind: &str,
 ) -> (Child, Upstream) {
     let (agent, control) = (address::fresh(), address::fresh());
@@ -199,7 +199,7 @@
 instance: {name}
 listen: {agent}
 control: {control}
-upstream: {{address: '{beside}', kind: {kind}}}
+upstream: {{address: '{upstream_address}', kind: {kind}}}
 log: {{level: error}}
 "
     );
@@ -235,25 +235,25 @@
     fs::write(&path, text).expect("a written file");
     let binary = Path::new(env!("CARGO_BIN_EXE_verbenaspool"));
     let child = Child::start(Command::new(binary).arg("run"), &path, listen);
-    let end = Instant::now() + READY;
-    while !ready(admin) {
-        assert!(Instant::now() < end, "the entry is ready in time");
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while !is_ready(admin) {
+        assert!(Instant::now() < deadline, "the entry is ready in time");
         thread::sleep(Duration::from_millis(20));
     }
     child
 }
 
 /// Whether the entry is ready and knows its upstreams.
-fn ready(admin: SocketAddr) -> bool {
+fn is_ready(admin: SocketAddr) -> bool {
     let get = |path: &str| {
         let mut stream = TcpStream::connect(admin).ok()?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).ok()?;
-        Some(answer)
+        let mut response = String::new();
+        stream.read_to_string(&mut response).ok()?;
+        Some(response)
     };
-    let known = format!("verbenaspool_upstreams{{service=\"jobs\"}} {JOBS}\n");
-    get("/readyz").is_some_and(|answer| answer.contains(" 200 "))
-        && get("/metrics").is_some_and(|answer| answer.contains(&known))
+    let expected_metric = format!("verbenaspool_upstreams{{service=\"jobs\"}} {JOBS_INSTANCES}\n");
+    get("/readyz").is_some_and(|response| response.contains(" 200 "))
+        && get("/metrics").is_some_and(|response| response.contains(&expected_metric))
 }
--- a/verbenaspool/benches/path/load.rs
+++ b/verbenaspool/benches/path/load.rs
@@ -17,20 +17,20 @@
     runtime,
 };
 
-use super::site::CREDENTIAL;
+use super::deployment::CREDENTIAL;
 
 /// The body of each request: a short search.
 const BODY: &str = r#"{"loft":"bowen","net":"prawn trawl, 45 mm mesh","tear_m":2.4}"#;
 
 /// How long all streams may take to open.
-const OPENING: Duration = Duration::from_secs(20);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Where requests go.
 #[derive(Clone)]
 pub struct Target {
     address: SocketAddr,
     path: Uri,
-    credential: bool,
+    with_credential: bool,
 }
 
 impl Target {
@@ -40,14 +40,14 @@
         Self {
             address,
             path,
-            credential: false,
+            with_credential: false,
         }
     }
 
     /// The entry.
     pub fn entry(address: SocketAddr, path: &str) -> Self {
         Self {
-            credential: true,
+            with_credential: true,
             ..Self::direct(address, path)
         }
     }
@@ -58,7 +58,7 @@
         *request.uri_mut() = self.path.clone();
         let headers = request.headers_mut();
         headers.insert("host", "bench".parse().expect("a header value"));
-        if self.credential {
+        if self.with_credential {
             let value = format!("Bearer {CREDENTIAL}");
             headers.insert("authorization", value.parse().expect("a header value"));
         }
@@ -104,48 +104,48 @@
 
     /// Requests a second.
     pub fn rate(&self) -> f64 {
-        float(self.count()) / self.seconds
+        to_f64(self.count()) / self.seconds
     }
 
     /// The time in microseconds that a part of the requests stays within.
-    pub fn quantile(&self, part: f64) -> f64 {
-        float(self.times.value_at_quantile(part))
+    pub fn quantile(&self, quantile: f64) -> f64 {
+        to_f64(self.times.value_at_quantile(quantile))
     }
 }
 
 /// A count as a number to divide.
 #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
-pub fn float(count: u64) -> f64 {
+pub fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
 /// Runs a round with so many connections over so many threads.
-pub fn run(target: &Target, threads: usize, connections: usize, time: Duration) -> Load {
-    let began = Instant::now();
-    let each = connections / threads;
+pub fn run(target: &Target, threads: usize, connections: usize, duration: Duration) -> Load {
+    let started_at = Instant::now();
+    let connections_per_thread = connections / threads;
     let workers: Vec<_> = (0..threads)
         .map(|_| {
             let target = target.clone();
-            thread::spawn(move || runtime::run(worker(target, each, time)))
+            thread::spawn(move || runtime::run(worker(target, connections_per_thread, duration)))
         })
         .collect();
     let mut load = Load::default();
     for worker in workers {
-        let part = worker
+        let thread_load = worker
             .join()
             .expect("a worker ends")
             .expect("a loop starts");
-        load.merge(&part);
+        load.merge(&thread_load);
     }
-    load.seconds = began.elapsed().as_secs_f64();
+    load.seconds = started_at.elapsed().as_secs_f64();
     load
 }
 
 /// The callers of one thread.
-async fn worker(target: Target, connections: usize, time: Duration) -> Load {
-    let end = Instant::now() + time;
+async fn worker(target: Target, connections: usize, duration: Duration) -> Load {
+    let deadline = Instant::now() + duration;
     let callers: Vec<_> = (0..connections)
-        .map(|_| monoio::spawn(caller(target.clone(), end)))
+        .map(|_| monoio::spawn(caller(target.clone(), deadline)))
         .collect();
     let mut load = Load::default();
     for caller in callers {
@@ -155,21 +155,21 @@
 }
 
 /// One caller on a connection of its own.
-async fn caller(target: Target, end: Instant) -> Load {
+async fn caller(target: Target, deadline: Instant) -> Load {
     let client = Client::new(Duration::from_secs(1));
     let mut load = Load::default();
-    while Instant::now() < end {
-        let began = Instant::now();
-        let good = match client.send(target.address, target.request(BODY)).await {
+    while Instant::now() < deadline {
+        let started_at = Instant::now();
+        let succeeded = match client.send(target.address, target.request(BODY)).await {
             Ok(response) => {
-                let good = response.status() == 200;
-                response.into_body().collect().await.is_ok() && good
+                let is_ok = response.status() == 200;
+                response.into_body().collect().await.is_ok() && is_ok
             }
             Err(_) => false,
         };
-        if good {
-            let us = u64::try_from(began.elapsed().as_micros()).expect("a short time");
-            load.times.saturating_record(us.max(1));
+        if succeeded {
+            let micros = u64::try_from(started_at.elapsed().as_micros()).expect("a short time");
+            load.times.saturating_record(micros.max(1));
         } else {
             load.failed += 1;
         }
@@ -193,14 +193,14 @@
 }
 
 /// Opens so many streams and waits until each has brought a token.
-pub fn streams(entry: SocketAddr, count: usize) -> Streams {
+pub fn open_streams(entry: SocketAddr, count: usize) -> Streams {
     let (stop, stopped) = mpsc::channel();
-    let (tell, told) = mpsc::channel();
+    let (open_sender, open_count) = mpsc::channel();
     let thread = thread::spawn(move || {
-        runtime::run(hold(entry, count, &tell, &stopped)).expect("a loop starts");
+        runtime::run(hold_streams(entry, count, &open_sender, &stopped)).expect("a loop starts");
     });
-    let open = told
-        .recv_timeout(OPENING)
+    let open = open_count
+        .recv_timeout(OPEN_TIMEOUT)
         .expect("the streams open in time");
     assert_eq!(open, count, "streams are open");
     Streams {
@@ -210,10 +210,10 @@
 }
 
 /// Holds streams open until it is told to stop.
-async fn hold(
+async fn hold_streams(
     entry: SocketAddr,
     count: usize,
-    tell: &mpsc::Sender<usize>,
+    open_count: &mpsc::Sender<usize>,
     stop: &mpsc::Receiver<()>,
 ) {
     let open = Rc::new(Cell::new(0));
@@ -232,11 +232,11 @@
             bodies.borrow_mut().push((client, body));
         });
     }
-    let end = Instant::now() + OPENING;
-    while bodies.borrow().len() < count && Instant::now() < end {
+    let deadline = Instant::now() + OPEN_TIMEOUT;
+    while bodies.borrow().len() < count && Instant::now() < deadline {
         monoio::time::sleep(Duration::from_millis(20)).await;
     }
-    let _ = tell.send(open.get());
+    let _ = open_count.send(open.get());
     while matches!(stop.try_recv(), Err(mpsc::TryRecvError::Empty)) {
         monoio::time::sleep(Duration::from_millis(20)).await;
     }
