--- a/verbenaspool/benches/capacity/agent.rs
+++ b/verbenaspool/benches/capacity/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent's answers to entries cost, by the questions it gets.
+//! Cost of an agent's reports to entries, by the number of cache events in a report.
 
 use std::{hint::black_box, time::Instant};
 
@@ -10,12 +10,12 @@
 
 use super::{Output, exchange_bytes};
 
-/// Cache events in an answer.
+/// Cache events in a report.
 const EVENT_COUNTS: [u64; 4] = [0, 4, 16, 64];
-/// Answers measured at each event_count.
+/// Reports measured for each number of events.
 const REPORTS: u32 = 20_000;
 
-/// Measures answers of each event_count.
+/// Measures size and encoding time of reports.
 pub fn run(output: &Output) {
     for event_count in EVENT_COUNTS {
         let event = |number| Event {
@@ -39,7 +39,7 @@
             },
             since: 1 << 30,
         };
-        #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
+        #[allow(clippy::cast_precision_loss)] // Sizes are far below 2^53.
         let bytes = exchange_bytes(&request, &report) as f64;
         output.print(
             "agent",
--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -1,4 +1,4 @@
-//! One change of one customer, at an instance and at a watcher.
+//! Cost of a change of one customer, for an entry and for the watcher of a zone.
 
 use std::{
     collections::BTreeSet,
@@ -21,14 +21,15 @@
 
 /// Customers of a firm.
 const CUSTOMER_COUNTS: [usize; 4] = [10, 1_000, 4_000, 16_000];
-/// Changes measured at each customer_count.
+/// Changes measured for each number of customers.
 const CHANGES: u32 = 20;
-/// Time between two changes, longer than the longest between two versions.
+/// Time between two changes, longer than the maximum interval between two versions.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
-/// HTTP heads of a read and its answer, as the client and the platform send them.
+/// Bytes of the HTTP heads of a read request and its response, as client and platform
+/// send them.
 const HTTP_HEAD_BYTES: usize = 260;
 
-/// A file of so many customers, with nine models as in two years.
+/// Returns a file with `count` customers and nine models, the number expected in two years.
 pub fn file_with_customers(count: usize) -> File {
     let yaml = include_str!("../../../examples/tidewater.yaml");
     let mut file = File::read(yaml).expect("the example is sound");
@@ -43,7 +44,7 @@
     file
 }
 
-/// A customer by number.
+/// Returns the customer of a number.
 fn customer(number: usize) -> Customer {
     Customer {
         name: format!("customer-{number}").parse().expect("a name"),
@@ -53,7 +54,7 @@
     }
 }
 
-/// An entry without listeners.
+/// Creates an entry without listeners.
 fn entry() -> std::rc::Rc<Entry> {
     let options = Options {
         firm: "tidewater".parse().expect("a name"),
@@ -69,7 +70,7 @@
     Entry::new(options, Monotonic::start())
 }
 
-/// What changes cost in all.
+/// Total cost of all changes.
 #[derive(Default)]
 struct Cost {
     adoption_time: Duration,
@@ -79,17 +80,17 @@
     calls: usize,
 }
 
-/// Measures changes at each customer_count.
+/// Measures changes for each number of customers.
 pub fn run(output: &Output) {
     for customer_count in CUSTOMER_COUNTS {
-        // The entry's queues need a loop to be tended on.
+        // The tasks of the entry's queues need an event loop.
         let cost =
             runtime::run(async move { measure_changes(customer_count) }).expect("a loop starts");
         let change_count = f64::from(CHANGES);
         let print =
             |role, quantity, value, unit| output.print(role, quantity, customer_count, value, unit);
         let micros = |time: Duration| time.as_secs_f64() * 1e6 / change_count;
-        #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
+        #[allow(clippy::cast_precision_loss)] // Sizes are far below 2^53.
         let mean_bytes = |bytes: usize| bytes as f64 / change_count;
         print(
             "entry",
@@ -124,8 +125,8 @@
     }
 }
 
-/// Runs changes through two instances, one that hands them on and one that
-/// takes them.
+/// Applies changes at one instance, which reads them as the watcher and sends them to a
+/// second one.
 fn measure_changes(customer_count: usize) -> Cost {
     let mut cost = Cost::default();
     let mut file = file_with_customers(customer_count);
@@ -153,7 +154,7 @@
         let split = piece::split(&file).expect("the file fits");
         let previous_root = head.root;
         head = head.next("0123456789abcdef", split.root);
-        // The watcher reads what it lacks.
+        // The watcher reads the missing pieces.
         sender.offer(head.clone());
         let mut read = BTreeSet::new();
         loop {
@@ -168,11 +169,11 @@
                 sender.insert_piece(hash, bytes).expect("a sound piece");
             }
         }
-        // Each change ends a watch, and its head is read as well.
+        // Each change also completes a watch request, and its head is read.
         cost.read_bytes +=
             head.to_bytes().len() + 2 * (HTTP_HEAD_BYTES + 2 * PACKET_OVERHEAD_BYTES) + 120;
         cost.calls += read.len() + 2;
-        // Versions of a large file are seconds apart.
+        // Versions of a large file become active seconds apart.
         let now = CHANGE_INTERVAL * (change + 1);
         sender.poll(now, 1).expect("a sound file");
         let delta = sender.delta(previous_root, head.root);
--- a/verbenaspool/benches/capacity/instances.rs
+++ b/verbenaspool/benches/capacity/instances.rs
@@ -1,14 +1,14 @@
-//! The platform's list of upstream instances, by their number.
+//! Size of the platform's list of upstream instances, by their number.
 
 use verbenaspool_state::upstream::{Rank, State, Upstream};
 use verbenaspool_transport::platform::Entry;
 
 use super::{Output, PACKET_OVERHEAD_BYTES};
 
-/// Upstream instances of a firm: today's, and two years' replicas.
+/// Upstream instances of a firm: the current number, and replicas expected in two years.
 const INSTANCE_COUNTS: [usize; 4] = [19, 1_000, 4_000, 12_000];
 
-/// Measures the list at each instance_count.
+/// Measures the list for each number of instances.
 pub fn run(output: &Output) {
     for instance_count in INSTANCE_COUNTS {
         let upstreams: Vec<Upstream> = (0..instance_count).map(upstream).collect();
@@ -19,10 +19,10 @@
             .iter()
             .map(|upstream| length(serde_json::to_vec(upstream)))
             .sum();
-        // Each object is read by a call of its own.
+        // Each object is read by a separate call.
         let first_read_bytes =
             list_bytes + object_bytes + instance_count * (260 + 2 * PACKET_OVERHEAD_BYTES);
-        #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
+        #[allow(clippy::cast_precision_loss)] // Sizes are far below 2^53.
         let (list_bytes, first_read_bytes) = (list_bytes as f64, first_read_bytes as f64);
         output.print(
             "entry",
@@ -41,7 +41,7 @@
     }
 }
 
-/// An upstream by number, in a group of 128.
+/// Returns the upstream of a number, in a group of 128 ranks.
 pub fn upstream(number: usize) -> Upstream {
     let byte = |shift: usize| u8::try_from(number >> shift & 0xff).unwrap_or_default();
     let port = 7_000;
@@ -61,7 +61,7 @@
     }
 }
 
-/// An upstream as the platform lists it.
+/// Returns the platform's list entry of an upstream.
 fn list_entry(upstream: &Upstream) -> Entry {
     Entry {
         key: format!("firms/tidewater/instances/{}", upstream.name),
--- a/verbenaspool/benches/capacity/main.rs
+++ b/verbenaspool/benches/capacity/main.rs
@@ -1,11 +1,12 @@
-//! What control costs each role as customers, members, instances and changes
-//! grow, at three or more sizes each, so that a slope can be read.
+//! Cost of the control plane for each role as the numbers of customers, members,
+//! instances and changes grow. Each is measured at three or more sizes to show how the
+//! cost scales.
 //!
 //! `cargo bench --bench capacity`, with `-- --json` for one JSON object a line
 //! with `role`, `quantity`, `n`, `value` and `unit`, and `--only=change`,
 //! `--only=members`, `--only=instances`, `--only=agent` or `--only=processes`
-//! for a part. Where a time to be in force is measured, the entries are
-//! processes of their own. It takes about a minute.
+//! for one part. Times until a version is active are measured on separate entry
+//! processes. The bench takes about a minute.
 
 mod agent;
 mod change;
@@ -15,22 +16,21 @@
 
 use std::fmt::Display;
 
-/// Bytes that the network adds to a packet: Ethernet, IP and TCP with timestamps.
+/// Header bytes of a packet: Ethernet, IP and TCP with timestamps.
 const PACKET_OVERHEAD_BYTES: usize = 66;
-/// Packets of an exchange on a kept connection: question, answer, and an
+/// Packets of an exchange on a keep-alive connection: request, answer, and an
 /// acknowledgement of each.
 const PACKETS_PER_EXCHANGE: usize = 4;
-/// Bytes of a frame's length and of the JSON-RPC envelopes around a question and
-/// its answer.
+/// Bytes of the frame lengths and JSON-RPC envelopes around a request and its answer.
 const ENVELOPE_BYTES: usize = 4 + 57 + 4 + 36;
 
-/// Where figures go.
+/// Prints measured values as text or JSON lines.
 pub struct Output {
     json: bool,
 }
 
 impl Output {
-    /// Tells one figure.
+    /// Prints one measured value.
     pub fn print(&self, role: &str, quantity: &str, n: impl Display, value: f64, unit: &str) {
         if self.json {
             let line = serde_json::json!({
@@ -47,7 +47,7 @@
     }
 }
 
-/// The bytes on the wire of a question and its answer.
+/// Returns the bytes that a request and its answer take on the network.
 pub fn exchange_bytes<P: serde::Serialize, R: serde::Serialize>(request: &P, answer: &R) -> usize {
     let length = |text: Result<Vec<u8>, _>| text.map_or(0, |text| text.len());
     let request = length(serde_json::to_vec(request));
@@ -55,7 +55,7 @@
     request + answer + ENVELOPE_BYTES + PACKET_OVERHEAD_BYTES * PACKETS_PER_EXCHANGE
 }
 
-/// A part of the bench, by its name.
+/// Name and function of a part of the bench.
 type Part = (&'static str, fn(&Output));
 
 fn main() {
--- a/verbenaspool/benches/capacity/members.rs
+++ b/verbenaspool/benches/capacity/members.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a zone, by its members.
+//! Cost of heartbeats in a zone, by the number of its members.
 
 use std::{
     collections::BTreeMap,
@@ -11,22 +11,23 @@
 
 use super::{Output, exchange_bytes};
 
-/// Members of a zone: today's, and what two years' 1,000 nodes in 11 zones make.
+/// Members of a zone: current numbers, and those of 1,000 nodes in 11 zones, as expected
+/// in two years.
 const MEMBER_COUNTS: [u16; 4] = [2, 9, 30, 91];
-/// Seconds measured, after the zone has found itself.
+/// Measured seconds, after all members have discovered each other.
 const MEASURED_SECONDS: u32 = 20;
 
-/// A zone whose members talk without loss.
+/// Simulated zone whose heartbeats are never lost.
 struct Zone {
     now: Duration,
     members: BTreeMap<u16, Membership>,
-    /// Bytes on the wire at each member.
+    /// Bytes sent and received by each member.
     bytes: BTreeMap<u16, usize>,
-    /// Exchanges in all.
+    /// Number of heartbeat exchanges.
     exchanges: u32,
 }
 
-/// Measures a zone at each member_count.
+/// Measures a zone for each number of members.
 pub fn run(output: &Output) {
     for member_count in MEMBER_COUNTS {
         let mut zone = Zone::new(member_count);
@@ -36,7 +37,7 @@
         let start = Instant::now();
         zone.advance(MEASURED_SECONDS);
         let processor_time = start.elapsed();
-        #[allow(clippy::cast_precision_loss)] // Sizes stay far below 2^53.
+        #[allow(clippy::cast_precision_loss)] // Sizes are far below 2^53.
         let rate = |count: usize| count as f64 / f64::from(MEASURED_SECONDS);
         let busiest = zone.bytes.values().copied().max().unwrap_or_default();
         let total: usize = zone.bytes.values().sum();
@@ -76,7 +77,7 @@
 }
 
 impl Zone {
-    /// A zone whose members know the first of them.
+    /// Creates a zone whose members know only the first member.
     fn new(count: u16) -> Self {
         let member = |number: u16| Member {
             name: format!("entry-{number}").parse().expect("a name"),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Lets time pass as the driver does, which looks 20 times a second.
+    /// Advances the time in steps of 50 ms, the poll interval of the driver.
     fn advance(&mut self, seconds: u32) {
         for _ in 0..seconds * 20 {
             self.now += Duration::from_millis(50);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A heartbeat and its answer.
+    /// Exchanges a heartbeat and its answer between two members.
     fn exchange(&mut self, sender_number: u16, receiver_number: u16) {
         let (version, now) = (Version(79_000), self.now);
         let sender = &self.members[&sender_number];
--- a/verbenaspool/benches/capacity/processes.rs
+++ b/verbenaspool/benches/capacity/processes.rs
@@ -1,4 +1,5 @@
-//! Real entry processes of both firms, before a stand-in of the platform.
+//! Real entry processes of two firms with a stand-in of the platform: time until a version
+//! is active, memory and processor time.
 
 use std::{
     fs,
@@ -28,24 +29,24 @@
 
 use super::{Output, change::file_with_customers, instances::upstream};
 
-/// The places of each firm's four entries.
+/// The zones of each firm's four entries.
 const ZONES: [&str; 4] = ["zone-1", "zone-1", "zone-2", "zone-3"];
-/// Changes timed on today's sizes.
+/// Number of timed changes with ten customers.
 const CHANGES: u32 = 40;
-/// How long processor time is measured.
+/// Duration of the measurements of processor time and of calls while idle.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
 
-/// What the stand-in's thread is asked to do.
+/// Command to the stand-in's thread.
 enum Command {
-    /// Accept a file, and say when.
+    /// Applies a file and returns when it was accepted.
     Apply(Box<File>, Sender<Instant>),
-    /// Count the calls so far.
+    /// Returns the number of calls so far.
     Count(Sender<Calls>),
-    /// List so many upstream instances.
+    /// Adds this many upstream instances to the list.
     List(usize),
 }
 
-/// The stand-in of the platform, on a thread of its own.
+/// Stand-in of the platform, which runs on its own thread.
 struct Store {
     address: SocketAddr,
     commands: Sender<Command>,
@@ -60,7 +61,7 @@
         Self { address, commands }
     }
 
-    /// Has a file accepted and says when it was.
+    /// Applies a file and returns when it was accepted.
     fn apply(&self, file: File) -> Instant {
         let (sender, reply) = channel();
         self.commands
@@ -78,7 +79,7 @@
     }
 }
 
-/// Serves the object API and does what it is asked.
+/// Serves the object API and executes commands.
 async fn serve(commands: Receiver<Command>, address: Sender<SocketAddr>) {
     let platform = Platform::start().expect("a free port");
     for firm in ["tidewater", "quetzal"] {
@@ -126,7 +127,7 @@
     }
 }
 
-/// Where an entry stands, and whom it asks for the others.
+/// Zone and control address of an entry, and the peers in its settings.
 struct Location<'a> {
     zone: &'a str,
     control: SocketAddr,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The version in force, as the entry's metrics tell it.
+    /// Returns the active version from the entry's metrics, and 0 while they can't be read.
     fn version(&self) -> u64 {
         let Ok(mut stream) = TcpStream::connect(self.admin) else {
             return 0;
@@ -201,7 +202,7 @@
             .unwrap_or_default()
     }
 
-    /// Processor time of the loop's thread in microseconds.
+    /// Returns the processor time of the event loop's thread in microseconds.
     fn processor_micros(&self) -> f64 {
         let path = format!("/proc/{}/schedstat", self.child.id());
         let text = fs::read_to_string(path).unwrap_or_default();
@@ -212,7 +213,7 @@
         ns.unwrap_or_default() / 1e3
     }
 
-    /// Resident memory in megabytes.
+    /// Returns the resident memory in megabytes.
     fn resident_mb(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let text = fs::read_to_string(path).unwrap_or_default();
@@ -222,7 +223,8 @@
     }
 }
 
-/// Entries of a firm, spread over `zones`; each knows three others of its own.
+/// Starts entries of a firm, distributed over `zones`; each has up to three peers of its
+/// own zone.
 fn entries(firm: &str, count: usize, zones: &[&str], store: &Store) -> Vec<Process> {
     let controls: Vec<SocketAddr> = (0..count).map(|_| address::fresh()).collect();
     let zone = |number: usize| zones[number % zones.len()];
@@ -242,19 +244,19 @@
     (0..count).map(start).collect()
 }
 
-/// Waits until all have a version in force.
+/// Waits until a version is active in all processes.
 fn wait_for_version(processes: &[Process], version: u64) {
     let deadline = Instant::now() + Duration::from_mins(2);
     while !processes.iter().all(|process| process.version() >= version) {
         assert!(
             Instant::now() < deadline,
-            "version {version} comes in force"
+            "version {version} is not active in time"
         );
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A firm's file with a mark that tells versions apart.
+/// Returns a firm's file that differs by `revision` in one customer's share.
 fn file_revision(firm: &str, customers: usize, revision: u32) -> File {
     let mut file = file_with_customers(customers);
     file.firm = firm.parse().expect("a name");
@@ -262,7 +264,7 @@
     file
 }
 
-/// Measures processes.
+/// Runs all measurements.
 pub fn run(output: &Output) {
     activation(output);
     propagation(output);
@@ -270,7 +272,8 @@
     change_rate(output);
 }
 
-/// The time from acceptance to in force on both firms' four entries.
+/// Measures the time from acceptance until a version is active on all four entries of a
+/// firm, and the platform calls of idle entries.
 fn activation(output: &Output) {
     let store = Store::start();
     let firms = ["tidewater", "quetzal"];
@@ -294,7 +297,7 @@
     let before = store.calls();
     thread::sleep(MEASUREMENT_TIME);
     let after = store.calls();
-    #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
+    #[allow(clippy::cast_precision_loss)] // Counts are far below 2^53.
     let rate = |count: u64| count as f64 / MEASUREMENT_TIME.as_secs_f64() / 8.0;
     let watches = rate(after.watches - before.watches);
     output.print(
@@ -316,14 +319,15 @@
     );
 }
 
-/// The time from acceptance to in force in one zone, by its members.
+/// Measures the time from acceptance until a version is active in one zone, by the number
+/// of its members.
 fn propagation(output: &Output) {
     for members in [2, 12, 48] {
         let store = Store::start();
         store.apply(file_revision("tidewater", 10, 1));
         let processes = entries("tidewater", members, &ZONES[..1], &store);
         wait_for_version(&processes, 1);
-        // The members find each other.
+        // Lets the members discover each other.
         thread::sleep(Duration::from_secs(8));
         let mut times = Vec::new();
         for change in 2..12 {
@@ -351,7 +355,7 @@
     }
 }
 
-/// The memory of an entry by customers and by upstream instances.
+/// Measures the memory of an entry by customers and by upstream instances.
 fn memory(output: &Output) {
     for customers in [10, 4_000, 16_000] {
         let store = Store::start();
@@ -375,7 +379,7 @@
             .expect("the stand-in runs");
         let processes = entries("tidewater", 1, &ZONES, &store);
         wait_for_version(&processes, 1);
-        // The list is read within the budget of calls, 45 a second.
+        // Reading the list is limited to 45 calls per second.
         thread::sleep(Duration::from_millis(1_500) + Duration::from_secs(instances as u64 / 45));
         output.print(
             "entry",
@@ -387,7 +391,7 @@
     }
 }
 
-/// The processor time of two entries of a zone by changes a second.
+/// Measures the mean processor share of two entries of a zone by changes per second.
 fn change_rate(output: &Output) {
     let store = Store::start();
     store.apply(file_revision("tidewater", 4_000, 1));
--- a/verbenaspool/benches/path/agent.rs
+++ b/verbenaspool/benches/path/agent.rs
@@ -1,15 +1,15 @@
-//! The agent, played by this program: another package's binary would have to be
-//! built apart, which takes longer than the measurements.
+//! Runs the agent in a process of this program: building the binary of the other package
+//! would take longer than the measurements.
 
 use std::fs;
 
 use verbenaspool_agent::{agent::Agent, settings};
 use verbenaspool_transport::{clock::Monotonic, log, runtime, shutdown};
 
-/// The argument that makes the bench's program an agent.
+/// Argument that starts this program as an agent.
 pub const ROLE: &str = "--role-agent";
 
-/// Runs an agent, as its own binary does, until the bench ends it.
+/// Runs an agent as its own binary does, until the bench kills the process.
 pub fn run(path: &str) {
     let text = fs::read_to_string(path).expect("the settings are written");
     let settings = settings::read(&text).expect("sound settings");
--- a/verbenaspool/benches/path/child.rs
+++ b/verbenaspool/benches/path/child.rs
@@ -1,4 +1,4 @@
-//! Processes that the bench starts and ends.
+//! Child processes of the bench.
 
 use std::{
     fs,
@@ -8,13 +8,13 @@
     process::{Child as Process, Command, Stdio},
 };
 
-/// Clock ticks a second in `/proc`, which is fixed on Linux.
+/// Clock ticks per second in `/proc`, a constant on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A process of the bench; it ends with this value.
+/// A child process, killed on drop.
 pub struct Child {
     process: Process,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
 }
 
@@ -40,7 +40,7 @@
         )
     }
 
-    /// Starts this program as the bare echo.
+    /// Starts this program as the echo server.
     pub fn echo() -> Self {
         let program = std::env::current_exe().expect("this program's path");
         let mut process = Command::new(program)
@@ -58,18 +58,18 @@
         Self { process, address }
     }
 
-    /// Processor time used so far, in seconds.
+    /// Returns the processor time used so far, in seconds.
     pub fn processor_seconds(&self) -> f64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id()));
         let stat = stat.expect("the process runs");
-        // The name in brackets may hold spaces; fields are counted behind it.
+        // The process name in parentheses may contain spaces, so fields are counted after it.
         let fields = stat.rsplit(')').next().expect("the end of the line");
         let fields: Vec<_> = fields.split_whitespace().collect();
         let ticks = |index: usize| fields[index].parse::<f64>().expect("a number");
         (ticks(11) + ticks(12)) / TICKS_PER_SECOND
     }
 
-    /// Resident memory in kilobytes.
+    /// Returns the resident memory in kilobytes.
     pub fn resident_kb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.process.id()));
         let status = status.expect("the process runs");
--- a/verbenaspool/benches/path/deployment.rs
+++ b/verbenaspool/benches/path/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that is measured: the platform, the upstreams and the processes.
+//! Measured deployment: platform, upstreams, agents and entry.
 
 use std::{
     fs,
@@ -33,11 +33,11 @@
 /// The customer's credential.
 pub const CREDENTIAL: &str = "a-long-random-token";
 
-/// Instances of the service whose throughput is measured, so that these and
-/// their agents are not the bottleneck.
+/// Instances of the service whose throughput is measured, enough that these and their
+/// agents aren't the bottleneck.
 const JOBS_INSTANCES: usize = 3;
 
-/// How long the entry may take to be ready.
+/// Time in which the entry must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The running deployment.
@@ -46,9 +46,9 @@
     pub entry: Child,
     /// The agent beside the engine.
     pub engine: Child,
-    /// One instance of the service that answers at once.
+    /// One instance of the service that answers immediately.
     pub jobs: SocketAddr,
-    /// The service that takes 1 ms.
+    /// The instance of the service that takes 1 ms per request.
     pub slow: SocketAddr,
     _agents: Vec<Child>,
     folder: PathBuf,
@@ -94,7 +94,7 @@
     }
 }
 
-/// The firm's file: limits wide enough that only the path is measured.
+/// The firm's file, with limits high enough that only the request path is measured.
 fn file() -> File {
     let decisions = "{initial_limit: 2000, max_limit: 2000, queue: 4096, deadline_ms: 60000}";
     let text = format!(
@@ -112,7 +112,7 @@
     settings::parse("tidewater.yaml".as_ref(), &text).expect("a sound file")
 }
 
-/// Starts a thread that serves and tells its address.
+/// Runs a stand-in on a new thread and returns its address.
 fn spawn_standin<F>(serve: F) -> SocketAddr
 where
     F: FnOnce(mpsc::Sender<SocketAddr>) + Send + 'static,
@@ -122,7 +122,7 @@
     address.recv().expect("a stand-in starts")
 }
 
-/// Starts a plain service whose calls take so long.
+/// Starts a plain service whose requests take `request_time`.
 fn start_plain(request_time: Duration) -> SocketAddr {
     spawn_standin(move |address| {
         let served = runtime::run(async {
@@ -136,7 +136,7 @@
     })
 }
 
-/// Starts an engine whose streams stay open long enough to be counted.
+/// Starts an engine that is slow enough for the streams to stay open during the measurement.
 fn start_engine() -> SocketAddr {
     spawn_standin(|address| {
         let served = runtime::run(async {
@@ -155,7 +155,7 @@
     })
 }
 
-/// Starts the platform with an accepted file and these upstreams.
+/// Starts the platform with an applied file and a list of upstreams.
 fn start_platform(upstreams: Vec<Upstream>) -> SocketAddr {
     spawn_standin(move |address| {
         let served = runtime::run(async {
@@ -185,7 +185,7 @@
     })
 }
 
-/// Starts an agent beside an upstream.
+/// Starts the agent of an upstream.
 fn start_agent(
     folder: &Path,
     name: &str,
@@ -218,7 +218,7 @@
     (Child::agent(&path, agent), upstream)
 }
 
-/// Starts the entry and waits until it serves.
+/// Starts the entry and waits until it is ready.
 fn start_entry(folder: &Path, platform: SocketAddr) -> Child {
     let (listen, admin) = (address::fresh(), address::fresh());
     let text = format!(
@@ -243,7 +243,7 @@
     child
 }
 
-/// Whether the entry is ready and knows its upstreams.
+/// Returns whether the entry is ready and knows its upstreams.
 fn is_ready(admin: SocketAddr) -> bool {
     let get = |path: &str| {
         let mut stream = TcpStream::connect(admin).ok()?;
--- a/verbenaspool/benches/path/echo.rs
+++ b/verbenaspool/benches/path/echo.rs
@@ -1,4 +1,4 @@
-//! The bare echo: monoio-http and nothing else, on one core.
+//! Single-threaded echo server that uses only monoio-http, as the baseline.
 
 use std::{io::Read, thread};
 
@@ -17,10 +17,10 @@
 };
 use verbenaspool_transport::runtime;
 
-/// The argument that makes the bench's program the echo.
+/// Argument that starts this program as the echo server.
 pub const ROLE: &str = "--role-echo";
 
-/// Serves until standard input ends, which it does with the bench.
+/// Serves until standard input is closed, which happens when the bench ends.
 pub fn run() {
     thread::spawn(|| {
         let _ = std::io::stdin().read(&mut [0]);
@@ -37,7 +37,7 @@
     .expect("the loop starts");
 }
 
-/// Answers each request of a connection with its own body.
+/// Answers each request of a connection with the body of the request.
 async fn serve(stream: TcpStream) {
     let mut codec = ServerCodec::new(stream);
     while let Some(Ok(request)) = codec.next().await {
--- a/verbenaspool/benches/path/load.rs
+++ b/verbenaspool/benches/path/load.rs
@@ -1,4 +1,4 @@
-//! Load: callers that each send the next request when the last is answered.
+//! Closed-loop load: each caller sends its next request when the previous one is answered.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,13 +19,13 @@
 
 use super::deployment::CREDENTIAL;
 
-/// The body of each request: a short search.
+/// Body of each request: a short search.
 const BODY: &str = r#"{"loft":"bowen","net":"prawn trawl, 45 mm mesh","tear_m":2.4}"#;
 
-/// How long all streams may take to open.
+/// Time in which all streams must open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where requests go.
+/// Destination of requests.
 #[derive(Clone)]
 pub struct Target {
     address: SocketAddr,
@@ -34,7 +34,7 @@
 }
 
 impl Target {
-    /// A server behind nothing.
+    /// A server called directly.
     pub fn direct(address: SocketAddr, path: &str) -> Self {
         let path = path.parse().expect("a path");
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The entry.
+    /// A route of the entry, called with the customer's credential.
     pub fn entry(address: SocketAddr, path: &str) -> Self {
         Self {
             with_credential: true,
@@ -66,12 +66,12 @@
     }
 }
 
-/// What a round brought.
+/// Results of one or several rounds.
 pub struct Load {
     times: Histogram<u64>,
     /// Requests that were not answered with 200.
     pub failed: u64,
-    /// How long the rounds took.
+    /// Total duration of the rounds.
     pub seconds: f64,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Load {
-    /// Adds a later round.
+    /// Adds the results of a later round.
     pub fn add(&mut self, other: &Self) {
         self.merge(other);
         self.seconds += other.seconds;
@@ -97,29 +97,29 @@
         self.failed += other.failed;
     }
 
-    /// Requests that were answered.
+    /// Number of answered requests.
     pub fn count(&self) -> u64 {
         self.times.len()
     }
 
-    /// Requests a second.
+    /// Answered requests per second.
     pub fn rate(&self) -> f64 {
         to_f64(self.count()) / self.seconds
     }
 
-    /// The time in microseconds that a part of the requests stays within.
+    /// Quantile of the response time in microseconds.
     pub fn quantile(&self, quantile: f64) -> f64 {
         to_f64(self.times.value_at_quantile(quantile))
     }
 }
 
-/// A count as a number to divide.
-#[allow(clippy::cast_precision_loss)] // Counts stay far below 2^53.
+/// Converts a count to a floating-point number.
+#[allow(clippy::cast_precision_loss)] // Counts are far below 2^53.
 pub fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// Runs a round with so many connections over so many threads.
+/// Runs a round with the connections distributed over threads.
 pub fn run(target: &Target, threads: usize, connections: usize, duration: Duration) -> Load {
     let started_at = Instant::now();
     let connections_per_thread = connections / threads;
@@ -141,7 +141,7 @@
     load
 }
 
-/// The callers of one thread.
+/// Runs the callers of one thread.
 async fn worker(target: Target, connections: usize, duration: Duration) -> Load {
     let deadline = Instant::now() + duration;
     let callers: Vec<_> = (0..connections)
@@ -154,7 +154,7 @@
     load
 }
 
-/// One caller on a connection of its own.
+/// Runs one caller on its own connection.
 async fn caller(target: Target, deadline: Instant) -> Load {
     let client = Client::new(Duration::from_secs(1));
     let mut load = Load::default();
@@ -192,7 +192,7 @@
     }
 }
 
-/// Opens so many streams and waits until each has brought a token.
+/// Opens `count` streams and waits until each has returned a token.
 pub fn open_streams(entry: SocketAddr, count: usize) -> Streams {
     let (stop, stopped) = mpsc::channel();
     let (open_sender, open_count) = mpsc::channel();
@@ -209,7 +209,8 @@
     }
 }
 
-/// Holds streams open until it is told to stop.
+/// Opens streams, reports how many returned data, and keeps them open until the other end of
+/// `stop` is dropped.
 async fn hold_streams(
     entry: SocketAddr,
     count: usize,
--- a/verbenaspool/benches/path/main.rs
+++ b/verbenaspool/benches/path/main.rs
@@ -1,10 +1,10 @@
-//! What the path through entry and agent costs, against a direct call to the
-//! same stand-in and a bare monoio-http echo, all in one run.
+//! Overhead of the request path through entry and agent, compared in one run with
+//! direct calls to the same stand-in and with a minimal monoio-http echo server.
 //!
 //! `cargo bench --bench path`, with `-- --json` for one JSON object a line and
-//! `--only=latency`, `--only=throughput` or `--only=memory` for a part.
-//! The entry's binary, the agents and the echo run as processes of their own, so
-//! that their processor time and memory can be told apart. It takes about 45 s.
+//! `--only=latency`, `--only=throughput` or `--only=memory` for one part.
+//! The entry, the agents and the echo server run as separate processes, so that
+//! processor time and memory are measured for each. The bench takes about 45 s.
 
 mod agent;
 mod child;
@@ -22,23 +22,23 @@
     load::{Load, Target},
 };
 
-/// Rounds of each measurement, alternating, so that a noisy moment of the
-/// machine meets all of them.
+/// Rounds of each measurement. The rounds of compared targets alternate, so that a
+/// temporary load of the machine affects all of them.
 const ROUNDS: usize = 3;
 
-/// How long one round of latency takes.
+/// Duration of one latency round.
 const LATENCY_ROUND: Duration = Duration::from_millis(1_500);
 
-/// How long one round of throughput takes.
+/// Duration of one throughput round.
 const THROUGHPUT_ROUND: Duration = Duration::from_secs(2);
 
-/// Connections in a round of throughput, over all threads.
+/// Connections of a throughput round, over all threads.
 const CONNECTIONS: usize = 64;
 
-/// Threads that make the load, so that it is not the load that is measured.
+/// Threads that generate load, enough that the generator isn't the bottleneck.
 const LOAD_THREADS: usize = 4;
 
-/// Streams that are open while memory is read.
+/// Open streams during the second memory measurement.
 const STREAMS: usize = 1_000;
 
 fn main() {
@@ -87,7 +87,7 @@
     }
 }
 
-/// A line for people.
+/// Formats a result as `key=value` pairs.
 fn readable(line: &Value) -> String {
     let fields = line.as_object().into_iter().flatten();
     let pairs: Vec<_> = fields
@@ -96,12 +96,12 @@
     pairs.join("  ")
 }
 
-/// A number with two decimals.
+/// Rounds to two decimals.
 fn round(number: f64) -> f64 {
     (number * 100.0).round() / 100.0
 }
 
-/// Latency of one caller at a time, direct and through both hops.
+/// Measures the latency of a single caller, directly and through entry and agent.
 fn latency(deployment: &Deployment, name: &str, path: &str, stand_in: SocketAddr) -> Value {
     let direct_target = Target::direct(stand_in, "/search");
     let path_target = Target::entry(deployment.entry.address, path);
@@ -129,7 +129,7 @@
     })
 }
 
-/// Requests a second of one core: the entry against the bare echo.
+/// Measures requests per second and per core of the entry and of the echo server.
 fn throughput(deployment: &Deployment, echo: &Child) -> Value {
     let echo_target = Target::direct(echo.address, "/search");
     let path_target = Target::entry(deployment.entry.address, "/jobs/search");
@@ -168,8 +168,8 @@
     })
 }
 
-/// Many callers at one instance whose work takes 1 ms and doesn't slow down: what
-/// the balancer's limit lets through, against a direct call.
+/// Measures many callers of one instance that takes 1 ms per request regardless of load:
+/// the throughput that the balancer's concurrency limit allows, compared with direct calls.
 fn many_callers(deployment: &Deployment) -> Value {
     let direct_target = Target::direct(deployment.slow, "/search");
     let path_target = Target::entry(deployment.entry.address, "/slow/search");
@@ -186,7 +186,7 @@
     })
 }
 
-/// Memory of the entry and of an agent.
+/// Measures the memory of the entry and of an agent.
 fn memory(deployment: &Deployment, when: &str) -> Value {
     json!({
         "bench": "path",
