--- a/examples/demo/world.rs
+++ b/examples/demo/deployment.rs
@@ -36,7 +36,7 @@
     shutdown::{self, Trigger},
 };
 
-use crate::groups::Ranks;
+use crate::groups::RankGroup;
 
 /// The firms and their files.
 const FILES: [&str; 2] = [
@@ -44,29 +44,29 @@
     include_str!("../quetzal.yaml"),
 ];
 /// How many of a firm's zones the demo plays.
-const ZONES: usize = 2;
+const ZONES_PER_FIRM: usize = 2;
 /// Entries of a firm in each zone.
-const ENTRIES: u8 = 2;
+const ENTRIES_PER_ZONE: u8 = 2;
 /// The ports of an entry.
-const LISTEN: u16 = 18_080;
-const ADMIN: u16 = 18_081;
-const CONTROL: u16 = 18_082;
+const LISTEN_PORT: u16 = 18_080;
+const ADMIN_PORT: u16 = 18_081;
+const CONTROL_PORT: u16 = 18_082;
 /// Model replicas of a firm in each zone.
-const REPLICAS: usize = 8;
+const REPLICAS_PER_ZONE: usize = 8;
 /// Plain instances of a firm in each zone.
-const PLAIN: usize = 2;
+const PLAIN_PER_ZONE: usize = 2;
 /// How long an apply may take.
-const APPLY: Duration = Duration::from_secs(5);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Everything that runs.
-pub struct World {
+pub struct Deployment {
     /// The source of time.
     pub clock: Rc<dyn Clock>,
     /// The platform.
     pub platform: Platform,
     /// The firms.
     pub firms: Vec<Firm>,
-    applies: Cell<u64>,
+    apply_count: Cell<u64>,
 }
 
 /// One firm's part.
@@ -80,9 +80,9 @@
     /// The upstreams, each with the trigger that tells its agent to stop.
     pub upstreams: Vec<(Upstream, Trigger)>,
     /// What the plain service wrote.
-    pub book: Rc<Journal>,
+    pub journal: Rc<Journal>,
     /// Groups of ranks among the upstreams.
-    pub groups: Vec<Ranks>,
+    pub groups: Vec<RankGroup>,
 }
 
 /// An entry that runs.
@@ -94,7 +94,7 @@
 }
 
 /// Where an entry is to run.
-struct Place {
+struct EntryConfig {
     name: String,
     listen: SocketAddr,
     admin: SocketAddr,
@@ -102,36 +102,36 @@
     peers: Vec<String>,
 }
 
-impl World {
+impl Deployment {
     /// Starts everything and has the firms' files accepted.
     pub async fn start() -> Result<Self, Box<dyn std::error::Error>> {
         let clock = Monotonic::start();
         let platform = Platform::start()?;
-        let mut world = Self {
+        let mut deployment = Self {
             clock: clock.clone(),
             platform,
             firms: Vec::new(),
-            applies: Cell::new(0),
+            apply_count: Cell::new(0),
         };
         for (number, text) in (0..).zip(FILES) {
             let file: File = settings::parse("example".as_ref(), text)?;
-            let firm = Firm::start(&world.platform, &clock, file, number)?;
-            world.firms.push(firm);
+            let firm = Firm::start(&deployment.platform, &clock, file, number)?;
+            deployment.firms.push(firm);
         }
-        for firm in &world.firms {
-            let outcome = world.apply(firm, &firm.file).await;
+        for firm in &deployment.firms {
+            let outcome = deployment.apply(firm, &firm.file).await;
             println!("{}: first file: {outcome:?}", firm.file.firm);
         }
-        for firm in &world.firms {
-            firm.in_force(Version(1)).await;
+        for firm in &deployment.firms {
+            firm.wait_for_version(Version(1)).await;
         }
-        Ok(world)
+        Ok(deployment)
     }
 
     /// Applies a file as one operator.
     pub async fn apply(&self, firm: &Firm, file: &File) -> Outcome {
-        let number = self.applies.get() + 1;
-        self.applies.set(number);
+        let number = self.apply_count.get() + 1;
+        self.apply_count.set(number);
         let split = match piece::split(file) {
             Ok(split) => split,
             Err(error) => return Outcome::Failed(error.to_string()),
@@ -142,7 +142,7 @@
             expected_version: None,
             split,
         };
-        config::apply(&*firm.store, request, APPLY, number).await
+        config::apply(&*firm.store, request, APPLY_TIMEOUT, number).await
     }
 }
 
@@ -161,13 +161,13 @@
             token: token.into(),
             timeout: Duration::from_secs(1),
         }));
-        let book = Journal::new(Duration::from_millis(2), clock.clone());
+        let journal = Journal::new(Duration::from_millis(2), clock.clone());
         let mut firm = Self {
             file,
             store,
             entries: Vec::new(),
             upstreams: Vec::new(),
-            book,
+            journal,
             groups: Vec::new(),
         };
         let zones: Vec<Name> = firm
@@ -176,10 +176,10 @@
             .iter()
             .map(|place| place.zone.clone())
             .collect();
-        for (index, zone) in (0..).zip(zones.iter().take(ZONES)) {
+        for (index, zone) in (0..).zip(zones.iter().take(ZONES_PER_FIRM)) {
             firm.start_upstreams(platform, clock, zone)?;
-            for place in Place::lay(number, zone, index) {
-                firm.start_entry(platform, clock, zone, &place)?;
+            for entry in EntryConfig::for_zone(number, zone, index) {
+                firm.start_entry(platform, clock, zone, &entry)?;
             }
         }
         Ok(firm)
@@ -195,37 +195,41 @@
     ) -> io::Result<()> {
         for service in self.file.services.clone() {
             let model = matches!(service.kind, Kind::Model(_));
-            let checked = checks(&service.kind);
+            let checks_fences = checks_fences(&service.kind);
             if let Some(experts) = experts(&service.kind) {
                 let (name, clock) = (format!("{}-{zone}", service.name), clock.clone());
                 let clock: Rc<dyn Clock> = clock;
                 self.groups
-                    .push(Ranks::start(name, experts, checked, &clock)?);
+                    .push(RankGroup::start(name, experts, checks_fences, &clock)?);
             }
-            for number in 0..if model { REPLICAS } else { PLAIN } {
+            for number in 0..if model {
+                REPLICAS_PER_ZONE
+            } else {
+                PLAIN_PER_ZONE
+            } {
                 let address = if model {
                     start_engine(clock)?
                 } else {
-                    start_plain(&self.book)?
+                    start_plain(&self.journal)?
                 };
                 let kind = if model { "engine" } else { "plain" };
                 // The last replicas of a zone are a group; the first one leaves.
                 let group = self.groups.last().filter(|_| model);
                 let group = group.and_then(|group| {
-                    let seat = (number + group.len()).checked_sub(REPLICAS)?;
-                    Some((group, seat))
+                    let rank = (number + group.len()).checked_sub(REPLICAS_PER_ZONE)?;
+                    Some((group, rank))
                 });
-                let control = group.map(|(group, seat)| group.control(seat));
+                let control = group.map(|(group, rank)| group.control(rank));
                 let control = control.unwrap_or(([127, 0, 0, 1], 0).into());
-                let part = group.map(|(group, seat)| {
-                    group.settings(&self.file.firm, seat, checked, platform.address())
+                let group_settings = group.map(|(group, rank)| {
+                    group.settings(&self.file.firm, rank, checks_fences, platform.address())
                 });
                 let text = format!(
                     "firm: {}\ninstance: {}-{zone}-{number}\nlisten: 127.0.0.1:0\ncontrol: {control}\n\
                      upstream: {{address: '{address}', kind: {kind}}}\n{}",
                     self.file.firm,
                     service.name,
-                    part.unwrap_or_default(),
+                    group_settings.unwrap_or_default(),
                 );
                 let settings = agent_settings::read(&text).map_err(io::Error::other)?;
                 let name = settings.instance.clone();
@@ -240,7 +244,7 @@
                     incarnation: 1,
                     rank: None,
                 };
-                list(platform, &self.file.firm, &upstream);
+                register_upstream(platform, &self.file.firm, &upstream);
                 let (trigger, signal) = shutdown::channel();
                 monoio::spawn(agent.run(signal));
                 self.upstreams.push((upstream, trigger));
@@ -256,16 +260,16 @@
         platform: &Platform,
         clock: &Rc<Monotonic>,
         zone: &Name,
-        place: &Place,
+        entry: &EntryConfig,
     ) -> io::Result<()> {
-        let (firm, name) = (&self.file.firm, &place.name);
-        let Place {
+        let (firm, name) = (&self.file.firm, &entry.name);
+        let EntryConfig {
             listen,
             admin,
             control,
             peers,
             ..
-        } = place;
+        } = entry;
         let text = format!(
             "firm: {firm}\nname: {name}\nzone: {zone}\nlisten: {listen}\nadmin: {admin}\n\
              control: {control}\npeers: {peers:?}\n\
@@ -278,8 +282,8 @@
         let (_, signal) = shutdown::channel();
         let clock: Rc<dyn Clock> = clock.clone();
         monoio::spawn(async move {
-            let ended = run::serve(settings, log, clock, signal).await;
-            if let Err(error) = ended {
+            let result = run::serve(settings, log, clock, signal).await;
+            if let Err(error) = result {
                 println!("An entry could not run: {error}");
             }
         });
@@ -291,7 +295,7 @@
     }
 
     /// Waits until every entry has this version in force, as its metrics say.
-    pub async fn in_force(&self, version: Version) {
+    pub async fn wait_for_version(&self, version: Version) {
         let client = wire::client::Client::new(Duration::from_secs(1));
         for entry in &self.entries {
             while entry.version(&client).await < version {
@@ -314,29 +318,31 @@
         };
         let body = body.to_bytes();
         let text = String::from_utf8_lossy(&body);
-        let told = text
+        let version = text
             .lines()
             .find_map(|line| line.strip_prefix("verbenaspool_config_version "));
-        Version(told.and_then(|number| number.parse().ok()).unwrap_or(0))
+        Version(version.and_then(|number| number.parse().ok()).unwrap_or(0))
     }
 }
 
-impl Place {
+impl EntryConfig {
     /// Places for the entries of a zone, each with the others as peers. Every
     /// instance has a loopback address of its own, as it would have an IP.
-    fn lay(firm: u8, zone: &Name, index: u8) -> Vec<Self> {
+    fn for_zone(firm: u8, zone: &Name, index: u8) -> Vec<Self> {
         // Two demos at once must not meet each other's entries.
-        let demo = u8::try_from(std::process::id() % 250).expect("below 250") + 1;
-        let at = |number: u8, port| ([127, demo, firm + 1, index * 16 + number + 1], port).into();
-        let controls: Vec<SocketAddr> = (0..ENTRIES).map(|n| at(n, CONTROL)).collect();
-        let place = |number| Self {
+        let demo_octet = u8::try_from(std::process::id() % 250).expect("below 250") + 1;
+        let at =
+            |number: u8, port| ([127, demo_octet, firm + 1, index * 16 + number + 1], port).into();
+        let controls: Vec<SocketAddr> =
+            (0..ENTRIES_PER_ZONE).map(|n| at(n, CONTROL_PORT)).collect();
+        let entry = |number| Self {
             name: format!("entry-{zone}-{number}"),
-            listen: at(number, LISTEN),
-            admin: at(number, ADMIN),
-            control: at(number, CONTROL),
+            listen: at(number, LISTEN_PORT),
+            admin: at(number, ADMIN_PORT),
+            control: at(number, CONTROL_PORT),
             peers: controls.iter().map(ToString::to_string).collect(),
         };
-        (0..ENTRIES).map(place).collect()
+        (0..ENTRIES_PER_ZONE).map(entry).collect()
     }
 }
 
@@ -349,7 +355,7 @@
 }
 
 /// Whether a model's engines refuse old fences.
-fn checks(kind: &Kind) -> bool {
+fn checks_fences(kind: &Kind) -> bool {
     matches!(kind, Kind::Model(model) if model.fences == Fences::Checked)
 }
 
@@ -362,15 +368,15 @@
 }
 
 /// Starts an instance of the plain service.
-fn start_plain(book: &Rc<Journal>) -> io::Result<SocketAddr> {
-    let service = Service::bind(([127, 0, 0, 1], 0).into(), book.clone())?;
+fn start_plain(journal: &Rc<Journal>) -> io::Result<SocketAddr> {
+    let service = Service::bind(([127, 0, 0, 1], 0).into(), journal.clone())?;
     let address = service.address();
     monoio::spawn(service.run(shutdown::channel().1));
     Ok(address)
 }
 
 /// Enters an upstream in the platform's list, as the platform itself does.
-fn list(platform: &Platform, firm: &Name, upstream: &Upstream) {
+fn register_upstream(platform: &Platform, firm: &Name, upstream: &Upstream) {
     let key = format!("{}{}", keys::instances(firm), upstream.name);
     let value = serde_json::to_vec(upstream).expect("plain data");
     platform.with(|objects| objects.put(&key, value.into()));
--- a/examples/demo/events.rs
+++ b/examples/demo/events.rs
@@ -7,20 +7,20 @@
 use verbenaspool_state::file::File;
 use verbenaspool_transport::config::status;
 
-use crate::world::{Firm, World};
+use crate::deployment::{Deployment, Firm};
 
 /// The time between two events.
-const BETWEEN: Duration = Duration::from_millis(1_200);
+const EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// The time between the two readings of the status. The outage has doubled the
 /// time between two writes of it.
-const READINGS: Duration = Duration::from_millis(4_500);
+const STATUS_READ_INTERVAL: Duration = Duration::from_millis(4_500);
 
 /// What the events brought.
 #[derive(Debug, Default)]
 pub struct Events {
     /// The longest time from acceptance until a version was in force everywhere.
-    pub in_force: Duration,
+    pub max_activation_time: Duration,
     /// Applies that lost a race and were told so.
     pub conflicts: u32,
     /// Instances that left while they served.
@@ -28,60 +28,69 @@
 }
 
 /// Plays the events one after the other.
-pub async fn play(world: &World) -> Events {
+pub async fn run(deployment: &Deployment) -> Events {
     let mut events = Events::default();
-    world.clock.sleep(BETWEEN).await;
-    for firm in &world.firms {
-        race(world, firm, &mut events).await;
-        world.clock.sleep(BETWEEN).await;
+    deployment.clock.sleep(EVENT_INTERVAL).await;
+    for firm in &deployment.firms {
+        race_applies(deployment, firm, &mut events).await;
+        deployment.clock.sleep(EVENT_INTERVAL).await;
     }
-    for firm in &world.firms {
-        leave(firm, &mut events);
-        world.clock.sleep(BETWEEN).await;
+    for firm in &deployment.firms {
+        stop_upstreams(firm, &mut events);
+        deployment.clock.sleep(EVENT_INTERVAL).await;
     }
-    println!("The platform is down for {} ms.", BETWEEN.as_millis());
-    world.platform.set(|faults| faults.down = true);
-    world.clock.sleep(BETWEEN).await;
-    world.platform.set(|faults| faults.down = false);
-    world.clock.sleep(BETWEEN).await;
-    join_all(world.firms.iter().map(read_back)).await;
+    println!(
+        "The platform is down for {} ms.",
+        EVENT_INTERVAL.as_millis()
+    );
+    deployment.platform.set(|faults| faults.down = true);
+    deployment.clock.sleep(EVENT_INTERVAL).await;
+    deployment.platform.set(|faults| faults.down = false);
+    deployment.clock.sleep(EVENT_INTERVAL).await;
+    join_all(deployment.firms.iter().map(print_status)).await;
     events
 }
 
 /// Reads what is in force where, as `verbenaspool status` does.
-async fn read_back(firm: &Firm) {
+async fn print_status(firm: &Firm) {
     let name = &firm.file.firm;
-    match status::read(&*firm.store, name, READINGS).await {
+    match status::read(&*firm.store, name, STATUS_READ_INTERVAL).await {
         Err(error) => println!("{name}: the status can't be read: {error}"),
         Ok(report) => {
             let version = report.accepted;
             println!("{name}: version {version} is accepted.");
             for zone in &report.zones {
                 let status = zone.status.as_ref().filter(|_| zone.heard);
-                let word = match status {
+                let state = match status {
                     Some(status) if status.has(version) => "has it in force everywhere",
                     Some(_) => "has instances that lag",
                     None => "isn't heard from (the demo plays two zones)",
                 };
-                println!("{name}: {} {word}.", zone.zone);
+                println!("{name}: {} {state}.", zone.zone);
             }
         }
     }
 }
 
 /// Two operators of a firm apply different files at once.
-async fn race(world: &World, firm: &Firm, events: &mut Events) {
-    let (first, second) = (changed(&firm.file, 3), changed(&firm.file, 4));
-    let (one, other) = join!(world.apply(firm, &first), world.apply(firm, &second));
-    println!("{}: two operators race: {one:?}, {other:?}", firm.file.firm);
-    let accepted = world.clock.now();
-    for outcome in [one, other] {
+async fn race_applies(deployment: &Deployment, firm: &Firm, events: &mut Events) {
+    let (first_file, second_file) = (with_share(&firm.file, 3), with_share(&firm.file, 4));
+    let (first_outcome, second_outcome) = join!(
+        deployment.apply(firm, &first_file),
+        deployment.apply(firm, &second_file)
+    );
+    println!(
+        "{}: two operators race: {first_outcome:?}, {second_outcome:?}",
+        firm.file.firm
+    );
+    let accepted_at = deployment.clock.now();
+    for outcome in [first_outcome, second_outcome] {
         match outcome {
             Outcome::Accepted { version, .. } => {
-                firm.in_force(version).await;
-                events.in_force = events
-                    .in_force
-                    .max(world.clock.now().saturating_sub(accepted));
+                firm.wait_for_version(version).await;
+                events.max_activation_time = events
+                    .max_activation_time
+                    .max(deployment.clock.now().saturating_sub(accepted_at));
             }
             Outcome::Conflict { .. } => events.conflicts += 1,
             _ => {}
@@ -90,14 +99,14 @@
 }
 
 /// A file that differs in one customer's share.
-fn changed(file: &File, share: u32) -> File {
+fn with_share(file: &File, share: u32) -> File {
     let mut file = file.clone();
     file.customers[0].share = share;
     file
 }
 
 /// Two upstreams of a firm leave while the platform's list still has them.
-fn leave(firm: &Firm, events: &mut Events) {
+fn stop_upstreams(firm: &Firm, events: &mut Events) {
     let (first, last) = (firm.upstreams.first(), firm.upstreams.last());
     for (upstream, stop) in first.into_iter().chain(last) {
         println!("{}: {} leaves.", firm.file.firm, upstream.name);
--- a/examples/demo/groups.rs
+++ b/examples/demo/groups.rs
@@ -16,14 +16,14 @@
 /// Layers that the demo plays; engines of the files' size would sample slowly.
 const LAYERS: u16 = 2;
 /// How long a step takes.
-const STEP: Duration = Duration::from_millis(5);
+const STEP_TIME: Duration = Duration::from_millis(5);
 /// When popularity shifts after the start, and again.
-const SHIFT: Duration = Duration::from_secs(3);
+const SHIFT_INTERVAL: Duration = Duration::from_secs(3);
 /// The rate of the weight store, in bytes a second.
-const STORE: u64 = 100_000_000_000;
+const STORE_BYTES_PER_SECOND: u64 = 100_000_000_000;
 
 /// A group whose ranks stand in one zone.
-pub struct Ranks {
+pub struct RankGroup {
     /// The group's name.
     name: String,
     /// Its layout.
@@ -36,12 +36,12 @@
     controls: Vec<SocketAddr>,
 }
 
-impl Ranks {
+impl RankGroup {
     /// Starts the engines of a group.
     pub fn start(
         name: String,
         experts: &Experts,
-        checked: bool,
+        checks_fences: bool,
         clock: &Rc<dyn Clock>,
     ) -> io::Result<Self> {
         let mut experts = experts.clone();
@@ -50,11 +50,14 @@
         experts.rebalancing.pause_s = 1;
         let settings = ranks::Settings {
             ranks: experts.ranks,
-            step: STEP,
-            checked,
+            step: STEP_TIME,
+            checked: checks_fences,
             expert_bytes: experts.expert_bytes,
         };
-        let group = Rc::new(RefCell::new(Group::new(settings, Store::new(STORE))));
+        let group = Rc::new(RefCell::new(Group::new(
+            settings,
+            Store::new(STORE_BYTES_PER_SECOND),
+        )));
         let (mut engines, mut controls) = (Vec::new(), Vec::new());
         for index in 0..experts.ranks {
             let options = ListenerOpts::new().reuse_port(false);
@@ -65,7 +68,11 @@
             monoio::spawn(seat.serve(listener, shutdown::channel().1));
         }
         monoio::spawn(seat::advance(group.clone(), clock.clone()));
-        monoio::spawn(drift(group.clone(), experts.experts, clock.clone()));
+        monoio::spawn(shift_popularity(
+            group.clone(),
+            experts.experts,
+            clock.clone(),
+        ));
         Ok(Self {
             name,
             experts,
@@ -76,8 +83,8 @@
     }
 
     /// Where the agent of a seat takes control calls.
-    pub fn control(&self, seat: usize) -> SocketAddr {
-        self.controls[seat]
+    pub fn control(&self, rank: usize) -> SocketAddr {
+        self.controls[rank]
     }
 
     /// How many ranks there are.
@@ -89,27 +96,27 @@
     pub fn settings(
         &self,
         firm: &Name,
-        seat: usize,
-        checked: bool,
+        rank: usize,
+        checks_fences: bool,
         platform: SocketAddr,
     ) -> String {
-        let fences = if checked { "checked" } else { "ignored" };
+        let fences = if checks_fences { "checked" } else { "ignored" };
         let experts = serde_json::to_string(&self.experts).expect("plain data");
         let members: Vec<String> = self.controls.iter().map(ToString::to_string).collect();
         format!(
-            "group: {{name: {}, seat: {seat}, members: {members:?}, \
+            "group: {{name: {}, seat: {rank}, members: {members:?}, \
              engine: '{}', fences: {fences}, experts: {experts}, \
              platform: {{address: '{platform}', token: demo-{firm}}}}}\n",
-            self.name, self.engines[seat],
+            self.name, self.engines[rank],
         )
     }
 
     /// How often the map changed, and how many steps were mixed.
-    pub fn judge(&self) -> (usize, usize) {
+    pub fn check_maps(&self) -> (usize, usize) {
         let group = self.group.borrow();
         let epochs: BTreeSet<u64> = group.history().iter().map(|entry| entry.epoch).collect();
-        let mixed = usize::from(steps::check(group.history()).is_err());
-        (epochs.len().saturating_sub(1), mixed)
+        let mixed_steps = usize::from(steps::check(group.history()).is_err());
+        (epochs.len().saturating_sub(1), mixed_steps)
     }
 
     /// How many steps were run.
@@ -119,9 +126,9 @@
 }
 
 /// Popularity is even at first, crowds some experts, and then others.
-async fn drift(group: Rc<RefCell<Group>>, experts: u16, clock: Rc<dyn Clock>) {
-    let ranks = [0, 1, 2].into_iter().cycle().take(6);
-    for turn in ranks {
+async fn shift_popularity(group: Rc<RefCell<Group>>, experts: u16, clock: Rc<dyn Clock>) {
+    let turns = [0, 1, 2].into_iter().cycle().take(6);
+    for turn in turns {
         let tokens = |expert: u16| match turn {
             0 => 100,
             turn if expert % 8 == turn => 1_000,
@@ -130,6 +137,6 @@
         let layer: Vec<u64> = (0..experts).map(tokens).collect();
         let layers = vec![layer; usize::from(LAYERS)];
         group.borrow_mut().drift(layers);
-        clock.sleep(SHIFT).await;
+        clock.sleep(SHIFT_INTERVAL).await;
     }
 }
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -2,16 +2,16 @@
 //! two firms, two availability zones, real HTTP traffic, changes and failures
 //! under it, and a count of what callers got.
 
+mod deployment;
 mod events;
 mod groups;
 mod report;
 mod traffic;
-mod world;
 
 use clap::Parser;
 use verbenaspool_transport::runtime;
 
-use crate::{report::Report, world::World};
+use crate::{deployment::Deployment, report::Report};
 
 /// Shows verbenaspool at work between stand-ins, on loopback.
 #[derive(Debug, Parser)]
@@ -31,11 +31,11 @@
     Ok(())
 }
 
-/// Starts the world, lets callers and operators at it, and counts.
+/// Starts the deployment, lets callers and operators at it, and counts.
 async fn run() -> Result<Report, Box<dyn std::error::Error>> {
-    let world = World::start().await?;
-    let callers = traffic::start(&world);
-    let events = events::play(&world).await;
+    let deployment = Deployment::start().await?;
+    let callers = traffic::start(&deployment);
+    let events = events::run(&deployment).await;
     let calls = callers.stop().await;
-    Ok(Report::new(&world, &calls, &events))
+    Ok(Report::new(&deployment, &calls, &events))
 }
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use verbenaspool_protocol::outcome::Outcome;
 
-use crate::{events::Events, groups::Ranks, traffic::Call, world::World};
+use crate::{deployment::Deployment, events::Events, groups::RankGroup, traffic::Call};
 
 /// The demo's result.
 #[derive(Debug, Serialize)]
@@ -48,34 +48,34 @@
 
 impl Report {
     /// Counts.
-    pub fn new(world: &World, calls: &[Call], events: &Events) -> Self {
+    pub fn new(deployment: &Deployment, calls: &[Call], events: &Events) -> Self {
         let count = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
         let mut times: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
         for call in calls.iter().filter(|call| call.outcome == Outcome::Ran) {
-            let micros = u64::try_from(call.took.as_micros()).unwrap_or(u64::MAX);
+            let micros = u64::try_from(call.duration.as_micros()).unwrap_or(u64::MAX);
             times.record(micros).expect("the histogram grows");
         }
-        let groups = || world.firms.iter().flat_map(|firm| &firm.groups);
-        let written = written(world);
-        let refused = calls.iter().filter(|call| call.outcome == Outcome::NotRun);
-        let refused: HashSet<_> = refused.filter_map(|call| call.write.as_ref()).collect();
+        let groups = || deployment.firms.iter().flat_map(|firm| &firm.groups);
+        let write_counts = count_writes(deployment);
+        let not_run = calls.iter().filter(|call| call.outcome == Outcome::NotRun);
+        let not_run_writes: HashSet<_> = not_run.filter_map(|call| call.write.as_ref()).collect();
         Self {
             requests: calls.len(),
             whole: count(Outcome::Ran),
             not_run: count(Outcome::NotRun),
             unknown: count(Outcome::Unknown),
-            wrong_answers: calls.iter().filter(|call| call.wrong).count(),
-            duplicate_writes: written.values().filter(|&&times| times > 1).count(),
-            false_not_run: refused
+            wrong_answers: calls.iter().filter(|call| call.wrong_answer).count(),
+            duplicate_writes: write_counts.values().filter(|&&count| count > 1).count(),
+            false_not_run: not_run_writes
                 .iter()
-                .filter(|write| written.contains_key(**write))
+                .filter(|write| write_counts.contains_key(**write))
                 .count(),
-            config_in_force_ms: events.in_force.as_secs_f64() * 1e3,
+            config_in_force_ms: events.max_activation_time.as_secs_f64() * 1e3,
             conflicts: events.conflicts,
             left: events.left,
-            steps: groups().map(Ranks::steps).sum(),
-            map_changes: groups().map(|group| group.judge().0).sum(),
-            steps_on_mixed_maps: groups().map(|group| group.judge().1).sum(),
+            steps: groups().map(RankGroup::steps).sum(),
+            map_changes: groups().map(|group| group.check_maps().0).sum(),
+            steps_on_mixed_maps: groups().map(|group| group.check_maps().1).sum(),
             p50_us: times.value_at_quantile(0.5),
             p99_us: times.value_at_quantile(0.99),
         }
@@ -83,14 +83,14 @@
 }
 
 /// How often each write ran.
-fn written(world: &World) -> HashMap<String, u32> {
-    let mut written = HashMap::new();
-    for firm in &world.firms {
-        for write in firm.book.writes.borrow().iter() {
-            *written.entry(write.clone()).or_default() += 1;
+fn count_writes(deployment: &Deployment) -> HashMap<String, u32> {
+    let mut counts = HashMap::new();
+    for firm in &deployment.firms {
+        for write in firm.journal.writes.borrow().iter() {
+            *counts.entry(write.clone()).or_default() += 1;
         }
     }
-    written
+    counts
 }
 
 impl fmt::Display for Report {
--- a/examples/demo/traffic.rs
+++ b/examples/demo/traffic.rs
@@ -18,16 +18,16 @@
     http::{body::Body, client::Client},
 };
 
-use crate::world::World;
+use crate::deployment::Deployment;
 
 /// Callers of each firm.
-const CALLERS: usize = 24;
+const CALLERS_PER_FIRM: usize = 24;
 /// The share of requests that go to the plain service.
-const PLAIN: f64 = 0.3;
+const PLAIN_SHARE: f64 = 0.3;
 /// How long a caller pauses between requests.
-const PAUSE: Duration = Duration::from_millis(5);
+const REQUEST_PAUSE: Duration = Duration::from_millis(5);
 /// How long a caller waits after a refusal.
-const REFUSED: Duration = Duration::from_millis(50);
+const REJECTION_PAUSE: Duration = Duration::from_millis(50);
 
 /// What came of one request.
 #[derive(Debug, Clone)]
@@ -35,17 +35,17 @@
     /// What became of it, as the caller was told.
     pub outcome: Outcome,
     /// Whether the answer was another's or altered.
-    pub wrong: bool,
+    pub wrong_answer: bool,
     /// The body of a write, which names it.
     pub write: Option<String>,
     /// How long the whole answer took.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// The callers at work.
 pub struct Callers {
     stop: Rc<Cell<bool>>,
-    busy: Rc<Cell<usize>>,
+    running: Rc<Cell<usize>>,
     calls: Rc<RefCell<Vec<Call>>>,
 }
 
@@ -54,8 +54,8 @@
     name: String,
     entry: SocketAddr,
     token: String,
-    model: String,
-    plain: String,
+    model_path: String,
+    plain_path: String,
     client: Client,
     clock: Rc<dyn Clock>,
     random: SmallRng,
@@ -63,21 +63,21 @@
 }
 
 /// Starts the callers of all firms.
-pub fn start(world: &World) -> Callers {
+pub fn start(deployment: &Deployment) -> Callers {
     let callers = Callers {
         stop: Rc::default(),
-        busy: Rc::default(),
+        running: Rc::default(),
         calls: Rc::default(),
     };
-    for firm in &world.firms {
+    for firm in &deployment.firms {
         let client = Client::new(Duration::from_secs(1));
-        for number in 0..CALLERS {
+        for number in 0..CALLERS_PER_FIRM {
             let entry = firm.entries[number % firm.entries.len()].listen;
-            let caller = Caller::new(world, &firm.file, number, entry, client.clone());
-            callers.busy.set(callers.busy.get() + 1);
+            let caller = Caller::new(deployment, &firm.file, number, entry, client.clone());
+            callers.running.set(callers.running.get() + 1);
             monoio::spawn(caller.run(
                 callers.stop.clone(),
-                callers.busy.clone(),
+                callers.running.clone(),
                 callers.calls.clone(),
             ));
         }
@@ -89,7 +89,7 @@
     /// Lets the callers end their last requests, and gives all that came.
     pub async fn stop(self) -> Vec<Call> {
         self.stop.set(true);
-        while self.busy.get() > 0 {
+        while self.running.get() > 0 {
             monoio::time::sleep(Duration::from_millis(5)).await;
         }
         self.calls.take()
@@ -97,13 +97,19 @@
 }
 
 impl Caller {
-    fn new(world: &World, file: &File, number: usize, entry: SocketAddr, client: Client) -> Self {
-        let all: Vec<_> = file
+    fn new(
+        deployment: &Deployment,
+        file: &File,
+        number: usize,
+        entry: SocketAddr,
+        client: Client,
+    ) -> Self {
+        let customers: Vec<_> = file
             .customers
             .iter()
             .filter(|customer| customer.services.is_empty())
             .collect();
-        let customer = &all[number % all.len()].name;
+        let customer = &customers[number % customers.len()].name;
         let path = |model: bool| {
             let service = file
                 .services
@@ -115,10 +121,10 @@
             name: format!("{}-{number}", file.firm),
             entry,
             token: format!("demo-{}-{customer}", file.firm),
-            model: path(true),
-            plain: path(false),
+            model_path: path(true),
+            plain_path: path(false),
             client,
-            clock: world.clock.clone(),
+            clock: deployment.clock.clone(),
             random: SmallRng::seed_from_u64(number as u64),
             sent: 0,
         }
@@ -127,25 +133,25 @@
     async fn run(
         mut self,
         stop: Rc<Cell<bool>>,
-        busy: Rc<Cell<usize>>,
+        running: Rc<Cell<usize>>,
         calls: Rc<RefCell<Vec<Call>>>,
     ) {
         while !stop.get() {
             self.sent += 1;
-            let call = if self.random.random_bool(PLAIN) {
-                self.write().await
+            let call = if self.random.random_bool(PLAIN_SHARE) {
+                self.send_write().await
             } else {
-                self.complete().await
+                self.send_completion().await
             };
             let pause = if call.outcome == Outcome::NotRun {
-                REFUSED
+                REJECTION_PAUSE
             } else {
-                PAUSE
+                REQUEST_PAUSE
             };
             calls.borrow_mut().push(call);
             self.clock.sleep(pause).await;
         }
-        busy.set(busy.get() - 1);
+        running.set(running.get() - 1);
     }
 
     /// A request's frame.
@@ -158,7 +164,7 @@
     }
 
     /// Asks the model for a completion and checks that it is this prompt's.
-    async fn complete(&mut self) -> Call {
+    async fn send_completion(&mut self) -> Call {
         let prompt = format!("{} asks for the {}th time", self.name, self.sent);
         let tokens = self.random.random_range(4..32);
         let body = serde_json::json!({
@@ -167,7 +173,7 @@
             "stream": self.random.random_bool(0.5),
         });
         let request = self
-            .request(&format!("{}v1/completions", self.model))
+            .request(&format!("{}v1/completions", self.model_path))
             .header("content-type", "application/json")
             .body(Body::full(body.to_string()))
             .expect("a plain request");
@@ -181,10 +187,10 @@
     }
 
     /// Sends a write that must run at most once.
-    async fn write(&mut self) -> Call {
+    async fn send_write(&mut self) -> Call {
         let body = format!("{} writes {}", self.name, self.sent);
         let request = self
-            .request(&format!("{}records", self.plain))
+            .request(&format!("{}records", self.plain_path))
             .header(header::IDEMPOTENCY_KEY, body.replace(' ', "-"))
             .body(Body::full(body.clone()))
             .expect("a plain request");
@@ -197,26 +203,30 @@
     async fn send(
         &self,
         request: Request<Body>,
-        own: impl Fn(&[u8]) -> bool,
+        is_expected: impl Fn(&[u8]) -> bool,
         write: Option<String>,
     ) -> Call {
-        let began = self.clock.now();
-        let (outcome, wrong) = match self.client.send(self.entry, request).await {
+        let started_at = self.clock.now();
+        let (outcome, wrong_answer) = match self.client.send(self.entry, request).await {
             Err(_) => (Outcome::Unknown, false),
             Ok(response) => {
-                let told = response.headers().get(header::OUTCOME);
-                let outcome = Outcome::from_header(told.and_then(|value| value.to_str().ok()));
+                let outcome_header = response.headers().get(header::OUTCOME);
+                let outcome =
+                    Outcome::from_header(outcome_header.and_then(|value| value.to_str().ok()));
                 match response.into_body().collect().await {
                     Err(_) => (Outcome::Unknown, false),
-                    Ok(body) => (outcome, outcome == Outcome::Ran && !own(&body.to_bytes())),
+                    Ok(body) => (
+                        outcome,
+                        outcome == Outcome::Ran && !is_expected(&body.to_bytes()),
+                    ),
                 }
             }
         };
         Call {
             outcome,
-            wrong,
+            wrong_answer,
             write,
-            took: self.clock.now().saturating_sub(began),
+            duration: self.clock.now().saturating_sub(started_at),
         }
     }
 }
