--- a/examples/demo/deployment.rs
+++ b/examples/demo/deployment.rs
@@ -1,5 +1,5 @@
-//! What the demo runs: the platform, and for each firm its upstreams with their
-//! agents and its entries.
+//! Deployment of the demo: the platform, and for each firm its entries and its upstreams
+//! with their agents.
 
 use std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -38,62 +38,64 @@
 
 use crate::groups::RankGroup;
 
-/// The firms and their files.
+/// The files of the firms.
 const FILES: [&str; 2] = [
     include_str!("../tidewater.yaml"),
     include_str!("../quetzal.yaml"),
 ];
-/// How many of a firm's zones the demo plays.
+/// Number of zones of a firm that the demo runs.
 const ZONES_PER_FIRM: usize = 2;
 /// Entries of a firm in each zone.
 const ENTRIES_PER_ZONE: u8 = 2;
-/// The ports of an entry.
+/// Port of an entry for callers.
 const LISTEN_PORT: u16 = 18_080;
+/// Port of an entry for metrics.
 const ADMIN_PORT: u16 = 18_081;
+/// Port of an entry for other entries.
 const CONTROL_PORT: u16 = 18_082;
 /// Model replicas of a firm in each zone.
 const REPLICAS_PER_ZONE: usize = 8;
 /// Plain instances of a firm in each zone.
 const PLAIN_PER_ZONE: usize = 2;
-/// How long an apply may take.
+/// Timeout of an apply.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Everything that runs.
+/// The platform and the firms.
 pub struct Deployment {
-    /// The source of time.
+    /// Clock of all parts.
     pub clock: Rc<dyn Clock>,
-    /// The platform.
+    /// Stand-in of the platform.
     pub platform: Platform,
     /// The firms.
     pub firms: Vec<Firm>,
     apply_count: Cell<u64>,
 }
 
-/// One firm's part.
+/// The entries and upstreams of a firm.
 pub struct Firm {
     /// The firm's first file.
     pub file: File,
-    /// The platform as the firm's operators reach it.
+    /// The platform's store with the firm's credential.
     pub store: Rc<dyn Store>,
     /// The entries.
     pub entries: Vec<Entry>,
-    /// The upstreams, each with the trigger that tells its agent to stop.
+    /// The upstreams, each with the trigger that stops its agent.
     pub upstreams: Vec<(Upstream, Trigger)>,
-    /// What the plain service wrote.
+    /// Writes that the plain service ran.
     pub journal: Rc<Journal>,
     /// Groups of ranks among the upstreams.
     pub groups: Vec<RankGroup>,
 }
 
-/// An entry that runs.
+/// Addresses of a running entry.
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where its metrics are told.
+    /// Address for metrics.
     pub admin: SocketAddr,
 }
 
-/// Where an entry is to run.
+/// Name and addresses of an entry before it starts.
 struct EntryConfig {
     name: String,
     listen: SocketAddr,
@@ -103,7 +105,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and has the firms' files accepted.
+    /// Starts all firms, applies their files and waits until these are active.
     pub async fn start() -> Result<Self, Box<dyn std::error::Error>> {
         let clock = Monotonic::start();
         let platform = Platform::start()?;
@@ -128,7 +130,7 @@
         Ok(deployment)
     }
 
-    /// Applies a file as one operator.
+    /// Applies a file as an operator of the firm.
     pub async fn apply(&self, firm: &Firm, file: &File) -> Outcome {
         let number = self.apply_count.get() + 1;
         self.apply_count.set(number);
@@ -185,8 +187,8 @@
         Ok(firm)
     }
 
-    /// Starts the upstream instances of a zone, each with its agent, and enters
-    /// them in the platform's list.
+    /// Starts the upstream instances of a zone, each with its agent, and adds them to the
+    /// platform's list.
     fn start_upstreams(
         &mut self,
         platform: &Platform,
@@ -213,7 +215,8 @@
                     start_plain(&self.journal)?
                 };
                 let kind = if model { "engine" } else { "plain" };
-                // The last replicas of a zone are a group; the first one leaves.
+                // The last replicas of a zone form the group, since the agent of a firm's first
+                // upstream is stopped during the demo.
                 let group = self.groups.last().filter(|_| model);
                 let group = group.and_then(|group| {
                     let rank = (number + group.len()).checked_sub(REPLICAS_PER_ZONE)?;
@@ -253,7 +256,7 @@
         Ok(())
     }
 
-    /// Starts an entry, which finds the others of its zone by their control
+    /// Starts an entry, which discovers the other entries of its zone by their control
     /// addresses.
     fn start_entry(
         &mut self,
@@ -294,7 +297,7 @@
         Ok(())
     }
 
-    /// Waits until every entry has this version in force, as its metrics say.
+    /// Waits until the metrics of every entry report at least this version as active.
     pub async fn wait_for_version(&self, version: Version) {
         let client = wire::client::Client::new(Duration::from_secs(1));
         for entry in &self.entries {
@@ -306,7 +309,7 @@
 }
 
 impl Entry {
-    /// The version in force at the entry; zero while it can't be asked.
+    /// Returns the active version of the entry, and zero while its metrics can't be read.
     async fn version(&self, client: &wire::client::Client) -> Version {
         let request = Request::get("/metrics").header("host", "entry");
         let request = request.body(Body::empty()).expect("a plain request");
@@ -326,10 +329,10 @@
 }
 
 impl EntryConfig {
-    /// Places for the entries of a zone, each with the others as peers. Every
-    /// instance has a loopback address of its own, as it would have an IP.
+    /// Returns the entries of a zone, with all of them as peers. Every entry has its own
+    /// loopback address, as each would have its own IP address in production.
     fn for_zone(firm: u8, zone: &Name, index: u8) -> Vec<Self> {
-        // Two demos at once must not meet each other's entries.
+        // The process id separates the addresses of demos that run at the same time.
         let demo_octet = u8::try_from(std::process::id() % 250).expect("below 250") + 1;
         let at =
             |number: u8, port| ([127, demo_octet, firm + 1, index * 16 + number + 1], port).into();
@@ -346,7 +349,7 @@
     }
 }
 
-/// The experts of a model.
+/// Returns the expert layout of a model, if it has one.
 fn experts(kind: &Kind) -> Option<&Experts> {
     match kind {
         Kind::Model(model) => model.experts.as_ref(),
@@ -354,12 +357,12 @@
     }
 }
 
-/// Whether a model's engines refuse old fences.
+/// Returns whether a model's engines reject stale fences.
 fn checks_fences(kind: &Kind) -> bool {
     matches!(kind, Kind::Model(model) if model.fences == Fences::Checked)
 }
 
-/// Starts a model engine.
+/// Starts a simulated model engine.
 fn start_engine(clock: &Rc<Monotonic>) -> io::Result<SocketAddr> {
     let engine = Engine::bind(engine::Config::default(), clock.clone())?;
     let address = engine.address();
@@ -375,7 +378,7 @@
     Ok(address)
 }
 
-/// Enters an upstream in the platform's list, as the platform itself does.
+/// Adds an upstream to the platform's list, as the platform does itself.
 fn register_upstream(platform: &Platform, firm: &Name, upstream: &Upstream) {
     let key = format!("{}{}", keys::instances(firm), upstream.name);
     let value = serde_json::to_vec(upstream).expect("plain data");
--- a/examples/demo/events.rs
+++ b/examples/demo/events.rs
@@ -1,4 +1,4 @@
-//! What happens while the callers are at work.
+//! Changes and failures during the traffic.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 
 use crate::deployment::{Deployment, Firm};
 
-/// The time between two events.
+/// Time between two events, and duration of the platform outage.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// The time between the two readings of the status. The outage has doubled the
-/// time between two writes of it.
+/// Time between the two reads of the status. The outage has doubled the interval at which
+/// entries write it.
 const STATUS_READ_INTERVAL: Duration = Duration::from_millis(4_500);
 
-/// What the events brought.
+/// Results of the events.
 #[derive(Debug, Default)]
 pub struct Events {
-    /// The longest time from acceptance until a version was in force everywhere.
+    /// Longest time from acceptance until a version was active on all entries.
     pub max_activation_time: Duration,
-    /// Applies that lost a race and were told so.
+    /// Applies that were rejected with a conflict.
     pub conflicts: u32,
-    /// Instances that left while they served.
+    /// Upstream instances whose agents were stopped during the traffic.
     pub left: u32,
 }
 
-/// Plays the events one after the other.
+/// Runs all events in order.
 pub async fn run(deployment: &Deployment) -> Events {
     let mut events = Events::default();
     deployment.clock.sleep(EVENT_INTERVAL).await;
@@ -51,7 +51,7 @@
     events
 }
 
-/// Reads what is in force where, as `verbenaspool status` does.
+/// Prints which version is active in which zone, as `verbenaspool status` does.
 async fn print_status(firm: &Firm) {
     let name = &firm.file.firm;
     match status::read(&*firm.store, name, STATUS_READ_INTERVAL).await {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Two operators of a firm apply different files at once.
+/// Has two operators of a firm apply different files at the same time.
 async fn race_applies(deployment: &Deployment, firm: &Firm, events: &mut Events) {
     let (first_file, second_file) = (with_share(&firm.file, 3), with_share(&firm.file, 4));
     let (first_outcome, second_outcome) = join!(
@@ -98,14 +98,14 @@
     }
 }
 
-/// A file that differs in one customer's share.
+/// Returns a copy of the file with another share for its first customer.
 fn with_share(file: &File, share: u32) -> File {
     let mut file = file.clone();
     file.customers[0].share = share;
     file
 }
 
-/// Two upstreams of a firm leave while the platform's list still has them.
+/// Stops the agents of two upstreams of a firm that the platform's list still contains.
 fn stop_upstreams(firm: &Firm, events: &mut Events) {
     let (first, last) = (firm.upstreams.first(), firm.upstreams.last());
     for (upstream, stop) in first.into_iter().chain(last) {
--- a/examples/demo/groups.rs
+++ b/examples/demo/groups.rs
@@ -1,4 +1,4 @@
-//! The firms' groups of ranks: their engines, and popularity that shifts.
+//! Groups of ranks: simulated engines whose expert popularity shifts.
 
 use std::{cell::RefCell, collections::BTreeSet, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,26 +13,26 @@
 use verbenaspool_state::{name::Name, service::Experts};
 use verbenaspool_transport::{clock::Clock, shutdown};
 
-/// Layers that the demo plays; engines of the files' size would sample slowly.
+/// Number of simulated layers; sampling all layers of the files' models would be slow.
 const LAYERS: u16 = 2;
-/// How long a step takes.
+/// Duration of a step.
 const STEP_TIME: Duration = Duration::from_millis(5);
-/// When popularity shifts after the start, and again.
+/// Interval between two shifts of popularity.
 const SHIFT_INTERVAL: Duration = Duration::from_secs(3);
-/// The rate of the weight store, in bytes a second.
+/// Bandwidth of the weight store in bytes per second.
 const STORE_BYTES_PER_SECOND: u64 = 100_000_000_000;
 
-/// A group whose ranks stand in one zone.
+/// A group whose ranks are in one zone.
 pub struct RankGroup {
     /// The group's name.
     name: String,
-    /// Its layout.
+    /// Expert layout of the model.
     experts: Experts,
-    /// Its engines.
+    /// Simulated engines of the ranks.
     group: Rc<RefCell<Group>>,
-    /// Where the engines take orders, by seat.
+    /// Order addresses of the engines, by rank.
     engines: Vec<SocketAddr>,
-    /// Where the agents take control calls, by seat.
+    /// Control addresses of the agents, by rank.
     controls: Vec<SocketAddr>,
 }
 
@@ -46,7 +46,7 @@
     ) -> io::Result<Self> {
         let mut experts = experts.clone();
         experts.layers = LAYERS;
-        // The demo lasts seconds, so maps may change within them.
+        // The demo takes only seconds, so map changes must be allowed within seconds.
         experts.rebalancing.pause_s = 1;
         let settings = ranks::Settings {
             ranks: experts.ranks,
@@ -82,17 +82,17 @@
         })
     }
 
-    /// Where the agent of a seat takes control calls.
+    /// Returns the control address of the agent of a rank.
     pub fn control(&self, rank: usize) -> SocketAddr {
         self.controls[rank]
     }
 
-    /// How many ranks there are.
+    /// Returns the number of ranks.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// The part of an agent's settings that names its seat.
+    /// Returns the part of an agent's settings that assigns it to a rank of the group.
     pub fn settings(
         &self,
         firm: &Name,
@@ -111,7 +111,7 @@
         )
     }
 
-    /// How often the map changed, and how many steps were mixed.
+    /// Returns how often the map changed, and 1 if some step used several maps, otherwise 0.
     pub fn check_maps(&self) -> (usize, usize) {
         let group = self.group.borrow();
         let epochs: BTreeSet<u64> = group.history().iter().map(|entry| entry.epoch).collect();
@@ -119,13 +119,14 @@
         (epochs.len().saturating_sub(1), mixed_steps)
     }
 
-    /// How many steps were run.
+    /// Returns how many steps were run.
     pub fn steps(&self) -> usize {
         self.group.borrow().history().len() / self.engines.len()
     }
 }
 
-/// Popularity is even at first, crowds some experts, and then others.
+/// Shifts the popularity of experts: first uniform, then concentrated on some experts, then on
+/// others.
 async fn shift_popularity(group: Rc<RefCell<Group>>, experts: u16, clock: Rc<dyn Clock>) {
     let turns = [0, 1, 2].into_iter().cycle().take(6);
     for turn in turns {
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,6 +1,6 @@
-//! A demo of the whole path on loopback, in one process and about ten seconds:
-//! two firms, two availability zones, real HTTP traffic, changes and failures
-//! under it, and a count of what callers got.
+//! Demo of the complete system on loopback, in one process and about ten seconds: two
+//! firms, two availability zones, real HTTP traffic, changes and failures during the
+//! traffic, and a summary of the responses to callers.
 
 mod deployment;
 mod events;
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Starts the deployment, lets callers and operators at it, and counts.
+/// Starts the deployment, runs callers and events, and summarises the results.
 async fn run() -> Result<Report, Box<dyn std::error::Error>> {
     let deployment = Deployment::start().await?;
     let callers = traffic::start(&deployment);
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,4 +1,4 @@
-//! What callers got, counted from what happened.
+//! Summary of the responses to callers and of the events.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,38 +16,38 @@
 pub struct Report {
     /// Requests sent; the sum of the next three.
     requests: usize,
-    /// Whole answers.
+    /// Requests with a complete answer.
     whole: usize,
-    /// Requests that callers were told did not run.
+    /// Requests that were reported as not run.
     not_run: usize,
-    /// Requests whose fate callers were not told.
+    /// Requests without a reported outcome.
     unknown: usize,
-    /// Whole answers that were not the request's own.
+    /// Complete answers with another content than expected.
     wrong_answers: usize,
     /// Writes that ran more than once.
     duplicate_writes: usize,
-    /// Writes reported as not run that did run.
+    /// Writes that ran although they were reported as not run.
     false_not_run: usize,
-    /// The longest time until an accepted version was in force everywhere.
+    /// Longest time until an accepted version was active on all entries.
     config_in_force_ms: f64,
-    /// Applies that lost a race and were told so.
+    /// Applies that were rejected with a conflict.
     conflicts: u32,
-    /// Instances that left while they served.
+    /// Upstream instances whose agents were stopped during the traffic.
     left: u32,
-    /// Steps that groups of ranks ran.
+    /// Steps run by groups of ranks.
     steps: usize,
-    /// Changes of expert maps that came in force.
+    /// Changes of expert maps that became active.
     map_changes: usize,
-    /// Steps whose ranks did not all use one map.
+    /// Groups with a step whose ranks used different maps.
     steps_on_mixed_maps: usize,
-    /// Half of the whole answers took at most so long, in microseconds.
+    /// Median time of complete answers in microseconds.
     p50_us: u64,
-    /// 99 of 100 whole answers took at most so long, in microseconds.
+    /// 99th percentile of the time of complete answers in microseconds.
     p99_us: u64,
 }
 
 impl Report {
-    /// Counts.
+    /// Summarises calls and events.
     pub fn new(deployment: &Deployment, calls: &[Call], events: &Events) -> Self {
         let count = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
         let mut times: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
@@ -82,7 +82,7 @@
     }
 }
 
-/// How often each write ran.
+/// Counts how often each write ran.
 fn count_writes(deployment: &Deployment) -> HashMap<String, u32> {
     let mut counts = HashMap::new();
     for firm in &deployment.firms {
--- a/examples/demo/traffic.rs
+++ b/examples/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests one after the other and check each answer.
+//! Callers that send requests sequentially and check each answer.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,36 +20,36 @@
 
 use crate::deployment::Deployment;
 
-/// Callers of each firm.
+/// Number of callers of each firm.
 const CALLERS_PER_FIRM: usize = 24;
-/// The share of requests that go to the plain service.
+/// Share of requests to the plain service.
 const PLAIN_SHARE: f64 = 0.3;
-/// How long a caller pauses between requests.
+/// Pause of a caller between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(5);
-/// How long a caller waits after a refusal.
+/// Pause of a caller after a rejection.
 const REJECTION_PAUSE: Duration = Duration::from_millis(50);
 
-/// What came of one request.
+/// Result of one request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What became of it, as the caller was told.
+    /// Outcome reported to the caller.
     pub outcome: Outcome,
-    /// Whether the answer was another's or altered.
+    /// Whether the answer differs from the expected one.
     pub wrong_answer: bool,
-    /// The body of a write, which names it.
+    /// Body of a write, which identifies it.
     pub write: Option<String>,
-    /// How long the whole answer took.
+    /// Time until the answer was complete.
     pub duration: Duration,
 }
 
-/// The callers at work.
+/// The running callers.
 pub struct Callers {
     stop: Rc<Cell<bool>>,
     running: Rc<Cell<usize>>,
     calls: Rc<RefCell<Vec<Call>>>,
 }
 
-/// One caller.
+/// A caller and what it sends its requests with.
 struct Caller {
     name: String,
     entry: SocketAddr,
@@ -86,7 +86,7 @@
 }
 
 impl Callers {
-    /// Lets the callers end their last requests, and gives all that came.
+    /// Waits for the last request of each caller, and returns the results of all requests.
     pub async fn stop(self) -> Vec<Call> {
         self.stop.set(true);
         while self.running.get() > 0 {
@@ -154,7 +154,7 @@
         running.set(running.get() - 1);
     }
 
-    /// A request's frame.
+    /// Starts a POST request with the caller's credential.
     fn request(&self, path: &str) -> http::request::Builder {
         Request::builder()
             .method(Method::POST)
@@ -163,7 +163,7 @@
             .header("authorization", format!("Bearer {}", self.token))
     }
 
-    /// Asks the model for a completion and checks that it is this prompt's.
+    /// Requests a completion and checks that it belongs to the prompt.
     async fn send_completion(&mut self) -> Call {
         let prompt = format!("{} asks for the {}th time", self.name, self.sent);
         let tokens = self.random.random_range(4..32);
@@ -199,7 +199,7 @@
             .await
     }
 
-    /// Sends a request, reads its answer whole and judges it.
+    /// Sends a request, reads the complete answer and checks it.
     async fn send(
         &self,
         request: Request<Body>,
