--- a/verbenaspool_soak/src/caller.rs
+++ b/verbenaspool_soak/src/caller.rs
@@ -52,12 +52,12 @@
                 0..4 => self.send_stream("/stream/", &id).await,
                 4 => {
                     self.send_stream(&format!("/{}/", FRAGILE_PATHS[0]), &id)
-                        .await
+                        .await;
                 }
                 5..8 => self.send_booking("/book/slot", &id).await,
                 8 => {
                     self.send_booking(&format!("/{}/", FRAGILE_PATHS[1]), &id)
-                        .await
+                        .await;
                 }
                 9..11 => self.send_lookup(&id).await,
                 _ => self.check_version(&id).await,
@@ -164,7 +164,7 @@
         }
         match Self::read_body(response).await {
             Some(body) if body == Upstream::whole(path, "body") => {
-                self.deployment.checks.count("whole")
+                self.deployment.checks.count("whole");
             }
             Some(body) => {
                 let details = format!("{id} got {body:?}");
--- a/verbenaspool_soak/src/check.rs
+++ b/verbenaspool_soak/src/check.rs
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Checks that entries stop sending a request that crashes upstreams. Ids of the same
-    /// request share the part before the hyphen. Attempts already in flight at the third
-    /// crash may still crash a few upstreams.
+    /// Checks that entries stop sending a request that crashes upstreams: from
+    /// `CRASH_SYNC_TIME` after its third crash on, only the few attempts in flight may crash
+    /// more. Ids of the same request share the part before the hyphen.
     pub fn check_crashes(&self, crashes: impl Iterator<Item = Crash>) {
         let mut crash_times: HashMap<String, Vec<Instant>> = HashMap::new();
         for crash in crashes {
