--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,4 +1,4 @@
-//! What callers got, counted from what happened.
+//! Summary of the responses to callers and of the events.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -9,88 +9,88 @@
 use serde::Serialize;
 use verbenaspool_protocol::outcome::Outcome;
 
-use crate::{events::Events, groups::Ranks, traffic::Call, world::World};
+use crate::{deployment::Deployment, events::Events, groups::RankGroup, traffic::Call};
 
 /// The demo's result.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Requests sent; the sum of the next three.
     requests: usize,
-    /// Whole answers.
+    /// Requests with a complete answer.
     whole: usize,
-    /// Requests that callers were told did not run.
+    /// Requests that were reported as not run.
     not_run: usize,
-    /// Requests whose fate callers were not told.
+    /// Requests without a reported outcome.
     unknown: usize,
-    /// Whole answers that were not the request's own.
+    /// Complete answers with another content than expected.
     wrong_answers: usize,
     /// Writes that ran more than once.
     duplicate_writes: usize,
-    /// Writes reported as not run that did run.
+    /// Writes that ran although they were reported as not run.
     false_not_run: usize,
-    /// The longest time until an accepted version was in force everywhere.
+    /// Longest time until an accepted version was active on all entries.
     config_in_force_ms: f64,
-    /// Applies that lost a race and were told so.
+    /// Applies that were rejected with a conflict.
     conflicts: u32,
-    /// Instances that left while they served.
+    /// Upstream instances whose agents were stopped during the traffic.
     left: u32,
-    /// Steps that groups of ranks ran.
+    /// Steps run by groups of ranks.
     steps: usize,
-    /// Changes of expert maps that came in force.
+    /// Changes of expert maps that became active.
     map_changes: usize,
-    /// Steps whose ranks did not all use one map.
+    /// Groups with a step whose ranks used different maps.
     steps_on_mixed_maps: usize,
-    /// Half of the whole answers took at most so long, in microseconds.
+    /// Median time of complete answers in microseconds.
     p50_us: u64,
-    /// 99 of 100 whole answers took at most so long, in microseconds.
+    /// 99th percentile of the time of complete answers in microseconds.
     p99_us: u64,
 }
 
 impl Report {
-    /// Counts.
-    pub fn new(world: &World, calls: &[Call], events: &Events) -> Self {
+    /// Summarises calls and events.
+    pub fn new(deployment: &Deployment, calls: &[Call], events: &Events) -> Self {
         let count = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
         let mut times: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
         for call in calls.iter().filter(|call| call.outcome == Outcome::Ran) {
-            let micros = u64::try_from(call.took.as_micros()).unwrap_or(u64::MAX);
+            let micros = u64::try_from(call.duration.as_micros()).unwrap_or(u64::MAX);
             times.record(micros).expect("the histogram grows");
         }
-        let groups = || world.firms.iter().flat_map(|firm| &firm.groups);
-        let written = written(world);
-        let refused = calls.iter().filter(|call| call.outcome == Outcome::NotRun);
-        let refused: HashSet<_> = refused.filter_map(|call| call.write.as_ref()).collect();
+        let groups = || deployment.firms.iter().flat_map(|firm| &firm.groups);
+        let write_counts = count_writes(deployment);
+        let not_run = calls.iter().filter(|call| call.outcome == Outcome::NotRun);
+        let not_run_writes: HashSet<_> = not_run.filter_map(|call| call.write.as_ref()).collect();
         Self {
             requests: calls.len(),
             whole: count(Outcome::Ran),
             not_run: count(Outcome::NotRun),
             unknown: count(Outcome::Unknown),
-            wrong_answers: calls.iter().filter(|call| call.wrong).count(),
-            duplicate_writes: written.values().filter(|&&times| times > 1).count(),
-            false_not_run: refused
+            wrong_answers: calls.iter().filter(|call| call.wrong_answer).count(),
+            duplicate_writes: write_counts.values().filter(|&&count| count > 1).count(),
+            false_not_run: not_run_writes
                 .iter()
-                .filter(|write| written.contains_key(**write))
+                .filter(|write| write_counts.contains_key(**write))
                 .count(),
-            config_in_force_ms: events.in_force.as_secs_f64() * 1e3,
+            config_in_force_ms: events.max_activation_time.as_secs_f64() * 1e3,
             conflicts: events.conflicts,
             left: events.left,
-            steps: groups().map(Ranks::steps).sum(),
-            map_changes: groups().map(|group| group.judge().0).sum(),
-            steps_on_mixed_maps: groups().map(|group| group.judge().1).sum(),
+            steps: groups().map(RankGroup::steps).sum(),
+            map_changes: groups().map(|group| group.check_maps().0).sum(),
+            steps_on_mixed_maps: groups().map(|group| group.check_maps().1).sum(),
             p50_us: times.value_at_quantile(0.5),
             p99_us: times.value_at_quantile(0.99),
         }
     }
 }
 
-/// How often each write ran.
-fn written(world: &World) -> HashMap<String, u32> {
-    let mut written = HashMap::new();
-    for firm in &world.firms {
-        for write in firm.book.writes.borrow().iter() {
-            *written.entry(write.clone()).or_default() += 1;
+/// Counts how often each write ran.
+fn count_writes(deployment: &Deployment) -> HashMap<String, u32> {
+    let mut counts = HashMap::new();
+    for firm in &deployment.firms {
+        for write in firm.journal.writes.borrow().iter() {
+            *counts.entry(write.clone()).or_default() += 1;
         }
     }
-    written
+    counts
 }
 
 impl fmt::Display for Report {
--- a/verbenaspool_soak/src/site.rs
+++ b/verbenaspool_soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The site under test: the store, upstreams and entries, with proxies between.
+//! Deployment under test: store, upstreams, entries and agents, with proxies between them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,7 +12,7 @@
 use monoio::net::TcpListener;
 use verbenaspool_platform_standin::{
     group::{Group, Member},
-    process::Process as Crashing,
+    process::Process as CrashingProcess,
     store::Store,
     text,
     upstream::Upstream,
@@ -29,92 +29,99 @@
 pub const UPSTREAMS: usize = 3;
 
 /// The service whose upstreams are the ranks of the group.
-const RANKS: &str = "ranks";
+const RANK_SERVICE: &str = "ranks";
 
-/// The service whose upstreams some requests crash.
+/// The service whose upstreams crash on some requests.
 const FRAGILE_SERVICE: &str = "fragile";
 
-/// Upstreams of that service.
+/// Upstreams of [`FRAGILE_SERVICE`].
 const FRAGILE_UPSTREAMS: usize = 4;
 
-/// How long one of them takes to start again.
+/// How long one of these upstreams takes to restart.
 const RESTART_TIME: Duration = Duration::from_millis(400);
 
-/// The paths of its routes: streams, and requests that may run once.
+/// Route paths of [`FRAGILE_SERVICE`]: streams, and requests that may run at most once.
 pub const FRAGILE_PATHS: [&str; 2] = ["stream/fragile", "fragile"];
 
-/// The customer's key.
+/// API key of the customer.
 pub const KEY: &str = "key-1";
 
-/// An upstream with the proxy before it.
+/// An upstream with a proxy in front of it.
 #[derive(Debug)]
 pub struct Server {
-    /// The upstream.
+    /// Stand-in of the upstream.
     pub upstream: Rc<Upstream>,
-    /// What stands before it.
+    /// Proxy between entries and upstream.
     pub proxy: Rc<Proxy>,
-    /// Its service.
+    /// Service of the upstream.
     pub service: &'static str,
     address: SocketAddr,
 }
 
-/// One entry of the site.
+/// One entry of the deployment.
 #[derive(Debug)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Its program.
+    /// Process of the entry.
     pub process: Process,
 }
 
-/// Where the programs are.
+/// Paths of the programs.
 #[derive(Debug)]
 pub struct Programs {
-    /// That of entries.
+    /// Program of the entries.
     pub entry: PathBuf,
-    /// That of agents.
+    /// Program of the agents.
     pub agent: PathBuf,
 }
 
-/// The site.
-pub struct Site {
-    /// The platform's store.
+/// Processes, stand-ins and checks of one run.
+pub struct Deployment {
+    /// Stand-in of the platform's store.
     pub store: Rc<Store>,
-    /// The way of each entry to the store.
-    pub ways: Vec<Rc<Proxy>>,
-    /// The upstreams: first those of streams, then those of bookings.
+    /// Proxy between each entry and the store.
+    pub store_proxies: Vec<Rc<Proxy>>,
+    /// The upstreams: first those of streams, then those of requests that may run at most once.
     pub servers: Vec<Server>,
-    /// The upstreams that some requests crash.
-    pub fragile: Vec<Rc<Crashing>>,
+    /// The upstreams that crash on some requests.
+    pub fragile: Vec<Rc<CrashingProcess>>,
     /// The entries.
     pub entries: RefCell<Vec<Entry>>,
-    /// The ranks that make passes together.
+    /// The ranks that run passes together.
     pub group: Rc<Group>,
-    /// The agents beside them.
+    /// The agents of the ranks.
     pub agents: RefCell<Vec<Process>>,
-    /// What was seen.
+    /// Observations and violations.
     pub checks: Checks,
-    /// The version of the configuration that was written last.
+    /// Version of the configuration written last.
     pub version: Cell<u64>,
     triggers: Vec<Trigger>,
 }
 
-/// Serves a handler at a fresh address.
+/// Serves a handler at an unused address.
 fn serve(handler: Rc<dyn Handler>, triggers: &mut Vec<Trigger>) -> io::Result<SocketAddr> {
     let address = address::fresh();
     let listener = TcpListener::bind(address)?;
     let (trigger, signal) = shutdown::channel();
     triggers.push(trigger);
-    let (limits, open) = (Limits::default(), Connections::default());
-    monoio::spawn(server::serve(listener, limits, handler, open, signal));
+    let (limits, connections) = (Limits::default(), Connections::default());
+    monoio::spawn(server::serve(
+        listener,
+        limits,
+        handler,
+        connections,
+        signal,
+    ));
     Ok(address)
 }
 
-impl Site {
-    /// Starts a site with so many entries, and so many ranks with an agent each.
+impl Deployment {
+    /// Starts a deployment with the given numbers of entries and of ranks, each rank with
+    /// an agent.
     ///
     /// # Errors
-    /// An address can't be listened at, or a program can't be started.
+    /// An address can't be bound, or a program can't be started.
     pub fn start(
         entries: usize,
         ranks: usize,
@@ -145,7 +152,7 @@
         }
         let fragile = (0..FRAGILE_UPSTREAMS).map(|number| {
             let (store, name) = (store.clone(), format!("f-{number}"));
-            Crashing::start(
+            CrashingProcess::start(
                 store,
                 FRAGILE_SERVICE,
                 &name,
@@ -155,19 +162,19 @@
         });
         let fragile = fragile.collect();
         let addresses: Vec<SocketAddr> = (0..entries).map(|_| address::fresh()).collect();
-        // Entries and agents have the same port for each other; their addresses differ.
+        // Entries and agents use one peer port on different IP addresses.
         let peer_port = addresses
             .first()
             .map_or(0, |address| address.port() ^ 0x4000);
         let control = |ip: IpAddr| SocketAddr::new(ip, peer_port + 1);
         let seeds: Vec<SocketAddr> = addresses.iter().take(3).map(|a| control(a.ip())).collect();
-        let (mut ways, mut processes) = (Vec::new(), Vec::new());
-        let site_version = 2;
-        store.put("config", "main", &configuration(site_version));
+        let (mut store_proxies, mut processes) = (Vec::new(), Vec::new());
+        let initial_version = 2;
+        store.put("config", "main", &configuration(initial_version));
         for (number, listen) in addresses.into_iter().enumerate() {
-            let way = address::fresh();
-            ways.push(Proxy::start(way, platform)?);
-            let text = entry_settings(number, listen, peer_port, way, &seeds);
+            let proxy_address = address::fresh();
+            store_proxies.push(Proxy::start(proxy_address, platform)?);
+            let text = entry_settings(number, listen, peer_port, proxy_address, &seeds);
             let name = format!("entry-{number}");
             let process = Process::start(&programs.entry, folder, &name, &text)?;
             processes.push(Entry { listen, process });
@@ -181,7 +188,7 @@
             store.put(
                 "servers",
                 &id,
-                &text::registry_entry(RANKS, upstream, "ready"),
+                &text::registry_entry(RANK_SERVICE, upstream, "ready"),
             );
             let text = agent_settings(rank, upstream, peer_port);
             let name = format!("agent-{rank}");
@@ -189,35 +196,35 @@
         }
         Ok(Rc::new(Self {
             store,
-            ways,
+            store_proxies,
             servers,
             fragile,
             entries: RefCell::new(processes),
             group,
             agents: RefCell::new(agents),
             checks: Checks::default(),
-            version: Cell::new(site_version),
+            version: Cell::new(initial_version),
             triggers,
         }))
     }
 
-    /// Writes the next version of the configuration, which adds a route of its own.
-    pub fn change(&self) {
+    /// Writes the next version of the configuration, which adds a route named after it.
+    pub fn change_configuration(&self) {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.store.put("config", "main", &configuration(version));
     }
 
-    /// Says in the registry whether an upstream leaves.
-    pub fn list(&self, server: usize, state: &str) {
+    /// Sets the state of an upstream in the registry.
+    pub fn set_listed_state(&self, server: usize, state: &str) {
         let server = &self.servers[server];
         let entry = text::registry_entry(server.service, server.address, state);
         self.store.put("servers", &server.upstream.id, &entry);
     }
 
-    /// How often upstreams ran a request.
+    /// Returns how often upstreams ran a request.
     #[must_use]
-    pub fn runs(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         let servers = self.servers.iter();
         let servers: usize = servers.map(|server| server.upstream.run_count(id)).sum();
         let fragile = self.fragile.iter();
@@ -225,8 +232,8 @@
         servers + fragile
     }
 
-    /// Ends the stand-ins.
-    pub fn end(&self) {
+    /// Stops the processes and the stand-ins.
+    pub fn stop(&self) {
         self.entries.borrow_mut().clear();
         self.agents.borrow_mut().clear();
         for trigger in &self.triggers {
@@ -235,7 +242,7 @@
     }
 }
 
-/// What an entry is told.
+/// Settings of an entry.
 fn entry_settings(
     number: usize,
     listen: SocketAddr,
@@ -256,28 +263,31 @@
     )
 }
 
-/// What an agent is told. Its instance has the address of the rank beside it.
+/// Settings of an agent. It has the IP address of its rank.
 fn agent_settings(rank: usize, upstream: SocketAddr, peer_port: u16) -> String {
     format!(
         "path: direct\nname: agent-{rank}\naddress: {}\nupstream: '{upstream}'\n\
-         service: {RANKS}\npeer_port: {peer_port}\n\
+         service: {RANK_SERVICE}\npeer_port: {peer_port}\n\
          log: {{form: json}}\n",
         upstream.ip()
     )
 }
 
-/// The configuration of a version: the usual routes, and one that tells it.
+/// Configuration of a version: the default routes, and one named after the version.
 fn configuration(version: u64) -> String {
     let mut routes = text::routes();
     routes.push(text::route(&version_path(version), "safe", "jobs"));
     let kinds = ["streaming", "unsafe"];
     let fragile = FRAGILE_PATHS.iter().zip(kinds);
     routes.extend(fragile.map(|(path, kind)| text::route(path, kind, FRAGILE_SERVICE)));
-    let services = [text::group_service(RANKS), text::service(FRAGILE_SERVICE)];
+    let services = [
+        text::group_service(RANK_SERVICE),
+        text::service(FRAGILE_SERVICE),
+    ];
     text::configuration_with(version, &routes, &[KEY], &services)
 }
 
-/// The first part of the path that a version adds. Versions keep the one before.
+/// First segment of the path that only this version of the configuration routes.
 #[must_use]
 pub fn version_path(version: u64) -> String {
     format!("v{version}")
