--- a/verbenaspool_agent/src/admin.rs
+++ b/verbenaspool_agent/src/admin.rs
@@ -16,10 +16,10 @@
 };
 
 /// Connections at once; only probes and a scraper come here.
-pub(crate) const CONNECTIONS: usize = 32;
+pub(crate) const MAX_CONNECTIONS: usize = 32;
 
 /// The media type of the Prometheus text format.
-const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
+const METRICS_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
 /// Answers operators' tools.
 #[derive(Debug)]
@@ -32,16 +32,18 @@
 
 impl Handler for Admin {
     fn handle(self: Rc<Self>, _peer: SocketAddr, request: Request<Incoming>) -> ResponseFuture {
-        let (status, text) = self.answer(request.uri().path());
+        let (status, text) = self.respond(request.uri().path());
         let mut response = Response::new(Body::full(text));
         *response.status_mut() = status;
-        response.headers_mut().insert(CONTENT_TYPE, TEXT);
+        response
+            .headers_mut()
+            .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
         Box::pin(std::future::ready(response))
     }
 }
 
 impl Admin {
-    fn answer(&self, path: &str) -> (StatusCode, String) {
+    fn respond(&self, path: &str) -> (StatusCode, String) {
         let leaving = self.shared.ledger.borrow().leaving();
         match path {
             "/healthz" => (StatusCode::OK, "ok\n".to_owned()),
--- a/verbenaspool_agent/src/agent.rs
+++ b/verbenaspool_agent/src/agent.rs
@@ -18,7 +18,7 @@
     control,
     executor::Executor,
     group,
-    orders::Gate,
+    orders::Sender,
     poll,
     proxy::Proxy,
     settings::Settings,
@@ -26,7 +26,7 @@
 };
 
 /// How often a stopping agent looks whether its last request has ended.
-const LOOK: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An agent whose listeners are open.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     address: SocketAddr,
     control_address: SocketAddr,
     module: Module,
-    orders: Rc<Gate>,
+    orders: Rc<Sender>,
     admin: Option<TcpListener>,
     group: Option<Rc<group::Driver>>,
 }
@@ -86,7 +86,7 @@
             .admin
             .map(|address| TcpListener::bind_with_config(address, &options))
             .transpose()?;
-        let orders = Rc::new(Gate::new(settings.upstream.address, clock.clone()));
+        let orders = Rc::new(Sender::new(settings.upstream.address, clock.clone()));
         let shared = Rc::new(Shared::new(settings, log, clock));
         let mut module = Module::default();
         control::register(&mut module, &shared);
@@ -138,7 +138,7 @@
 
     /// The only way to the engine's orders.
     #[must_use]
-    pub fn orders(&self) -> Rc<Gate> {
+    pub fn orders(&self) -> Rc<Sender> {
         self.orders.clone()
     }
 
@@ -153,8 +153,8 @@
             ..Limits::default()
         };
         let proxy = Rc::new(Proxy(shared.clone()));
-        let open = Connections::default();
-        let served = server::serve(self.data, limits, proxy, open.clone(), data);
+        let connections = Connections::default();
+        let served = server::serve(self.data, limits, proxy, connections.clone(), data);
         monoio::spawn(served);
         monoio::spawn(rpc::serve(self.control, Rc::new(self.module), control));
         let group = self.group;
@@ -166,7 +166,7 @@
         }
         if let Some(listener) = self.admin {
             let limits = Limits {
-                max_connections: admin::CONNECTIONS,
+                max_connections: admin::MAX_CONNECTIONS,
                 ..Limits::default()
             };
             let admin = Rc::new(Admin {
@@ -176,7 +176,7 @@
             let served = server::serve(listener, limits, admin, Connections::default(), admin_stop);
             monoio::spawn(served);
         }
-        export(&shared);
+        spawn_exporter(&shared);
         info!(shared.log, "Agent: Started.";
             "instance" => shared.settings.instance.as_str(),
             "address" => self.address,
@@ -184,7 +184,7 @@
             "agent" => shared.number);
         signal.wait().await;
         shared.leave();
-        let drained = drain(&shared, &open, &stop_data).await;
+        let drained = drain(&shared, &connections, &stop_data).await;
         // Entries settle lost answers here, so this listener closes last.
         stop_control.fire();
         info!(shared.log, "Agent: Stopped."; "cut" => drained.cut);
@@ -193,7 +193,7 @@
 }
 
 /// Sends spans to their collector, where there is one.
-fn export(shared: &Shared) {
+fn spawn_exporter(shared: &Shared) {
     let Some(traces) = &shared.settings.traces else {
         return;
     };
@@ -212,24 +212,28 @@
 /// that was on its way into a connection as it closed breaks all the same, and
 /// its entry asks what became of it; so the process stays to answer for as long
 /// again, and the request is "refused" and not "unknown".
-async fn drain(shared: &Shared, open: &Connections, stop: &shutdown::Trigger) -> Drained {
+async fn drain(
+    shared: &Shared,
+    connections: &Connections,
+    stop_data: &shutdown::Trigger,
+) -> Drained {
     let clock = &shared.clock;
-    let began = clock.now();
-    let deadline = began + shared.settings.drain.deadline();
-    let linger = began + shared.settings.drain.linger();
-    open.close_after_response();
-    while clock.now() < linger.min(deadline) || shared.ledger.borrow().running() > 0 {
+    let started = clock.now();
+    let deadline = started + shared.settings.drain.deadline();
+    let linger_until = started + shared.settings.drain.linger();
+    connections.close_after_response();
+    while clock.now() < linger_until.min(deadline) || shared.ledger.borrow().running() > 0 {
         if clock.now() >= deadline {
             break;
         }
-        clock.sleep(LOOK).await;
+        clock.sleep(DRAIN_POLL_INTERVAL).await;
     }
-    stop.fire();
-    while open.count() > 0 && clock.now() < deadline {
-        clock.sleep(LOOK).await;
+    stop_data.fire();
+    while connections.count() > 0 && clock.now() < deadline {
+        clock.sleep(DRAIN_POLL_INTERVAL).await;
     }
     // A connection that is still open has an answer that its entry has not read.
-    let cut = shared.ledger.borrow().running().max(open.count());
+    let cut = shared.ledger.borrow().running().max(connections.count());
     if cut > 0 {
         warn!(shared.log, "Agent: The drain's deadline cuts requests off."; "cut" => cut);
     }
--- a/verbenaspool_agent/src/answer.rs
+++ b/verbenaspool_agent/src/answer.rs
@@ -13,15 +13,15 @@
 use verbenaspool_coordination::attempt::Ending;
 use verbenaspool_transport::http::body::{self, Body};
 
-use crate::{flight::Flight, settings::Kind};
+use crate::{guard::AttemptGuard, settings::Kind};
 
 /// How an answer's sender marks its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// By a length or a last chunk.
-    Marked,
+    Delimited,
     /// By closing the connection, as a crash does too.
-    Closed,
+    ConnectionClose,
 }
 
 /// The body of an upstream's answer.
@@ -32,15 +32,15 @@
 /// one that broke off, so it counts as broken.
 pub(crate) struct Answer {
     inner: Option<Body>,
-    flight: Option<Flight>,
+    guard: Option<AttemptGuard>,
     framing: Framing,
 }
 
 impl Answer {
-    pub(crate) fn new(inner: Body, flight: Flight, framing: Framing) -> Self {
+    pub(crate) fn new(inner: Body, guard: AttemptGuard, framing: Framing) -> Self {
         let mut answer = Self {
             inner: Some(inner),
-            flight: Some(flight),
+            guard: Some(guard),
             framing,
         };
         if answer.is_end_stream() {
@@ -50,14 +50,14 @@
     }
 
     fn end(&mut self, ending: Ending) {
-        if let Some(flight) = self.flight.take() {
+        if let Some(guard) = self.guard.take() {
             if ending == Ending::Broken {
                 warn!(
-                    flight.shared().log,
+                    guard.shared().log,
                     "Proxy: The upstream broke its answer off."
                 );
             }
-            flight.end(ending);
+            guard.close(ending);
         }
     }
 
@@ -84,7 +84,7 @@
         };
         let frame = ready!(Pin::new(inner).poll_frame(cx));
         match frame {
-            None if self.framing == Framing::Closed => {
+            None if self.framing == Framing::ConnectionClose => {
                 self.end(Ending::Broken);
                 self.inner = None;
                 Poll::Ready(Some(Err("the answer's end is not marked".into())))
@@ -108,7 +108,7 @@
 
     fn is_end_stream(&self) -> bool {
         let ended = self.inner.as_ref().is_none_or(Body::is_end_stream);
-        ended && self.framing == Framing::Marked
+        ended && self.framing == Framing::Delimited
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -121,23 +121,23 @@
     /// the work; a plain service's answer is read on, so that the ledger can
     /// say how it ended.
     fn drop(&mut self) {
-        let Some(flight) = self.flight.take() else {
+        let Some(guard) = self.guard.take() else {
             return;
         };
-        let shared = flight.shared().clone();
+        let shared = guard.shared().clone();
         if shared.settings.upstream.kind == Kind::Engine {
             return;
         }
-        let rest = Self {
+        let remaining = Self {
             inner: self.inner.take(),
-            flight: Some(flight),
+            guard: Some(guard),
             framing: self.framing,
         };
-        let longest = shared.longest();
+        let max_time = shared.max_request_time();
         monoio::spawn(async move {
-            let over = shared.clock.sleep(longest);
-            let drain = Box::pin(rest.drain());
-            futures_util::future::select(drain, over).await;
+            let timeout = shared.clock.sleep(max_time);
+            let drain = Box::pin(remaining.drain());
+            futures_util::future::select(drain, timeout).await;
         });
     }
 }
--- a/verbenaspool_agent/src/control.rs
+++ b/verbenaspool_agent/src/control.rs
@@ -13,23 +13,23 @@
 /// Registers the methods.
 pub(crate) fn register(module: &mut Module, shared: &Rc<Shared>) {
     let agent = shared.clone();
-    module.register(settle::METHOD, move |question: settle::Request| {
-        let answer = settle(&agent, &question);
+    module.register(settle::METHOD, move |request: settle::Request| {
+        let answer = settle(&agent, &request);
         async move { Ok::<_, String>(answer) }
     });
     let agent = shared.clone();
-    module.register(report::METHOD, move |question: report::Request| {
+    module.register(report::METHOD, move |request: report::Request| {
         // Whoever means another instance must not learn this process's number.
-        let meant = question.instance == agent.settings.identity();
+        let is_addressed = request.instance == agent.settings.identity();
         let agent = agent.clone();
         async move {
-            if !meant {
+            if !is_addressed {
                 return Err("another instance is here".to_owned());
             }
             while agent.crashes.is_pending() {
                 agent.clock.sleep(POLL_INTERVAL).await;
             }
-            let cache = agent.engine.borrow().since(question.since);
+            let cache = agent.engine.borrow().events_since(request.since);
             Ok(report::Report {
                 load: agent.load(),
                 cache,
@@ -46,13 +46,13 @@
 
 /// Says what became of an attempt. What was sent to another process this one
 /// can't tell, and must not leave a tombstone for: the other may be running it.
-fn settle(shared: &Shared, question: &settle::Request) -> settle::Answer {
-    if question.agent != shared.number {
+fn settle(shared: &Shared, request: &settle::Request) -> settle::Answer {
+    if request.agent != shared.number {
         return settle::Answer::Unknown;
     }
     let now = shared.clock.now();
-    let key = question.attempt.into();
-    let word = shared.ledger.borrow_mut().settle(key, now);
-    shared.meter.settled(word);
-    word.into()
+    let key = request.attempt.into();
+    let status = shared.ledger.borrow_mut().settle(key, now);
+    shared.meter.count_settlement(status);
+    status.into()
 }
--- a/verbenaspool_agent/src/crashes.rs
+++ b/verbenaspool_agent/src/crashes.rs
@@ -28,7 +28,7 @@
 /// A request that the upstream had as it crashed.
 #[derive(Debug)]
 struct Record {
-    request: Fingerprint,
+    fingerprint: Fingerprint,
     at: Duration,
     ran: Option<Duration>,
 }
@@ -53,7 +53,7 @@
         records.retain(|record| now.saturating_sub(record.at) < REPORT_PERIOD);
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let reports = records.iter().map(|record| report::Crash {
-            request: record.request,
+            request: record.fingerprint,
             age_ms: ms(now.saturating_sub(record.at)),
             ran_ms: record.ran.map(ms),
         });
@@ -71,15 +71,19 @@
 
 /// Finds out whether the upstream crashed that broke off its answer to a request, which it had
 /// been giving for so long, and remembers that.
-pub(crate) async fn detect(shared: Rc<Shared>, request: Fingerprint, ran: Option<Duration>) {
+pub(crate) async fn detect(shared: Rc<Shared>, fingerprint: Fingerprint, ran: Option<Duration>) {
     let crashes = &shared.crashes;
     crashes.pending.set(crashes.pending.get() + 1);
     let upstream = shared.upstream();
     if shared.client.is_refused_by(upstream, PROBE_TIMEOUT).await {
-        warn!(shared.log, "upstream crashed"; "fingerprint" => request.to_string(),
+        warn!(shared.log, "upstream crashed"; "fingerprint" => fingerprint.to_string(),
             "ran_ms" => ran.map(|ran| ran.as_secs_f64() * 1e3));
         let at = shared.clock.now();
-        crashes.push(Record { request, at, ran });
+        crashes.push(Record {
+            fingerprint,
+            at,
+            ran,
+        });
     }
     crashes.pending.set(crashes.pending.get() - 1);
 }
--- a/verbenaspool_agent/src/envelope.rs
+++ b/verbenaspool_agent/src/envelope.rs
@@ -17,60 +17,60 @@
     /// How long the caller still waits, where it said so.
     pub(crate) deadline: Option<Duration>,
     /// What identifies the request, where the entry had its whole body.
-    pub(crate) request: Option<Fingerprint>,
+    pub(crate) fingerprint: Option<Fingerprint>,
 }
 
 /// Reads the headers of a request that means to reach this agent process.
 pub(crate) fn read(headers: &HeaderMap, number: u64, identity: &str) -> Result<Envelope, Problem> {
-    let attempt =
-        attempt(headers).ok_or_else(|| bad("The attempt header is missing or no attempt id."))?;
+    let attempt = attempt_id(headers)
+        .ok_or_else(|| bad_request("The attempt header is missing or no attempt id."))?;
     // Instances are replaced all day and their addresses used again, by the
     // other firm too, while lists are late. An entry that goes by an old list
     // would hand its firm's work to a stranger, and pass its answer on.
-    if text(headers, header::INSTANCE) != Some(identity) {
+    if header_text(headers, header::INSTANCE) != Some(identity) {
         let message = "The request was meant for another instance.";
         return Err(Problem::not_run(Code::StaleAttempt, message));
     }
     // A process that took this one's address must not run what was meant for
     // its predecessor: the entry may have settled the attempt with that one.
     // An entry that names none has yet to learn the number, from this refusal.
-    let meant = text(headers, header::AGENT).map(str::parse);
-    if meant != Some(Ok(number)) {
+    let addressed = header_text(headers, header::AGENT).map(str::parse);
+    if addressed != Some(Ok(number)) {
         let message = "The request was meant for another agent process.";
         return Err(Problem::not_run(Code::StaleAttempt, message));
     }
     Ok(Envelope {
         attempt,
         deadline: deadline(headers)?,
-        request: text(headers, header::FINGERPRINT).and_then(|text| text.parse().ok()),
+        fingerprint: header_text(headers, header::FINGERPRINT).and_then(|text| text.parse().ok()),
     })
 }
 
 /// The attempt that a request is, whatever else is wrong with it.
-pub(crate) fn attempt(headers: &HeaderMap) -> Option<attempt::Id> {
-    text(headers, header::ATTEMPT)?.parse().ok()
+pub(crate) fn attempt_id(headers: &HeaderMap) -> Option<attempt::Id> {
+    header_text(headers, header::ATTEMPT)?.parse().ok()
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
     let Some(value) = headers.get(header::DEADLINE) else {
         return Ok(None);
     };
-    let left = value
+    let time_left_ms = value
         .to_str()
         .ok()
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| bad("The deadline header is no number of milliseconds."))?;
-    if left == 0 {
+        .ok_or_else(|| bad_request("The deadline header is no number of milliseconds."))?;
+    if time_left_ms == 0 {
         let message = "The deadline was over when the request arrived.";
         return Err(Problem::not_run(Code::Deadline, message));
     }
-    Ok(Some(Duration::from_millis(left)))
+    Ok(Some(Duration::from_millis(time_left_ms)))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn bad(message: &str) -> Problem {
+fn bad_request(message: &str) -> Problem {
     Problem::not_run(Code::BadRequest, message)
 }
--- a/verbenaspool_agent/src/executor.rs
+++ b/verbenaspool_agent/src/executor.rs
@@ -22,26 +22,26 @@
 
 /// How long to wait between two readings of an engine that isn't yet what it
 /// is to become: loading a model takes seconds.
-const PAUSE: Duration = Duration::from_millis(200);
+const READ_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a call waits for an order's outcome. An engine that can't be read
 /// for longer leaves it open, and the order has to be said again.
-const PATIENCE: Duration = Duration::from_secs(20);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long the engine's connection may take to open.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The largest state that is read, in bytes.
-const LARGEST: usize = 64 * 1024;
+const MAX_STATE_BYTES: usize = 64 * 1024;
 
 /// What an order that is said again while it is under way gets.
-const UNDER_WAY: &str = "the order is under way; say it again";
+const ORDER_PENDING: &str = "the order is under way; say it again";
 
 /// The taker of orders.
 #[derive(Debug)]
 pub(crate) struct Executor {
     tracker: RefCell<OrderTracker>,
-    sender: Rc<orders::Gate>,
+    sender: Rc<orders::Sender>,
     client: Client,
     engine: SocketAddr,
     clock: Rc<dyn Clock>,
@@ -52,14 +52,14 @@
     /// A executor of an agent that starts now.
     pub(crate) fn new(
         engine: SocketAddr,
-        sender: Rc<orders::Gate>,
+        sender: Rc<orders::Sender>,
         clock: Rc<dyn Clock>,
         log: Logger,
     ) -> Rc<Self> {
         Rc::new(Self {
             tracker: RefCell::new(OrderTracker::new(clock.now())),
             sender,
-            client: Client::new(CONNECT),
+            client: Client::new(CONNECT_TIMEOUT),
             engine,
             clock,
             log,
@@ -71,12 +71,12 @@
         let executor = self.clone();
         module.register(METHOD, move |order: Order| {
             let executor = executor.clone();
-            async move { executor.take(order).await }
+            async move { executor.execute(order).await }
         });
     }
 
     /// Takes an order and says what came of it.
-    async fn take(&self, order: Order) -> Result<Outcome, String> {
+    async fn execute(&self, order: Order) -> Result<Outcome, String> {
         let now = self.clock.now();
         let effect = self.tracker.borrow_mut().submit(now, &order);
         let mut effect = match effect {
@@ -85,18 +85,18 @@
             Effect::Wait => Effect::Read,
             effect => effect,
         };
-        while self.clock.now() < now + PATIENCE {
+        while self.clock.now() < now + OUTCOME_TIMEOUT {
             effect = match effect {
                 Effect::Answer(outcome) => {
                     info!(self.log, "Orders: Taken."; "order" => order.id, "fence" => order.fence,
                         "outcome" => format!("{outcome:?}"));
                     return Ok(outcome);
                 }
-                Effect::Read => self.read().await,
+                Effect::Read => self.read_state().await,
                 Effect::Send { .. } | Effect::Wait => break,
             };
         }
-        Err(UNDER_WAY.to_owned())
+        Err(ORDER_PENDING.to_owned())
     }
 
     /// Sends an order to the engine.
@@ -110,34 +110,38 @@
         let mut tracker = self.tracker.borrow_mut();
         match sent {
             Ok(_) => tracker.engine_answered(self.clock.now(), Ok(())),
-            Err(orders::Error::Refused(why)) => tracker.engine_answered(self.clock.now(), Err(why)),
+            Err(orders::Error::Rejected(reason)) => {
+                tracker.engine_answered(self.clock.now(), Err(reason))
+            }
             Err(_) => tracker.answer_lost(),
         }
     }
 
     /// Reads the engine and tells the gate. An engine that can't be read tells
     /// nothing; it is read again until it can.
-    async fn read(&self) -> Effect {
+    async fn read_state(&self) -> Effect {
         let now = self.clock.now();
-        let effect = match self.held().await {
+        let effect = match self.engine_state().await {
             Ok(state) => self.tracker.borrow_mut().state_read(now, &state),
             Err(_) => Effect::Read,
         };
         if effect == Effect::Read {
-            self.clock.sleep(PAUSE).await;
+            self.clock.sleep(READ_INTERVAL).await;
         }
         effect
     }
 
     /// What the engine is.
-    async fn held(&self) -> Result<State, String> {
+    async fn engine_state(&self) -> Result<State, String> {
         let request = Request::get(STATE_PATH)
             .header(http::header::HOST, self.engine.to_string())
             .body(Body::empty())
             .map_err(|error| error.to_string())?;
         let response = self.client.send(self.engine, request).await;
         let response = response.map_err(|error| error.to_string())?;
-        let body = Limited::new(response.into_body(), LARGEST).collect().await;
+        let body = Limited::new(response.into_body(), MAX_STATE_BYTES)
+            .collect()
+            .await;
         let body = body.map_err(|error| error.to_string())?.to_bytes();
         serde_json::from_slice(&body).map_err(|error| error.to_string())
     }
--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -36,36 +36,36 @@
 };
 
 use super::{lease, settings::Settings};
-use crate::orders::Gate;
+use crate::orders::Sender;
 
 /// How often the engine is read and the machines are told the time. Each reading
 /// costs the instance processor time, and oftener brings little: half a
 /// window of steps, some seconds, passes between grants.
-const BEAT: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long an order may be on its way to the engine. A new agent waits this
 /// long before its first order to an engine that ignores fences.
-const LONGEST: Duration = Duration::from_secs(2);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(2);
 
 /// After how long an unanswered message is sent again.
-const RESEND: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a message may take to another agent.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long all ranks may take to stage a map: the weight store serves all of
 /// them at its own rate.
-const PATIENCE: Duration = Duration::from_mins(10);
+const STAGING_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// The largest state of an engine that is read, in bytes: maps of 128 ranks,
 /// 256 experts and some 60 layers.
-const LARGEST: usize = 16 * 1024 * 1024;
+const MAX_STATE_BYTES: usize = 16 * 1024 * 1024;
 
 /// How long the engine's connection may take to open.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often the lead thinks about a change of map.
-const DECIDE: Duration = Duration::from_secs(1);
+const DECISION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An agent's part in its group.
 #[derive(Debug)]
@@ -77,21 +77,21 @@
     clock: Rc<dyn Clock>,
     member: RefCell<Member>,
     rebalancer: RefCell<Rebalancer>,
-    gate: Gate,
+    order_sender: Sender,
     client: Client,
     peers: rpc::Client,
-    counts: Counts,
+    counters: Counters,
 }
 
 /// What operators see of the group's changes.
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     changes: Cell<u64>,
     aborts: Cell<u64>,
     diverged: Cell<u64>,
     moves: Cell<u64>,
-    bytes: Cell<u64>,
-    ignored: Cell<u64>,
+    bytes_moved: Cell<u64>,
+    samples_ignored: Cell<u64>,
     slowdown: Cell<f64>,
 }
 
@@ -109,22 +109,26 @@
         clock: Rc<dyn Clock>,
     ) -> Rc<Self> {
         let shape = Shape::from(&settings.experts);
-        let checked = settings.fences == Fences::Checked;
+        let checks_fences = settings.fences == Fences::Checked;
         let rank = rank::Settings {
             seat: settings.seat,
             ranks: shape.ranks,
             incarnation: incarnation(),
-            checks_fences: checked,
-            max_order_delay: if checked { Duration::ZERO } else { LONGEST },
-            resend_interval: RESEND,
+            checks_fences,
+            max_order_delay: if checks_fences {
+                Duration::ZERO
+            } else {
+                MAX_ORDER_DELAY
+            },
+            resend_interval: RESEND_INTERVAL,
             progress_interval_steps: (settings.window / 8).max(1),
         };
         let lead = lead::Settings {
             seat: settings.seat,
             shape,
             window: settings.window,
-            resend_interval: RESEND,
-            staging_timeout: PATIENCE,
+            resend_interval: RESEND_INTERVAL,
+            staging_timeout: STAGING_TIMEOUT,
         };
         let rebalancing = settings.experts.rebalancing.clone();
         let rebalancer = Rebalancer::new(rebalancing, shape, settings.experts.expert_bytes);
@@ -133,10 +137,10 @@
             log,
             member: RefCell::new(Member::new(rank, lead)),
             rebalancer: RefCell::new(rebalancer),
-            gate: Gate::new(settings.engine, clock.clone()),
-            client: Client::new(CONNECT),
+            order_sender: Sender::new(settings.engine, clock.clone()),
+            client: Client::new(CONNECT_TIMEOUT),
             peers: rpc::Client::default(),
-            counts: Counts::default(),
+            counters: Counters::default(),
             clock,
             firm,
             settings,
@@ -147,8 +151,8 @@
     pub(crate) fn register(self: &Rc<Self>, module: &mut Module) {
         let driver = self.clone();
         module.register(METHOD, move |envelope: Envelope| {
-            let taken = driver.receive(envelope);
-            async move { taken }
+            let received = driver.receive(envelope);
+            async move { received }
         });
         let driver = self.clone();
         module.register(STATUS_METHOD, move |(): ()| {
@@ -159,63 +163,63 @@
 
     /// Carries on for as long as the loop runs.
     pub(crate) async fn run(self: Rc<Self>) {
-        let leading = self.clone();
+        let driver = self.clone();
         monoio::spawn(lease::run(
             self.firm.clone(),
             self.settings.clone(),
             self.log.clone(),
             self.clock.clone(),
-            move |fence| leading.input(Input::LeaseAcquired { fence }),
+            move |fence| driver.handle_input(Input::LeaseAcquired { fence }),
         ));
-        let mut decided = Duration::ZERO;
+        let mut last_decision = Duration::ZERO;
         loop {
-            if let Ok(state) = self.read().await {
-                self.observe(&state);
-                self.input(Input::Engine(Event::State(state.snapshot)));
+            if let Ok(state) = self.read_state().await {
+                self.observe_samples(&state);
+                self.handle_input(Input::Engine(Event::State(state.snapshot)));
                 for event in state.events {
-                    self.input(Input::Engine(event));
+                    self.handle_input(Input::Engine(event));
                 }
             }
-            self.input(Input::Tick);
+            self.handle_input(Input::Tick);
             let now = self.clock.now();
-            if now >= decided + DECIDE {
-                decided = now;
-                self.decide(now);
+            if now >= last_decision + DECISION_INTERVAL {
+                last_decision = now;
+                self.propose_change(now);
             }
-            self.clock.sleep(BEAT).await;
+            self.clock.sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Takes in a message of another agent.
     fn receive(self: &Rc<Self>, envelope: Envelope) -> Result<(), String> {
         let own = &self.settings;
-        let here = (&envelope.firm, &envelope.group, envelope.to);
-        if here != (&self.firm, &own.name, own.seat) {
+        let addressee = (&envelope.firm, &envelope.group, envelope.to);
+        if addressee != (&self.firm, &own.name, own.seat) {
             return Err("the message is for another agent".to_owned());
         }
-        self.input(Input::Message(envelope.message));
+        self.handle_input(Input::Message(envelope.message));
         Ok(())
     }
 
     /// Tells the machines and carries out what they say.
-    fn input(self: &Rc<Self>, input: Input) {
+    fn handle_input(self: &Rc<Self>, input: Input) {
         let now = self.clock.now();
         let outputs = self.member.borrow_mut().handle(now, input);
-        self.carry(outputs);
+        self.apply_outputs(outputs);
     }
 
     /// Carries out what the machines say.
-    fn carry(self: &Rc<Self>, outputs: Vec<Output>) {
+    fn apply_outputs(self: &Rc<Self>, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } if to == self.settings.seat => {
-                    self.input(Input::Message(message));
+                    self.handle_input(Input::Message(message));
                 }
                 Output::Send { to, message } => self.send(to, message),
                 Output::Engine { fence, action } => {
                     monoio::spawn(self.clone().order(fence, action));
                 }
-                Output::Notice(notice) => self.notice(&notice),
+                Output::Notice(notice) => self.record_notice(&notice),
             }
         }
     }
@@ -236,24 +240,26 @@
 
     /// Sends an order to the engine and takes in what a reading says.
     async fn order(self: Rc<Self>, fence: u64, action: Action) {
-        let reads = matches!(action, Action::Read { .. });
+        let is_read = matches!(action, Action::Read { .. });
         let action = serde_json::to_value(&action).expect("an action has only plain keys");
         let order = Order { fence, action };
-        let deadline = self.clock.now() + LONGEST;
-        match self.gate.send(&order, deadline).await {
-            Ok(answer) if reads => {
+        let deadline = self.clock.now() + MAX_ORDER_DELAY;
+        match self.order_sender.send(&order, deadline).await {
+            Ok(answer) if is_read => {
                 if let Ok(snapshot) = serde_json::from_slice(&answer) {
-                    self.input(Input::Engine(Event::State(snapshot)));
+                    self.handle_input(Input::Engine(Event::State(snapshot)));
                 }
             }
             Ok(_) => {}
             // The machine reads the engine's state and asks again.
-            Err(why) => warn!(self.log, "Group: An order failed."; "reason" => why.to_string()),
+            Err(reason) => {
+                warn!(self.log, "Group: An order failed."; "reason" => reason.to_string());
+            }
         }
     }
 
     /// Reads where the engine stands and what it has to tell.
-    async fn read(&self) -> Result<State, String> {
+    async fn read_state(&self) -> Result<State, String> {
         let request = Request::get(ENGINE_STATE_PATH)
             .header(http::header::HOST, self.settings.engine.to_string())
             .body(Body::empty())
@@ -261,28 +267,30 @@
         let answer = async {
             let response = self.client.send(self.settings.engine, request).await;
             let response = response.map_err(|error| error.to_string())?;
-            let body = Limited::new(response.into_body(), LARGEST).collect().await;
+            let body = Limited::new(response.into_body(), MAX_STATE_BYTES)
+                .collect()
+                .await;
             body.map_err(|error| error.to_string())
         };
-        let answer = monoio::time::timeout(TIMEOUT, answer).await;
+        let answer = monoio::time::timeout(CALL_TIMEOUT, answer).await;
         let body = answer.map_err(|error| error.to_string())??;
         let bytes: Bytes = body.to_bytes();
         serde_json::from_reader(bytes.reader()).map_err(|error| error.to_string())
     }
 
     /// Takes in the engine's samples.
-    fn observe(&self, state: &State) {
+    fn observe_samples(&self, state: &State) {
         let mut rebalancer = self.rebalancer.borrow_mut();
         for sample in &state.samples {
-            if let Err(why) = rebalancer.observe(sample) {
-                add(&self.counts.ignored, 1);
-                info!(self.log, "Group: A sample was ignored."; "reason" => why.to_string());
+            if let Err(reason) = rebalancer.observe(sample) {
+                add(&self.counters.samples_ignored, 1);
+                info!(self.log, "Group: A sample was ignored."; "reason" => reason.to_string());
             }
         }
     }
 
     /// Has the lead change the map where that pays.
-    fn decide(self: &Rc<Self>, now: Duration) {
+    fn propose_change(self: &Rc<Self>, now: Duration) {
         let (layers, rate) = {
             let member = self.member.borrow();
             let Some(lead) = member.lead() else {
@@ -300,9 +308,9 @@
                     info!(self.log, "Group: A change of map pays.";
                         "moves" => plan.moves, "bytes" => plan.bytes,
                         "skew_before" => plan.skew_before, "skew_after" => plan.skew_after);
-                    add(&self.counts.moves, u64::from(plan.moves));
-                    add(&self.counts.bytes, plan.bytes);
-                    self.counts.slowdown.set(plan.slowdown);
+                    add(&self.counters.moves, u64::from(plan.moves));
+                    add(&self.counters.bytes_moved, plan.bytes);
+                    self.counters.slowdown.set(plan.slowdown);
                     (plan.layers, plan.bytes_per_second)
                 }
                 (Some(_), None) => return,
@@ -310,27 +318,27 @@
         };
         let proposed = self.member.borrow_mut().propose(now, layers, rate);
         match proposed {
-            Ok((_, outputs)) => self.carry(outputs),
-            Err(why) => {
-                info!(self.log, "Group: The change is refused."; "reason" => why.to_string());
+            Ok((_, outputs)) => self.apply_outputs(outputs),
+            Err(reason) => {
+                info!(self.log, "Group: The change is refused."; "reason" => reason.to_string());
             }
         }
     }
 
     /// Counts and logs what operators want to know.
-    fn notice(&self, notice: &lead::Output) {
+    fn record_notice(&self, notice: &lead::Output) {
         match notice {
             lead::Output::Switched { epoch, step } => {
-                add(&self.counts.changes, 1);
+                add(&self.counters.changes, 1);
                 info!(self.log, "Group: The map changes."; "epoch" => epoch, "step" => step);
             }
             lead::Output::Aborted { epoch, reason } => {
-                add(&self.counts.aborts, 1);
+                add(&self.counters.aborts, 1);
                 warn!(self.log, "Group: The change is given up.";
                     "epoch" => epoch, "reason" => reason.to_string());
             }
             lead::Output::Diverged { seat, step, ran } => {
-                add(&self.counts.diverged, 1);
+                add(&self.counters.diverged, 1);
                 warn!(self.log, "Group: A rank had a step from someone else.";
                     "seat" => seat, "step" => step, "ran" => ran);
             }
@@ -356,13 +364,13 @@
             epoch: rank.running(),
             changing: member.lead().and_then(lead::Lead::pending_epoch),
             skew: map.and_then(|map| self.rebalancer.borrow().skew(map)),
-            changes: self.counts.changes.get(),
-            aborts: self.counts.aborts.get(),
-            diverged: self.counts.diverged.get(),
-            moves: self.counts.moves.get(),
-            bytes_moved: self.counts.bytes.get(),
-            samples_ignored: self.counts.ignored.get(),
-            slowdown: self.counts.slowdown.get(),
+            changes: self.counters.changes.get(),
+            aborts: self.counters.aborts.get(),
+            diverged: self.counters.diverged.get(),
+            moves: self.counters.moves.get(),
+            bytes_moved: self.counters.bytes_moved.get(),
+            samples_ignored: self.counters.samples_ignored.get(),
+            slowdown: self.counters.slowdown.get(),
         }
     }
 }
@@ -371,7 +379,7 @@
 async fn deliver(driver: Rc<Driver>, address: SocketAddr, envelope: Envelope) {
     let called = driver
         .peers
-        .call::<_, ()>(address, METHOD, &envelope, TIMEOUT);
+        .call::<_, ()>(address, METHOD, &envelope, CALL_TIMEOUT);
     let _ = called.await;
 }
 
--- a/verbenaspool_agent/src/group/lease.rs
+++ b/verbenaspool_agent/src/group/lease.rs
@@ -8,14 +8,14 @@
 use slog::{Logger, info, warn};
 use verbenaspool_coordination::{
     keys,
-    lease::{Lease, Settings as Terms},
+    lease::{Lease, Settings as LeaseSettings},
     store::Answer,
 };
 use verbenaspool_state::name::Name;
 use verbenaspool_transport::{
     clock::Clock,
     platform::{
-        client::{Client, Settings as Reach},
+        client::{Client, Settings as ClientSettings},
         driver,
     },
 };
@@ -23,11 +23,11 @@
 use super::settings::Settings;
 
 /// How often the lease is looked after.
-const BEAT: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The part of the lease's time that a rival waits beyond it, for clocks that
 /// tick differently: a fiftieth is far more than quartz clocks drift.
-const MARGIN: u32 = 50;
+const DRIFT_MARGIN_PART: u32 = 50;
 
 /// How long a call to the platform may take at most.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -42,50 +42,50 @@
     settings: Settings,
     log: Logger,
     clock: Rc<dyn Clock>,
-    lead: impl Fn(u64),
+    on_acquired: impl Fn(u64),
 ) {
-    let time = Duration::from_secs(settings.platform.lease_seconds);
-    let store = Client::new(Reach {
+    let duration = Duration::from_secs(settings.platform.lease_seconds);
+    let store = Client::new(ClientSettings {
         address: settings.platform.address,
         token: settings.platform.token.clone(),
-        timeout: (time / CALL_TIMEOUT_PART).min(MAX_CALL_TIMEOUT),
+        timeout: (duration / CALL_TIMEOUT_PART).min(MAX_CALL_TIMEOUT),
     });
     let key = keys::lease(&firm, &settings.name);
     let holder = format!("{}-{:016x}", settings.seat, rand::random::<u64>());
-    let margin = time / MARGIN;
+    let drift_margin = duration / DRIFT_MARGIN_PART;
     let mut lease = Lease::new(
         key,
         holder,
-        Terms {
-            duration: time,
-            drift_margin: margin,
+        LeaseSettings {
+            duration,
+            drift_margin,
         },
     );
-    let mut told = 0;
-    let mut held = None;
+    let mut last_fence = 0;
+    let mut current = None;
     loop {
         while let Some(call) = lease.next_call(clock.now()) {
-            let began = clock.now();
+            let started = clock.now();
             let answer = driver::call(&store, &call).await;
             let now = clock.now();
             if let Answer::Failed(reason) | Answer::Lost(reason) | Answer::Rejected(reason) =
                 &answer
             {
                 warn!(log, "lease call failed"; "reason" => reason,
-                    "took_ms" => now.saturating_sub(began).as_secs_f64() * 1e3);
+                    "took_ms" => now.saturating_sub(started).as_secs_f64() * 1e3);
             }
             lease.answer(now, answer);
         }
-        let before = held;
-        held = lease.current_fence(clock.now());
-        if let (Some(fence), None) = (before, held) {
+        let previous = current;
+        current = lease.current_fence(clock.now());
+        if let (Some(fence), None) = (previous, current) {
             warn!(log, "lease lost"; "fence" => fence);
         }
-        if let Some(fence) = held.filter(|&fence| fence > told) {
-            told = fence;
+        if let Some(fence) = current.filter(|&fence| fence > last_fence) {
+            last_fence = fence;
             info!(log, "lease acquired"; "fence" => fence);
-            lead(fence);
+            on_acquired(fence);
         }
-        clock.sleep(BEAT).await;
+        clock.sleep(POLL_INTERVAL).await;
     }
 }
--- a/verbenaspool_agent/src/group/settings.rs
+++ b/verbenaspool_agent/src/group/settings.rs
@@ -65,7 +65,7 @@
     /// Everything that is wrong.
     pub(crate) fn problems(&self) -> Vec<&'static str> {
         let ranks = usize::from(self.experts.ranks);
-        let room = u32::from(self.experts.ranks) * u32::from(self.experts.slots);
+        let slots = u32::from(self.experts.ranks) * u32::from(self.experts.slots);
         let checks = [
             (ranks == 0, "group.experts.ranks: must be at least 1"),
             (
@@ -77,7 +77,7 @@
                 "group.seat: is beyond group.experts.ranks",
             ),
             (
-                room < u32::from(self.experts.experts),
+                slots < u32::from(self.experts.experts),
                 "group.experts.slots: leaves no place for some experts",
             ),
             (
@@ -90,7 +90,7 @@
                 "group.experts.rebalancing: holds a value that can't be put in force",
             ),
         ];
-        let wrong = checks.into_iter().filter(|(wrong, _)| *wrong);
-        wrong.map(|(_, problem)| problem).collect()
+        let failed = checks.into_iter().filter(|(fails, _)| *fails);
+        failed.map(|(_, problem)| problem).collect()
     }
 }
--- a/verbenaspool_agent/src/flight.rs
+++ b/verbenaspool_agent/src/guard.rs
@@ -11,50 +11,52 @@
 /// An admitted attempt. Dropped without a word it is closed as broken off, so
 /// that no path through the code can leave an attempt running for ever.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct AttemptGuard {
     shared: Rc<Shared>,
     key: Key,
     ending: Ending,
     /// What identifies the request, where its entry says so.
-    request: Option<Fingerprint>,
+    fingerprint: Option<Fingerprint>,
     /// When the upstream began to answer.
-    started: Option<Duration>,
+    response_started: Option<Duration>,
     /// The hop to the upstream, which ends with the answer's last byte.
-    upstream: Span,
+    upstream_span: Span,
     /// The agent's part of the trace; it ends after the hop.
-    _agent: Span,
+    _agent_span: Span,
 }
 
-impl Flight {
+impl AttemptGuard {
     pub(crate) fn new(
         shared: Rc<Shared>,
         key: Key,
-        request: Option<Fingerprint>,
-        agent: Span,
+        fingerprint: Option<Fingerprint>,
+        agent_span: Span,
     ) -> Self {
         Self {
             shared,
             key,
             ending: Ending::Broken,
-            request,
-            started: None,
-            upstream: agent.child("agent to upstream", Kind::Client),
-            _agent: agent,
+            fingerprint,
+            response_started: None,
+            upstream_span: agent_span.child("agent to upstream", Kind::Client),
+            _agent_span: agent_span,
         }
     }
 
     /// The upstream has begun to answer.
-    pub(crate) fn start(&mut self) {
-        self.started = Some(self.shared.clock.now());
+    pub(crate) fn start_response(&mut self) {
+        self.response_started = Some(self.shared.clock.now());
     }
 
     /// Closes the attempt.
-    pub(crate) fn end(mut self, ending: Ending) {
+    pub(crate) fn close(mut self, ending: Ending) {
         self.ending = ending;
-        if let Some(request) = self.request.filter(|_| ending == Ending::Broken) {
+        if let Some(fingerprint) = self.fingerprint.filter(|_| ending == Ending::Broken) {
             let now = self.shared.clock.now();
-            let ran = self.started.map(|started| now.saturating_sub(started));
-            monoio::spawn(crashes::detect(self.shared.clone(), request, ran));
+            let ran = self
+                .response_started
+                .map(|started| now.saturating_sub(started));
+            monoio::spawn(crashes::detect(self.shared.clone(), fingerprint, ran));
         }
     }
 
@@ -63,19 +65,19 @@
     }
 
     /// The trace context that the upstream gets.
-    pub(crate) fn context(&self) -> String {
-        self.upstream.context().to_string()
+    pub(crate) fn trace_context(&self) -> String {
+        self.upstream_span.context().to_string()
     }
 }
 
-impl Drop for Flight {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         match self.ending {
             Ending::Ran => {}
-            Ending::NotRun => self.upstream.fail("not sent"),
-            Ending::Broken => self.upstream.fail("broke off"),
+            Ending::NotRun => self.upstream_span.fail("not sent"),
+            Ending::Broken => self.upstream_span.fail("broke off"),
         }
-        self.shared.meter.end(self.ending);
+        self.shared.meter.count_ending(self.ending);
         let mut ledger = self.shared.ledger.borrow_mut();
         ledger.finish(self.key, self.ending);
     }
--- a/verbenaspool_agent/src/lib.rs
+++ b/verbenaspool_agent/src/lib.rs
@@ -18,7 +18,7 @@
 mod crashes;
 mod envelope;
 mod executor;
-mod flight;
+mod guard;
 mod meter;
 mod poll;
 mod proxy;
--- a/verbenaspool_agent/src/main.rs
+++ b/verbenaspool_agent/src/main.rs
@@ -15,20 +15,20 @@
 use verbenaspool_transport::{clock::Monotonic, log, runtime, shutdown};
 
 /// The process could not start.
-const FAILED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 /// The settings are wrong; clap uses the same code for the command line.
-const SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// The drain's deadline cut requests off.
-const CUT: u8 = 3;
+const EXIT_REQUESTS_CUT: u8 = 3;
 
 fn main() -> ExitCode {
     let command = Command::parse();
     let (Action::Run(source) | Action::Check(source)) = &command.action;
     let settings = match load(&source.settings) {
         Ok(settings) => settings,
-        Err(why) => {
-            eprintln!("{why}");
-            return ExitCode::from(SETTINGS);
+        Err(reason) => {
+            eprintln!("{reason}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     match command.action {
@@ -37,42 +37,42 @@
             ExitCode::SUCCESS
         }
         Action::Run(_) => match settings {
-            Chosen::Agents(settings) => run(*settings),
-            Chosen::Direct(settings) => run_direct(settings),
+            ModeSettings::Proxy(settings) => run(*settings),
+            ModeSettings::Direct(settings) => run_direct(settings),
         },
     }
 }
 
 /// The settings of either path.
-enum Chosen {
+enum ModeSettings {
     /// Requests pass through the agent.
-    Agents(Box<Settings>),
+    Proxy(Box<Settings>),
     /// Requests go straight to the upstream.
     Direct(direct::settings::Settings),
 }
 
 /// The part of the settings that tells which path requests take.
 #[derive(Debug, Deserialize)]
-struct Probe {
+struct PathProbe {
     #[serde(default)]
     path: Option<direct::settings::Path>,
 }
 
 /// Reads the settings of either path.
-fn load(path: &Path) -> Result<Chosen, settings::Error> {
-    let probe: Probe = verbenaspool_transport::settings::load(path)?;
+fn load(path: &Path) -> Result<ModeSettings, settings::Error> {
+    let probe: PathProbe = verbenaspool_transport::settings::load(path)?;
     if probe.path.is_some() {
-        return verbenaspool_transport::settings::load(path).map(Chosen::Direct);
+        return verbenaspool_transport::settings::load(path).map(ModeSettings::Direct);
     }
-    settings::load(path).map(|settings| Chosen::Agents(Box::new(settings)))
+    settings::load(path).map(|settings| ModeSettings::Proxy(Box::new(settings)))
 }
 
 fn run_direct(settings: direct::settings::Settings) -> ExitCode {
     match direct::run::main(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("verbenaspool-agent: {why}");
-            ExitCode::from(FAILED)
+        Err(reason) => {
+            eprintln!("verbenaspool-agent: {reason}");
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
@@ -88,10 +88,10 @@
     });
     match served.map_err(|error| error.to_string()).flatten() {
         Ok(Drained { cut: 0 }) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
-        Err(why) => {
-            crit!(log, "Agent: Can't start."; "reason" => why);
-            ExitCode::from(FAILED)
+        Ok(_) => ExitCode::from(EXIT_REQUESTS_CUT),
+        Err(reason) => {
+            crit!(log, "Agent: Can't start."; "reason" => reason);
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/verbenaspool_agent/src/meter.rs
+++ b/verbenaspool_agent/src/meter.rs
@@ -14,7 +14,7 @@
     not_sent: Counter,
     broken: Counter,
     /// From sending a request to the head of its answer.
-    pub(crate) head: Histogram,
+    pub(crate) response_head_time: Histogram,
 }
 
 impl Default for Meter {
@@ -32,7 +32,7 @@
             ran: ended("ran"),
             not_sent: ended("not-sent"),
             broken: ended("broken"),
-            head: registry.histogram(
+            response_head_time: registry.histogram(
                 "verbenaspool_agent_upstream_seconds",
                 "From sending a request to the head of its answer.",
                 &[],
@@ -49,7 +49,7 @@
     }
 
     /// Counts the end of an admitted attempt.
-    pub(crate) fn end(&self, ending: Ending) {
+    pub(crate) fn count_ending(&self, ending: Ending) {
         match ending {
             Ending::Ran => self.ran.increment(),
             Ending::NotRun => self.not_sent.increment(),
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request that got no answer of the upstream.
-    pub(crate) fn problem(&self, code: Code) {
+    pub(crate) fn count_problem(&self, code: Code) {
         let code = serde_json::to_value(code).unwrap_or_default();
         let help = "Requests that got a problem for an answer, by its code.";
         let labels = [("code", code.as_str().unwrap_or_default())];
@@ -68,8 +68,8 @@
     }
 
     /// Counts a question about an attempt.
-    pub(crate) fn settled(&self, word: Status) {
-        let word = match word {
+    pub(crate) fn count_settlement(&self, status: Status) {
+        let label = match status {
             Status::Rejected => "refused",
             Status::Running => "running",
             Status::Ended => "ended",
@@ -80,7 +80,7 @@
             .counter(
                 "verbenaspool_agent_settled_total",
                 help,
-                &[("answer", word)],
+                &[("answer", label)],
             )
             .increment();
     }
--- a/verbenaspool_agent/src/orders.rs
+++ b/verbenaspool_agent/src/orders.rs
@@ -29,14 +29,14 @@
 };
 
 /// The largest answer to an order that is read, in bytes.
-const LARGEST: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// How long the engine's connection may take to open.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The sender of orders to one engine.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Sender {
     engine: SocketAddr,
     client: Client,
     clock: Rc<dyn Clock>,
@@ -52,33 +52,33 @@
     Fenced(u64),
     /// The deadline was over before the order could be sent; nothing was sent.
     #[error("the deadline was over before the order was sent")]
-    Late,
+    Expired,
     /// Nothing was sent.
     #[error("the engine can't be reached: {0}")]
     NotSent(String),
     /// The engine refused it.
     #[error("the engine refused the order: {0}")]
-    Refused(String),
+    Rejected(String),
     /// It may have been carried out.
     #[error("the order's answer was lost: {0}")]
     Lost(String),
 }
 
-impl Gate {
+impl Sender {
     /// A gate before an engine.
     ///
     /// ```
-    /// use verbenaspool_agent::orders::Gate;
+    /// use verbenaspool_agent::orders::Sender;
     /// use verbenaspool_transport::clock::Monotonic;
     ///
-    /// let gate = Gate::new("127.0.0.1:7100".parse().unwrap(), Monotonic::start());
-    /// # drop(gate);
+    /// let sender = Sender::new("127.0.0.1:7100".parse().unwrap(), Monotonic::start());
+    /// # drop(sender);
     /// ```
     #[must_use]
     pub fn new(engine: SocketAddr, clock: Rc<dyn Clock>) -> Self {
         Self {
             engine,
-            client: Client::new(CONNECT),
+            client: Client::new(CONNECT_TIMEOUT),
             clock,
             fence: Mutex::new(0),
         }
@@ -96,7 +96,7 @@
         }
         let left = deadline.saturating_sub(self.clock.now());
         if left.is_zero() {
-            return Err(Error::Late);
+            return Err(Error::Expired);
         }
         *fence = order.fence;
         let exchange = Box::pin(self.exchange(order));
@@ -115,11 +115,11 @@
             .map_err(|error| Error::NotSent(error.to_string()))?;
         let response = match self.client.send(self.engine, request).await {
             Ok(response) => response,
-            Err(client::Error::NotSent(why)) => return Err(Error::NotSent(why)),
-            Err(client::Error::Broken(why)) => return Err(Error::Lost(why)),
+            Err(client::Error::NotSent(reason)) => return Err(Error::NotSent(reason)),
+            Err(client::Error::Broken(reason)) => return Err(Error::Lost(reason)),
         };
         let status = response.status();
-        let body = Limited::new(response.into_body(), LARGEST)
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await
             .map_err(|error| Error::Lost(error.to_string()))?
@@ -127,7 +127,7 @@
         if status.is_success() {
             Ok(body)
         } else if status.is_client_error() {
-            Err(Error::Refused(String::from_utf8_lossy(&body).into_owned()))
+            Err(Error::Rejected(String::from_utf8_lossy(&body).into_owned()))
         } else {
             Err(Error::Lost(status.to_string()))
         }
--- a/verbenaspool_agent/src/poll.rs
+++ b/verbenaspool_agent/src/poll.rs
@@ -18,14 +18,14 @@
 
 /// How many cache events are kept for entries that ask slowly. A seat in this
 /// list is 24 bytes, and an entry that missed more starts afresh.
-const KEPT: usize = 4_096;
+const MAX_EVENTS: usize = 4_096;
 
 /// The most events in one report, some 4 KB. An entry asks an agent about once
 /// a second; a new one that must catch up takes several reports for it.
-const MOST: usize = 64;
+const MAX_EVENTS_PER_REPORT: usize = 64;
 
 /// The largest state that is read, in bytes.
-const LARGEST: usize = 1024 * 1024;
+const MAX_STATE_BYTES: usize = 1024 * 1024;
 
 /// What the agent knows of its engine.
 #[derive(Debug, Default)]
@@ -35,9 +35,9 @@
     tokens: u64,
     events: VecDeque<Event>,
     /// The number of the last event heard.
-    last: u64,
+    last_event: u64,
     /// Up to here events are no longer kept.
-    gone: u64,
+    dropped_through: u64,
 }
 
 impl View {
@@ -50,29 +50,32 @@
     }
 
     /// Takes the engine's word in.
-    pub(crate) fn hear(&mut self, state: State) {
+    pub(crate) fn update(&mut self, state: State) {
         self.running = state.running;
         self.queued = state.queued;
         self.tokens = state.tokens;
         // An engine that starts again counts from 1: what was held is gone.
-        if state.last < self.last {
+        if state.last < self.last_event {
             self.events.clear();
-            self.last = 0;
-            self.gone = 0;
+            self.last_event = 0;
+            self.dropped_through = 0;
         }
         for event in state.events {
-            self.keep(event);
+            self.push_event(event);
         }
     }
 
-    fn keep(&mut self, event: Event) {
-        if event.number <= self.last {
+    fn push_event(&mut self, event: Event) {
+        if event.number <= self.last_event {
             return;
         }
-        self.last = event.number;
+        self.last_event = event.number;
         self.events.push_back(event);
-        while self.events.len() > KEPT {
-            self.gone = self.events.pop_front().map_or(self.gone, |old| old.number);
+        while self.events.len() > MAX_EVENTS {
+            self.dropped_through = self
+                .events
+                .pop_front()
+                .map_or(self.dropped_through, |old| old.number);
         }
     }
 
@@ -81,12 +84,17 @@
     /// An event that the engine lost makes no fresh start: a prefix whose
     /// coming was lost is missed, and one whose going was lost draws a request
     /// that brings it back. Forgetting all the others would cost far more.
-    pub(crate) fn since(&self, number: u64) -> Cache {
+    pub(crate) fn events_since(&self, number: u64) -> Cache {
         // A number from before the engine's restart is above all that is known.
-        let reset = number < self.gone || number > self.last;
-        let from = if reset { self.gone } else { number };
-        let behind = self.events.partition_point(|event| event.number <= from);
-        let events: Vec<Event> = self.events.range(behind..).take(MOST).copied().collect();
+        let reset = number < self.dropped_through || number > self.last_event;
+        let from = if reset { self.dropped_through } else { number };
+        let start = self.events.partition_point(|event| event.number <= from);
+        let events: Vec<Event> = self
+            .events
+            .range(start..)
+            .take(MAX_EVENTS_PER_REPORT)
+            .copied()
+            .collect();
         Cache {
             reset,
             last: events.last().map_or(from, |event| event.number),
@@ -97,31 +105,31 @@
 
 /// Asks the engine for its state at intervals, for as long as the loop runs.
 pub(crate) async fn run(shared: Rc<Shared>, path: String) {
-    let pause = std::time::Duration::from_millis(shared.settings.upstream.poll_ms);
-    let mut reached = true;
+    let interval = std::time::Duration::from_millis(shared.settings.upstream.poll_ms);
+    let mut reachable = true;
     loop {
-        let asked = Box::pin(ask(&shared, &path));
-        let state = match select(asked, shared.clock.sleep(pause)).await {
+        let fetch = Box::pin(fetch_state(&shared, &path));
+        let state = match select(fetch, shared.clock.sleep(interval)).await {
             Either::Left((state, _)) => state,
             Either::Right(_) => Err("the engine took too long".to_owned()),
         };
         match state {
             Ok(state) => {
-                shared.engine.borrow_mut().hear(state);
-                reached = true;
+                shared.engine.borrow_mut().update(state);
+                reachable = true;
             }
-            Err(why) if reached => {
-                warn!(shared.log, "Poll: The engine's state can't be read."; "reason" => why);
-                reached = false;
+            Err(reason) if reachable => {
+                warn!(shared.log, "Poll: The engine's state can't be read."; "reason" => reason);
+                reachable = false;
             }
             Err(_) => {}
         }
-        shared.clock.sleep(pause).await;
+        shared.clock.sleep(interval).await;
     }
 }
 
-async fn ask(shared: &Shared, path: &str) -> Result<State, String> {
-    let since = shared.engine.borrow().last;
+async fn fetch_state(shared: &Shared, path: &str) -> Result<State, String> {
+    let since = shared.engine.borrow().last_event;
     let request = Request::get(format!("{path}?since={since}"))
         .header(http::header::HOST, shared.upstream().to_string())
         .body(Body::empty())
@@ -131,7 +139,7 @@
         .send(shared.upstream(), request)
         .await
         .map_err(|error| error.to_string())?;
-    let body = Limited::new(response.into_body(), LARGEST)
+    let body = Limited::new(response.into_body(), MAX_STATE_BYTES)
         .collect()
         .await
         .map_err(|error| error.to_string())?;
--- a/verbenaspool_agent/src/proxy.rs
+++ b/verbenaspool_agent/src/proxy.rs
@@ -35,17 +35,17 @@
 use crate::{
     answer::{Answer, Framing},
     envelope::{self, Envelope},
-    flight::Flight,
+    guard::AttemptGuard,
     route,
     settings::Kind,
     shared::Shared,
 };
 
 /// When a repeat makes sense after a refusal for want of room.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(250);
 
 /// When a repeat makes sense while the upstream can't be reached.
-const DOWN_RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER_UNREACHABLE: Duration = Duration::from_secs(1);
 
 /// Answers the requests of entries.
 #[derive(Debug)]
@@ -62,54 +62,56 @@
             let envelope = envelope::read(request.headers(), shared.number, &shared.identity);
             // A refused attempt is echoed too: to the entry, an answer without
             // the attempt's id is a crossed one and says nothing about it.
-            let attempt = envelope::attempt(request.headers());
+            let attempt = envelope::attempt_id(request.headers());
             let answer = match envelope {
-                Ok(envelope) => run(&shared, envelope, request).await,
+                Ok(envelope) => forward(&shared, envelope, request).await,
                 Err(problem) => Err(problem),
             };
-            let mut response = answer.unwrap_or_else(|problem| refusal(&shared, &problem));
-            mark(&shared, attempt, response.headers_mut());
+            let mut response = answer.unwrap_or_else(|problem| problem_response(&shared, &problem));
+            set_agent_headers(&shared, attempt, response.headers_mut());
             response
         })
     }
 }
 
 /// Admits an attempt and has the upstream answer it.
-async fn run(
+async fn forward(
     shared: &Rc<Shared>,
     envelope: Envelope,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Problem> {
-    route::permit(&shared.settings.upstream, request.uri().path())?;
-    let largest = shared.settings.limits.body_bytes;
-    if request.body().size_hint().lower() > largest as u64 {
+    route::check_path(&shared.settings.upstream, request.uri().path())?;
+    let max_body_bytes = shared.settings.limits.body_bytes;
+    if request.body().size_hint().lower() > max_body_bytes as u64 {
         let message = "The request's body is larger than the instance takes.";
         return Err(Problem::not_run(Code::TooLarge, message));
     }
     let key = envelope.attempt.into();
-    let mut span = trace(shared, request.headers());
+    let mut span = start_span(shared, request.headers());
     let admitted = shared.ledger.borrow_mut().admit(key, shared.clock.now());
-    if let Err(refusal) = admitted {
+    if let Err(rejection) = admitted {
         span.fail("refused");
-        return Err(refuse(refusal));
+        return Err(rejection_problem(rejection));
     }
-    let flight = Flight::new(shared.clone(), key, envelope.request, span);
-    let mut request = outgoing(request, shared.upstream(), largest);
-    if let Ok(context) = HeaderValue::from_str(&flight.context()) {
+    let guard = AttemptGuard::new(shared.clone(), key, envelope.fingerprint, span);
+    let mut request = upstream_request(request, shared.upstream(), max_body_bytes);
+    if let Ok(context) = HeaderValue::from_str(&guard.trace_context()) {
         request.headers_mut().insert(header::TRACEPARENT, context);
     }
     match shared.settings.upstream.kind {
         Kind::Engine => {
-            let longest = shared.longest();
-            let wait = envelope.deadline.map_or(longest, |left| left.min(longest));
-            send(flight, request, wait).await
+            let max_time = shared.max_request_time();
+            let timeout = envelope
+                .deadline
+                .map_or(max_time, |left| left.min(max_time));
+            send(guard, request, timeout).await
         }
-        Kind::Plain => detach(flight, request).await,
+        Kind::Plain => send_detached(guard, request).await,
     }
 }
 
 /// The agent's span below the entry's.
-fn trace(shared: &Shared, headers: &HeaderMap) -> Span {
+fn start_span(shared: &Shared, headers: &HeaderMap) -> Span {
     let remote = headers
         .get(header::TRACEPARENT)
         .and_then(|value| value.to_str().ok())
@@ -119,11 +121,14 @@
 
 /// Sends a request to a plain service in a task of its own: should the entry go
 /// while it runs, the request still ends, and the ledger can say how.
-async fn detach(flight: Flight, request: Request<Body>) -> Result<Response<Body>, Problem> {
+async fn send_detached(
+    guard: AttemptGuard,
+    request: Request<Body>,
+) -> Result<Response<Body>, Problem> {
     let (answer, answered) = oneshot::channel();
     monoio::spawn(async move {
-        let longest = flight.shared().longest();
-        let _ = answer.send(send(flight, request, longest).await);
+        let max_time = guard.shared().max_request_time();
+        let _ = answer.send(send(guard, request, max_time).await);
     });
     answered
         .await
@@ -132,35 +137,36 @@
 
 /// Sends a request to the upstream and waits for the head of its answer.
 async fn send(
-    flight: Flight,
+    guard: AttemptGuard,
     request: Request<Body>,
-    wait: Duration,
+    timeout: Duration,
 ) -> Result<Response<Body>, Problem> {
-    let shared = flight.shared().clone();
-    let began = shared.clock.now();
+    let shared = guard.shared().clone();
+    let sent_at = shared.clock.now();
     let answer = Box::pin(shared.client.send(shared.upstream(), request));
-    match select(answer, shared.clock.sleep(wait)).await {
+    match select(answer, shared.clock.sleep(timeout)).await {
         Either::Left((Ok(response), _)) => {
             shared
                 .meter
-                .head
-                .record(shared.clock.now().saturating_sub(began));
-            Ok(incoming(response, flight))
+                .response_head_time
+                .record(shared.clock.now().saturating_sub(sent_at));
+            Ok(entry_response(response, guard))
         }
-        Either::Left((Err(client::Error::NotSent(why)), _)) => {
-            warn!(shared.log, "Proxy: The upstream can't be reached."; "reason" => why);
-            flight.end(Ending::NotRun);
+        Either::Left((Err(client::Error::NotSent(reason)), _)) => {
+            warn!(shared.log, "Proxy: The upstream can't be reached."; "reason" => reason);
+            guard.close(Ending::NotRun);
             let message = "The upstream can't be reached.";
-            Err(Problem::not_run(Code::NoUpstream, message).with_retry_after(DOWN_RETRY))
+            Err(Problem::not_run(Code::NoUpstream, message)
+                .with_retry_after(RETRY_AFTER_UNREACHABLE))
         }
-        Either::Left((Err(client::Error::Broken(why)), _)) => {
-            warn!(shared.log, "Proxy: The upstream broke off before its answer."; "reason" => why);
-            flight.end(Ending::Broken);
+        Either::Left((Err(client::Error::Broken(reason)), _)) => {
+            warn!(shared.log, "Proxy: The upstream broke off before its answer."; "reason" => reason);
+            guard.close(Ending::Broken);
             let message = "The upstream broke off before its answer.";
             Err(Problem::unknown(Code::Upstream, message))
         }
         Either::Right(_) => {
-            flight.end(Ending::Broken);
+            guard.close(Ending::Broken);
             let message = "The upstream did not answer before the deadline.";
             Err(Problem::unknown(Code::Deadline, message))
         }
@@ -168,7 +174,11 @@
 }
 
 /// The request as the upstream gets it.
-fn outgoing(request: Request<Incoming>, upstream: SocketAddr, largest: usize) -> Request<Body> {
+fn upstream_request(
+    request: Request<Incoming>,
+    upstream: SocketAddr,
+    max_body_bytes: usize,
+) -> Request<Body> {
     let (mut parts, body) = request.into_parts();
     // The path was checked; a target with a host of its own would name another.
     if let Some(target) = parts.uri.path_and_query() {
@@ -180,35 +190,35 @@
     if let Ok(host) = HeaderValue::from_str(&upstream.to_string()) {
         parts.headers.insert(HOST, host);
     }
-    Request::from_parts(parts, Body::wrap(Limited::new(body, largest)))
+    Request::from_parts(parts, Body::wrap(Limited::new(body, max_body_bytes)))
 }
 
 /// The upstream's answer as the entry gets it.
-fn incoming(response: Response<Body>, mut flight: Flight) -> Response<Body> {
-    flight.start();
+fn entry_response(response: Response<Body>, mut guard: AttemptGuard) -> Response<Body> {
+    guard.start_response();
     let (mut parts, body) = response.into_parts();
-    let marked = parts.headers.contains_key(CONTENT_LENGTH)
+    let delimited = parts.headers.contains_key(CONTENT_LENGTH)
         || parts.headers.contains_key(TRANSFER_ENCODING)
         || body.is_end_stream();
-    let framing = if marked {
-        Framing::Marked
+    let framing = if delimited {
+        Framing::Delimited
     } else {
-        Framing::Closed
+        Framing::ConnectionClose
     };
     hop::strip(&mut parts.headers);
     let outcome = HeaderValue::from_static(Outcome::Ran.as_str());
     parts.headers.insert(header::OUTCOME, outcome);
-    Response::from_parts(parts, Body::wrap(Answer::new(body, flight, framing)))
+    Response::from_parts(parts, Body::wrap(Answer::new(body, guard, framing)))
 }
 
 /// The problem that goes with a refusal. A repeated attempt may have run, so
 /// only for that one the word is not "not run".
-fn refuse(refusal: Rejection) -> Problem {
-    match refusal {
+fn rejection_problem(rejection: Rejection) -> Problem {
+    match rejection {
         Rejection::Leaving => Problem::not_run(Code::Leaving, "The instance is leaving."),
         Rejection::Full => {
             let message = "The instance runs as many requests as it may.";
-            Problem::not_run(Code::Overloaded, message).with_retry_after(FULL_RETRY)
+            Problem::not_run(Code::Overloaded, message).with_retry_after(RETRY_AFTER_FULL)
         }
         Rejection::Tombstone => {
             Problem::not_run(Code::StaleAttempt, "The attempt was refused before.")
@@ -220,8 +230,8 @@
 }
 
 /// A problem as an answer.
-fn refusal(shared: &Shared, problem: &Problem) -> Response<Body> {
-    shared.meter.problem(problem.code);
+fn problem_response(shared: &Shared, problem: &Problem) -> Response<Body> {
+    shared.meter.count_problem(problem.code);
     debug!(shared.log, "Proxy: Refused a request."; "reason" => &problem.message);
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(Body::full(body));
@@ -234,7 +244,7 @@
 }
 
 /// Echoes the attempt, so that a crossed answer shows, and tells the load.
-fn mark(shared: &Shared, attempt: Option<attempt::Id>, headers: &mut HeaderMap) {
+fn set_agent_headers(shared: &Shared, attempt: Option<attempt::Id>, headers: &mut HeaderMap) {
     headers.remove(header::ATTEMPT);
     if let Some(attempt) = attempt
         && let Ok(value) = HeaderValue::from_str(&attempt.to_string())
--- a/verbenaspool_agent/src/route.rs
+++ b/verbenaspool_agent/src/route.rs
@@ -12,18 +12,18 @@
 ///
 /// Engines read `/v1/../order` or `/v1/%2e%2e/order` in different ways, so a
 /// path that could mean another one is refused whole.
-pub(crate) fn permit(upstream: &Upstream, path: &str) -> Result<(), Problem> {
+pub(crate) fn check_path(upstream: &Upstream, path: &str) -> Result<(), Problem> {
     if !path.starts_with('/') {
         return Err(Problem::not_run(Code::BadRequest, "The path is no path."));
     }
     if upstream.paths.is_empty() {
         return Ok(());
     }
-    let open = upstream
+    let allowed = upstream
         .paths
         .iter()
         .any(|prefix| path.starts_with(prefix.as_str()));
-    if !open || !plain(path) {
+    if !allowed || !is_unambiguous(path) {
         let message = "The upstream takes no requests at this path.";
         return Err(Problem::not_run(Code::Forbidden, message));
     }
@@ -31,11 +31,11 @@
 }
 
 /// Whether every reader takes the path for the same.
-fn plain(path: &str) -> bool {
+fn is_unambiguous(path: &str) -> bool {
     let segments = path.strip_prefix('/').unwrap_or(path).split('/');
-    let inner = segments.clone().count().saturating_sub(1);
-    let full = segments.enumerate().all(|(i, segment)| {
-        segment != "." && segment != ".." && (i == inner || !segment.is_empty())
+    let last = segments.clone().count().saturating_sub(1);
+    let well_formed = segments.enumerate().all(|(i, segment)| {
+        segment != "." && segment != ".." && (i == last || !segment.is_empty())
     });
-    full && !path.contains(['%', '\\', ';'])
+    well_formed && !path.contains(['%', '\\', ';'])
 }
--- a/verbenaspool_agent/src/settings.rs
+++ b/verbenaspool_agent/src/settings.rs
@@ -97,7 +97,7 @@
     }
 
     /// Fills in what depends on the kind.
-    fn complete(&mut self) {
+    fn apply_kind_defaults(&mut self) {
         if self.kind == Kind::Plain {
             return;
         }
@@ -200,7 +200,7 @@
 /// # Errors
 /// As for [`read`].
 pub fn load(path: &Path) -> Result<Settings, Error> {
-    finish(path, settings::load(path)?)
+    complete(path, settings::load(path)?)
 }
 
 /// Reads settings from text.
@@ -225,12 +225,12 @@
 /// ```
 pub fn read(text: &str) -> Result<Settings, Error> {
     let path = Path::new("settings");
-    finish(path, settings::parse(path, text)?)
+    complete(path, settings::parse(path, text)?)
 }
 
 /// Fills in and checks what one key alone doesn't show.
-fn finish(path: &Path, mut settings: Settings) -> Result<Settings, Error> {
-    settings.upstream.complete();
+fn complete(path: &Path, mut settings: Settings) -> Result<Settings, Error> {
+    settings.upstream.apply_kind_defaults();
     let mut problems = problems(&settings);
     let group = settings.group.as_ref();
     problems.extend(group.map(group::Settings::problems).unwrap_or_default());
@@ -247,14 +247,14 @@
 /// Everything that is wrong, so that it can be put right in one go.
 fn problems(settings: &Settings) -> Vec<&'static str> {
     let limits = &settings.limits;
-    let same = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+    let is_same = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
     let checks = [
         (
-            same(settings.listen, settings.control),
+            is_same(settings.listen, settings.control),
             "control: is the same address as listen",
         ),
         (
-            same(settings.listen, settings.upstream.address),
+            is_same(settings.listen, settings.upstream.address),
             "upstream.address: is the agent's own listen",
         ),
         (
@@ -289,6 +289,6 @@
     ];
     checks
         .into_iter()
-        .filter_map(|(wrong, problem)| wrong.then_some(problem))
+        .filter_map(|(fails, problem)| fails.then_some(problem))
         .collect()
 }
--- a/verbenaspool_agent/src/shared.rs
+++ b/verbenaspool_agent/src/shared.rs
@@ -16,7 +16,7 @@
 use crate::{crashes::Crashes, meter::Meter, poll::View, settings::Settings};
 
 /// How long a connection to the upstream on the same instance may take.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the parts of an agent process share.
 #[derive(Debug)]
@@ -44,13 +44,13 @@
             max_closed: settings.limits.remembered,
             ..Limits::default()
         };
-        let idle = Duration::from_millis(settings.upstream.idle_ms);
+        let idle_timeout = Duration::from_millis(settings.upstream.idle_ms);
         Self {
             number: rand::random(),
             identity: settings.identity().to_string(),
             meter: Meter::default(),
             tracer: Tracer::new(settings.traces.as_ref(), clock.clone()),
-            client: Client::new(CONNECT).with_idle_timeout(idle),
+            client: Client::new(CONNECT_TIMEOUT).with_idle_timeout(idle_timeout),
             settings,
             log,
             clock,
@@ -66,7 +66,7 @@
     }
 
     /// The longest that the upstream may take for one request.
-    pub(crate) fn longest(&self) -> Duration {
+    pub(crate) fn max_request_time(&self) -> Duration {
         Duration::from_secs(self.settings.limits.longest_seconds)
     }
 
--- a/verbenaspool_agent/tests/agent/report.rs
+++ b/verbenaspool_agent/tests/agent/report.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use verbenaspool_agent::orders::{Error, Gate};
+use verbenaspool_agent::orders::{Error, Sender};
 use verbenaspool_protocol::{
     engine::Order,
     header,
@@ -115,17 +115,17 @@
             });
             let clock = Monotonic::start();
             let soon = || clock.now() + Duration::from_secs(5);
-            let gate = Gate::new(address, clock.clone());
-            assert!(gate.send(&order(2), soon()).await.is_ok());
-            assert_eq!(gate.send(&order(1), soon()).await, Err(Error::Fenced(2)));
-            let late = gate.send(&order(3), clock.now()).await;
-            assert_eq!(late, Err(Error::Late));
+            let sender = Sender::new(address, clock.clone());
+            assert!(sender.send(&order(2), soon()).await.is_ok());
+            assert_eq!(sender.send(&order(1), soon()).await, Err(Error::Fenced(2)));
+            let late = sender.send(&order(3), clock.now()).await;
+            assert_eq!(late, Err(Error::Expired));
             assert_eq!(desk.orders.executed(), [order(2)]);
             // A gate of a successor that knows no fence yet.
-            let sent = Gate::new(address, clock.clone())
+            let sent = Sender::new(address, clock.clone())
                 .send(&order(1), soon())
                 .await;
-            assert_eq!(matches!(sent, Err(Error::Refused(_))), checks_fences);
+            assert_eq!(matches!(sent, Err(Error::Rejected(_))), checks_fences);
         });
     }
 }
