--- a/extra/completions/verbenaspool-agent.fish
+++ b/extra/completions/verbenaspool-agent.fish
@@ -29,9 +29,9 @@
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_needs_command" -f -a "run" -d 'Run the agent until SIGTERM, then drain'
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_needs_command" -f -a "check" -d 'Check a settings file'
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_needs_command" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
-complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand run" -l settings -d 'The settings file, YAML' -r -F
+complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand run" -l settings -d 'Path of the settings file (YAML)' -r -F
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand run" -s h -l help -d 'Print help'
-complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand check" -l settings -d 'The settings file, YAML' -r -F
+complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand check" -l settings -d 'Path of the settings file (YAML)' -r -F
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand check" -s h -l help -d 'Print help'
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand help; and not __fish_seen_subcommand_from run check help" -f -a "run" -d 'Run the agent until SIGTERM, then drain'
 complete -c verbenaspool-agent -n "__fish_verbenaspool_agent_using_subcommand help; and not __fish_seen_subcommand_from run check help" -f -a "check" -d 'Check a settings file'
--- a/extra/completions/verbenaspool-agent.zsh
+++ b/extra/completions/verbenaspool-agent.zsh
@@ -30,14 +30,14 @@
         case $line[1] in
             (run)
 _arguments "${_arguments_options[@]}" : \
-'--settings=[The settings file, YAML]:FILE:_files' \
+'--settings=[Path of the settings file (YAML)]:FILE:_files' \
 '-h[Print help]' \
 '--help[Print help]' \
 && ret=0
 ;;
 (check)
 _arguments "${_arguments_options[@]}" : \
-'--settings=[The settings file, YAML]:FILE:_files' \
+'--settings=[Path of the settings file (YAML)]:FILE:_files' \
 '-h[Print help]' \
 '--help[Print help]' \
 && ret=0
--- a/verbenaspool_agent/src/admin.rs
+++ b/verbenaspool_agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics, on a listener of their own.
+//! Health, readiness and metrics endpoints on a separate listener.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -15,18 +15,18 @@
     shared::Shared,
 };
 
-/// Connections at once; only probes and a scraper come here.
+/// Maximum number of open connections; only health probes and a metrics scraper connect.
 pub(crate) const MAX_CONNECTIONS: usize = 32;
 
 /// The media type of the Prometheus text format.
 const METRICS_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// Answers operators' tools.
+/// Serves the endpoints for operators' tools.
 #[derive(Debug)]
 pub(crate) struct Admin {
-    /// What the parts of the process share.
+    /// State shared by the parts of the process.
     pub(crate) shared: Rc<Shared>,
-    /// The group of ranks, where the engine is one.
+    /// The group of ranks, if the engine is a rank.
     pub(crate) group: Option<Rc<Driver>>,
 }
 
--- a/verbenaspool_agent/src/agent.rs
+++ b/verbenaspool_agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! An agent process: its listeners, its parts and its end.
+//! An agent process: its listeners, its tasks and its graceful shutdown.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -25,7 +25,7 @@
     shared::Shared,
 };
 
-/// How often a stopping agent looks whether its last request has ended.
+/// How often a stopping agent checks whether its last request has ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An agent whose listeners are open.
@@ -45,15 +45,15 @@
 /// How an agent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Drained {
-    /// Requests that were cut off at the deadline.
+    /// Number of requests that were cut off at the deadline.
     pub cut: usize,
 }
 
 impl Agent {
-    /// Opens the listeners. To be called on the loop.
+    /// Opens the listeners. Must be called on the event loop.
     ///
     /// # Errors
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     ///
     /// ```
     /// use slog::{Discard, Logger, o};
@@ -77,8 +77,8 @@
     /// .unwrap();
     /// ```
     pub fn bind(settings: Settings, log: Logger, clock: Rc<dyn Clock>) -> io::Result<Self> {
-        // Two processes that share a port by mistake would split the requests
-        // between them, so the second must fail instead.
+        // Without port reuse, a second process that is configured with the same port by
+        // mistake fails instead of receiving part of the requests.
         let options = ListenerOpts::new().reuse_port(false);
         let data = TcpListener::bind_with_config(settings.listen, &options)?;
         let control = TcpListener::bind_with_config(settings.control, &options)?;
@@ -113,36 +113,36 @@
         })
     }
 
-    /// Where the agent takes requests.
+    /// The address at which the agent accepts requests.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where the agent takes control calls.
+    /// The address at which the agent accepts control calls.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         self.control_address
     }
 
-    /// The number of this process, which requests to it must name.
+    /// The random number of this process, which requests to it must carry.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.shared.number
     }
 
-    /// The control methods, to add others to.
+    /// The control methods; callers may register more.
     pub fn module(&mut self) -> &mut Module {
         &mut self.module
     }
 
-    /// The only way to the engine's orders.
+    /// The sender of all orders to the engine.
     #[must_use]
     pub fn orders(&self) -> Rc<Sender> {
         self.orders.clone()
     }
 
-    /// Runs until the signal comes and the requests in flight have ended.
+    /// Runs until the signal arrives and the requests in flight have ended.
     pub async fn run(self, mut signal: Signal) -> Drained {
         let shared = self.shared;
         let (stop_data, data) = shutdown::channel();
@@ -177,7 +177,7 @@
             monoio::spawn(served);
         }
         spawn_exporter(&shared);
-        info!(shared.log, "Agent: Started.";
+        info!(shared.log, "agent started";
             "instance" => shared.settings.instance.as_str(),
             "address" => self.address,
             "control" => self.control_address,
@@ -185,14 +185,14 @@
         signal.wait().await;
         shared.leave();
         let drained = drain(&shared, &connections, &stop_data).await;
-        // Entries settle lost answers here, so this listener closes last.
+        // Entries ask here about attempts whose response was lost, so this listener closes last.
         stop_control.fire();
-        info!(shared.log, "Agent: Stopped."; "cut" => drained.cut);
+        info!(shared.log, "agent stopped"; "cut" => drained.cut);
         drained
     }
 }
 
-/// Sends spans to their collector, where there is one.
+/// Starts the export of spans if a collector is configured.
 fn spawn_exporter(shared: &Shared) {
     let Some(traces) = &shared.settings.traces else {
         return;
@@ -205,13 +205,14 @@
     monoio::spawn(exporter.run(shared.clock.clone()));
 }
 
-/// Lets the requests in flight end.
+/// Waits for the requests in flight to end.
 ///
-/// The data listener stays open at first: an entry that has not yet heard of
-/// the leaving gets a refusal it can act on, not a broken connection. A request
-/// that was on its way into a connection as it closed breaks all the same, and
-/// its entry asks what became of it; so the process stays to answer for as long
-/// again, and the request is "refused" and not "unknown".
+/// The data listener stays open for the linger time: an entry that does not know yet
+/// that the instance is leaving gets a rejection, after which it can retry elsewhere,
+/// rather than a broken connection. A request sent on a connection while it closes
+/// still fails, and its entry asks for the status of the attempt. The process
+/// therefore keeps answering control calls for another linger time, so that the
+/// status is "refused" rather than "unknown".
 async fn drain(
     shared: &Shared,
     connections: &Connections,
@@ -232,10 +233,10 @@
     while connections.count() > 0 && clock.now() < deadline {
         clock.sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // A connection that is still open has an answer that its entry has not read.
+    // A connection that is still open has a response that its entry has not fully read.
     let cut = shared.ledger.borrow().running().max(connections.count());
     if cut > 0 {
-        warn!(shared.log, "Agent: The drain's deadline cuts requests off."; "cut" => cut);
+        warn!(shared.log, "drain deadline passed; cutting off requests"; "cut" => cut);
     }
     clock.sleep(shared.settings.drain.linger()).await;
     Drained { cut }
--- a/verbenaspool_agent/src/answer.rs
+++ b/verbenaspool_agent/src/answer.rs
@@ -1,4 +1,4 @@
-//! The upstream's answer on its way back, tied to its attempt.
+//! The body of an upstream's response, which closes its attempt when it ends.
 
 use std::{
     pin::Pin,
@@ -15,21 +15,21 @@
 
 use crate::{guard::AttemptGuard, settings::Kind};
 
-/// How an answer's sender marks its end.
+/// How the end of a response is marked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// By a length or a last chunk.
+    /// By a content length or a last chunk.
     Delimited,
-    /// By closing the connection, as a crash does too.
+    /// By closing the connection, which a crash does as well.
     ConnectionClose,
 }
 
-/// The body of an upstream's answer.
+/// The body of an upstream's response.
 ///
-/// An upstream that dies in the middle must not look as if it had finished: the
-/// body then fails, and the server breaks its own connection off without an
-/// end mark. An answer whose end is only a closed connection can't be told from
-/// one that broke off, so it counts as broken.
+/// If the upstream fails during the response, the entry must not take it for complete:
+/// the body returns an error, and the server closes its connection without an end
+/// mark. A response that ends only by a closed connection can't be distinguished from
+/// an interrupted one, so it counts as interrupted.
 pub(crate) struct Answer {
     inner: Option<Body>,
     guard: Option<AttemptGuard>,
@@ -52,16 +52,13 @@
     fn end(&mut self, ending: Ending) {
         if let Some(guard) = self.guard.take() {
             if ending == Ending::Broken {
-                warn!(
-                    guard.shared().log,
-                    "Proxy: The upstream broke its answer off."
-                );
+                warn!(guard.shared().log, "upstream interrupted its response");
             }
             guard.close(ending);
         }
     }
 
-    /// Reads the answer to its end for the ledger's sake.
+    /// Reads the response to its end, so that the ledger records how the attempt ended.
     async fn drain(mut self) {
         while let Some(frame) = self.frame().await {
             if frame.is_err() {
@@ -87,7 +84,7 @@
             None if self.framing == Framing::ConnectionClose => {
                 self.end(Ending::Broken);
                 self.inner = None;
-                Poll::Ready(Some(Err("the answer's end is not marked".into())))
+                Poll::Ready(Some(Err("the response's end is not marked".into())))
             }
             None => {
                 self.end(Ending::Ran);
@@ -117,9 +114,9 @@
 }
 
 impl Drop for Answer {
-    /// The entry has gone. An engine is told by the closed connection and stops
-    /// the work; a plain service's answer is read on, so that the ledger can
-    /// say how it ended.
+    /// Handles an entry that disconnected during the response. An engine stops the work
+    /// when its connection closes. The response of a plain service is read to its end,
+    /// so that the ledger records how the attempt ended.
     fn drop(&mut self) {
         let Some(guard) = self.guard.take() else {
             return;
--- a/verbenaspool_agent/src/command.rs
+++ b/verbenaspool_agent/src/command.rs
@@ -4,17 +4,17 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 
-/// What `--help` says below the options.
+/// Text shown below the options in `--help`.
 const EXAMPLES: &str = "\
 Examples:
   verbenaspool-agent run --settings /etc/verbenaspool/agent.yaml
   verbenaspool-agent check --settings agent.yaml
 
 Exit codes:
-  0  it stopped with every request ended, or the settings are sound
-  1  it could not start
-  2  the command line or the settings are wrong
-  3  the drain's deadline cut requests off";
+  0  the agent stopped after all requests had ended, or the settings are valid
+  1  the agent failed to start
+  2  the command line or the settings are invalid
+  3  the drain deadline passed and requests were cut off";
 
 /// The agent beside an upstream instance of verbenaspool.
 #[derive(Debug, Parser)]
@@ -35,16 +35,16 @@
     Check(Source),
 }
 
-/// Where the settings are.
+/// The location of the settings.
 #[derive(Debug, clap::Args)]
 pub struct Source {
-    /// The settings file, YAML.
+    /// Path of the settings file (YAML).
     #[arg(long, value_name = "FILE", env = "VERBENASPOOL_SETTINGS")]
     pub settings: PathBuf,
 }
 
-/// The command line for clap's companions, which write completions and manual
-/// pages.
+/// Returns the command line definition, from which completions and manual pages are
+/// generated.
 ///
 /// ```
 /// assert_eq!(verbenaspool_agent::command::command().get_name(), "verbenaspool-agent");
--- a/verbenaspool_agent/src/control.rs
+++ b/verbenaspool_agent/src/control.rs
@@ -1,4 +1,4 @@
-//! The agent's control methods: settling, reports and leaving.
+//! The agent's control methods: attempt status, reports and leaving.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use crate::shared::Shared;
 
-/// How often it is looked whether the cause of a broken answer is known, which an entry asks for.
+/// How often a report request checks whether the cause of an interrupted response is known.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Registers the methods.
+/// Registers the control methods.
 pub(crate) fn register(module: &mut Module, shared: &Rc<Shared>) {
     let agent = shared.clone();
     module.register(settle::METHOD, move |request: settle::Request| {
@@ -19,7 +19,8 @@
     });
     let agent = shared.clone();
     module.register(report::METHOD, move |request: report::Request| {
-        // Whoever means another instance must not learn this process's number.
+        // A caller that addresses another instance must not learn this process's number,
+        // or it would send its requests here.
         let is_addressed = request.instance == agent.settings.identity();
         let agent = agent.clone();
         async move {
@@ -44,8 +45,9 @@
     });
 }
 
-/// Says what became of an attempt. What was sent to another process this one
-/// can't tell, and must not leave a tombstone for: the other may be running it.
+/// Returns the status of an attempt. The status of an attempt that was sent to another
+/// process is unknown, and no tombstone is recorded for it: the other process may be
+/// running it.
 fn settle(shared: &Shared, request: &settle::Request) -> settle::Answer {
     if request.agent != shared.number {
         return settle::Answer::Unknown;
--- a/verbenaspool_agent/src/crashes.rs
+++ b/verbenaspool_agent/src/crashes.rs
@@ -1,7 +1,8 @@
-//! Crashes of the upstream, and the requests that it had.
+//! Crashes of the upstream and the requests that were in flight at the time.
 //!
-//! The agent outlives its upstream and sees the requests of all entries, so entries learn from
-//! its reports which requests crash upstreams, also those that have just started.
+//! The agent survives crashes of its upstream and sees the requests of all entries. From its
+//! reports, entries learn which requests crash upstreams, including entries that have just
+//! started.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,16 +17,16 @@
 
 use crate::shared::Shared;
 
-/// The most requests that are remembered.
+/// Maximum number of recorded requests.
 const MAX_RECORDS: usize = 256;
 
-/// How long they are reported.
+/// How long a recorded request is reported.
 const REPORT_PERIOD: Duration = Duration::from_mins(10);
 
-/// How long the upstream, on the same instance, has to refuse a connection.
+/// How long to wait for the upstream, on the same instance, to refuse a connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A request that the upstream had as it crashed.
+/// A request that was in flight when the upstream crashed.
 #[derive(Debug)]
 struct Record {
     fingerprint: Fingerprint,
@@ -33,21 +34,21 @@
     ran: Option<Duration>,
 }
 
-/// The requests that the upstream had as it crashed, the oldest first.
+/// The requests that were in flight when the upstream crashed, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
     records: RefCell<VecDeque<Record>>,
-    /// Broken answers whose cause is being looked for.
+    /// Number of interrupted responses whose cause is being determined.
     pending: Cell<u32>,
 }
 
 impl Crashes {
-    /// Whether the cause of a broken answer is being looked for.
+    /// Whether the cause of an interrupted response is being determined.
     pub(crate) fn is_pending(&self) -> bool {
         self.pending.get() > 0
     }
 
-    /// The requests, as reports tell them.
+    /// The recorded requests, in the form used by reports.
     pub(crate) fn reports(&self, now: Duration) -> Vec<report::Crash> {
         let mut records = self.records.borrow_mut();
         records.retain(|record| now.saturating_sub(record.at) < REPORT_PERIOD);
@@ -69,8 +70,8 @@
     }
 }
 
-/// Finds out whether the upstream crashed that broke off its answer to a request, which it had
-/// been giving for so long, and remembers that.
+/// Determines whether the upstream crashed when it interrupted its response to a request, and
+/// records the request in that case. `ran` is the time since the response started.
 pub(crate) async fn detect(shared: Rc<Shared>, fingerprint: Fingerprint, ran: Option<Duration>) {
     let crashes = &shared.crashes;
     crashes.pending.set(crashes.pending.get() + 1);
--- a/verbenaspool_agent/src/envelope.rs
+++ b/verbenaspool_agent/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The headers that an entry puts on a request, read and checked.
+//! Parses and checks the headers that an entry sets on a request.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 };
 use verbenaspool_state::fingerprint::Fingerprint;
 
-/// What an entry says about a request.
+/// The headers that an entry sets on a request.
 #[derive(Debug)]
 pub(crate) struct Envelope {
     pub(crate) attempt: attempt::Id,
-    /// How long the caller still waits, where it said so.
+    /// How long the caller still waits, if given.
     pub(crate) deadline: Option<Duration>,
-    /// What identifies the request, where the entry had its whole body.
+    /// Fingerprint of the request, if the entry had its whole body.
     pub(crate) fingerprint: Option<Fingerprint>,
 }
 
-/// Reads the headers of a request that means to reach this agent process.
+/// Reads the headers of a request and checks that it is addressed to this agent process.
 pub(crate) fn read(headers: &HeaderMap, number: u64, identity: &str) -> Result<Envelope, Problem> {
     let attempt = attempt_id(headers)
         .ok_or_else(|| bad_request("The attempt header is missing or no attempt id."))?;
-    // Instances are replaced all day and their addresses used again, by the
-    // other firm too, while lists are late. An entry that goes by an old list
-    // would hand its firm's work to a stranger, and pass its answer on.
+    // Instances are replaced frequently and their addresses are reused, also by another
+    // firm, before all entries have the new list. An entry with an outdated list would
+    // send its firm's request to another firm and relay that firm's response.
     if header_text(headers, header::INSTANCE) != Some(identity) {
         let message = "The request was meant for another instance.";
         return Err(Problem::not_run(Code::StaleAttempt, message));
     }
-    // A process that took this one's address must not run what was meant for
-    // its predecessor: the entry may have settled the attempt with that one.
-    // An entry that names none has yet to learn the number, from this refusal.
+    // A process that took over an address must not run a request for its predecessor: the
+    // entry may have settled the attempt with that one. An entry that sends no number
+    // learns it from the load header of this rejection.
     let addressed = header_text(headers, header::AGENT).map(str::parse);
     if addressed != Some(Ok(number)) {
         let message = "The request was meant for another agent process.";
@@ -46,7 +46,7 @@
     })
 }
 
-/// The attempt that a request is, whatever else is wrong with it.
+/// The attempt id of a request, also if its other headers are invalid.
 pub(crate) fn attempt_id(headers: &HeaderMap) -> Option<attempt::Id> {
     header_text(headers, header::ATTEMPT)?.parse().ok()
 }
--- a/verbenaspool_agent/src/executor.rs
+++ b/verbenaspool_agent/src/executor.rs
@@ -1,5 +1,5 @@
-//! Takes orders to the engine from whoever controls the fleet, and finds out what
-//! came of them.
+//! Executes orders to the engine on behalf of the fleet's controller, and determines
+//! their outcomes.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -20,24 +20,24 @@
 
 use crate::orders;
 
-/// How long to wait between two readings of an engine that isn't yet what it
-/// is to become: loading a model takes seconds.
+/// Interval at which the engine's state is read until it satisfies an order: loading a
+/// model takes seconds.
 const READ_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a call waits for an order's outcome. An engine that can't be read
-/// for longer leaves it open, and the order has to be said again.
+/// How long a call waits for an order's outcome. If the engine can't be read for longer,
+/// the outcome stays open and the caller has to repeat the order.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long the engine's connection may take to open.
+/// Timeout for connecting to the engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest state that is read, in bytes.
+/// Maximum size of the engine's state in bytes.
 const MAX_STATE_BYTES: usize = 64 * 1024;
 
-/// What an order that is said again while it is under way gets.
+/// Error of a call whose order has no outcome yet.
 const ORDER_PENDING: &str = "the order is under way; say it again";
 
-/// The taker of orders.
+/// Executes orders to one engine.
 #[derive(Debug)]
 pub(crate) struct Executor {
     tracker: RefCell<OrderTracker>,
@@ -49,7 +49,7 @@
 }
 
 impl Executor {
-    /// A executor of an agent that starts now.
+    /// Creates the executor of an agent that starts now.
     pub(crate) fn new(
         engine: SocketAddr,
         sender: Rc<orders::Sender>,
@@ -75,20 +75,20 @@
         });
     }
 
-    /// Takes an order and says what came of it.
+    /// Executes an order and returns its outcome.
     async fn execute(&self, order: Order) -> Result<Outcome, String> {
         let now = self.clock.now();
         let effect = self.tracker.borrow_mut().submit(now, &order);
         let mut effect = match effect {
             Effect::Send { order, until } => self.send(order, until).await,
-            // Said again while it is under way: its outcome may be readable.
+            // The order was repeated while pending: its outcome may be readable.
             Effect::Wait => Effect::Read,
             effect => effect,
         };
         while self.clock.now() < now + OUTCOME_TIMEOUT {
             effect = match effect {
                 Effect::Answer(outcome) => {
-                    info!(self.log, "Orders: Taken."; "order" => order.id, "fence" => order.fence,
+                    info!(self.log, "order completed"; "order" => order.id, "fence" => order.fence,
                         "outcome" => format!("{outcome:?}"));
                     return Ok(outcome);
                 }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Reads the engine and tells the gate. An engine that can't be read tells
-    /// nothing; it is read again until it can.
+    /// Reads the engine's state and passes it to the tracker. If it can't be read, the read
+    /// is repeated.
     async fn read_state(&self) -> Effect {
         let now = self.clock.now();
         let effect = match self.engine_state().await {
@@ -131,7 +131,7 @@
         effect
     }
 
-    /// What the engine is.
+    /// Requests the state of the engine.
     async fn engine_state(&self) -> Result<State, String> {
         let request = Request::get(STATE_PATH)
             .header(http::header::HOST, self.engine.to_string())
--- a/verbenaspool_agent/src/group/driver.rs
+++ b/verbenaspool_agent/src/group/driver.rs
@@ -1,5 +1,5 @@
-//! Carries what the group's machines say to the other agents and the engine,
-//! and what those say back.
+//! Connects the group's state machines with the other agents and the engine: delivers
+//! their messages and orders, and passes on what is received.
 
 use std::{
     cell::{Cell, RefCell},
@@ -38,36 +38,35 @@
 use super::{lease, settings::Settings};
 use crate::orders::Sender;
 
-/// How often the engine is read and the machines are told the time. Each reading
-/// costs the instance processor time, and oftener brings little: half a
-/// window of steps, some seconds, passes between grants.
+/// Interval at which the engine is read and the state machines get a tick. Each read costs
+/// processor time on the instance, and a shorter interval gains little: half a window of
+/// steps, some seconds, passes between grants.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long an order may be on its way to the engine. A new agent waits this
-/// long before its first order to an engine that ignores fences.
+/// How long an order to the engine may be in flight. A new agent waits this long before its
+/// first order to an engine that ignores fences.
 const MAX_ORDER_DELAY: Duration = Duration::from_secs(2);
 
-/// After how long an unanswered message is sent again.
+/// Interval at which an unanswered message is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a message may take to another agent.
+/// Timeout for a message to another agent, and for reading the engine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long all ranks may take to stage a map: the weight store serves all of
-/// them at its own rate.
+/// How long all ranks may take to stage a map. They share the rate of the weight store.
 const STAGING_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// The largest state of an engine that is read, in bytes: maps of 128 ranks,
-/// 256 experts and some 60 layers.
+/// Maximum size of an engine's state in bytes, enough for maps of 128 ranks, 256 experts
+/// and about 60 layers.
 const MAX_STATE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long the engine's connection may take to open.
+/// Timeout for connecting to the engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often the lead thinks about a change of map.
+/// Interval at which the lead considers a map change.
 const DECISION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An agent's part in its group.
+/// Runs an agent's state machines in its group.
 #[derive(Debug)]
 pub(crate) struct Driver {
     firm: Name,
@@ -83,7 +82,7 @@
     counters: Counters,
 }
 
-/// What operators see of the group's changes.
+/// Counters of the group's map changes, shown to operators.
 #[derive(Debug, Default)]
 struct Counters {
     changes: Cell<u64>,
@@ -95,13 +94,13 @@
     slowdown: Cell<f64>,
 }
 
-/// Adds to a count.
+/// Adds to a counter.
 fn add(count: &Cell<u64>, more: u64) {
     count.set(count.get() + more);
 }
 
 impl Driver {
-    /// A driver that has yet to [run](Self::run).
+    /// Creates a driver, which starts with [`run`](Self::run).
     pub(crate) fn new(
         firm: Name,
         settings: Settings,
@@ -161,7 +160,7 @@
         });
     }
 
-    /// Carries on for as long as the loop runs.
+    /// Runs for as long as the event loop runs.
     pub(crate) async fn run(self: Rc<Self>) {
         let driver = self.clone();
         monoio::spawn(lease::run(
@@ -190,7 +189,7 @@
         }
     }
 
-    /// Takes in a message of another agent.
+    /// Handles a message from another agent.
     fn receive(self: &Rc<Self>, envelope: Envelope) -> Result<(), String> {
         let own = &self.settings;
         let addressee = (&envelope.firm, &envelope.group, envelope.to);
@@ -201,14 +200,14 @@
         Ok(())
     }
 
-    /// Tells the machines and carries out what they say.
+    /// Passes an input to the state machines and applies their outputs.
     fn handle_input(self: &Rc<Self>, input: Input) {
         let now = self.clock.now();
         let outputs = self.member.borrow_mut().handle(now, input);
         self.apply_outputs(outputs);
     }
 
-    /// Carries out what the machines say.
+    /// Applies the outputs of the state machines.
     fn apply_outputs(self: &Rc<Self>, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -224,7 +223,7 @@
         }
     }
 
-    /// Sends a message to another agent, once.
+    /// Sends a message to another agent, without retry.
     fn send(self: &Rc<Self>, to: u16, message: Message) {
         let Some(&address) = self.settings.members.get(usize::from(to)) else {
             return;
@@ -238,7 +237,7 @@
         monoio::spawn(deliver(self.clone(), address, envelope));
     }
 
-    /// Sends an order to the engine and takes in what a reading says.
+    /// Sends an order to the engine and handles the answer to a read order.
     async fn order(self: Rc<Self>, fence: u64, action: Action) {
         let is_read = matches!(action, Action::Read { .. });
         let action = serde_json::to_value(&action).expect("an action has only plain keys");
@@ -251,14 +250,14 @@
                 }
             }
             Ok(_) => {}
-            // The machine reads the engine's state and asks again.
+            // The state machine reads the engine's state and repeats the order.
             Err(reason) => {
-                warn!(self.log, "Group: An order failed."; "reason" => reason.to_string());
+                warn!(self.log, "engine order failed"; "reason" => reason.to_string());
             }
         }
     }
 
-    /// Reads where the engine stands and what it has to tell.
+    /// Reads the state and the events of the engine.
     async fn read_state(&self) -> Result<State, String> {
         let request = Request::get(ENGINE_STATE_PATH)
             .header(http::header::HOST, self.settings.engine.to_string())
@@ -278,18 +277,18 @@
         serde_json::from_reader(bytes.reader()).map_err(|error| error.to_string())
     }
 
-    /// Takes in the engine's samples.
+    /// Passes the engine's token samples to the rebalancer.
     fn observe_samples(&self, state: &State) {
         let mut rebalancer = self.rebalancer.borrow_mut();
         for sample in &state.samples {
             if let Err(reason) = rebalancer.observe(sample) {
                 add(&self.counters.samples_ignored, 1);
-                info!(self.log, "Group: A sample was ignored."; "reason" => reason.to_string());
+                info!(self.log, "token sample ignored"; "reason" => reason.to_string());
             }
         }
     }
 
-    /// Has the lead change the map where that pays.
+    /// Proposes a map change to the lead if its benefit exceeds its cost.
     fn propose_change(self: &Rc<Self>, now: Duration) {
         let (layers, rate) = {
             let member = self.member.borrow();
@@ -305,7 +304,7 @@
                     let Some(plan) = self.rebalancer.borrow_mut().decide(now, map) else {
                         return;
                     };
-                    info!(self.log, "Group: A change of map pays.";
+                    info!(self.log, "map change planned";
                         "moves" => plan.moves, "bytes" => plan.bytes,
                         "skew_before" => plan.skew_before, "skew_after" => plan.skew_after);
                     add(&self.counters.moves, u64::from(plan.moves));
@@ -320,36 +319,36 @@
         match proposed {
             Ok((_, outputs)) => self.apply_outputs(outputs),
             Err(reason) => {
-                info!(self.log, "Group: The change is refused."; "reason" => reason.to_string());
+                info!(self.log, "map change rejected"; "reason" => reason.to_string());
             }
         }
     }
 
-    /// Counts and logs what operators want to know.
+    /// Counts and logs an event for operators.
     fn record_notice(&self, notice: &lead::Output) {
         match notice {
             lead::Output::Switched { epoch, step } => {
                 add(&self.counters.changes, 1);
-                info!(self.log, "Group: The map changes."; "epoch" => epoch, "step" => step);
+                info!(self.log, "map change scheduled"; "epoch" => epoch, "step" => step);
             }
             lead::Output::Aborted { epoch, reason } => {
                 add(&self.counters.aborts, 1);
-                warn!(self.log, "Group: The change is given up.";
+                warn!(self.log, "map change abandoned";
                     "epoch" => epoch, "reason" => reason.to_string());
             }
             lead::Output::Diverged { seat, step, ran } => {
                 add(&self.counters.diverged, 1);
-                warn!(self.log, "Group: A rank had a step from someone else.";
+                warn!(self.log, "rank has a step on a map that was not granted";
                     "seat" => seat, "step" => step, "ran" => ran);
             }
             lead::Output::Deposed { fence } => {
-                info!(self.log, "Group: Another agent leads."; "fence" => fence);
+                info!(self.log, "another agent became the lead"; "fence" => fence);
             }
             lead::Output::Send { .. } => {}
         }
     }
 
-    /// What the agent knows of the group.
+    /// The status of the group, as far as the agent knows it.
     pub(crate) fn status(&self) -> Status {
         let member = self.member.borrow();
         let rank = member.rank();
@@ -375,7 +374,7 @@
     }
 }
 
-/// Delivers a message, or drops it: its sender says it again.
+/// Delivers a message, or drops it if the call fails: its sender sends it again.
 async fn deliver(driver: Rc<Driver>, address: SocketAddr, envelope: Envelope) {
     let called = driver
         .peers
@@ -383,10 +382,10 @@
     let _ = called.await;
 }
 
-/// A number that is higher for each start of this agent: the wall clock's
-/// milliseconds. Were the clock set back between two starts, the lead would
-/// take the new start for an old one and the group would wait until the clock
-/// has caught up; no step could be mixed.
+/// A number that increases with each start of this agent: the wall clock's time in
+/// milliseconds. If the clock is set back between two starts, the lead takes the new start
+/// for an old one and the group waits until the clock has caught up. Ranks still never run
+/// a step on different maps.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.map_or(1, |since| since.as_millis());
--- a/verbenaspool_agent/src/group/gauge.rs
+++ b/verbenaspool_agent/src/group/gauge.rs
@@ -3,11 +3,11 @@
 use verbenaspool_protocol::group::Status;
 use verbenaspool_transport::metrics::Registry;
 
-/// Sets the gauges to what the agent knows of its group.
+/// Sets the gauges to the status of the group.
 pub(crate) fn set(status: &Status, registry: &Registry) {
     let labels = [("group", status.group.as_str())];
     let gauge = |name, help, value| registry.gauge(name, help, &labels).set(value);
-    #[allow(clippy::cast_precision_loss)] // A gauge shows magnitudes.
+    #[allow(clippy::cast_precision_loss)] // Gauges need no exact values.
     let count = |name, help, value: u64| gauge(name, help, value as f64);
     let help = "Whether this agent leads its group.";
     count("verbenaspool_group_leads", help, status.leads.into());
--- a/verbenaspool_agent/src/group/lease.rs
+++ b/verbenaspool_agent/src/group/lease.rs
@@ -1,7 +1,7 @@
-//! Wants the lead's lease, and says with which fence it was given.
+//! Acquires and renews the lead's lease, and reports the fence of each acquired lease.
 //!
-//! A lapse is logged and told to nobody: while the platform is down nobody else can take
-//! the lease, and once somebody has, the ranks refuse the lower fence.
+//! The loss of the lease is only logged. While the platform is down, no other agent can
+//! acquire it, and once another agent has, the ranks reject the lower fence.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,21 +22,22 @@
 
 use super::settings::Settings;
 
-/// How often the lease is looked after.
+/// Interval at which the lease is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The part of the lease's time that a rival waits beyond it, for clocks that
-/// tick differently: a fiftieth is far more than quartz clocks drift.
+/// Divisor of the lease's duration that yields the drift margin, for which another agent
+/// waits beyond the end of the lease: a fiftieth is far more than quartz clocks drift.
 const DRIFT_MARGIN_PART: u32 = 50;
 
-/// How long a call to the platform may take at most.
+/// Upper limit of the timeout for calls to the platform.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of the lease's time that a call may take: a renewal without an answer must leave
-/// time for others before the lease lapses.
+/// Divisor of the lease's duration that yields the timeout for calls: after a renewal without
+/// an answer there must be time for more attempts before the lease expires.
 const CALL_TIMEOUT_PART: u32 = 4;
 
-/// Looks after the lease for as long as the loop runs.
+/// Maintains the lease for as long as the event loop runs. Calls `on_acquired` with the fence
+/// of each acquired lease.
 pub(super) async fn run(
     firm: Name,
     settings: Settings,
--- a/verbenaspool_agent/src/group/mod.rs
+++ b/verbenaspool_agent/src/group/mod.rs
@@ -1,8 +1,8 @@
-//! An agent's part in its group of ranks: it carries the messages and orders of
-//! the state machines in [`verbenaspool_coordination::group`].
+//! The I/O of an agent in its group of ranks: it delivers the messages and orders of the
+//! state machines in [`verbenaspool_coordination::group`], which make all decisions.
 //!
-//! Nothing is decided here. A message that can't be delivered is dropped; the
-//! machine that sent it says it again until it sees the effect.
+//! A message that can't be delivered is dropped; the state machine that sent it sends it
+//! again until it sees the effect.
 
 pub(crate) mod gauge;
 
--- a/verbenaspool_agent/src/group/settings.rs
+++ b/verbenaspool_agent/src/group/settings.rs
@@ -10,7 +10,7 @@
     service::{Experts, Fences},
 };
 
-/// The group, and this agent's seat in it.
+/// The group and this agent's seat in it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -18,51 +18,51 @@
     pub name: Name,
     /// This agent's seat, from 0.
     pub seat: u16,
-    /// Where the agents of the group take control calls, by seat.
+    /// The control addresses of the agents of the group, by seat.
     pub members: Vec<SocketAddr>,
-    /// Where the engine takes a rank's orders.
+    /// The address at which the engine accepts the orders of a rank.
     pub engine: SocketAddr,
-    /// Whether the engine refuses orders with an old fence.
+    /// Whether the engine rejects orders with an old fence.
     pub fences: Fences,
-    /// The group's layout, and when its experts move.
+    /// The layout of the group's experts and its rebalancing.
     pub experts: Experts,
-    /// How many steps are granted ahead.
+    /// Number of steps granted in advance.
     #[serde(default = "Settings::window")]
     pub window: u64,
-    /// The platform, which says which agent leads.
+    /// The platform, which stores the lease of the lead.
     pub platform: Platform,
 }
 
-/// Where the lead's lease is kept.
+/// The platform, which stores the lead's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
     /// The platform's address.
     pub address: SocketAddr,
-    /// The token that names the firm.
+    /// The token that authenticates the firm.
     pub token: Token,
-    /// How long a lead that is gone is waited for, in seconds. A shorter time
-    /// than the window of granted steps hides its loss; each agent of the group
-    /// reads or renews the lease a few times within it.
+    /// Duration of the lease, after which a lost lead is replaced, in seconds. If it is
+    /// shorter than the time covered by the granted steps, the group doesn't have to wait.
+    /// Each agent of the group reads or renews the lease a few times within it.
     #[serde(default = "Platform::lease_seconds")]
     pub lease_seconds: u64,
 }
 
 impl Platform {
-    /// Short pauses of a lead cost nothing, and its loss a few seconds.
+    /// Short pauses of the lead don't replace it, and its loss costs a few seconds.
     fn lease_seconds() -> u64 {
         10
     }
 }
 
 impl Settings {
-    /// At 25 ms a step, six seconds: a restart of the lead's agent or of a
-    /// rank's passes unnoticed, and a map takes effect within that time.
+    /// Six seconds at 25 ms per step. A restart of the lead's or a rank's agent within that
+    /// time doesn't delay steps, and a new map takes effect within it.
     fn window() -> u64 {
         256
     }
 
-    /// Everything that is wrong.
+    /// All problems of the settings.
     pub(crate) fn problems(&self) -> Vec<&'static str> {
         let ranks = usize::from(self.experts.ranks);
         let slots = u32::from(self.experts.ranks) * u32::from(self.experts.slots);
@@ -70,15 +70,15 @@
             (ranks == 0, "group.experts.ranks: must be at least 1"),
             (
                 self.members.len() != ranks,
-                "group.members: names another number of agents than group.experts.ranks",
+                "group.members: must have as many addresses as group.experts.ranks",
             ),
             (
                 usize::from(self.seat) >= ranks,
-                "group.seat: is beyond group.experts.ranks",
+                "group.seat: must be less than group.experts.ranks",
             ),
             (
                 slots < u32::from(self.experts.experts),
-                "group.experts.slots: leaves no place for some experts",
+                "group.experts.slots: leaves no slot for some experts",
             ),
             (
                 self.platform.lease_seconds == 0,
@@ -87,7 +87,7 @@
             (self.window < 2, "group.window: must be at least 2"),
             (
                 !self.experts.rebalancing.check().is_empty(),
-                "group.experts.rebalancing: holds a value that can't be put in force",
+                "group.experts.rebalancing: has an invalid value",
             ),
         ];
         let failed = checks.into_iter().filter(|(fails, _)| *fails);
--- a/verbenaspool_agent/src/guard.rs
+++ b/verbenaspool_agent/src/guard.rs
@@ -1,4 +1,4 @@
-//! An admitted attempt, closed in the ledger however its request ends.
+//! Closes an admitted attempt in the ledger however its request ends.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,20 +8,20 @@
 
 use crate::{crashes, shared::Shared};
 
-/// An admitted attempt. Dropped without a word it is closed as broken off, so
-/// that no path through the code can leave an attempt running for ever.
+/// An admitted attempt. If it is dropped without [`close`](Self::close), the ledger
+/// records it as interrupted, so that no code path leaves an attempt running forever.
 #[derive(Debug)]
 pub(crate) struct AttemptGuard {
     shared: Rc<Shared>,
     key: Key,
     ending: Ending,
-    /// What identifies the request, where its entry says so.
+    /// Fingerprint of the request, if its entry sent one.
     fingerprint: Option<Fingerprint>,
-    /// When the upstream began to answer.
+    /// When the upstream started its response.
     response_started: Option<Duration>,
-    /// The hop to the upstream, which ends with the answer's last byte.
+    /// The span of the request to the upstream; it ends with the last byte of the response.
     upstream_span: Span,
-    /// The agent's part of the trace; it ends after the hop.
+    /// The agent's own span; it ends after the upstream's.
     _agent_span: Span,
 }
 
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The upstream has begun to answer.
+    /// Records that the upstream started its response.
     pub(crate) fn start_response(&mut self) {
         self.response_started = Some(self.shared.clock.now());
     }
 
-    /// Closes the attempt.
+    /// Closes the attempt with the given ending.
     pub(crate) fn close(mut self, ending: Ending) {
         self.ending = ending;
         if let Some(fingerprint) = self.fingerprint.filter(|_| ending == Ending::Broken) {
@@ -64,7 +64,7 @@
         &self.shared
     }
 
-    /// The trace context that the upstream gets.
+    /// The trace context to send to the upstream.
     pub(crate) fn trace_context(&self) -> String {
         self.upstream_span.context().to_string()
     }
--- a/verbenaspool_agent/src/lib.rs
+++ b/verbenaspool_agent/src/lib.rs
@@ -1,9 +1,10 @@
 //! The agent process beside each upstream instance.
 //!
-//! It is the last hop of every request and the only sender of orders to its
-//! engine. It stands beside the upstream because only there can "this did not
-//! run" be known, work be refused while every list is out of date, and a late
-//! order be stopped.
+//! Requests reach the upstream only through the agent, and it is the only sender of
+//! orders to its engine. It runs on the upstream's instance because only there can it
+//! know for certain that an attempt did not run, reject work when the entries' lists of
+//! upstreams are outdated, and prevent a delayed order from reaching the engine. On the
+//! [direct path](direct) requests don't pass through it.
 
 pub mod agent;
 pub mod command;
--- a/verbenaspool_agent/src/main.rs
+++ b/verbenaspool_agent/src/main.rs
@@ -14,11 +14,11 @@
 };
 use verbenaspool_transport::{clock::Monotonic, log, runtime, shutdown};
 
-/// The process could not start.
+/// Exit code: the process failed to start.
 const EXIT_FAILED: u8 = 1;
-/// The settings are wrong; clap uses the same code for the command line.
+/// Exit code: the settings are invalid; clap uses the same code for the command line.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// The drain's deadline cut requests off.
+/// Exit code: the drain deadline passed and requests were cut off.
 const EXIT_REQUESTS_CUT: u8 = 3;
 
 fn main() -> ExitCode {
@@ -33,7 +33,7 @@
     };
     match command.action {
         Action::Check(_) => {
-            println!("{}: sound", source.settings.display());
+            println!("{}: valid", source.settings.display());
             ExitCode::SUCCESS
         }
         Action::Run(_) => match settings {
@@ -43,22 +43,22 @@
     }
 }
 
-/// The settings of either path.
+/// The settings of the path that requests take.
 enum ModeSettings {
     /// Requests pass through the agent.
     Proxy(Box<Settings>),
-    /// Requests go straight to the upstream.
+    /// Requests go directly to the upstream.
     Direct(direct::settings::Settings),
 }
 
-/// The part of the settings that tells which path requests take.
+/// The part of the settings that selects the path of requests.
 #[derive(Debug, Deserialize)]
 struct PathProbe {
     #[serde(default)]
     path: Option<direct::settings::Path>,
 }
 
-/// Reads the settings of either path.
+/// Reads the settings for the path that they select.
 fn load(path: &Path) -> Result<ModeSettings, settings::Error> {
     let probe: PathProbe = verbenaspool_transport::settings::load(path)?;
     if probe.path.is_some() {
@@ -83,14 +83,14 @@
         let (trigger, signal) = shutdown::channel();
         shutdown::on_signal(trigger).map_err(|error| error.to_string())?;
         let agent = Agent::bind(settings, log.clone(), Monotonic::start())
-            .map_err(|error| format!("an address can't be listened on: {error}"))?;
+            .map_err(|error| format!("can't listen on an address: {error}"))?;
         Ok::<Drained, String>(agent.run(signal).await)
     });
     match served.map_err(|error| error.to_string()).flatten() {
         Ok(Drained { cut: 0 }) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::from(EXIT_REQUESTS_CUT),
         Err(reason) => {
-            crit!(log, "Agent: Can't start."; "reason" => reason);
+            crit!(log, "agent failed to start"; "reason" => reason);
             ExitCode::from(EXIT_FAILED)
         }
     }
--- a/verbenaspool_agent/src/meter.rs
+++ b/verbenaspool_agent/src/meter.rs
@@ -1,4 +1,4 @@
-//! What the agent counts and times.
+//! The agent's metrics.
 
 use verbenaspool_coordination::attempt::{Ending, Status};
 use verbenaspool_protocol::problem::Code;
@@ -6,14 +6,14 @@
 
 use crate::shared::Shared;
 
-/// The agent's counters. Those of the data path are looked up once.
+/// The agent's metrics. The counters of the data path are registered once, up front.
 #[derive(Debug)]
 pub(crate) struct Meter {
     registry: Registry,
     ran: Counter,
     not_sent: Counter,
     broken: Counter,
-    /// From sending a request to the head of its answer.
+    /// Time from sending a request to receiving the head of its response.
     pub(crate) response_head_time: Histogram,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl Meter {
-    /// Where all metrics are kept.
+    /// The registry of all metrics.
     pub(crate) fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Counts the end of an admitted attempt.
+    /// Counts an admitted attempt by how it ended.
     pub(crate) fn count_ending(&self, ending: Ending) {
         match ending {
             Ending::Ran => self.ran.increment(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Counts a request that got no answer of the upstream.
+    /// Counts a request that was answered with a problem instead of a response of the upstream.
     pub(crate) fn count_problem(&self, code: Code) {
         let code = serde_json::to_value(code).unwrap_or_default();
         let help = "Requests that got a problem for an answer, by its code.";
@@ -67,7 +67,7 @@
             .increment();
     }
 
-    /// Counts a question about an attempt.
+    /// Counts a status request for an attempt, by the status returned.
     pub(crate) fn count_settlement(&self, status: Status) {
         let label = match status {
             Status::Rejected => "refused",
--- a/verbenaspool_agent/src/orders.rs
+++ b/verbenaspool_agent/src/orders.rs
@@ -1,15 +1,14 @@
-//! The only way to the engine's orders.
+//! Sends orders to the engine, one at a time and in the order of their fences.
 //!
-//! Steps of a group and all other orders have a gate each. Their fences count
-//! different things, and compared with each other the one that counts faster
-//! would shut the other out; and a slow order must not hold steps up.
+//! The steps of a group and all other orders have separate senders. Their fences are
+//! unrelated numbers: if they were compared, the faster growing one would block the other.
+//! Separate senders also keep a slow order from delaying steps.
 //!
-//! One order of a kind is on its way at a time, and none is sent after its
-//! deadline, so that a successor of this process that waits as long knows that no order of
-//! its predecessor is still to come. What remains possible: this process may be
-//! paused between its last look at the clock and the write. Engines that check
-//! fences refuse such an order; with others it has to be found by reading the
-//! engine's state.
+//! A sender has at most one order in flight and sends none after its deadline. A successor
+//! of this process that waits for as long therefore knows that no order of its predecessor
+//! is still to come. One gap remains: this process may be paused between its last check of
+//! the clock and the write. Engines that check fences reject such an order; with others it
+//! is detected by reading the engine's state.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,44 +27,44 @@
     },
 };
 
-/// The largest answer to an order that is read, in bytes.
+/// Maximum size of the engine's answer to an order in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// How long the engine's connection may take to open.
+/// Timeout for connecting to the engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The sender of orders to one engine.
+/// Sends orders to one engine.
 #[derive(Debug)]
 pub struct Sender {
     engine: SocketAddr,
     client: Client,
     clock: Rc<dyn Clock>,
-    /// The highest fence that was sent; held while an order is on its way.
+    /// The highest fence sent so far; locked while an order is in flight.
     fence: Mutex<u64>,
 }
 
-/// Why an order was not carried out, as far as can be told.
+/// Why an order was not, or may not have been, carried out.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// An order with a higher fence was sent before; nothing was sent.
-    #[error("an order with the fence {0} went before")]
+    /// An order with a higher fence was sent earlier; this one was not sent.
+    #[error("an order with the higher fence {0} was sent earlier")]
     Fenced(u64),
-    /// The deadline was over before the order could be sent; nothing was sent.
-    #[error("the deadline was over before the order was sent")]
+    /// The deadline passed before the order could be sent; it was not sent.
+    #[error("the deadline passed before the order was sent")]
     Expired,
-    /// Nothing was sent.
+    /// The engine could not be reached; the order was not sent.
     #[error("the engine can't be reached: {0}")]
     NotSent(String),
-    /// The engine refused it.
-    #[error("the engine refused the order: {0}")]
+    /// The engine rejected the order.
+    #[error("the engine rejected the order: {0}")]
     Rejected(String),
-    /// It may have been carried out.
-    #[error("the order's answer was lost: {0}")]
+    /// The answer was lost; the order may have been carried out.
+    #[error("the answer to the order was lost: {0}")]
     Lost(String),
 }
 
 impl Sender {
-    /// A gate before an engine.
+    /// Creates the sender for an engine.
     ///
     /// ```
     /// use verbenaspool_agent::orders::Sender;
@@ -84,11 +83,11 @@
         }
     }
 
-    /// Sends an order and waits for the engine's answer, until the deadline at
-    /// the latest.
+    /// Sends an order and waits for the engine's answer until the deadline.
     ///
     /// # Errors
-    /// Only [`Error::Lost`] leaves open whether the order was carried out.
+    /// After [`Error::Lost`] the order may have been carried out; after any other error it
+    /// was not.
     pub async fn send(&self, order: &Order, deadline: Duration) -> Result<Bytes, Error> {
         let mut fence = self.fence.lock().await;
         if order.fence < *fence {
@@ -102,8 +101,8 @@
         let exchange = Box::pin(self.exchange(order));
         match select(exchange, self.clock.sleep(left)).await {
             Either::Left((answer, _)) => answer,
-            // The exchange is dropped here, and its connection with it.
-            Either::Right(_) => Err(Error::Lost("the deadline is over".to_owned())),
+            // Dropping the exchange closes its connection.
+            Either::Right(_) => Err(Error::Lost("the deadline passed".to_owned())),
         }
     }
 
--- a/verbenaspool_agent/src/poll.rs
+++ b/verbenaspool_agent/src/poll.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of its upstream, asked for at intervals.
+//! The upstream's state, polled at intervals.
 
 use std::{collections::VecDeque, rc::Rc};
 
@@ -16,27 +16,27 @@
 
 use crate::shared::Shared;
 
-/// How many cache events are kept for entries that ask slowly. A seat in this
-/// list is 24 bytes, and an entry that missed more starts afresh.
+/// Number of cache events kept for entries that request reports at long intervals. An
+/// event takes 24 bytes. An entry that missed more than these is told to reset.
 const MAX_EVENTS: usize = 4_096;
 
-/// The most events in one report, some 4 KB. An entry asks an agent about once
-/// a second; a new one that must catch up takes several reports for it.
+/// Maximum number of events in one report, about 4 KB. An entry requests a report about
+/// once a second; a new entry needs several reports to catch up.
 const MAX_EVENTS_PER_REPORT: usize = 64;
 
-/// The largest state that is read, in bytes.
+/// Maximum size of the engine's state in bytes.
 const MAX_STATE_BYTES: usize = 1024 * 1024;
 
-/// What the agent knows of its engine.
+/// The last known state of the engine.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     running: u32,
     queued: u32,
     tokens: u64,
     events: VecDeque<Event>,
-    /// The number of the last event heard.
+    /// Number of the last event received.
     last_event: u64,
-    /// Up to here events are no longer kept.
+    /// Events up to this number are no longer kept.
     dropped_through: u64,
 }
 
@@ -49,12 +49,12 @@
         self.tokens
     }
 
-    /// Takes the engine's word in.
+    /// Updates the view with the engine's state.
     pub(crate) fn update(&mut self, state: State) {
         self.running = state.running;
         self.queued = state.queued;
         self.tokens = state.tokens;
-        // An engine that starts again counts from 1: what was held is gone.
+        // A restarted engine counts from 1 again, and its cache is empty.
         if state.last < self.last_event {
             self.events.clear();
             self.last_event = 0;
@@ -79,13 +79,13 @@
         }
     }
 
-    /// The events behind a number, as many as one report carries.
+    /// The events after a number, up to the maximum of one report.
     ///
-    /// An event that the engine lost makes no fresh start: a prefix whose
-    /// coming was lost is missed, and one whose going was lost draws a request
-    /// that brings it back. Forgetting all the others would cost far more.
+    /// An event that the engine lost causes no reset. If the addition of a prefix was lost,
+    /// entries don't know that it is cached; if the removal was lost, they send one request
+    /// that brings the prefix back. A reset would cost far more.
     pub(crate) fn events_since(&self, number: u64) -> Cache {
-        // A number from before the engine's restart is above all that is known.
+        // A number from before the engine's restart is above the last event.
         let reset = number < self.dropped_through || number > self.last_event;
         let from = if reset { self.dropped_through } else { number };
         let start = self.events.partition_point(|event| event.number <= from);
@@ -103,7 +103,7 @@
     }
 }
 
-/// Asks the engine for its state at intervals, for as long as the loop runs.
+/// Polls the state of the engine for as long as the event loop runs.
 pub(crate) async fn run(shared: Rc<Shared>, path: String) {
     let interval = std::time::Duration::from_millis(shared.settings.upstream.poll_ms);
     let mut reachable = true;
@@ -111,7 +111,9 @@
         let fetch = Box::pin(fetch_state(&shared, &path));
         let state = match select(fetch, shared.clock.sleep(interval)).await {
             Either::Left((state, _)) => state,
-            Either::Right(_) => Err("the engine took too long".to_owned()),
+            Either::Right(_) => {
+                Err("the engine did not answer within the poll interval".to_owned())
+            }
         };
         match state {
             Ok(state) => {
@@ -119,7 +121,7 @@
                 reachable = true;
             }
             Err(reason) if reachable => {
-                warn!(shared.log, "Poll: The engine's state can't be read."; "reason" => reason);
+                warn!(shared.log, "can't read the engine's state"; "reason" => reason);
                 reachable = false;
             }
             Err(_) => {}
--- a/verbenaspool_agent/src/proxy.rs
+++ b/verbenaspool_agent/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The data path: admits an attempt, sends it to the upstream beside the agent,
-//! and streams the answer back.
+//! The data path: admits an attempt, sends it to the agent's upstream and streams the
+//! response back.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -41,13 +41,13 @@
     shared::Shared,
 };
 
-/// When a repeat makes sense after a refusal for want of room.
+/// Delay after which to retry a request that was rejected because the instance is full.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(250);
 
-/// When a repeat makes sense while the upstream can't be reached.
+/// Delay after which to retry while the upstream can't be reached.
 const RETRY_AFTER_UNREACHABLE: Duration = Duration::from_secs(1);
 
-/// Answers the requests of entries.
+/// Handles the requests of entries.
 #[derive(Debug)]
 pub(crate) struct Proxy(pub(crate) Rc<Shared>);
 
@@ -60,8 +60,8 @@
         Box::pin(async move {
             let shared = self.0.clone();
             let envelope = envelope::read(request.headers(), shared.number, &shared.identity);
-            // A refused attempt is echoed too: to the entry, an answer without
-            // the attempt's id is a crossed one and says nothing about it.
+            // The id of a rejected attempt is returned too: an entry takes a response
+            // without it for the response to another request.
             let attempt = envelope::attempt_id(request.headers());
             let answer = match envelope {
                 Ok(envelope) => forward(&shared, envelope, request).await,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Admits an attempt and has the upstream answer it.
+/// Admits an attempt and forwards it to the upstream.
 async fn forward(
     shared: &Rc<Shared>,
     envelope: Envelope,
@@ -110,7 +110,7 @@
     }
 }
 
-/// The agent's span below the entry's.
+/// Starts the agent's span as a child of the entry's.
 fn start_span(shared: &Shared, headers: &HeaderMap) -> Span {
     let remote = headers
         .get(header::TRACEPARENT)
@@ -119,8 +119,8 @@
     shared.tracer.root(remote, "agent", span::Kind::Server)
 }
 
-/// Sends a request to a plain service in a task of its own: should the entry go
-/// while it runs, the request still ends, and the ledger can say how.
+/// Sends a request to a plain service in a separate task. If the entry disconnects in the
+/// meantime, the request still runs to its end and the ledger records how it ended.
 async fn send_detached(
     guard: AttemptGuard,
     request: Request<Body>,
@@ -135,7 +135,7 @@
         .unwrap_or_else(|_| Err(Problem::unknown(Code::Upstream, "The answer was lost.")))
 }
 
-/// Sends a request to the upstream and waits for the head of its answer.
+/// Sends a request to the upstream and waits for the head of its response.
 async fn send(
     guard: AttemptGuard,
     request: Request<Body>,
@@ -153,14 +153,14 @@
             Ok(entry_response(response, guard))
         }
         Either::Left((Err(client::Error::NotSent(reason)), _)) => {
-            warn!(shared.log, "Proxy: The upstream can't be reached."; "reason" => reason);
+            warn!(shared.log, "can't reach the upstream"; "reason" => reason);
             guard.close(Ending::NotRun);
             let message = "The upstream can't be reached.";
             Err(Problem::not_run(Code::NoUpstream, message)
                 .with_retry_after(RETRY_AFTER_UNREACHABLE))
         }
         Either::Left((Err(client::Error::Broken(reason)), _)) => {
-            warn!(shared.log, "Proxy: The upstream broke off before its answer."; "reason" => reason);
+            warn!(shared.log, "upstream closed the connection before its response"; "reason" => reason);
             guard.close(Ending::Broken);
             let message = "The upstream broke off before its answer.";
             Err(Problem::unknown(Code::Upstream, message))
@@ -173,14 +173,14 @@
     }
 }
 
-/// The request as the upstream gets it.
+/// Builds the request that is sent to the upstream.
 fn upstream_request(
     request: Request<Incoming>,
     upstream: SocketAddr,
     max_body_bytes: usize,
 ) -> Request<Body> {
     let (mut parts, body) = request.into_parts();
-    // The path was checked; a target with a host of its own would name another.
+    // Only the path was checked: an absolute-form target would name another host.
     if let Some(target) = parts.uri.path_and_query() {
         parts.uri = Uri::from(target.clone());
     }
@@ -193,7 +193,7 @@
     Request::from_parts(parts, Body::wrap(Limited::new(body, max_body_bytes)))
 }
 
-/// The upstream's answer as the entry gets it.
+/// Builds the response that is sent to the entry.
 fn entry_response(response: Response<Body>, mut guard: AttemptGuard) -> Response<Body> {
     guard.start_response();
     let (mut parts, body) = response.into_parts();
@@ -211,8 +211,8 @@
     Response::from_parts(parts, Body::wrap(Answer::new(body, guard, framing)))
 }
 
-/// The problem that goes with a refusal. A repeated attempt may have run, so
-/// only for that one the word is not "not run".
+/// The problem that reports a rejection. Its outcome is "not run", except for a repeated
+/// attempt, which may have run.
 fn rejection_problem(rejection: Rejection) -> Problem {
     match rejection {
         Rejection::Leaving => Problem::not_run(Code::Leaving, "The instance is leaving."),
@@ -229,10 +229,10 @@
     }
 }
 
-/// A problem as an answer.
+/// Builds the response that reports a problem.
 fn problem_response(shared: &Shared, problem: &Problem) -> Response<Body> {
     shared.meter.count_problem(problem.code);
-    debug!(shared.log, "Proxy: Refused a request."; "reason" => &problem.message);
+    debug!(shared.log, "request rejected"; "reason" => &problem.message);
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(Body::full(body));
     *response.status_mut() = problem.code.status();
@@ -243,7 +243,8 @@
     response
 }
 
-/// Echoes the attempt, so that a crossed answer shows, and tells the load.
+/// Sets the attempt id, by which the entry detects the response to another request, and
+/// the load.
 fn set_agent_headers(shared: &Shared, attempt: Option<attempt::Id>, headers: &mut HeaderMap) {
     headers.remove(header::ATTEMPT);
     if let Some(attempt) = attempt
--- a/verbenaspool_agent/src/route.rs
+++ b/verbenaspool_agent/src/route.rs
@@ -1,17 +1,17 @@
-//! Which of the upstream's paths entries may reach.
+//! Restricts which paths of the upstream entries can reach.
 //!
-//! An engine takes its orders on the same port as its requests. A caller who
-//! asked for the path of the orders would get past the order gate, so that only
-//! the paths of requests are passed on.
+//! An engine accepts orders and requests on the same port. A caller that requested the
+//! path of orders would bypass the [order sender](crate::orders), so only the paths of
+//! requests are forwarded.
 
 use verbenaspool_protocol::problem::{Code, Problem};
 
 use crate::settings::Upstream;
 
-/// Lets a path through or names the problem.
+/// Checks that a path may be forwarded.
 ///
-/// Engines read `/v1/../order` or `/v1/%2e%2e/order` in different ways, so a
-/// path that could mean another one is refused whole.
+/// Engines interpret `/v1/../order` or `/v1/%2e%2e/order` differently, so a path that could
+/// resolve to another one is rejected.
 pub(crate) fn check_path(upstream: &Upstream, path: &str) -> Result<(), Problem> {
     if !path.starts_with('/') {
         return Err(Problem::not_run(Code::BadRequest, "The path is no path."));
@@ -30,7 +30,7 @@
     Ok(())
 }
 
-/// Whether every reader takes the path for the same.
+/// Whether every server resolves the path the same way.
 fn is_unambiguous(path: &str) -> bool {
     let segments = path.strip_prefix('/').unwrap_or(path).split('/');
     let last = segments.clone().count().saturating_sub(1);
--- a/verbenaspool_agent/src/settings.rs
+++ b/verbenaspool_agent/src/settings.rs
@@ -18,36 +18,36 @@
 pub struct Settings {
     /// The firm that the instance belongs to.
     pub firm: Name,
-    /// The name of the instance that the agent stands beside.
+    /// The name of the instance on which the agent runs.
     pub instance: Name,
-    /// Where entries send requests.
+    /// The address at which the agent accepts requests of entries.
     pub listen: SocketAddr,
-    /// Where entries and operators send control calls.
+    /// The address at which the agent accepts control calls of entries and operators.
     pub control: SocketAddr,
-    /// Where health, readiness and metrics are told; nowhere if not given.
+    /// The address at which health, readiness and metrics are served; not served if absent.
     #[serde(default)]
     pub admin: Option<SocketAddr>,
-    /// The upstream beside the agent.
+    /// The upstream on the same instance.
     pub upstream: Upstream,
-    /// The group of ranks that the engine belongs to, where it does.
+    /// The group of ranks that the engine belongs to, if any.
     #[serde(default)]
     pub group: Option<group::Settings>,
-    /// Bounds on what entries may make the agent hold.
+    /// Limits on the resources that entries can make the agent use.
     #[serde(default)]
     pub limits: Limits,
-    /// How the agent stops.
+    /// How the agent shuts down.
     #[serde(default)]
     pub drain: Drain,
-    /// What is logged, and how.
+    /// Level and form of the log.
     #[serde(default)]
     pub log: log::Settings,
-    /// Where spans go; nowhere if not given.
+    /// Where spans are exported; not exported if absent.
     #[serde(default)]
     pub traces: Option<trace::Settings>,
 }
 
 impl Settings {
-    /// The instance among those of all firms.
+    /// Identifies the instance among those of all firms.
     #[must_use]
     pub fn identity(&self) -> Identity {
         Identity {
@@ -57,46 +57,46 @@
     }
 }
 
-/// The upstream beside the agent.
+/// The upstream on the same instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Where the upstream takes requests.
+    /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// What the upstream is.
+    /// The kind of the upstream.
     pub kind: Kind,
-    /// The path where the upstream tells its state; none to ask for nothing.
-    /// An engine tells it at [`STATE_PATH`] if not told otherwise.
+    /// The path at which the upstream reports its state. If absent, it is
+    /// [`STATE_PATH`] for an engine, and a plain service is not polled.
     #[serde(default)]
     pub state: Option<String>,
-    /// How often the state is asked for, in milliseconds.
+    /// The interval at which the state is polled, in milliseconds.
     #[serde(default = "Upstream::poll_ms")]
     pub poll_ms: u64,
-    /// How long a connection to the upstream is kept idle, in milliseconds. It
-    /// must be less than the upstream's own bound, or a request could be on its
-    /// way into a connection that the upstream closes, and end unknown.
+    /// How long an idle connection to the upstream is kept, in milliseconds. It must be
+    /// less than the upstream's own idle timeout. Otherwise the upstream may close a
+    /// connection while a request is sent on it, whose outcome is then unknown.
     #[serde(default = "Upstream::idle_ms")]
     pub idle_ms: u64,
-    /// What the paths of requests start with; empty for any. An engine takes
-    /// requests below `/v1/` if not told otherwise, and orders nowhere there.
+    /// Prefixes of the paths that are forwarded; empty for all. For an engine the default
+    /// is `/v1/`, which includes no path of orders.
     #[serde(default)]
     pub paths: Vec<String>,
 }
 
 impl Upstream {
-    /// Engines' own figures lag by more than this, so that asking more often
-    /// brings nothing newer.
+    /// Engines update their figures less often than this, so polling more often gains
+    /// nothing.
     fn poll_ms() -> u64 {
         250
     }
 
-    /// Widespread servers close idle connections after 2 seconds or more, and a
-    /// new one on the same instance costs some 50 microseconds.
+    /// Common servers close idle connections after 2 seconds or more, and a new connection
+    /// on the same instance takes about 50 microseconds.
     fn idle_ms() -> u64 {
         1_000
     }
 
-    /// Fills in what depends on the kind.
+    /// Sets the defaults that depend on the kind.
     fn apply_kind_defaults(&mut self) {
         if self.kind == Kind::Plain {
             return;
@@ -108,30 +108,30 @@
     }
 }
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A model engine: a request whose caller has gone is cancelled.
+    /// A model engine: a request whose caller disconnected is cancelled.
     Engine,
-    /// A plain service: a request that began runs on to its end, whoever
-    /// still waits for it, so that its outcome can be told.
+    /// A plain service: a request that has started runs to its end even if nobody waits for
+    /// it any more, so that its outcome is known.
     Plain,
 }
 
-/// Bounds on what entries may make the agent hold.
+/// Limits on the resources that entries can make the agent use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests that run at once.
+    /// Maximum number of running requests.
     pub requests: usize,
-    /// Connections of entries at once.
+    /// Maximum number of open connections of entries.
     pub connections: usize,
-    /// The largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Closed attempts that are remembered.
+    /// Maximum number of closed attempts with a record.
     pub remembered: usize,
-    /// The longest that the upstream may take for one request, in seconds.
+    /// Maximum time that the upstream may take for one request, in seconds.
     pub longest_seconds: u64,
 }
 
@@ -147,16 +147,16 @@
     }
 }
 
-/// How the agent stops.
+/// How the agent shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drain {
     /// How long requests in flight may take to end, in seconds.
     pub deadline_seconds: u64,
-    /// How long the agent stays to refuse new work before it closes its
-    /// listener, in milliseconds. Entries hear of the leaving in this time.
-    /// Behind the last request it stays for as long again, to tell entries
-    /// whose connections broke that their requests did not run.
+    /// How long the agent keeps rejecting new requests before it closes its listener, in
+    /// milliseconds. In this time entries learn that the instance is leaving. After the
+    /// last request it waits for as long again, to tell entries whose connections broke
+    /// that their requests did not run.
     pub linger_ms: u64,
 }
 
@@ -182,7 +182,7 @@
         Duration::from_secs(self.deadline_seconds)
     }
 
-    /// How long the agent stays to refuse new work.
+    /// How long the agent keeps rejecting new requests before it closes its listener.
     ///
     /// ```
     /// use verbenaspool_agent::settings::Drain;
@@ -206,8 +206,8 @@
 /// Reads settings from text.
 ///
 /// # Errors
-/// The text is no YAML, or a key is unknown, missing or holds what it can't;
-/// the error names the line, the key and the reason.
+/// The text is not valid YAML, or a key is unknown, missing or has an invalid value. The
+/// error gives the line, the key and the reason, as far as they are known.
 ///
 /// ```
 /// use verbenaspool_agent::settings;
@@ -228,7 +228,7 @@
     complete(path, settings::parse(path, text)?)
 }
 
-/// Fills in and checks what one key alone doesn't show.
+/// Sets defaults that depend on other keys, and checks the settings as a whole.
 fn complete(path: &Path, mut settings: Settings) -> Result<Settings, Error> {
     settings.upstream.apply_kind_defaults();
     let mut problems = problems(&settings);
@@ -244,18 +244,18 @@
     })
 }
 
-/// Everything that is wrong, so that it can be put right in one go.
+/// All problems of the settings, so that they can be corrected at once.
 fn problems(settings: &Settings) -> Vec<&'static str> {
     let limits = &settings.limits;
     let is_same = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
     let checks = [
         (
             is_same(settings.listen, settings.control),
-            "control: is the same address as listen",
+            "control: must differ from listen",
         ),
         (
             is_same(settings.listen, settings.upstream.address),
-            "upstream.address: is the agent's own listen",
+            "upstream.address: must differ from listen",
         ),
         (
             settings.upstream.poll_ms == 0,
@@ -267,7 +267,7 @@
                 .paths
                 .iter()
                 .any(|path| !path.starts_with('/')),
-            "upstream.paths: a path starts with '/'",
+            "upstream.paths: each path must start with '/'",
         ),
         (limits.requests == 0, "limits.requests: must be at least 1"),
         (
--- a/verbenaspool_agent/src/shared.rs
+++ b/verbenaspool_agent/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an agent process share, all on its one loop.
+//! State shared by the parts of an agent process, all on its one event loop.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,15 +15,15 @@
 
 use crate::{crashes::Crashes, meter::Meter, poll::View, settings::Settings};
 
-/// How long a connection to the upstream on the same instance may take.
+/// Timeout for connecting to the upstream on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the parts of an agent process share.
+/// State shared by the parts of an agent process.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    /// Drawn at random at the start, so that no two processes have the same.
+    /// Random number of the process, which distinguishes it from its predecessors.
     pub(crate) number: u64,
-    /// The instance, as entries name it in [`verbenaspool_protocol::header::INSTANCE`].
+    /// The instance, in the form that entries send in [`verbenaspool_protocol::header::INSTANCE`].
     pub(crate) identity: String,
     pub(crate) settings: Settings,
     pub(crate) log: Logger,
@@ -65,12 +65,12 @@
         self.settings.upstream.address
     }
 
-    /// The longest that the upstream may take for one request.
+    /// Maximum time that the upstream may take for one request.
     pub(crate) fn max_request_time(&self) -> Duration {
         Duration::from_secs(self.settings.limits.longest_seconds)
     }
 
-    /// The load now, as the agent's next word.
+    /// The current load, with the next sequence number.
     pub(crate) fn load(&self) -> Load {
         self.sequence.set(self.sequence.get() + 1);
         let ledger = self.ledger.borrow();
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Takes nothing new from now on.
+    /// Rejects all new attempts from now on.
     pub(crate) fn leave(&self) {
         if self.ledger.borrow().leaving() {
             return;
         }
         self.ledger.borrow_mut().leave();
-        info!(self.log, "Agent: Leaving."; "in_flight" => self.ledger.borrow().running());
+        info!(self.log, "agent is leaving"; "in_flight" => self.ledger.borrow().running());
     }
 }
--- a/verbenaspool_agent/tests/agent/process.rs
+++ b/verbenaspool_agent/tests/agent/process.rs
@@ -64,7 +64,7 @@
             .lines()
             .map_while(Result::ok)
             .filter_map(|line| serde_json::from_str::<Value>(&line).ok())
-            .find(|line| line["msg"] == "Agent: Started.")
+            .find(|line| line["msg"] == "agent started")
             .expect("the word that it started");
         let address = |key: &str| started[key].as_str().and_then(|text| text.parse().ok());
         let rig = Rig::reach(
