--- a/verbenaspool_agent/benches/agent.rs
+++ b/verbenaspool_agent/benches/agent.rs
@@ -32,19 +32,19 @@
 };
 
 /// Requests one after the other, for the added time.
-const SINGLE: u64 = 5_000;
+const SEQUENTIAL_REQUESTS: u64 = 5_000;
 /// Requests side by side, for the most a second.
-const MANY: u64 = 40_000;
+const CONCURRENT_REQUESTS: u64 = 40_000;
 /// How many of these are under way at once.
-const ABREAST: u64 = 32;
+const CONCURRENCY: u64 = 32;
 /// Reports asked for.
 const REPORTS: u64 = 10_000;
 /// How long a control call may take.
-const WAIT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Open streams while memory is read.
 const STREAMS: u64 = 1_000;
 /// Clock ticks a second in the kernel's process statistics.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The agent's program.
 struct Agent {
@@ -86,15 +86,15 @@
     }
 
     /// Processor time so far, in seconds.
-    fn cpu(&self) -> f64 {
+    fn cpu_seconds(&self) -> f64 {
         let stat = self.read("stat");
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
         let ticks = |i: usize| fields[i].parse::<f64>().expect("ticks");
-        (ticks(12) + ticks(13)) / TICKS
+        (ticks(12) + ticks(13)) / TICKS_PER_SECOND
     }
 
     /// A line of the memory statistics, in kilobytes.
-    fn memory(&self, name: &str) -> u64 {
+    fn memory_kb(&self, name: &str) -> u64 {
         let status = self.read("status");
         let line = status.lines().find(|line| line.starts_with(name));
         let number = line.and_then(|line| line.split_whitespace().nth(1));
@@ -111,7 +111,7 @@
 
 /// Serves an upstream on a thread of its own until the program ends.
 fn upstream(engine: bool) -> SocketAddr {
-    let (tell, told) = mpsc::channel();
+    let (address_sender, address_receiver) = mpsc::channel();
     thread::spawn(move || {
         runtime::run(async move {
             let (_trigger, signal) = shutdown::channel();
@@ -123,18 +123,22 @@
                     ..Config::default()
                 };
                 let engine = Engine::bind(config, clock).expect("an engine");
-                tell.send(engine.address()).expect("the bench listens");
+                address_sender
+                    .send(engine.address())
+                    .expect("the bench listens");
                 engine.run(signal).await;
             } else {
-                let book = Journal::new(Duration::ZERO, clock);
-                let service = Service::bind(([127, 0, 0, 1], 0).into(), book);
+                let journal = Journal::new(Duration::ZERO, clock);
+                let service = Service::bind(([127, 0, 0, 1], 0).into(), journal);
                 let service = service.expect("a service");
-                tell.send(service.address()).expect("the bench listens");
+                address_sender
+                    .send(service.address())
+                    .expect("the bench listens");
                 service.run(signal).await;
             }
         })
     });
-    told.recv().expect("an address")
+    address_receiver.recv().expect("an address")
 }
 
 fn request(agent: u64, counter: u64, path: &str, body: &'static str) -> Request<Body> {
@@ -152,27 +156,27 @@
         .expect("a request")
 }
 
-/// Sends so many requests abreast; returns their times and the time of all.
+/// Sends requests with the given concurrency; returns their times and the total time.
 async fn load(
     address: SocketAddr,
     agent: u64,
     first: u64,
     count: u64,
-    abreast: u64,
+    concurrency: u64,
 ) -> (Histogram<u64>, Duration) {
     let client = Client::new(Duration::from_secs(5));
-    let began = Instant::now();
-    let lanes: Vec<_> = (0..abreast)
-        .map(|lane| {
+    let started = Instant::now();
+    let workers: Vec<_> = (0..concurrency)
+        .map(|worker| {
             let client = client.clone();
             monoio::spawn(async move {
                 let mut times = Histogram::<u64>::new(3).expect("a histogram");
-                for i in 0..count / abreast {
+                for i in 0..count / concurrency {
                     let sent = Instant::now();
-                    let request = request(agent, first + i * abreast + lane, "/", "");
+                    let request = request(agent, first + i * concurrency + worker, "/", "");
                     let response = client.send(address, request).await.expect("an answer");
-                    let whole = response.into_body().collect().await;
-                    whole.expect("a whole answer");
+                    let body = response.into_body().collect().await;
+                    body.expect("a whole answer");
                     let ns = u64::try_from(sent.elapsed().as_nanos()).expect("a short time");
                     times.record(ns).expect("a time");
                 }
@@ -181,10 +185,10 @@
         })
         .collect();
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
-    for lane in lanes {
-        times.add(lane.await).expect("histograms alike");
+    for worker in workers {
+        times.add(worker.await).expect("histograms alike");
     }
-    (times, began.elapsed())
+    (times, started.elapsed())
 }
 
 #[allow(clippy::cast_precision_loss)] // Times and counts are far below 2^53.
@@ -192,26 +196,34 @@
     let json_only = std::env::args().any(|arg| arg == "--json");
     let service = upstream(false);
     let agent = Agent::start(service, "plain");
-    let idle = agent.memory("VmRSS");
+    let idle = agent.memory_kb("VmRSS");
     let us = |times: &Histogram<u64>, part| times.value_at_quantile(part) as f64 / 1e3;
     let mut lines = Vec::new();
     for (way, address) in [("direct", service), ("agent", agent.address)] {
-        let (number, cpu) = (agent.number, agent.cpu());
-        let (single, _) = runtime::run(load(address, number, 1, SINGLE, 1)).expect("a loop");
-        let from = SINGLE + 1;
-        let before = agent.cpu();
-        let (_, took) = runtime::run(load(address, number, from, MANY, ABREAST)).expect("a loop");
+        let (number, cpu) = (agent.number, agent.cpu_seconds());
+        let (single, _) =
+            runtime::run(load(address, number, 1, SEQUENTIAL_REQUESTS, 1)).expect("a loop");
+        let from = SEQUENTIAL_REQUESTS + 1;
+        let before = agent.cpu_seconds();
+        let (_, took) = runtime::run(load(
+            address,
+            number,
+            from,
+            CONCURRENT_REQUESTS,
+            CONCURRENCY,
+        ))
+        .expect("a loop");
         lines.push(json!({
             "way": way,
             "p50_us": us(&single, 0.5),
             "p99_us": us(&single, 0.99),
-            "requests_s": (MANY as f64 / took.as_secs_f64()).round(),
-            "agent_cpu_us_single": (before - cpu) * 1e6 / SINGLE as f64,
-            "agent_cpu_us": (agent.cpu() - before) * 1e6 / MANY as f64,
+            "requests_s": (CONCURRENT_REQUESTS as f64 / took.as_secs_f64()).round(),
+            "agent_cpu_us_single": (before - cpu) * 1e6 / SEQUENTIAL_REQUESTS as f64,
+            "agent_cpu_us": (agent.cpu_seconds() - before) * 1e6 / CONCURRENT_REQUESTS as f64,
         }));
     }
     lines.push(runtime::run(reports(&agent)).expect("a loop"));
-    let loaded = agent.memory("VmRSS");
+    let loaded = agent.memory_kb("VmRSS");
     drop(agent);
     let streams = runtime::run(streams()).expect("a loop");
     lines.push(json!({
@@ -233,25 +245,25 @@
 #[allow(clippy::cast_precision_loss)] // Counts are far below 2^53.
 async fn reports(agent: &Agent) -> Value {
     let client = rpc::Client::default();
-    let question = report::Request {
+    let request = report::Request {
         instance: Identity {
             firm: "tidewater".parse().expect("a name"),
             instance: "bench".parse().expect("a name"),
         },
         since: 0,
     };
-    let (cpu, began) = (agent.cpu(), Instant::now());
+    let (cpu, started) = (agent.cpu_seconds(), Instant::now());
     let mut bytes = 0;
     for _ in 0..REPORTS {
         let answer: Value = client
-            .call(agent.control, report::METHOD, &question, WAIT)
+            .call(agent.control, report::METHOD, &request, CALL_TIMEOUT)
             .await
             .expect("a report");
         bytes = answer.to_string().len();
     }
     json!({
-        "report_us": began.elapsed().as_secs_f64() * 1e6 / REPORTS as f64,
-        "report_cpu_us": (agent.cpu() - cpu) * 1e6 / REPORTS as f64,
+        "report_us": started.elapsed().as_secs_f64() * 1e6 / REPORTS as f64,
+        "report_cpu_us": (agent.cpu_seconds() - cpu) * 1e6 / REPORTS as f64,
         "report_bytes": bytes,
     })
 }
@@ -271,8 +283,8 @@
     for body in &mut open {
         body.frame().await.expect("a token").expect("a token");
     }
-    let during = agent.memory("VmRSS");
+    let during = agent.memory_kb("VmRSS");
     drop(open);
     monoio::time::sleep(Duration::from_secs(1)).await;
-    (during, agent.memory("VmRSS"))
+    (during, agent.memory_kb("VmRSS"))
 }
--- a/verbenaspool_agent/tests/agent/group.rs
+++ b/verbenaspool_agent/tests/agent/group.rs
@@ -35,7 +35,7 @@
 /// How many ranks the group has.
 const RANKS: u16 = 3;
 /// How long a step takes.
-const STEP: Duration = Duration::from_millis(10);
+const STEP_TIME: Duration = Duration::from_millis(10);
 
 /// A group, its agents and the platform.
 struct Fleet {
@@ -58,7 +58,7 @@
             let _ = agent.wait();
         }
         for seat in 0..RANKS {
-            let path = self.path(seat, "log");
+            let path = self.file(seat, "log");
             if thread::panicking()
                 && let Ok(log) = fs::read_to_string(&path)
             {
@@ -70,12 +70,12 @@
 }
 
 impl Fleet {
-    fn start(name: &'static str, checked: bool) -> Self {
+    fn start(name: &'static str, checks_fences: bool) -> Self {
         let clock: Rc<dyn Clock> = Monotonic::start();
         let settings = Settings {
             ranks: RANKS,
-            step_time: STEP,
-            checks_fences: checked,
+            step_time: STEP_TIME,
+            checks_fences,
             expert_bytes: 1_000,
         };
         let group = Rc::new(RefCell::new(Group::new(settings, Store::new(1_000_000))));
@@ -106,24 +106,24 @@
             rpc: rpc::Client::default(),
         };
         for seat in 0..RANKS {
-            let agent = fleet.agent(seat, checked);
+            let agent = fleet.start_agent(seat, checks_fences);
             fleet.agents.push(agent);
         }
         fleet
     }
 
     /// A file of the agent at a seat.
-    fn path(&self, seat: u16, kind: &str) -> PathBuf {
+    fn file(&self, seat: u16, kind: &str) -> PathBuf {
         let (name, process) = (self.name, process::id());
         PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("group-{name}-{process}-{seat}.{kind}"))
     }
 
     /// Starts the agent at a seat.
-    fn agent(&self, seat: u16, checked: bool) -> Child {
+    fn start_agent(&self, seat: u16, checks_fences: bool) -> Child {
         let index = usize::from(seat);
         let members: Vec<String> = self.controls.iter().map(|a| format!("'{a}'")).collect();
-        let fences = if checked { "checked" } else { "ignored" };
+        let fences = if checks_fences { "checked" } else { "ignored" };
         let text = format!(
             "firm: quetzal\ninstance: rank-{seat}\n\
              listen: 127.0.0.1:0\n\
@@ -151,10 +151,10 @@
             members = members.join(", "),
             platform = self.platform.address(),
         );
-        let path = self.path(seat, "yaml");
+        let path = self.file(seat, "yaml");
         fs::write(&path, text).expect("settings are written");
         let mut log = OpenOptions::new();
-        let log = log.create(true).append(true).open(self.path(seat, "log"));
+        let log = log.create(true).append(true).open(self.file(seat, "log"));
         let program = Command::new(env!("CARGO_BIN_EXE_verbenaspool-agent"))
             .args(["run", "--settings"])
             .arg(&path)
@@ -186,7 +186,7 @@
     }
 
     /// Waits for an agent that leads, and returns its status.
-    async fn lead(&self) -> Status {
+    async fn wait_for_lead(&self) -> Status {
         loop {
             for seat in 0..RANKS {
                 if let Some(status) = self.status(seat).await.filter(|status| status.leads) {
@@ -198,7 +198,7 @@
     }
 
     /// Waits until all engines run on a map other than this one.
-    async fn changed(&self, epoch: Option<u64>) -> Option<u64> {
+    async fn wait_for_change(&self, epoch: Option<u64>) -> Option<u64> {
         loop {
             let running = self.group.borrow().state(RANKS - 1, 0).running;
             if running.is_some() && running != epoch {
@@ -209,7 +209,7 @@
     }
 
     /// Has one expert of the first rank take most tokens.
-    fn shift(&self, hot: usize) {
+    fn shift_popularity(&self, hot: usize) {
         let mut tokens = vec![100; 6];
         tokens[hot] = 2_000;
         tokens[(hot + 3) % 6] = 1_000;
@@ -217,7 +217,7 @@
     }
 
     /// Judges the history and returns how many steps were run.
-    fn check(&self) -> usize {
+    fn check_history(&self) -> usize {
         let group = self.group.borrow();
         steps::check(group.history()).expect("every step is run on one map")
     }
@@ -226,45 +226,45 @@
 /// Popularity shifts while a group serves: the map follows without a mixed or
 /// waiting step. A rank's agent is killed and started anew in between; it
 /// learns where it stands from its engine and its peers.
-fn change_under_way(name: &'static str, checked: bool) {
+fn change_maps_while_serving(name: &'static str, checks_fences: bool) {
     rig::run(async {
-        let mut fleet = Fleet::start(name, checked);
-        let lead = fleet.lead().await;
-        let first = fleet.changed(None).await;
-        fleet.shift(0);
-        let second = fleet.changed(first).await;
+        let mut fleet = Fleet::start(name, checks_fences);
+        let lead = fleet.wait_for_lead().await;
+        let first = fleet.wait_for_change(None).await;
+        fleet.shift_popularity(0);
+        let second = fleet.wait_for_change(first).await;
         assert_eq!(fleet.group.borrow().idle_time(), Duration::ZERO);
         let other = (lead.seat + 1) % RANKS;
         let agent = &mut fleet.agents[usize::from(other)];
         agent.kill().expect("the agent is killed");
         agent.wait().expect("the agent ends");
-        fleet.agents[usize::from(other)] = fleet.agent(other, checked);
-        fleet.shift(1);
-        fleet.changed(second).await;
-        assert!(fleet.check() > 300);
+        fleet.agents[usize::from(other)] = fleet.start_agent(other, checks_fences);
+        fleet.shift_popularity(1);
+        fleet.wait_for_change(second).await;
+        assert!(fleet.check_history() > 300);
         let status = fleet.status(lead.seat).await.expect("the lead answers");
         assert!(status.changes >= 3, "{status:?}");
         assert_eq!(status.diverged, 0);
         let metrics = fleet.metrics(lead.seat).await;
-        let told = format!(
+        let expected = format!(
             "verbenaspool_group_changes{{group=\"inspection-1\"}} {}",
             status.changes
         );
-        assert!(metrics.contains(&told), "{metrics}");
+        assert!(metrics.contains(&expected), "{metrics}");
         assert!(metrics.contains("verbenaspool_group_skew"), "{metrics}");
     });
 }
 
 #[test]
 fn maps_change_under_way() {
-    change_under_way("checked", true);
+    change_maps_while_serving("checked", true);
 }
 
 /// The same where engines ignore fences, so that a new agent has to wait out
 /// the orders of the one before.
 #[test]
 fn maps_change_under_way_without_fences() {
-    change_under_way("ignored", false);
+    change_maps_while_serving("ignored", false);
 }
 
 /// Guards against a group that changes its lead because a single renewal of the lease got no
@@ -273,7 +273,7 @@
 fn one_lost_renewal_keeps_the_lead() {
     rig::run(async {
         let fleet = Fleet::start("renewal", true);
-        let lead = fleet.lead().await;
+        let lead = fleet.wait_for_lead().await;
         // Longer than any call waits, for as long as one renewal takes to come due.
         fleet
             .platform
@@ -293,25 +293,25 @@
 fn lead_dies_and_another_takes_over() {
     rig::run(async {
         let mut fleet = Fleet::start("lead", true);
-        let lead = fleet.lead().await;
-        let first = fleet.changed(None).await;
+        let lead = fleet.wait_for_lead().await;
+        let first = fleet.wait_for_change(None).await;
         let agent = &mut fleet.agents[usize::from(lead.seat)];
         agent.kill().expect("the agent is killed");
         agent.wait().expect("the agent ends");
-        fleet.agents[usize::from(lead.seat)] = fleet.agent(lead.seat, true);
+        fleet.agents[usize::from(lead.seat)] = fleet.start_agent(lead.seat, true);
         let next = loop {
-            let next = fleet.lead().await;
+            let next = fleet.wait_for_lead().await;
             if next.fence > lead.fence {
                 break next;
             }
             fleet.clock.sleep(Duration::from_millis(50)).await;
         };
-        fleet.shift(0);
-        let second = fleet.changed(first).await;
+        fleet.shift_popularity(0);
+        let second = fleet.wait_for_change(first).await;
         assert!(
             second.is_some_and(|epoch| epoch / 1_000_000 == next.fence),
             "{second:?}"
         );
-        assert!(fleet.check() > 300);
+        assert!(fleet.check_history() > 300);
     });
 }
--- a/verbenaspool_agent/tests/agent/history.rs
+++ b/verbenaspool_agent/tests/agent/history.rs
@@ -17,17 +17,17 @@
 const WRITES: u64 = 300;
 
 /// What the callers were told.
-type Told = Rc<RefCell<Vec<Entry>>>;
+type Reported = Rc<RefCell<Vec<Entry>>>;
 
-/// One caller's write. As an entry would, it gives up after its patience, asks
+/// One caller's write. As an entry would, it gives up after its timeout, asks
 /// the agent, and repeats only after "refused".
-async fn write(rig: &Rig, key: &str, told: &Told, random: &RefCell<SmallRng>) {
+async fn write(rig: &Rig, key: &str, reported: &Reported, random: &RefCell<SmallRng>) {
     let mut outcome = Outcome::Unknown;
     for _ in 0..4 {
         let draw = |below| random.borrow_mut().random_range(0..below);
-        let (delay, patience, late) = (draw(20), draw(30), draw(4) == 0);
+        let (delay, timeout, late) = (draw(20), draw(30), draw(4) == 0);
         rig.clock.sleep(Duration::from_millis(delay)).await;
-        let id = rig.id();
+        let id = rig.next_id();
         let settled = if late {
             // The attempt is still on its way when the entry gives it up.
             let settled = rig.settle(id).await;
@@ -36,8 +36,8 @@
             settled
         } else {
             let sent = rig.post(id, "/bookings", key);
-            let patience = Duration::from_millis(patience);
-            match monoio::time::timeout(patience, sent).await {
+            let timeout = Duration::from_millis(timeout);
+            match monoio::time::timeout(timeout, sent).await {
                 Ok(Ok(reply)) if reply.body.is_some() => {
                     outcome = reply.outcome;
                     break;
@@ -52,28 +52,28 @@
         outcome = Outcome::NotRun;
     }
     let request = key.to_owned();
-    told.borrow_mut().push(Entry { request, outcome });
+    reported.borrow_mut().push(Entry { request, outcome });
 }
 
 #[test]
-fn writes_run_at_most_once_and_words_are_true() {
+fn writes_run_at_most_once_and_reported_outcomes_are_true() {
     // Skippers book all at once on a slow evening: answers come after entries
     // have given up, first copies come after repeats. No net may be booked
-    // twice, and none that was "not run" may turn up in the book.
+    // twice, and none that was "not run" may turn up in the journal.
     for seed in [1, 2, 3] {
         run(async {
-            let (address, book) = service(Duration::from_millis(15));
+            let (address, journal) = service(Duration::from_millis(15));
             let mut settings = settings(address, "plain");
             settings.limits.requests = 64;
             settings.limits.remembered = 64;
             let rig = Rc::new(Rig::start(settings));
-            let told = Told::default();
+            let reported = Reported::default();
             let random = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
             let tasks: Vec<_> = (0..WRITES)
                 .map(|i| {
-                    let (rig, told, random) = (rig.clone(), told.clone(), random.clone());
+                    let (rig, reported, random) = (rig.clone(), reported.clone(), random.clone());
                     monoio::spawn(async move {
-                        write(&rig, &format!("net-{i}"), &told, &random).await;
+                        write(&rig, &format!("net-{i}"), &reported, &random).await;
                     })
                 })
                 .collect();
@@ -83,12 +83,12 @@
             // What is in flight ends before the book is read.
             while rig.report(0).await.load.running > 0 {}
             let keys: Vec<String> = (0..WRITES).map(|i| format!("net-{i}")).collect();
-            let asked = keys.iter().map(String::as_str);
-            let ran = book.writes.borrow();
+            let requested = keys.iter().map(String::as_str);
+            let ran = journal.writes.borrow();
             let ran = || ran.iter().map(String::as_str);
-            writes::check(asked, ran()).expect("at most once");
-            outcomes::check(&told.borrow(), ran()).expect("true words");
-            assert_eq!(told.borrow().len() as u64, WRITES);
+            writes::check(requested, ran()).expect("at most once");
+            outcomes::check(&reported.borrow(), ran()).expect("true words");
+            assert_eq!(reported.borrow().len() as u64, WRITES);
         });
     }
 }
--- a/verbenaspool_agent/tests/agent/input.rs
+++ b/verbenaspool_agent/tests/agent/input.rs
@@ -15,34 +15,38 @@
 use crate::rig::{Rig, engine, run, service, settings};
 
 /// How long a peer may take to say something.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// After this long without another word a peer has said all.
-const PAUSE: Duration = Duration::from_millis(100);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Sends bytes and returns what comes back until the peer closes or falls silent.
-async fn say(address: SocketAddr, bytes: Vec<u8>) -> String {
+async fn send(address: SocketAddr, bytes: Vec<u8>) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
-    listen(stream).await
+    receive(stream).await
 }
 
 /// The same, and says no more: what was sent is cut off.
-async fn cut(address: SocketAddr, bytes: Vec<u8>) -> String {
+async fn send_truncated(address: SocketAddr, bytes: Vec<u8>) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
-    listen(stream).await
+    receive(stream).await
 }
 
-async fn listen(mut stream: TcpStream) -> String {
-    let mut heard = Vec::new();
+async fn receive(mut stream: TcpStream) -> String {
+    let mut received = Vec::new();
     loop {
-        let wait = if heard.is_empty() { PATIENCE } else { PAUSE };
+        let wait = if received.is_empty() {
+            REPLY_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        };
         let read = monoio::time::timeout(wait, stream.read(vec![0; 4096])).await;
         match read {
-            Ok((Ok(read), chunk)) if read > 0 => heard.extend_from_slice(&chunk[..read]),
-            _ => return String::from_utf8_lossy(&heard).into_owned(),
+            Ok((Ok(read), chunk)) if read > 0 => received.extend_from_slice(&chunk[..read]),
+            _ => return String::from_utf8_lossy(&received).into_owned(),
         }
     }
 }
@@ -67,16 +71,19 @@
 #[test]
 fn bad_requests() {
     run(async {
-        let (address, desk) = engine(Config::default());
+        let (address, parts) = engine(Config::default());
         let rig = Rig::start(settings(address, "engine"));
         let with = |line: &str| head(rig.agent, line);
         let path = |path: &str| {
             let text = String::from_utf8(with("accept: *")).unwrap();
             text.replace("/v1/completions", path).into_bytes()
         };
-        let mut odd = with("x-verbenaspool-attempt: odd");
-        let at = odd.windows(3).position(|three| three == b"odd").unwrap();
-        odd[at] = 0xff;
+        let mut invalid = with("x-verbenaspool-attempt: odd");
+        let at = invalid
+            .windows(3)
+            .position(|three| three == b"odd")
+            .unwrap();
+        invalid[at] = 0xff;
         let long = format!("x-long: {}", "a".repeat(70_000));
         let table: [(&str, Vec<u8>, &str, &str); 16] = [
             ("no HTTP", b"\0\xff\r\n\r\n".to_vec(), "400", ""),
@@ -93,7 +100,7 @@
                 "400",
                 "bad-request",
             ),
-            ("no UTF-8", odd, "400", "bad-request"),
+            ("no UTF-8", invalid, "400", "bad-request"),
             (
                 "no agent",
                 with("x-verbenaspool-agent"),
@@ -147,51 +154,51 @@
             ),
         ];
         for (name, bytes, status, code) in table {
-            let heard = say(rig.data, bytes).await;
+            let received = send(rig.data, bytes).await;
             let line = format!("HTTP/1.1 {status}");
-            assert!(heard.starts_with(&line), "{name}: {heard}");
-            assert!(heard.contains(code), "{name}: {heard}");
-            let ours = !code.is_empty();
-            let not_run = heard.contains("x-verbenaspool-outcome: not-run");
-            assert_eq!(not_run, ours, "{name}: {heard}");
+            assert!(received.starts_with(&line), "{name}: {received}");
+            assert!(received.contains(code), "{name}: {received}");
+            let from_agent = !code.is_empty();
+            let not_run = received.contains("x-verbenaspool-outcome: not-run");
+            assert_eq!(not_run, from_agent, "{name}: {received}");
             assert!(
                 rig.complete("Net", 1).await.unwrap().text().is_some(),
                 "{name}"
             );
         }
-        assert_eq!(desk.orders.executed(), []);
+        assert_eq!(parts.orders.executed(), []);
     });
 }
 
 #[test]
-fn an_ambiguous_length_smuggles_nothing() {
+fn an_ambiguous_length_smuggles_no_request() {
     // Two lengths that disagree: a reader that takes the other one would serve
     // the rest of the body as another caller's request.
     run(async {
-        let (address, book) = service(Duration::ZERO);
+        let (address, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(address, "plain"));
         let inner = String::from_utf8(head(rig.agent, "x-inner: 1")).unwrap();
         let outer = head(rig.agent, "content-length: 5\r\ntransfer-encoding: chunked");
         let mut bytes = outer;
         bytes.extend_from_slice(format!("0\r\n\r\n{inner}").as_bytes());
-        let heard = say(rig.data, bytes).await;
-        assert!(heard.matches("HTTP/1.1").count() <= 1, "{heard}");
-        assert!(book.writes.borrow().len() <= 1);
+        let received = send(rig.data, bytes).await;
+        assert!(received.matches("HTTP/1.1").count() <= 1, "{received}");
+        assert!(journal.writes.borrow().len() <= 1);
     });
 }
 
 #[test]
-fn a_half_sent_write_does_not_run() {
+fn an_incomplete_write_does_not_run() {
     // The entry dies while it passes a booking on. Were the half taken for the
     // whole, a booking would run that nobody asked for.
     run(async {
-        let (address, book) = service(Duration::ZERO);
+        let (address, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(address, "plain"));
         let mut bytes = head(rig.agent, "content-length: 10");
         bytes.extend_from_slice(b"net");
-        cut(rig.data, bytes).await;
-        assert!(rig.post(rig.id(), "/bookings", "net 7").await.is_ok());
-        assert_eq!(*book.writes.borrow(), ["net 7"]);
+        send_truncated(rig.data, bytes).await;
+        assert!(rig.post(rig.next_id(), "/bookings", "net 7").await.is_ok());
+        assert_eq!(*journal.writes.borrow(), ["net 7"]);
     });
 }
 
@@ -200,8 +207,8 @@
     run(async {
         let (address, _) = engine(Config::default());
         let rig = Rig::start(settings(address, "engine"));
-        let part = vec![0, 0, 0, 9, b'{'];
-        assert_eq!(cut(rig.control, part).await, "", "cut off");
+        let partial = vec![0, 0, 0, 9, b'{'];
+        assert_eq!(send_truncated(rig.control, partial).await, "", "cut off");
         let frame = |text: &[u8]| {
             let length = u32::try_from(text.len()).unwrap();
             [length.to_be_bytes().as_slice(), text].concat()
@@ -211,28 +218,32 @@
                 format!(r#"{{"jsonrpc":"2.0","id":1,"method":"{method}","params":[{param}]}}"#);
             frame(text.as_bytes())
         };
-        let odd = r#"{"attempt":"zz-1","agent":1}"#;
-        let more = r#"{"since":1,"more":2}"#;
+        let invalid = r#"{"attempt":"zz-1","agent":1}"#;
+        let unknown_key = r#"{"since":1,"more":2}"#;
         let table = [
             ("too long", vec![0xff; 8], ""),
             ("no UTF-8", frame(b"\xff\xfe"), ""),
             ("no JSON", frame(b"{]"), ""),
             ("no call", frame(b"7"), ""),
             ("unknown method", call("group_none", "1"), "error"),
-            ("odd attempt", call("attempt_settle", odd), "error"),
-            ("unknown key", call("agent_report", more), "error"),
+            ("odd attempt", call("attempt_settle", invalid), "error"),
+            ("unknown key", call("agent_report", unknown_key), "error"),
         ];
-        for (name, bytes, word) in table {
-            let heard = say(rig.control, bytes).await;
-            assert_eq!(heard.is_empty(), word.is_empty(), "{name}: {heard}");
-            assert!(heard.contains(word), "{name}: {heard}");
+        for (name, bytes, expected) in table {
+            let received = send(rig.control, bytes).await;
+            assert_eq!(
+                received.is_empty(),
+                expected.is_empty(),
+                "{name}: {received}"
+            );
+            assert!(received.contains(expected), "{name}: {received}");
             assert_eq!(rig.report(0).await.load.agent, rig.agent, "{name}");
         }
     });
 }
 
 #[test]
-fn a_question_for_another_process_leaves_no_tombstone() {
+fn a_status_request_for_another_process_leaves_no_tombstone() {
     run(async {
         let (address, _) = service(Duration::ZERO);
         let mut rig = Rig::start(settings(address, "plain"));
--- a/verbenaspool_agent/tests/agent/main.rs
+++ b/verbenaspool_agent/tests/agent/main.rs
@@ -8,6 +8,6 @@
 mod orders;
 mod path;
 mod process;
-mod refusal;
+mod rejection;
 mod report;
 mod rig;
--- a/verbenaspool_agent/tests/agent/orders.rs
+++ b/verbenaspool_agent/tests/agent/orders.rs
@@ -55,8 +55,8 @@
             action: Action::Role(role),
         };
         let timeout = Duration::from_secs(5);
-        let called = self.rpc.call(self.control, METHOD, &order, timeout).await;
-        called.expect("the order is answered")
+        let outcome = self.rpc.call(self.control, METHOD, &order, timeout).await;
+        outcome.expect("the order is answered")
     }
 }
 
@@ -64,7 +64,7 @@
 /// the order is said again. The engine carries it out once, and the sender of
 /// an old fence is refused though the engine itself would obey.
 #[test]
-fn orders_run_once_and_in_turn() {
+fn orders_run_once_and_in_fence_order() {
     for checks_fences in [true, false] {
         run(async {
             let fleet = Fleet::start(checks_fences);
--- a/verbenaspool_agent/tests/agent/process.rs
+++ b/verbenaspool_agent/tests/agent/process.rs
@@ -31,14 +31,14 @@
     }
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn settings_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("{name}-{}.yaml", std::process::id()));
     std::fs::write(&path, text).expect("a settings file");
     path
 }
 
-fn program(action: &str, settings: &PathBuf) -> Command {
+fn command(action: &str, settings: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_verbenaspool-agent"));
     command.arg(action).arg("--settings").arg(settings);
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -56,7 +56,7 @@
              drain: {{deadline_seconds: {deadline}, linger_ms: 50}}\n\
              log: {{form: json}}\n"
         );
-        let mut child = program("run", &file(name, &text))
+        let mut child = command("run", &settings_file(name, &text))
             .spawn()
             .expect("a process");
         let log = child.stdout.take().expect("its log");
@@ -67,7 +67,7 @@
             .find(|line| line["msg"] == "agent started")
             .expect("the word that it started");
         let address = |key: &str| started[key].as_str().and_then(|text| text.parse().ok());
-        let rig = Rig::reach(
+        let rig = Rig::attach(
             address("address").expect("an address"),
             address("control").expect("an address"),
             started["agent"].as_u64().expect("a number"),
@@ -82,7 +82,7 @@
     }
 
     /// Waits for the end without holding the loop up.
-    async fn ended(&mut self) -> ExitStatus {
+    async fn wait(&mut self) -> ExitStatus {
         loop {
             if let Some(status) = self.child.try_wait().expect("the status") {
                 return status;
@@ -93,30 +93,30 @@
 }
 
 #[test]
-fn killed_before_the_engine_began() {
+fn killed_before_the_engine_started() {
     // The agent dies before a request reaches it; the platform's list still has
     // it. The entry must be able to say "not run" and go elsewhere.
     run(async {
-        let (address, desk) = engine(Config::default());
+        let (address, parts) = engine(Config::default());
         let mut process = Process::start("before", address, "engine", 5);
         process.child.kill().unwrap();
-        process.ended().await;
+        process.wait().await;
         let sent = process.rig.complete("Net", 3).await;
         assert!(matches!(sent, Err(Error::NotSent(_))), "{sent:?}");
-        assert_eq!(desk.batch.running(), 0);
+        assert_eq!(parts.batch.running(), 0);
     });
 }
 
 #[test]
-fn killed_after_the_engine_began() {
+fn killed_after_the_engine_started() {
     // The agent dies between two tokens. The caller must see a broken stream,
     // the engine must stop, and the agent that follows must not claim to know
     // what became of the attempt.
     run(async {
-        let (address, desk) = engine(Config::default());
+        let (address, parts) = engine(Config::default());
         let mut process = Process::start("after", address, "engine", 5);
         let rig = &process.rig;
-        let id = rig.id();
+        let id = rig.next_id();
         let request = rig.request(id, "/v1/completions", &completion("Net", 10_000));
         let mut body = rig
             .client
@@ -127,8 +127,11 @@
         body.frame().await.unwrap().unwrap();
         process.child.kill().unwrap();
         assert!(body.collect().await.is_err(), "the stream broke");
-        process.ended().await;
-        process.rig.until(|| desk.batch.cancelled() == 1).await;
+        process.wait().await;
+        process
+            .rig
+            .wait_until(|| parts.batch.cancelled() == 1)
+            .await;
         let mut next = Process::start("after-next", address, "engine", 5);
         let number = std::mem::replace(&mut next.rig.agent, process.rig.agent);
         assert_ne!(number, process.rig.agent);
@@ -145,22 +148,22 @@
     // The booking runs, and the agent dies before the answer. Whoever asks the
     // next agent must not hear "refused", or the booking would run twice.
     run(async {
-        let (address, book) = service(Duration::from_millis(200));
+        let (address, journal) = service(Duration::from_millis(200));
         let mut process = Process::start("write", address, "plain", 5);
         let rig = &process.rig;
-        let id = rig.id();
+        let id = rig.next_id();
         let sent = Box::pin(rig.post(id, "/bookings", "net 7"));
-        let begun = Box::pin(rig.until(|| book.writes.borrow().len() == 1));
-        let Either::Right(((), sent)) = select(sent, begun).await else {
+        let started = Box::pin(rig.wait_until(|| journal.writes.borrow().len() == 1));
+        let Either::Right(((), sent)) = select(sent, started).await else {
             panic!("the write was answered");
         };
         process.child.kill().unwrap();
         assert!(matches!(sent.await, Err(Error::Broken(_))));
-        process.ended().await;
+        process.wait().await;
         let mut next = Process::start("write-next", address, "plain", 5);
         next.rig.agent = process.rig.agent;
         assert_eq!(next.rig.settle(id).await, Answer::Unknown);
-        assert_eq!(book.writes.borrow().len(), 1);
+        assert_eq!(journal.writes.borrow().len(), 1);
     });
 }
 
@@ -172,7 +175,7 @@
         let (address, _) = engine(Config::default());
         let mut process = Process::start("drain", address, "engine", 20);
         let rig = &process.rig;
-        let request = rig.request(rig.id(), "/v1/completions", &completion("Net", 200));
+        let request = rig.request(rig.next_id(), "/v1/completions", &completion("Net", 200));
         let mut body = rig
             .client
             .send(rig.data, request)
@@ -188,7 +191,7 @@
         }
         let rest = body.collect().await.expect("the whole rest").to_bytes();
         assert!(rest.ends_with(b"data: [DONE]\n\n"));
-        assert_eq!(process.ended().await.code(), Some(0));
+        assert_eq!(process.wait().await.code(), Some(0));
     });
 }
 
@@ -198,7 +201,11 @@
         let (address, _) = engine(Config::default());
         let mut process = Process::start("cut", address, "engine", 1);
         let rig = &process.rig;
-        let request = rig.request(rig.id(), "/v1/completions", &completion("Net", 1_000_000));
+        let request = rig.request(
+            rig.next_id(),
+            "/v1/completions",
+            &completion("Net", 1_000_000),
+        );
         let body = rig
             .client
             .send(rig.data, request)
@@ -207,7 +214,7 @@
             .into_body();
         process.terminate();
         assert!(body.collect().await.is_err(), "cut off visibly");
-        assert_eq!(process.ended().await.code(), Some(3));
+        assert_eq!(process.wait().await.code(), Some(3));
     });
 }
 
@@ -221,26 +228,26 @@
             "firm: tidewater\ninstance: loft-1\nlisten: {data}\ncontrol: {control}\n\
              upstream: {{address: '{address}', kind: engine}}\n"
         );
-        let second = program("run", &file("second", &text)).status();
+        let second = command("run", &settings_file("second", &text)).status();
         assert_eq!(second.expect("it ran").code(), Some(1));
     });
 }
 
 #[test]
 fn the_command_line() {
-    let sound = "firm: tidewater\ninstance: loft-1\nlisten: 127.0.0.1:1\ncontrol: 127.0.0.1:2\n\
+    let valid = "firm: tidewater\ninstance: loft-1\nlisten: 127.0.0.1:1\ncontrol: 127.0.0.1:2\n\
                  upstream: {address: '127.0.0.1:3', kind: plain}\n";
     let table = [
-        ("check", sound, Some(0), ""),
+        ("check", valid, Some(0), ""),
         ("check", "more: 1\n", Some(2), "unknown field `more`"),
         ("run", "listen: [\n", Some(2), ".yaml"),
-        ("walk", sound, Some(2), "unrecognized subcommand"),
+        ("walk", valid, Some(2), "unrecognized subcommand"),
     ];
-    for (i, (action, text, code, word)) in table.into_iter().enumerate() {
-        let output = program(action, &file(&format!("line-{i}"), text)).output();
+    for (i, (action, text, code, expected)) in table.into_iter().enumerate() {
+        let output = command(action, &settings_file(&format!("line-{i}"), text)).output();
         let output = output.expect("it ran");
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), code, "{action}: {stderr}");
-        assert!(stderr.contains(word), "{action}: {stderr}");
+        assert!(stderr.contains(expected), "{action}: {stderr}");
     }
 }
--- a/verbenaspool_agent/tests/agent/refusal.rs
+++ b/verbenaspool_agent/tests/agent/rejection.rs
@@ -4,15 +4,15 @@
 
 use verbenaspool_protocol::{header, outcome::Outcome, problem::Code};
 
-use crate::rig::{Rig, question, run, service, settings};
+use crate::rig::{Rig, report_request, run, service, settings};
 
 #[test]
-fn every_refusal_names_its_attempt() {
+fn every_rejection_carries_its_attempt() {
     // No request of a new entry gets through, and each ends unknown: the entry
     // doesn't know the agent's number yet, the agent refuses without naming the
     // attempt, and the entry takes that for a crossed answer.
     run(async {
-        let (upstream, book) = service(Duration::ZERO);
+        let (upstream, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(upstream, "plain"));
         let cases = [
             (header::AGENT, None, Code::StaleAttempt),
@@ -28,7 +28,7 @@
             (header::DEADLINE, Some("0"), Code::Deadline),
         ];
         for (name, value, code) in cases {
-            let id = rig.id();
+            let id = rig.next_id();
             let mut request = rig.request(id, "/bookings", "one");
             request.headers_mut().remove(name);
             if let Some(value) = value {
@@ -42,22 +42,22 @@
             assert_eq!(reply.code(), Some(code), "{name} {value:?}");
             assert_eq!(reply.load.map(|load| load.agent), Some(rig.agent));
         }
-        assert!(book.writes.borrow().is_empty());
+        assert!(journal.writes.borrow().is_empty());
     });
 }
 
 #[test]
-fn a_stranger_learns_no_number() {
+fn a_request_for_another_instance_gets_no_report() {
     // Quetzal's findings are written into Tidewater's jobs: an instance was
     // replaced, its address went to the other firm, and an entry with a late
     // list asked there for the agent's number and sent its work.
     run(async {
         let (upstream, _) = service(Duration::ZERO);
         let rig = Rig::start(settings(upstream, "plain"));
-        for (instance, told) in [("loft-1", true), ("loft-2", false)] {
-            let asked = question(instance, 0);
-            let answer = rig.ask(&asked).await;
-            assert_eq!(answer.is_ok(), told, "{instance}");
+        for (instance, accepted) in [("loft-1", true), ("loft-2", false)] {
+            let request = report_request(instance, 0);
+            let answer = rig.request_report(&request).await;
+            assert_eq!(answer.is_ok(), accepted, "{instance}");
         }
     });
 }
--- a/verbenaspool_agent/tests/agent/report.rs
+++ b/verbenaspool_agent/tests/agent/report.rs
@@ -16,7 +16,7 @@
 use crate::rig::{Rig, completion, engine, run, service, settings};
 
 #[test]
-fn the_load_is_told_and_counted_up() {
+fn load_reports_have_increasing_sequence_numbers() {
     run(async {
         let (address, _) = engine(Config {
             max_batch_size: 1,
@@ -25,12 +25,12 @@
         });
         let rig = Rig::start(settings(address, "engine"));
         let start = |tokens| {
-            let request = rig.request(rig.id(), "/v1/completions", &completion("Net", tokens));
+            let request = rig.request(rig.next_id(), "/v1/completions", &completion("Net", tokens));
             rig.client.send(rig.data, request)
         };
         let first = start(10_000).await.unwrap();
         let (client, data) = (rig.client.clone(), rig.data);
-        let request = rig.request(rig.id(), "/v1/completions", &completion("Net", 1));
+        let request = rig.request(rig.next_id(), "/v1/completions", &completion("Net", 1));
         let second = monoio::spawn(async move { client.send(data, request).await.is_ok() });
         let mut last = 0;
         loop {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn cache_events_come_once_and_a_gap_loses_one() {
+fn cache_events_are_reported_once_and_a_gap_loses_one() {
     // Were each lost event a fresh start, an engine that loses one in 16 would
     // wipe what entries know of its cache every few requests.
     run(async {
@@ -64,8 +64,8 @@
             rig.clock.sleep(Duration::from_millis(2)).await;
         }
         let cache = rig.report(0).await.cache;
-        let held: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
-        assert_eq!((held, cache.reset), (prefix::hashes(&prompt), false));
+        let cached: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
+        assert_eq!((cached, cache.reset), (prefix::hashes(&prompt), false));
         assert!(rig.report(2).await.cache.events.is_empty());
         let other = "b".repeat(2 * BLOCK_BYTES);
         rig.complete(&other, 1).await.unwrap();
@@ -73,34 +73,34 @@
             rig.clock.sleep(Duration::from_millis(2)).await;
         }
         let cache = rig.report(2).await.cache;
-        let held: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
+        let cached: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
         let fourth = prefix::hashes(&other)[1];
-        assert_eq!((held, cache.reset), (vec![fourth], false));
+        assert_eq!((cached, cache.reset), (vec![fourth], false));
         // A number that this agent never gave comes from before a restart.
-        let afresh = rig.report(9).await.cache;
-        assert_eq!((afresh.events.len(), afresh.reset), (3, true));
+        let after_restart = rig.report(9).await.cache;
+        assert_eq!((after_restart.events.len(), after_restart.reset), (3, true));
     });
 }
 
 #[test]
-fn a_broken_stream_goes_on_behind_the_tokens_that_arrived() {
+fn an_interrupted_stream_resumes_after_the_received_tokens() {
     run(async {
-        let (address, desk) = engine(Config::default());
+        let (address, parts) = engine(Config::default());
         let rig = Rig::start(settings(address, "engine"));
-        desk.faults.fail_after_tokens(3);
+        parts.faults.fail_after_tokens(3);
         let broken = rig.complete("Net", 8).await.unwrap();
         assert!(broken.body.is_none());
-        let mut request = rig.request(rig.id(), "/v1/completions", &completion("Net", 8));
+        let mut request = rig.request(rig.next_id(), "/v1/completions", &completion("Net", 8));
         request.headers_mut().insert(header::RESUME, 3.into());
         let rest = rig.send(request).await.unwrap();
         let expected: String = (3..8).map(|token| text::token("Net", token)).collect();
         assert_eq!(rest.text(), Some(expected));
-        assert_eq!(rest.resumed, Some(3));
+        assert_eq!(rest.resumed_after, Some(3));
     });
 }
 
 #[test]
-fn orders_pass_one_gate() {
+fn orders_with_an_old_fence_are_not_sent() {
     // An old sender wakes up and repeats its order. With an engine that ignores
     // fences only the gate stands before a second model being loaded.
     let order = |fence| Order {
@@ -109,21 +109,24 @@
     };
     for checks_fences in [true, false] {
         run(async {
-            let (address, desk) = engine(Config {
+            let (address, parts) = engine(Config {
                 checks_fences,
                 ..Config::default()
             });
             let clock = Monotonic::start();
-            let soon = || clock.now() + Duration::from_secs(5);
+            let deadline = || clock.now() + Duration::from_secs(5);
             let sender = Sender::new(address, clock.clone());
-            assert!(sender.send(&order(2), soon()).await.is_ok());
-            assert_eq!(sender.send(&order(1), soon()).await, Err(Error::Fenced(2)));
+            assert!(sender.send(&order(2), deadline()).await.is_ok());
+            assert_eq!(
+                sender.send(&order(1), deadline()).await,
+                Err(Error::Fenced(2))
+            );
             let late = sender.send(&order(3), clock.now()).await;
             assert_eq!(late, Err(Error::Expired));
-            assert_eq!(desk.orders.executed(), [order(2)]);
+            assert_eq!(parts.orders.executed(), [order(2)]);
             // A gate of a successor that knows no fence yet.
             let sent = Sender::new(address, clock.clone())
-                .send(&order(1), soon())
+                .send(&order(1), deadline())
                 .await;
             assert_eq!(matches!(sent, Err(Error::Rejected(_))), checks_fences);
         });
@@ -131,13 +134,13 @@
 }
 
 #[test]
-fn a_plain_service_tells_its_load_too() {
+fn a_plain_service_reports_its_load() {
     run(async {
         let (address, _) = service(Duration::from_millis(1));
         let mut settings = settings(address, "plain");
         settings.upstream.state = Some("/state".to_owned());
         let rig = Rig::start(settings);
-        rig.post(rig.id(), "/bookings", "net 7").await.unwrap();
+        rig.post(rig.next_id(), "/bookings", "net 7").await.unwrap();
         assert_eq!(rig.report(0).await.load.running, 0);
     });
 }
--- a/verbenaspool_agent/tests/agent/rig.rs
+++ b/verbenaspool_agent/tests/agent/rig.rs
@@ -34,7 +34,7 @@
 };
 
 /// How long a control call may take.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An agent that runs, and what an entry needs to reach it.
 pub struct Rig {
@@ -57,7 +57,7 @@
     pub attempt: Option<attempt::Id>,
     pub load: Option<Load>,
     /// The tokens behind which the answer goes on, where the engine said so.
-    pub resumed: Option<u32>,
+    pub resumed_after: Option<u32>,
     /// The whole body; none where it broke off.
     pub body: Option<Bytes>,
 }
@@ -75,21 +75,21 @@
 
 /// Runs a test on a loop of its own.
 pub fn run<F: Future>(test: F) -> F::Output {
-    let bounded = async {
+    let with_timeout = async {
         monoio::time::timeout(Duration::from_secs(30), test)
             .await
             .expect("the test ends")
     };
-    runtime::run(bounded).expect("a loop")
+    runtime::run(with_timeout).expect("a loop")
 }
 
-pub fn read(text: &str) -> Settings {
+pub fn parse(text: &str) -> Settings {
     settings::read(text).expect("sound settings")
 }
 
 /// Settings for an upstream of a kind, with a short linger.
 pub fn settings(upstream: SocketAddr, kind: &str) -> Settings {
-    read(&format!(
+    parse(&format!(
         "firm: tidewater\ninstance: loft-1\n\
          listen: 127.0.0.1:0\n\
          control: 127.0.0.1:0\n\
@@ -99,7 +99,7 @@
 }
 
 /// What an entry asks an instance's agent.
-pub fn question(instance: &str, since: u64) -> report::Request {
+pub fn report_request(instance: &str, since: u64) -> report::Request {
     report::Request {
         instance: Identity {
             firm: "tidewater".parse().expect("a name"),
@@ -122,16 +122,16 @@
 }
 
 /// Starts a plain service.
-pub fn service(takes: Duration) -> (SocketAddr, Rc<Journal>) {
-    let book = Journal::new(takes, Monotonic::start());
-    let service = Service::bind(([127, 0, 0, 1], 0).into(), book.clone()).expect("a service");
+pub fn service(delay: Duration) -> (SocketAddr, Rc<Journal>) {
+    let journal = Journal::new(delay, Monotonic::start());
+    let service = Service::bind(([127, 0, 0, 1], 0).into(), journal.clone()).expect("a service");
     let address = service.address();
     let (trigger, signal) = shutdown::channel();
     monoio::spawn(async move {
         service.run(signal).await;
         drop(trigger);
     });
-    (address, book)
+    (address, journal)
 }
 
 impl Rig {
@@ -143,19 +143,19 @@
         let (stop, signal) = shutdown::channel();
         let (data, control, number) = (agent.address(), agent.control(), agent.number());
         let drained = Some(monoio::spawn(agent.run(signal)));
-        let mut rig = Self::reach(data, control, number);
+        let mut rig = Self::attach(data, control, number);
         (rig.stop, rig.drained) = (stop, drained);
         rig
     }
 
     /// Reaches an agent that runs already.
-    pub fn reach(data: SocketAddr, control: SocketAddr, agent: u64) -> Self {
+    pub fn attach(data: SocketAddr, control: SocketAddr, agent: u64) -> Self {
         Self {
             data,
             control,
             agent,
             clock: Monotonic::start(),
-            client: Client::new(CALL),
+            client: Client::new(CALL_TIMEOUT),
             rpc: rpc::Client::default(),
             stop: shutdown::channel().0,
             drained: None,
@@ -163,7 +163,7 @@
         }
     }
 
-    pub fn id(&self) -> attempt::Id {
+    pub fn next_id(&self) -> attempt::Id {
         self.counter.set(self.counter.get() + 1);
         attempt::Id {
             incarnation: 0xa,
@@ -189,13 +189,13 @@
     pub async fn send(&self, request: Request<Body>) -> Result<Reply, Error> {
         let response = self.client.send(self.data, request).await?;
         let (parts, body) = response.into_parts();
-        let read = |name| parts.headers.get(name)?.to_str().ok();
+        let header = |name| parts.headers.get(name)?.to_str().ok();
         Ok(Reply {
             status: parts.status,
-            outcome: Outcome::from_header(read(header::OUTCOME)),
-            attempt: read(header::ATTEMPT).and_then(|text| text.parse().ok()),
-            load: read(header::LOAD).and_then(|text| serde_json::from_str(text).ok()),
-            resumed: read(header::RESUME).and_then(|text| text.parse().ok()),
+            outcome: Outcome::from_header(header(header::OUTCOME)),
+            attempt: header(header::ATTEMPT).and_then(|text| text.parse().ok()),
+            load: header(header::LOAD).and_then(|text| serde_json::from_str(text).ok()),
+            resumed_after: header(header::RESUME).and_then(|text| text.parse().ok()),
             body: body
                 .collect()
                 .await
@@ -207,27 +207,30 @@
     /// A request for a streamed completion.
     pub async fn complete(&self, prompt: &str, tokens: u32) -> Result<Reply, Error> {
         let body = completion(prompt, tokens);
-        self.post(self.id(), "/v1/completions", &body).await
+        self.post(self.next_id(), "/v1/completions", &body).await
     }
 
     pub async fn settle(&self, attempt: attempt::Id) -> Answer {
-        let question = settle::Request {
+        let request = settle::Request {
             attempt,
             agent: self.agent,
         };
-        self.call(settle::METHOD, &question).await
+        self.call(settle::METHOD, &request).await
     }
 
     pub async fn report(&self, since: u64) -> report::Report {
-        self.ask(&question("loft-1", since))
+        self.request_report(&report_request("loft-1", since))
             .await
             .expect("a report")
     }
 
     /// Asks for a report, and may be refused.
-    pub async fn ask(&self, question: &report::Request) -> Result<report::Report, rpc::Error> {
+    pub async fn request_report(
+        &self,
+        report_request: &report::Request,
+    ) -> Result<report::Report, rpc::Error> {
         self.rpc
-            .call(self.control, report::METHOD, question, CALL)
+            .call(self.control, report::METHOD, report_request, CALL_TIMEOUT)
             .await
     }
 
@@ -240,13 +243,16 @@
         method: &str,
         params: &P,
     ) -> R {
-        let called = self.rpc.call(self.control, method, params, CALL).await;
-        called.expect("the control call is answered")
+        let answer = self
+            .rpc
+            .call(self.control, method, params, CALL_TIMEOUT)
+            .await;
+        answer.expect("the control call is answered")
     }
 
     /// Waits until something holds.
-    pub async fn until(&self, holds: impl Fn() -> bool) {
-        while !holds() {
+    pub async fn wait_until(&self, condition: impl Fn() -> bool) {
+        while !condition() {
             self.clock.sleep(Duration::from_millis(1)).await;
         }
     }
