--- a/verbenaspool_agent/benches/agent.rs
+++ b/verbenaspool_agent/benches/agent.rs
@@ -1,8 +1,8 @@
-//! What the agent's hop costs: time added to a request, processor time and
-//! requests a second, and memory idle and with 1,000 open streams.
+//! Measures the overhead of the agent: latency added to a request, processor time,
+//! throughput, and memory when idle and with 1,000 open streams.
 //!
-//! `cargo bench -p verbenaspool_agent --bench agent -- --json` prints one JSON
-//! object a line. The agent is a process of its own, the upstream a thread.
+//! `cargo bench -p verbenaspool_agent --bench agent -- --json` prints one JSON object per
+//! line. The agent runs in a separate process, the upstream in a thread.
 
 use std::{
     io::{BufRead, BufReader},
@@ -31,22 +31,22 @@
     rpc, runtime, shutdown,
 };
 
-/// Requests one after the other, for the added time.
+/// Number of sequential requests, which measure latency.
 const SEQUENTIAL_REQUESTS: u64 = 5_000;
-/// Requests side by side, for the most a second.
+/// Number of concurrent requests, which measure throughput.
 const CONCURRENT_REQUESTS: u64 = 40_000;
-/// How many of these are under way at once.
+/// Number of concurrent requests in flight.
 const CONCURRENCY: u64 = 32;
-/// Reports asked for.
+/// Number of report requests.
 const REPORTS: u64 = 10_000;
-/// How long a control call may take.
+/// Timeout for control calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Open streams while memory is read.
+/// Number of open streams while memory is measured.
 const STREAMS: u64 = 1_000;
-/// Clock ticks a second in the kernel's process statistics.
+/// Clock ticks per second in the kernel's process statistics.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The agent's program.
+/// A running agent process.
 struct Agent {
     child: Child,
     address: SocketAddr,
@@ -85,7 +85,7 @@
         std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).expect("statistics")
     }
 
-    /// Processor time so far, in seconds.
+    /// Processor time used so far, in seconds.
     fn cpu_seconds(&self) -> f64 {
         let stat = self.read("stat");
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
@@ -93,7 +93,7 @@
         (ticks(12) + ticks(13)) / TICKS_PER_SECOND
     }
 
-    /// A line of the memory statistics, in kilobytes.
+    /// A value of the memory statistics, in kilobytes.
     fn memory_kb(&self, name: &str) -> u64 {
         let status = self.read("status");
         let line = status.lines().find(|line| line.starts_with(name));
@@ -109,7 +109,7 @@
     }
 }
 
-/// Serves an upstream on a thread of its own until the program ends.
+/// Serves an upstream on a separate thread until the program ends.
 fn upstream(engine: bool) -> SocketAddr {
     let (address_sender, address_receiver) = mpsc::channel();
     thread::spawn(move || {
@@ -176,7 +176,7 @@
                     let request = request(agent, first + i * concurrency + worker, "/", "");
                     let response = client.send(address, request).await.expect("an answer");
                     let body = response.into_body().collect().await;
-                    body.expect("a whole answer");
+                    body.expect("a complete response");
                     let ns = u64::try_from(sent.elapsed().as_nanos()).expect("a short time");
                     times.record(ns).expect("a time");
                 }
@@ -186,7 +186,9 @@
         .collect();
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
     for worker in workers {
-        times.add(worker.await).expect("histograms alike");
+        times
+            .add(worker.await)
+            .expect("histograms of the same precision");
     }
     (times, started.elapsed())
 }
@@ -237,11 +239,11 @@
         println!("{line}");
     }
     if !json_only {
-        println!("Times in microseconds; processor time a request; memory resident.");
+        println!("Times are in microseconds, processor time per request; memory is resident.");
     }
 }
 
-/// Asks for reports one after the other, as entries do between answers.
+/// Sends sequential report requests, as entries do between responses.
 #[allow(clippy::cast_precision_loss)] // Counts are far below 2^53.
 async fn reports(agent: &Agent) -> Value {
     let client = rpc::Client::default();
@@ -268,8 +270,8 @@
     })
 }
 
-/// Opens streams, reads a token of each, and returns the agent's memory then
-/// and after they are closed.
+/// Opens streams, reads a token of each, and returns the agent's memory at that point and
+/// after they are closed.
 async fn streams() -> (u64, u64) {
     const BODY: &str = r#"{"prompt": "Net", "max_tokens": 1000, "stream": true}"#;
     let agent = Agent::start(upstream(true), "engine");
--- a/verbenaspool_agent/tests/agent/fault.rs
+++ b/verbenaspool_agent/tests/agent/fault.rs
@@ -1,5 +1,4 @@
-//! Faults: each entry of the table breaks one thing, and the word that the
-//! entry gets must be true.
+//! Faults: whatever fails, the outcome reported to the entry must be true.
 
 use std::time::Duration;
 
@@ -15,10 +14,10 @@
 
 #[test]
 fn interrupted_responses_never_look_complete() {
-    // The engine dies before or inside its answer. A caller that got a cleanly
-    // ended half would take it for the whole.
+    // Guards against a partial response that ends cleanly, which the caller would take for
+    // complete: the engine fails before or during its response.
     let table: [(&str, Fault); 4] = [
-        ("before its answer", |parts| {
+        ("before its response", |parts| {
             parts.faults.fail_before_start();
         }),
         ("before the first token", |parts| {
@@ -40,19 +39,15 @@
             assert_eq!(text, None, "{name}");
             assert_eq!(rig.settle(id).await, Answer::Unknown, "{name}");
             let next = rig.complete("Net", 5).await.unwrap();
-            assert!(
-                next.text().is_some(),
-                "{name}: the next request is unharmed"
-            );
+            assert!(next.text().is_some(), "{name}: the next request succeeds");
         }
     });
 }
 
 #[test]
 fn rejected_attempts_are_rejected_when_they_arrive_late() {
-    // An entry gives up on an attempt that is still on its way and asks the
-    // agent, which says "refused". The caller repeats its booking. The first
-    // copy arrives: were it run, the skipper would be charged twice.
+    // Guards against a write that runs twice: an entry abandons an attempt in flight, the
+    // agent reports it as "refused", the caller retries, and then the first copy arrives.
     run(async {
         let (address, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(address, "plain"));
@@ -68,8 +63,8 @@
 
 #[test]
 fn an_attempt_whose_response_was_lost_is_not_run_again() {
-    // The booking runs, and the connection with its answer breaks. The entry
-    // asks; a copy of the same attempt must not run.
+    // Guards against a write that runs twice: the write runs, its response is lost, and
+    // after the entry has asked for the status a copy of the attempt arrives.
     run(async {
         let (address, journal) = service(Duration::from_millis(30));
         let rig = Rig::start(settings(address, "plain"));
@@ -78,7 +73,10 @@
         let sent = Box::pin(rig.send(request));
         let started = Box::pin(rig.wait_until(|| journal.writes.borrow().len() == 1));
         let first = futures_util::future::select(sent, started).await;
-        assert!(matches!(first, Either::Right(_)), "the entry gave up");
+        assert!(
+            matches!(first, Either::Right(_)),
+            "the entry disconnects first"
+        );
         drop(first);
         while rig.settle(id).await == Answer::Running {}
         assert_eq!(rig.settle(id).await, Answer::Ended);
@@ -105,8 +103,8 @@
 
 #[test]
 fn a_leaving_agent_rejects_new_requests_and_completes_running_ones() {
-    // The platform's list still names the instance as live, so entries go on
-    // choosing it. Each must get a word that lets it go elsewhere at once.
+    // Entries choose a leaving instance until the platform's list is updated. Guards
+    // against rejections after which they can't retry at another instance at once.
     run(async {
         let (address, _) = engine(Config::default());
         let mut rig = Rig::start(settings(address, "engine"));
@@ -121,7 +119,7 @@
         assert!(rig.report(0).await.load.leaving);
         rig.stop.fire();
         let body = http_body_util::BodyExt::collect(response.into_body()).await;
-        assert!(body.is_ok(), "the answer in flight ended");
+        assert!(body.is_ok(), "the response in flight completes");
         assert_eq!(rig.drained.take().unwrap().await.cut, 0);
     });
 }
@@ -139,8 +137,9 @@
 
 #[test]
 fn a_response_without_a_marked_end_counts_as_interrupted() {
-    // A service that ends its answers by closing the connection dies in the
-    // middle of one. Nothing tells that half from a whole, so neither passes.
+    // Guards against a partial response that is taken for complete: a service that ends
+    // its responses by closing the connection fails in the middle of one, which can't be
+    // distinguished from a complete one.
     run(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -196,9 +195,9 @@
 
 #[test]
 fn a_write_sent_to_a_closing_agent_is_settled() {
-    // The agent closes its connections just as an entry writes a booking to
-    // one. The entry sees it break and asks; with nobody left to answer, the
-    // skipper would be told "unknown" of a booking that never ran.
+    // Guards against an outcome "unknown" for a write that never ran: the agent closes its
+    // connections while an entry sends a write on one. The agent must still answer the
+    // entry's status request.
     run(async {
         let (address, journal) = service(Duration::ZERO);
         let mut settings = settings(address, "plain");
--- a/verbenaspool_agent/tests/agent/group.rs
+++ b/verbenaspool_agent/tests/agent/group.rs
@@ -1,4 +1,4 @@
-//! A group of ranks with its agents as real processes.
+//! Tests of a group of ranks whose agents are real processes.
 
 use std::{
     cell::RefCell,
@@ -32,12 +32,12 @@
 
 use crate::rig;
 
-/// How many ranks the group has.
+/// Number of ranks in the group.
 const RANKS: u16 = 3;
-/// How long a step takes.
+/// Duration of a step.
 const STEP_TIME: Duration = Duration::from_millis(10);
 
-/// A group, its agents and the platform.
+/// A simulated group, its agents and the platform.
 struct Fleet {
     name: &'static str,
     group: Rc<RefCell<Group>>,
@@ -51,7 +51,7 @@
 }
 
 impl Drop for Fleet {
-    /// Ends the agents, and prints their logs where the test fails.
+    /// Kills the agents, and prints their logs if the test fails.
     fn drop(&mut self) {
         for agent in &mut self.agents {
             let _ = agent.kill();
@@ -112,7 +112,7 @@
         fleet
     }
 
-    /// A file of the agent at a seat.
+    /// The path of a file of the agent at a seat.
     fn file(&self, seat: u16, kind: &str) -> PathBuf {
         let (name, process) = (self.name, process::id());
         PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -164,7 +164,7 @@
         program.expect("the program starts")
     }
 
-    /// What the agent at a seat says, if it answers.
+    /// The status of the agent at a seat, if it answers.
     async fn status(&self, seat: u16) -> Option<Status> {
         let address = self.controls[usize::from(seat)];
         let timeout = Duration::from_secs(1);
@@ -185,7 +185,7 @@
         String::from_utf8_lossy(&body.to_bytes()).into_owned()
     }
 
-    /// Waits for an agent that leads, and returns its status.
+    /// Waits until an agent leads, and returns its status.
     async fn wait_for_lead(&self) -> Status {
         loop {
             for seat in 0..RANKS {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Has one expert of the first rank take most tokens.
+    /// Routes most tokens to one expert of the first rank.
     fn shift_popularity(&self, hot: usize) {
         let mut tokens = vec![100; 6];
         tokens[hot] = 2_000;
@@ -216,16 +216,16 @@
         self.group.borrow_mut().set_popularity(vec![tokens]);
     }
 
-    /// Judges the history and returns how many steps were run.
+    /// Checks the history and returns the number of steps run.
     fn check_history(&self) -> usize {
         let group = self.group.borrow();
-        steps::check(group.history()).expect("every step is run on one map")
+        steps::check(group.history()).expect("every step runs on one map")
     }
 }
 
-/// Popularity shifts while a group serves: the map follows without a mixed or
-/// waiting step. A rank's agent is killed and started anew in between; it
-/// learns where it stands from its engine and its peers.
+/// Shifts the experts' popularity while a group serves. Guards against map changes that
+/// make a step wait or run on different maps, also after the agent of a rank was killed
+/// and restarted, which learns the rank's state from its engine and its peers.
 fn change_maps_while_serving(name: &'static str, checks_fences: bool) {
     rig::run(async {
         let mut fleet = Fleet::start(name, checks_fences);
@@ -260,8 +260,8 @@
     change_maps_while_serving("checked", true);
 }
 
-/// The same where engines ignore fences, so that a new agent has to wait out
-/// the orders of the one before.
+/// The same with engines that ignore fences, where a new agent has to wait until the orders
+/// of its predecessor have expired.
 #[test]
 fn maps_change_under_way_without_fences() {
     change_maps_while_serving("ignored", false);
@@ -274,7 +274,7 @@
     rig::run(async {
         let fleet = Fleet::start("renewal", true);
         let lead = fleet.wait_for_lead().await;
-        // Longer than any call waits, for as long as one renewal takes to come due.
+        // The delay exceeds the timeout of any call, and lasts until one renewal is due.
         fleet
             .platform
             .set(|faults| faults.delay = Duration::from_secs(10));
@@ -286,9 +286,9 @@
     });
 }
 
-/// The lead's agent is killed for good. The group runs on what was granted,
-/// waits for another agent to get the lease, and goes on with it; the lead
-/// then changes the map.
+/// Guards against a group that stops, or whose maps no longer change, after its lead was
+/// killed. The group runs the granted steps, waits until another agent has acquired the
+/// lease, and continues; the new lead then changes the map.
 #[test]
 fn lead_dies_and_another_takes_over() {
     rig::run(async {
--- a/verbenaspool_agent/tests/agent/history.rs
+++ b/verbenaspool_agent/tests/agent/history.rs
@@ -1,5 +1,5 @@
-//! Many writes at once, some given up, settled, repeated or late; judged by
-//! the history checkers.
+//! Concurrent writes, some of them abandoned, settled, retried or delayed, whose history
+//! is checked.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -13,14 +13,14 @@
 
 use crate::rig::{Rig, run, service, settings};
 
-/// Writes in a run.
+/// Number of writes per run.
 const WRITES: u64 = 300;
 
-/// What the callers were told.
+/// The outcomes reported to the callers.
 type Reported = Rc<RefCell<Vec<Entry>>>;
 
-/// One caller's write. As an entry would, it gives up after its timeout, asks
-/// the agent, and repeats only after "refused".
+/// Sends one write. Like an entry, it abandons an attempt after a timeout, asks the agent
+/// for the status, and retries only after "refused".
 async fn write(rig: &Rig, key: &str, reported: &Reported, random: &RefCell<SmallRng>) {
     let mut outcome = Outcome::Unknown;
     for _ in 0..4 {
@@ -29,7 +29,7 @@
         rig.clock.sleep(Duration::from_millis(delay)).await;
         let id = rig.next_id();
         let settled = if late {
-            // The attempt is still on its way when the entry gives it up.
+            // The attempt is still in flight when the entry abandons it.
             let settled = rig.settle(id).await;
             let reply = rig.post(id, "/bookings", key).await.unwrap();
             assert_eq!(reply.outcome, Outcome::NotRun, "{key} arrived late");
@@ -57,9 +57,9 @@
 
 #[test]
 fn writes_run_at_most_once_and_reported_outcomes_are_true() {
-    // Skippers book all at once on a slow evening: answers come after entries
-    // have given up, first copies come after repeats. No net may be booked
-    // twice, and none that was "not run" may turn up in the journal.
+    // Guards against writes that run twice, and against writes that ran although they were
+    // reported as "not run". The service is slow, so responses arrive after entries have
+    // abandoned their attempts, and first copies arrive after retries.
     for seed in [1, 2, 3] {
         run(async {
             let (address, journal) = service(Duration::from_millis(15));
@@ -80,14 +80,14 @@
             for task in tasks {
                 task.await;
             }
-            // What is in flight ends before the book is read.
+            // Attempts in flight end before the journal is read.
             while rig.report(0).await.load.running > 0 {}
             let keys: Vec<String> = (0..WRITES).map(|i| format!("net-{i}")).collect();
             let requested = keys.iter().map(String::as_str);
             let ran = journal.writes.borrow();
             let ran = || ran.iter().map(String::as_str);
-            writes::check(requested, ran()).expect("at most once");
-            outcomes::check(&reported.borrow(), ran()).expect("true words");
+            writes::check(requested, ran()).expect("each write runs at most once");
+            outcomes::check(&reported.borrow(), ran()).expect("reported outcomes are true");
             assert_eq!(reported.borrow().len() as u64, WRITES);
         });
     }
--- a/verbenaspool_agent/tests/agent/input.rs
+++ b/verbenaspool_agent/tests/agent/input.rs
@@ -1,5 +1,5 @@
-//! Bad input: each gets a clear error or a closed connection, and the next
-//! request is unharmed.
+//! Invalid input: the sender gets an error or a closed connection, and the next request
+//! is not affected.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,20 +14,20 @@
 
 use crate::rig::{Rig, engine, run, service, settings};
 
-/// How long a peer may take to say something.
+/// Timeout for the first bytes of a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// After this long without another word a peer has said all.
+/// Time without further bytes after which a reply is complete.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Sends bytes and returns what comes back until the peer closes or falls silent.
+/// Sends bytes and returns the reply until the peer closes the connection or sends no more.
 async fn send(address: SocketAddr, bytes: Vec<u8>) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     receive(stream).await
 }
 
-/// The same, and says no more: what was sent is cut off.
+/// Like [`send`], but closes the sending side, so that the message is truncated.
 async fn send_truncated(address: SocketAddr, bytes: Vec<u8>) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
@@ -51,7 +51,7 @@
     }
 }
 
-/// A request whose bad part is one line of its head.
+/// A request with one replaced, added or (without a value) removed header line.
 fn head(agent: u64, line: &str) -> Vec<u8> {
     let mut lines = vec![
         "x-verbenaspool-attempt: 00000000000000ff-1".to_owned(),
@@ -95,7 +95,7 @@
                 "bad-request",
             ),
             (
-                "odd attempt",
+                "malformed attempt",
                 with("x-verbenaspool-attempt: 1"),
                 "400",
                 "bad-request",
@@ -114,7 +114,7 @@
                 "stale-attempt",
             ),
             (
-                "odd deadline",
+                "malformed deadline",
                 with("x-verbenaspool-deadline-ms: soon"),
                 "400",
                 "bad-request",
@@ -172,8 +172,8 @@
 
 #[test]
 fn an_ambiguous_length_smuggles_no_request() {
-    // Two lengths that disagree: a reader that takes the other one would serve
-    // the rest of the body as another caller's request.
+    // Guards against request smuggling: with two conflicting lengths, the rest of the body
+    // could be served as another caller's request.
     run(async {
         let (address, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(address, "plain"));
@@ -189,8 +189,8 @@
 
 #[test]
 fn an_incomplete_write_does_not_run() {
-    // The entry dies while it passes a booking on. Were the half taken for the
-    // whole, a booking would run that nobody asked for.
+    // Guards against running a truncated write: the entry fails while it forwards the
+    // body.
     run(async {
         let (address, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(address, "plain"));
@@ -226,7 +226,11 @@
             ("no JSON", frame(b"{]"), ""),
             ("no call", frame(b"7"), ""),
             ("unknown method", call("group_none", "1"), "error"),
-            ("odd attempt", call("attempt_settle", invalid), "error"),
+            (
+                "malformed attempt",
+                call("attempt_settle", invalid),
+                "error",
+            ),
             ("unknown key", call("agent_report", unknown_key), "error"),
         ];
         for (name, bytes, expected) in table {
--- a/verbenaspool_agent/tests/agent/main.rs
+++ b/verbenaspool_agent/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! The agent over real sockets, between a stand-in of an entry and one of an
+//! Tests of the agent over real sockets, between a simulated entry and a simulated
 //! upstream.
 
 mod fault;
--- a/verbenaspool_agent/tests/agent/orders.rs
+++ b/verbenaspool_agent/tests/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine by way of its agent.
+//! Orders to an engine through its agent.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use crate::rig::{self, engine, run};
 
-/// An agent that has waited out its forerunner's orders, and its engine.
+/// An engine and its agent, which has waited until orders of its predecessor have expired.
 struct Fleet {
     parts: Rc<Parts>,
     control: std::net::SocketAddr,
@@ -60,9 +60,9 @@
     }
 }
 
-/// An operator changes an engine's role; the answer is lost on either hop, and
-/// the order is said again. The engine carries it out once, and the sender of
-/// an old fence is refused though the engine itself would obey.
+/// Guards against an order that the engine carries out twice because it was repeated after
+/// its answer was lost, and against an order with an old fence that is carried out because
+/// the engine itself doesn't check fences.
 #[test]
 fn orders_run_once_and_in_fence_order() {
     for checks_fences in [true, false] {
--- a/verbenaspool_agent/tests/agent/path.rs
+++ b/verbenaspool_agent/tests/agent/path.rs
@@ -1,4 +1,4 @@
-//! Requests that go well.
+//! Successful requests.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         let mut body = response.into_body();
         let first = body.frame().await.unwrap().unwrap().into_data().unwrap();
         assert!(String::from_utf8_lossy(&first).contains(&text::token("Net", 0)));
-        // The engine is still at work, so the rest has not been sent.
+        // The engine is still running the request, so the rest was not sent yet.
         assert_eq!(parts.batch.running(), 1);
     });
 }
--- a/verbenaspool_agent/tests/agent/process.rs
+++ b/verbenaspool_agent/tests/agent/process.rs
@@ -1,4 +1,4 @@
-//! The program itself: started, killed, told to stop, and started again.
+//! Tests of the program: start, kill, graceful shutdown and restart.
 
 use std::{
     io::{BufRead, BufReader},
@@ -18,7 +18,7 @@
 
 use crate::rig::{Rig, completion, engine, run, service};
 
-/// The program with its settings, killed if a test forgets it.
+/// A running agent process, killed on drop.
 struct Process {
     child: Child,
     rig: Rig,
@@ -65,7 +65,7 @@
             .map_while(Result::ok)
             .filter_map(|line| serde_json::from_str::<Value>(&line).ok())
             .find(|line| line["msg"] == "agent started")
-            .expect("the word that it started");
+            .expect("the log message of the start");
         let address = |key: &str| started[key].as_str().and_then(|text| text.parse().ok());
         let rig = Rig::attach(
             address("address").expect("an address"),
@@ -81,7 +81,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for the end without holding the loop up.
+    /// Waits until the process exits, without blocking the event loop.
     async fn wait(&mut self) -> ExitStatus {
         loop {
             if let Some(status) = self.child.try_wait().expect("the status") {
@@ -94,8 +94,8 @@
 
 #[test]
 fn killed_before_the_engine_started() {
-    // The agent dies before a request reaches it; the platform's list still has
-    // it. The entry must be able to say "not run" and go elsewhere.
+    // Guards against an unknown outcome if the agent was killed before a request reached
+    // it: the entry must see that the request was not sent, and can retry elsewhere.
     run(async {
         let (address, parts) = engine(Config::default());
         let mut process = Process::start("before", address, "engine", 5);
@@ -109,9 +109,9 @@
 
 #[test]
 fn killed_after_the_engine_started() {
-    // The agent dies between two tokens. The caller must see a broken stream,
-    // the engine must stop, and the agent that follows must not claim to know
-    // what became of the attempt.
+    // The agent is killed between two tokens. Guards against a stream that looks complete,
+    // an engine that keeps running, and a new agent process that reports a status for an
+    // attempt of its predecessor.
     run(async {
         let (address, parts) = engine(Config::default());
         let mut process = Process::start("after", address, "engine", 5);
@@ -145,8 +145,8 @@
 
 #[test]
 fn killed_while_a_write_runs() {
-    // The booking runs, and the agent dies before the answer. Whoever asks the
-    // next agent must not hear "refused", or the booking would run twice.
+    // Guards against a write that runs twice: the agent is killed while the write runs, and
+    // its successor must not report the attempt as "refused".
     run(async {
         let (address, journal) = service(Duration::from_millis(200));
         let mut process = Process::start("write", address, "plain", 5);
@@ -169,8 +169,8 @@
 
 #[test]
 fn stopped_while_a_stream_runs() {
-    // The platform replaces the instance. The skipper's quote is half written;
-    // it must come whole, while new work is refused with the reason.
+    // Guards against a stream that is cut off by a graceful shutdown: it must complete,
+    // while new requests are rejected with the reason.
     run(async {
         let (address, _) = engine(Config::default());
         let mut process = Process::start("drain", address, "engine", 20);
@@ -185,11 +185,15 @@
         body.frame().await.unwrap().unwrap();
         process.terminate();
         while !rig.report(0).await.load.leaving {}
-        // Behind the linger new connections are refused, which is "not sent".
+        // After the linger time new connections are refused, which counts as "not sent".
         if let Ok(refused) = rig.complete("Net", 1).await {
             assert_eq!(refused.outcome, Outcome::NotRun);
         }
-        let rest = body.collect().await.expect("the whole rest").to_bytes();
+        let rest = body
+            .collect()
+            .await
+            .expect("the rest of the stream")
+            .to_bytes();
         assert!(rest.ends_with(b"data: [DONE]\n\n"));
         assert_eq!(process.wait().await.code(), Some(0));
     });
--- a/verbenaspool_agent/tests/agent/rejection.rs
+++ b/verbenaspool_agent/tests/agent/rejection.rs
@@ -1,4 +1,4 @@
-//! What a refusal tells the entry.
+//! What a rejection reports to the entry.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 #[test]
 fn every_rejection_carries_its_attempt() {
-    // No request of a new entry gets through, and each ends unknown: the entry
-    // doesn't know the agent's number yet, the agent refuses without naming the
-    // attempt, and the entry takes that for a crossed answer.
+    // Guards against a new entry whose requests all end with an unknown outcome: it doesn't
+    // know the agent's number yet, and takes a rejection without the attempt id for the
+    // response to another request.
     run(async {
         let (upstream, journal) = service(Duration::ZERO);
         let rig = Rig::start(settings(upstream, "plain"));
@@ -48,9 +48,9 @@
 
 #[test]
 fn a_request_for_another_instance_gets_no_report() {
-    // Quetzal's findings are written into Tidewater's jobs: an instance was
-    // replaced, its address went to the other firm, and an entry with a late
-    // list asked there for the agent's number and sent its work.
+    // Guards against requests of one firm that are run by another firm's upstream: an
+    // instance was replaced, its address was reused by the other firm, and an entry with an
+    // outdated list learned the agent's number there and sent its requests.
     run(async {
         let (upstream, _) = service(Duration::ZERO);
         let rig = Rig::start(settings(upstream, "plain"));
--- a/verbenaspool_agent/tests/agent/report.rs
+++ b/verbenaspool_agent/tests/agent/report.rs
@@ -1,4 +1,4 @@
-//! What entries hear of load, cache and orders.
+//! Reports of load and cache events, resumed streams, and the sender of orders.
 
 use std::time::Duration;
 
@@ -35,7 +35,10 @@
         let mut last = 0;
         loop {
             let load = rig.report(0).await.load;
-            assert!(load.sequence > last, "each word has a higher number");
+            assert!(
+                load.sequence > last,
+                "each report has a higher sequence number"
+            );
             last = load.sequence;
             if load.running == 2 && load.queued == 1 && load.tokens > 9_000 {
                 break;
@@ -43,14 +46,14 @@
             rig.clock.sleep(Duration::from_millis(2)).await;
         }
         drop(first);
-        assert!(second.await, "the freed place went to the second");
+        assert!(second.await, "the second request gets the freed place");
     });
 }
 
 #[test]
 fn cache_events_are_reported_once_and_a_gap_loses_one() {
-    // Were each lost event a fresh start, an engine that loses one in 16 would
-    // wipe what entries know of its cache every few requests.
+    // Guards against a reset for each lost event: with an engine that loses one event in
+    // 16, entries would forget the state of its cache every few requests.
     run(async {
         let (address, _) = engine(Config {
             report_delay: Duration::ZERO,
@@ -76,7 +79,7 @@
         let cached: Vec<u64> = cache.events.iter().map(|event| event.prefix).collect();
         let fourth = prefix::hashes(&other)[1];
         assert_eq!((cached, cache.reset), (vec![fourth], false));
-        // A number that this agent never gave comes from before a restart.
+        // A number that the engine has not reached yet is from before a restart.
         let after_restart = rig.report(9).await.cache;
         assert_eq!((after_restart.events.len(), after_restart.reset), (3, true));
     });
@@ -101,8 +104,8 @@
 
 #[test]
 fn orders_with_an_old_fence_are_not_sent() {
-    // An old sender wakes up and repeats its order. With an engine that ignores
-    // fences only the gate stands before a second model being loaded.
+    // Guards against a delayed order with an old fence that loads a second model: with an
+    // engine that ignores fences, only the sender can hold it back.
     let order = |fence| Order {
         fence,
         action: json!({"load": "loft", "version": fence}),
@@ -124,7 +127,7 @@
             let late = sender.send(&order(3), clock.now()).await;
             assert_eq!(late, Err(Error::Expired));
             assert_eq!(parts.orders.executed(), [order(2)]);
-            // A gate of a successor that knows no fence yet.
+            // The sender of a successor that knows no fence yet.
             let sent = Sender::new(address, clock.clone())
                 .send(&order(1), deadline())
                 .await;
--- a/verbenaspool_agent/tests/agent/rig.rs
+++ b/verbenaspool_agent/tests/agent/rig.rs
@@ -1,4 +1,4 @@
-//! An upstream, an agent beside it, and an entry's side of the contract.
+//! Test setup: an upstream, its agent, and a client that acts as an entry.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -33,10 +33,10 @@
     rpc, runtime, shutdown,
 };
 
-/// How long a control call may take.
+/// Timeout for control calls and connecting.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An agent that runs, and what an entry needs to reach it.
+/// A running agent and the clients to reach it.
 pub struct Rig {
     pub data: SocketAddr,
     pub control: SocketAddr,
@@ -49,16 +49,16 @@
     counter: Cell<u64>,
 }
 
-/// What an entry got.
+/// The response that an entry received.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
     pub outcome: Outcome,
     pub attempt: Option<attempt::Id>,
     pub load: Option<Load>,
-    /// The tokens behind which the answer goes on, where the engine said so.
+    /// The number of tokens after which the response resumes, if the engine gave it.
     pub resumed_after: Option<u32>,
-    /// The whole body; none where it broke off.
+    /// The complete body; none if it was interrupted.
     pub body: Option<Bytes>,
 }
 
@@ -73,21 +73,21 @@
     }
 }
 
-/// Runs a test on a loop of its own.
+/// Runs a test on a new event loop, with a timeout.
 pub fn run<F: Future>(test: F) -> F::Output {
     let with_timeout = async {
         monoio::time::timeout(Duration::from_secs(30), test)
             .await
-            .expect("the test ends")
+            .expect("the test ends in time")
     };
     runtime::run(with_timeout).expect("a loop")
 }
 
 pub fn parse(text: &str) -> Settings {
-    settings::read(text).expect("sound settings")
+    settings::read(text).expect("valid settings")
 }
 
-/// Settings for an upstream of a kind, with a short linger.
+/// Settings for an upstream of the given kind, with a short linger time.
 pub fn settings(upstream: SocketAddr, kind: &str) -> Settings {
     parse(&format!(
         "firm: tidewater\ninstance: loft-1\n\
@@ -98,7 +98,7 @@
     ))
 }
 
-/// What an entry asks an instance's agent.
+/// The request for a report that an entry sends to an instance's agent.
 pub fn report_request(instance: &str, since: u64) -> report::Request {
     report::Request {
         instance: Identity {
@@ -148,7 +148,7 @@
         rig
     }
 
-    /// Reaches an agent that runs already.
+    /// Uses an agent that is already running.
     pub fn attach(data: SocketAddr, control: SocketAddr, agent: u64) -> Self {
         Self {
             data,
@@ -224,7 +224,7 @@
             .expect("a report")
     }
 
-    /// Asks for a report, and may be refused.
+    /// Requests a report; the agent may reject the call.
     pub async fn request_report(
         &self,
         report_request: &report::Request,
@@ -250,7 +250,7 @@
         answer.expect("the control call is answered")
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     pub async fn wait_until(&self, condition: impl Fn() -> bool) {
         while !condition() {
             self.clock.sleep(Duration::from_millis(1)).await;
