--- a/verbenaspool_agent/src/agent.rs
+++ b/verbenaspool_agent/src/agent.rs
@@ -136,7 +136,7 @@
         &mut self.module
     }
 
-    /// The sender of all orders to the engine.
+    /// The sender of the engine's orders, except for the steps of a group.
     #[must_use]
     pub fn orders(&self) -> Rc<Sender> {
         self.orders.clone()
