--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -26,8 +26,8 @@
 /// than a quarter of the throughput is given up to have the others on time.
 const MIN_THROUGHPUT_RATIO: f64 = 0.75;
 
-/// The share of the longest pass on time up to which late requests are placed. The rest is
-/// kept for requests that can be on time.
+/// The share of the longest pass on time up to which a recovering group gets late requests.
+/// The rest is kept for requests that can be on time.
 const LATE_PASS_RATIO: f64 = 0.85;
 
 /// The share of the longest time between events that the longest pass may take.
@@ -81,7 +81,7 @@
     pub min_pass_ratio: f64,
     /// Whether the group has just returned from an outage.
     pub recovering: bool,
-    /// Whether requests that could have been on time were recently rejected.
+    /// Whether requests that could have been on time recently found no capacity.
     pub shortage: bool,
     /// Whether streams stay on time after the next shift of expert popularity, or the limit
     /// that this takes would cost too much throughput.
@@ -129,7 +129,8 @@
 ///
 /// Late requests leave some capacity to those that can be on time. After an outage they are
 /// placed only if passes stay on time and no request that can be on time lacks capacity.
-/// Otherwise the backlog would fill the group while its passes are at their longest.
+/// Otherwise the backlog would fill the group while its passes are at their longest. If no
+/// stream can be on time anyway, they may use up to half of the slots.
 #[must_use]
 pub fn cost(
     now: Duration,
--- a/verbenaspool_policy/src/dispatch/circuit.rs
+++ b/verbenaspool_policy/src/dispatch/circuit.rs
@@ -66,8 +66,8 @@
         self.unreachable_ranks.clear();
     }
 
-    /// Opens the circuit: a rank with spare slots rejected a request, or several couldn't
-    /// be reached.
+    /// Opens the circuit: a rank with less than half of its slots in use rejected a
+    /// request, or several ranks couldn't be reached.
     pub fn open(&mut self, now: Duration) {
         if self.next_probe.is_none() {
             self.next_probe = Some(now + PROBE_INTERVAL);
--- a/verbenaspool_policy/src/dispatch/diagnostics.rs
+++ b/verbenaspool_policy/src/dispatch/diagnostics.rs
@@ -26,7 +26,8 @@
 pub struct Snapshot {
     /// Number of available upstreams.
     pub upstreams: u32,
-    /// Number of available upstreams that get no requests for now, because they failed.
+    /// Number of available upstreams that get no requests for now, because they failed or
+    /// were full.
     pub ejected: u32,
     /// Requests in flight from all entries, as far as known.
     pub in_flight: u32,
--- a/verbenaspool_policy/src/dispatch/failure_domain.rs
+++ b/verbenaspool_policy/src/dispatch/failure_domain.rs
@@ -19,7 +19,8 @@
 
 impl Dispatcher {
     /// Records the crash of an upstream. Its group can't run passes without it, so no rank
-    /// of the group gets requests until its agent reports that the group runs.
+    /// of the group gets requests until its agent reports that the group runs, or until the
+    /// record expires like a status report.
     pub fn record_crash(&mut self, now: Duration, id: &str) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! Under sustained overload the number of streams has to be limited by pass time, not by
 //! the engine's slots. Every stream gets one event per pass, and a pass takes longer the
-//! more streams there are. Without that limit all streams miss their deadlines and the work
-//! done for them is largely wasted.
+//! more streams there are. Without that limit all streams are late, and the work done for
+//! them is worth only half as much.
 
 mod availability;
 pub mod capacity;
@@ -174,7 +174,7 @@
     }
 
     /// Ends a pending reservation: the upstream's agent kept a slot for a request of this
-    /// entry, denied it, or wasn't asked.
+    /// entry, denied it, didn't answer, or wasn't asked.
     pub fn finish_reservation(&mut self, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.reserving = upstream.reserving.saturating_sub(1);
--- a/verbenaspool_policy/src/dispatch/pass_pace.rs
+++ b/verbenaspool_policy/src/dispatch/pass_pace.rs
@@ -45,7 +45,7 @@
     mean: Option<(f64, Duration)>,
     /// The pace of the last few passes, and when it was last updated.
     recent: Option<(f64, Duration)>,
-    /// The recent peak of that pace, and when it was reached.
+    /// The recent peak of that pace, and when it was last reached or renewed.
     peak: (f64, Duration),
 }
 
--- a/verbenaspool_policy/src/dispatch/placement.rs
+++ b/verbenaspool_policy/src/dispatch/placement.rs
@@ -25,16 +25,17 @@
 /// rank hardly matters to callers.
 const CROSS_ZONE_PENALTY_SLOTS: f64 = 1.5;
 
-/// Added to the cost of an upstream whose agent doesn't respond. Its instance may be
-/// frozen, and its load is only known from other entries' digests, so that many entries
-/// would use the same free slot. Any other upstream with capacity is preferred.
+/// Added to the cost of an upstream whose agent doesn't respond or hasn't reported its load
+/// recently. Its instance may be frozen, and its load is only known from other entries'
+/// digests, so that many entries would use the same free slot. Any other upstream with
+/// capacity is preferred.
 const UNRESPONSIVE_AGENT_PENALTY: f64 = 2.0;
 
 /// Random cost that spreads requests over equally good upstreams.
 const TIE_BREAK_SPREAD: f64 = 0.01;
 
-/// How long late requests aren't admitted to a recovering group after a request that could
-/// have been on time was rejected.
+/// How long late requests take no spare capacity of a recovering group after a request that
+/// could have been on time found none.
 const SHORTAGE_HOLD_TIME: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
--- a/verbenaspool_policy/src/dispatch/service_time.rs
+++ b/verbenaspool_policy/src/dispatch/service_time.rs
@@ -30,7 +30,9 @@
 /// How long a late request waits for running upstreams, as a multiple of the service time.
 const LATE_WAIT_RATIO: f64 = 0.15;
 
-/// The shortest Retry-After at capacity. Entries receive each other's digests within 0.1 s.
+/// The shortest service time that Retry-After at capacity is computed from. With it the
+/// range begins at 0.15 s, by which time entries have received each other's digests: that
+/// takes up to 0.1 s.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The mean service time, if an answer has ended.
@@ -67,7 +69,7 @@
         spare.min(left.mul_f64(MAX_WAIT_RATIO))
     }
 
-    /// The service time, or the shortest Retry-After if no answer has ended.
+    /// The service time, or `MIN_RETRY_AFTER` if no answer has ended.
     #[must_use]
     pub fn estimate(self) -> Duration {
         self.0.unwrap_or(MIN_RETRY_AFTER)
--- a/verbenaspool_policy/src/dispatch/wait_queue.rs
+++ b/verbenaspool_policy/src/dispatch/wait_queue.rs
@@ -3,8 +3,8 @@
 //! Under sustained overload requests that can still be on time are placed before late ones,
 //! as otherwise every answer would be slightly late. Streams that move off a slow rank are
 //! treated like requests that can be on time, because each of them delays the whole group.
-//! Requests over their customer's usual rate come after the others. Ties are broken by
-//! priority, then by arrival.
+//! Both among these and among the late ones, requests over their customer's usual rate come
+//! after the others. Ties are broken by priority, then by arrival.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     pub queued_at: Duration,
     /// The latest placement with which its answer is on time.
     pub on_time_until: Duration,
-    /// When it stops waiting.
+    /// The latest time at which it stops waiting.
     pub until: Duration,
     /// The request itself.
     pub request: PlacementRequest,
