--- a/verbenaspool_policy/src/balancer/admission.rs
+++ b/verbenaspool_policy/src/balancer/admission.rs
@@ -119,8 +119,8 @@
         deadline.saturating_sub(Duration::try_from_secs_f64(service).unwrap_or(Duration::MAX))
     }
 
-    /// Counts a rejection. `retry_after` is the time until the customer's queued work is
-    /// done.
+    /// Counts a rejection. Its `retry_after` is derived from its reason and from the time
+    /// until the customer's queued work is done.
     pub(super) fn reject(&mut self, reason: Reason, customer: u32) -> Rejection {
         self.counters.rejected[reason as usize] += 1;
         let wait_seconds = self.queues.wait_seconds(customer, self.capacity());
--- a/verbenaspool_policy/src/mechanism.rs
+++ b/verbenaspool_policy/src/mechanism.rs
@@ -10,8 +10,8 @@
     Shares,
     /// Requests that can't meet their deadline are rejected at once.
     Refusal,
-    /// The largest request of a customer's queue is dropped when not all can meet their
-    /// deadlines.
+    /// When not all requests of a customer's queue can meet their deadlines, the largest of
+    /// the lowest priority is dropped instead of the newest one.
     Displacement,
     /// The concurrency limit of each upstream adapts.
     Limits,
--- a/verbenaspool_policy/src/quarantine.rs
+++ b/verbenaspool_policy/src/quarantine.rs
@@ -205,8 +205,8 @@
         begins
     }
 
-    /// Records a quarantine set by another entry, or by an earlier process of this one.
-    /// Returns whether it is new.
+    /// Records a quarantine set by another entry, or before this process started. Returns
+    /// whether it is new.
     pub fn record_term(&mut self, now: Duration, request: Fingerprint, term: Term) -> bool {
         let known = self.records.get(&request);
         let is_known =
--- a/verbenaspool_policy/src/quarantine/tests.rs
+++ b/verbenaspool_policy/src/quarantine/tests.rs
@@ -103,7 +103,8 @@
     ));
 }
 
-/// Guards against the same for a quarantine that another entry has set.
+/// Guards against a late report of a success that ends a quarantine which another entry
+/// has set since.
 #[test]
 fn a_success_reported_late_ends_no_newer_quarantine() {
     let mut quarantine = Quarantine::default();
--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -225,7 +225,7 @@
     fn load_rate(&self) -> Option<u64> {
         let free =
             (self.spare_link_fraction + self.settings.most_delay) * HOST_LINK_BYTES_PER_SECOND;
-        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // At most 2 * LINK.
+        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // At most 1.6e10.
         let bytes_per_second = (free as u64).min(self.settings.bytes_a_second);
         (bytes_per_second > 0).then_some(bytes_per_second)
     }
--- a/verbenaspool_policy/src/rejection.rs
+++ b/verbenaspool_policy/src/rejection.rs
@@ -1,8 +1,8 @@
 //! The time after which a rejected caller should retry.
 //!
 //! Rejected callers may retry at once, or all at the same time. A rejection is final and
-//! immediate; its retry time is when the customer's queued work will be done, with
-//! random jitter.
+//! answered as soon as it is decided. Unless an upstream is missing or attempts failed,
+//! its retry time is when the customer's queued work will be done, with random jitter.
 
 use std::time::Duration;
 
