--- a/verbenaspool_policy/benches/simulation/case.rs
+++ b/verbenaspool_policy/benches/simulation/case.rs
@@ -50,7 +50,7 @@
     /// Whether half of the engines run three times as many requests as the others.
     pub mixed_sizes: bool,
     /// Whether every third customer always sets `max_tokens` to the maximum, which says
-    /// nothing about its answers.
+    /// nothing about its answers. Only applies to [`Mix::Exponential`].
     pub fixed_max_tokens: bool,
 }
 
--- a/verbenaspool_policy/benches/simulation/engine.rs
+++ b/verbenaspool_policy/benches/simulation/engine.rs
@@ -41,7 +41,7 @@
     waiting: VecDeque<Task>,
     /// The cached prefixes, the least recently used first.
     cache: VecDeque<u64>,
-    /// How many prefixes are cached.
+    /// The most prefixes that are cached.
     cache_capacity: usize,
     full_speed_requests: usize,
 }
--- a/verbenaspool_policy/benches/simulation/job.rs
+++ b/verbenaspool_policy/benches/simulation/job.rs
@@ -39,7 +39,7 @@
 /// The distribution of prompts and answers in a case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Answers of 100 tokens on average, exponentially distributed.
+    /// Answers of about 100 tokens, exponentially distributed.
     Exponential,
     /// Answers of about 25 tokens; one in a hundred is 100 times as long.
     LongTail,
--- a/verbenaspool_policy/tests/dispatch/load.rs
+++ b/verbenaspool_policy/tests/dispatch/load.rs
@@ -46,8 +46,8 @@
 }
 
 /// Guards against most requests being rejected while entries don't receive each other's
-/// digests. Each assumes that it is alone; upstreams only process as many streams as they
-/// have slots.
+/// digests. Each then assumes that it is alone, and uses as many slots of an upstream as it
+/// would by itself.
 #[test]
 fn entries_without_digests_still_serve() {
     let mut world = World::new(4, 8);
