--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -136,7 +136,7 @@
                 *top = 0;
             }
             let start = Instant::now();
-            // These grants count as sent with those of the next tick.
+            // The commands that this report triggers are counted and answered here.
             for output in lead.handle_report(now, own_report) {
                 if let Output::Send { seat, command } = output {
                     cost.messages += 1;
--- a/verbenaspool_coordination/src/adoption.rs
+++ b/verbenaspool_coordination/src/adoption.rs
@@ -95,7 +95,7 @@
     /// The highest known head, if some of its pieces are missing or another head waits
     /// for activation before it.
     next: Option<Head>,
-    /// Versions held by the peers of the zone.
+    /// The highest version that each peer of the zone holds.
     peer_versions: BTreeMap<Name, Version>,
     /// When the last version was activated.
     activated_at: Duration,
--- a/verbenaspool_coordination/src/attempt.rs
+++ b/verbenaspool_coordination/src/attempt.rs
@@ -8,8 +8,8 @@
 //!
 //! Memory is bounded without breaking the guarantee. The oldest closed records are
 //! dropped, and each raises its entry's `rejected_through`: an attempt up to that
-//! counter without a record is rejected. If the dropped attempt had run, `ran_through`
-//! rises as well, up to which the ledger reports "unknown" instead of "rejected".
+//! counter without a record is rejected. If the dropped attempt may have run,
+//! `ran_through` rises as well, up to which the ledger reports "unknown" instead of "rejected".
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -55,7 +55,8 @@
     done: u64,
     /// The last step whose grant it has acknowledged.
     acked_top: u64,
-    /// The last start with which its engine joined after others but had run nothing.
+    /// The last start with which its engine was found to have run nothing, although
+    /// others had run steps.
     reset_start: Option<StartId>,
     /// The step after which an engine that has run nothing joins the others; 0 while
     /// that isn't known.
--- a/verbenaspool_coordination/src/group/message.rs
+++ b/verbenaspool_coordination/src/group/message.rs
@@ -1,8 +1,9 @@
 //! Messages between the agents of a group.
 //!
 //! Any message may be lost, duplicated, reordered or delayed by minutes.
-//! Therefore each message carries the fence it belongs to and the start of the
-//! agent it is addressed to, and all messages are idempotent.
+//! Therefore commands and reports carry the fence they belong to, reports carry
+//! the start of their sender, commands that depend on the rank's state carry the
+//! start they are addressed to, and all messages are idempotent.
 
 use serde::{Deserialize, Serialize};
 use verbenaspool_state::expert_map::Map;
--- a/verbenaspool_coordination/src/group/order.rs
+++ b/verbenaspool_coordination/src/group/order.rs
@@ -7,14 +7,13 @@
 //!   order ID, so the order is executed once.
 //! - An order arrives after its sender was replaced: a fence lower than the
 //!   highest one seen is rejected, even if the engine itself ignores fences.
-//! - An order arrives late: it carries its validity, and isn't executed after
-//!   that.
+//! - An order is delayed on its way to the engine: it carries its validity, and
+//!   isn't sent to the engine after that.
 //! - The engine's answer is lost: the outcome is read from the engine's state,
 //!   and no other order is sent before it is known.
 //! - This agent restarts and has lost fence and IDs, while an order of its
 //!   predecessor may still be in flight to the engine: no order is admitted for
-//!   the longest validity that an order can have, and the engine is read before
-//!   the first one.
+//!   the longest validity that an order can have.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -198,7 +198,7 @@
                 Phase::Reading => outputs.push(self.read_engine()),
                 _ if self.pending_round.is_some() => outputs.push(self.read_engine()),
                 // The engine confirms a grant by its reported state. Until then
-                // the order may have been lost.
+                // the order or its answer may have been lost.
                 _ => outputs.extend(self.forward_grants()),
             }
         }
--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -461,8 +461,8 @@
         {
             return ReceiveOutcome::Superseded;
         }
-        // The status of a process overrides what others reported about it, except
-        // that a process declared dead has to return with a higher incarnation.
+        // The sender's own entry is merged like any other, so a process that was declared
+        // dead has to return with a higher incarnation.
         self.merge(std::slice::from_ref(&status.from));
         self.statuses.insert(name, (now, status));
         ReceiveOutcome::Current
--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -365,7 +365,9 @@
             })
     }
 
-    /// Returns the orders to send now, and the outcome if the change has ended.
+    /// Returns the orders to send now, and the outcome if the change has ended. A change has
+    /// no outcome if the group re-formed, or if another agent released the pass while this
+    /// one resolved it.
     pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<SwitchOutcome>) {
         let ended = self.advance(now);
         (self.orders(now), ended)
