--- a/verbenaspool_protocol/src/member.rs
+++ b/verbenaspool_protocol/src/member.rs
@@ -45,7 +45,7 @@
     pub counts: Vec<u32>,
 }
 
-/// An order of the lead for the receiver's rank.
+/// An order for the receiver's rank, from the lead or an agent that stands in for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The group's epoch; in any other one the order is ignored.
@@ -117,7 +117,8 @@
         for expert in rank {
             bytes.extend(expert.to_le_bytes());
         }
-        // Terminates the rank's experts; no expert has this number.
+        // Ends the rank's experts, so that an expert on another rank gives another hash. No
+        // expert has this number.
         bytes.extend(u16::MAX.to_le_bytes());
     }
     #[allow(clippy::cast_possible_truncation)] // Half of the hash is enough.
--- a/verbenaspool_protocol/src/message.rs
+++ b/verbenaspool_protocol/src/message.rs
@@ -32,9 +32,10 @@
     ReservationAnswer(reservation::Answer),
     /// Agent to the other agents of its group: the state of its rank.
     State(State),
-    /// Agent to lead: the experts chosen by recent requests of its rank.
+    /// Agent to the collector of its aggregation group, or to the lead: the experts chosen by
+    /// recent requests.
     Choices(Choices),
-    /// Lead to agent: an order for its rank.
+    /// Lead, or an agent that stands in for it, to agent: an order for its rank.
     Order(Order),
     /// Lead to agent: differences of the map that its rank has to prepare.
     Difference(Difference),
--- a/verbenaspool_protocol/src/settle.rs
+++ b/verbenaspool_protocol/src/settle.rs
@@ -24,14 +24,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It was not admitted, and never will be, because the agent has recorded a tombstone
-    /// for it.
+    /// It did not run and never will: the agent rejects it if it still arrives.
     Refused,
     /// It is in progress.
     Running,
     /// It is finished.
     Ended,
-    /// It was sent to another agent process, so this one doesn't know.
+    /// It may have run: it was interrupted, its record was dropped, or it was sent to another
+    /// agent process.
     Unknown,
 }
 
