--- a/verbenaspool_state/src/decisions.rs
+++ b/verbenaspool_state/src/decisions.rs
@@ -19,7 +19,7 @@
     /// Number of upstreams that one entry instance uses.
     pub subset: u32,
     /// Maximum load to which an upstream is preferred because of a cached prefix, relative to
-    /// its limit.
+    /// its limit; 2 is twice the limit.
     pub affinity_bound: f64,
     /// How many times slower than its peers an upstream has to be for ejection.
     pub ejection_factor: f64,
--- a/verbenaspool_state/src/upstream.rs
+++ b/verbenaspool_state/src/upstream.rs
@@ -51,7 +51,7 @@
 pub struct Rank {
     /// The group's name.
     pub group: Name,
-    /// Index of the rank, from 0. Rank 0 is the lead.
+    /// Index of the rank, from 0.
     pub index: u16,
     /// Number of ranks in the group.
     #[serde(rename = "of")]
