--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of pieces requested in one [`Fetch`]; their hashes take 16 KB.
 pub const MAX_PIECES: usize = 512;
-/// Size in bytes above which no further piece is added to a [`FetchAnswer`], well below the
+/// Size in bytes above which no further piece is added to a [`FetchAnswer`], about half the
 /// frame limit.
 pub const MAX_PIECE_BYTES: usize = 1_000_000;
 
