--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -34,7 +34,7 @@
 /// Callers leave after 4 times the target, or 2 s.
 const MAX_FIRST_EVENT_TIMEOUT_FACTOR: f64 = 3.6;
 
-/// A request with less time left isn't sent.
+/// A request with less time left isn't sent to another upstream.
 const MIN_SEND_TIME: Duration = Duration::from_millis(30);
 
 /// Number of failed connections to upstreams after which a request fails.
--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -63,8 +63,8 @@
             .needs_reservation(now, &self.upstream)
     }
 
-    /// Ends the reservation: the upstream's agent kept a slot for the request, denied it, or
-    /// wasn't asked.
+    /// Ends the reservation: the upstream's agent kept a slot for the request, or the request is
+    /// sent without one. Dropping the permit ends a pending reservation as well.
     pub fn finish_reservation(&self) {
         self.reservation_pending.set(false);
         self.queue
