--- a/verbenaspool_agent/src/group/settings.rs
+++ b/verbenaspool_agent/src/group/settings.rs
@@ -49,7 +49,8 @@
 }
 
 impl Platform {
-    /// Short pauses of the lead don't replace it, and its loss costs a few seconds.
+    /// A lead that pauses for a short time keeps the lease, and the loss of the lead costs a
+    /// few seconds.
     fn lease_seconds() -> u64 {
         10
     }
--- a/verbenaspool_agent/src/settings.rs
+++ b/verbenaspool_agent/src/settings.rs
@@ -84,8 +84,8 @@
 }
 
 impl Upstream {
-    /// Engines update their figures less often than this, so polling more often gains
-    /// nothing.
+    /// The figures of engines are older than this when they are read, so polling more often
+    /// gains nothing.
     fn poll_ms() -> u64 {
         250
     }
--- a/verbenaspool_agent/src/shared.rs
+++ b/verbenaspool_agent/src/shared.rs
@@ -21,7 +21,7 @@
 /// State shared by the parts of an agent process.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    /// Random number of the process, which distinguishes it from its predecessors.
+    /// Random number of the process, so that no two processes have the same.
     pub(crate) number: u64,
     /// The instance, in the form that entries send in [`verbenaspool_protocol::header::INSTANCE`].
     pub(crate) identity: String,
