--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -42,7 +42,7 @@
     pub rank: Rank,
     pub client: Client,
     pub socket: UdpSocket,
-    /// Sequence number of the last state sent to agents.
+    /// Sequence number of the own rank's latest state, by which agents detect older ones.
     pub(super) sequence: Cell<u64>,
     /// Sequence number of the last status sent to entries.
     pub(super) status_sequence: Cell<u64>,
@@ -70,7 +70,7 @@
     pub(super) last_round: Cell<Option<Round>>,
     /// Wakes the sampling task at the end of a round.
     pub round_ended: Notify,
-    /// Sums of other ranks' choices, to be sent to the lead.
+    /// Sums of the choices of the aggregation group, to be sent to the lead.
     pub(super) sums: RefCell<RoundSums>,
     /// Number of dropped messages of choices.
     pub(super) dropped_choices: Cell<u64>,
--- a/verbenaspool_agent/src/direct/membership.rs
+++ b/verbenaspool_agent/src/direct/membership.rs
@@ -12,7 +12,7 @@
 /// Maximum time by which a datagram may arrive after later ones.
 const REORDER_WINDOW: Duration = Duration::from_millis(300);
 
-/// Time after which a member is removed whose agent sends no messages.
+/// Time without a message from its agent after which a member no longer counts as present.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Number of ranks, the lead's included, whose agents may stand in for a silent lead. A
--- a/verbenaspool_agent/src/direct/progress.rs
+++ b/verbenaspool_agent/src/direct/progress.rs
@@ -47,8 +47,8 @@
             return;
         }
         let passes = step.saturating_sub(self.step);
-        // The first report, a report after an idle time and a restarted rank don't yield a
-        // pass time.
+        // The first report, a report of an idle rank and a restarted rank don't yield a pass
+        // time.
         if busy && self.step > 0 && passes > 0 {
             let passes = u32::try_from(passes).unwrap_or(u32::MAX);
             // Limited, so that a stall doesn't count as a pass time. Below the limit a
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -26,8 +26,8 @@
     /// Stands in for the lead if it is silent while the group is stalled.
     ///
     /// If a lead freezes or is cut off between the orders to hold a pass and to release
-    /// it, the whole group would wait until it is back. The next rank's agent then reads
-    /// the reports of all ranks and completes the change, as described in the switch. Each
+    /// it, the whole group would wait until it is back. The next rank's agent then takes the
+    /// last reports of all ranks and completes the change, as described in the switch. Each
     /// further rank waits longer, so that not all of them do this. If two of them do it at
     /// once, or the lead recovers, they only repeat each other's orders.
     pub async fn stand_in(self: &Rc<Self>) {
--- a/verbenaspool_agent/src/direct/subscribers.rs
+++ b/verbenaspool_agent/src/direct/subscribers.rs
@@ -3,8 +3,8 @@
 //! Load: tens of entries in front of hundreds of ranks. Entries in the rank's availability
 //! zone send most requests to it, and receive changes of its request count within 0.1 s;
 //! messages within a zone are free. The other entries, which are the majority, receive the
-//! status every few seconds, and immediately only if the rank's group breaks or its pace
-//! changes: they reserve a slot before they send a request.
+//! status every few seconds, and immediately only if the rank's group starts or stops
+//! making passes or the rank's pace changes: they reserve a slot before they send a request.
 
 use std::{collections::BTreeMap, net::IpAddr, time::Duration};
 
