--- a/verbenaspool/src/entry/upload.rs
+++ b/verbenaspool/src/entry/upload.rs
@@ -65,7 +65,7 @@
     bounds: Bounds,
     clock: Rc<dyn Clock>,
     pause_timer: Option<Sleep>,
-    /// The chunks read so far; none once they exceed [`MAX_REPLAY_BYTES`].
+    /// The chunks read so far; none once they exceed [`MAX_REPLAY_BYTES`] or are released.
     replay_buffer: Option<Vec<Bytes>>,
     bytes_read: u64,
     fault: Option<Fault>,
