--- a/examples/demo/groups.rs
+++ b/examples/demo/groups.rs
@@ -111,7 +111,8 @@
         )
     }
 
-    /// Returns how often the map changed, and 1 if some step used several maps, otherwise 0.
+    /// Returns how often the map changed, and 1 if the ranks used different maps in a step,
+    /// repeated a step or returned to an older map, otherwise 0.
     pub fn check_maps(&self) -> (usize, usize) {
         let group = self.group.borrow();
         let epochs: BTreeSet<u64> = group.history().iter().map(|entry| entry.epoch).collect();
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -38,7 +38,8 @@
     steps: usize,
     /// Changes of expert maps that became active.
     map_changes: usize,
-    /// Groups with a step whose ranks used different maps.
+    /// Groups whose ranks used different maps in a step, repeated a step or returned to an
+    /// older map.
     steps_on_mixed_maps: usize,
     /// Median time of complete answers in microseconds.
     p50_us: u64,
--- a/verbenaspool_soak/src/deployment.rs
+++ b/verbenaspool_soak/src/deployment.rs
@@ -273,7 +273,8 @@
     )
 }
 
-/// Configuration of a version: the default routes, and one named after the version.
+/// Configuration of a version: the default routes, one named after the version, and those of
+/// [`FRAGILE_SERVICE`].
 fn configuration(version: u64) -> String {
     let mut routes = text::routes();
     routes.push(text::route(&version_path(version), "safe", "jobs"));
--- a/verbenaspool_standin/src/service.rs
+++ b/verbenaspool_standin/src/service.rs
@@ -173,7 +173,7 @@
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.writes.borrow_mut().push(text);
             }
-            // Even an empty sleep waits for the next tick of the timer, a millisecond.
+            // A request that takes no time skips the timer, which may take up to a millisecond.
             if !self.request_time.get().is_zero() {
                 self.clock.sleep(self.request_time.get()).await;
             }
--- a/verbenaspool_transport/src/config/bundle.rs
+++ b/verbenaspool_transport/src/config/bundle.rs
@@ -20,7 +20,7 @@
 /// Files of fewer pieces aren't packed, since reading those one by one is fast enough.
 const MIN_PIECES: usize = 256;
 /// Number of versions between two packings. The pieces that changed since the last one,
-/// 300 at most, are read one by one.
+/// about 300 at most, are read one by one.
 const VERSIONS_PER_PACK: u64 = 64;
 /// Maximum size of the pieces in one bundle, with their hashes and escaped quotes. It
 /// keeps a bundle below the platform's limit of 1 MB.
--- a/verbenaspool_transport/src/config/upstreams.rs
+++ b/verbenaspool_transport/src/config/upstreams.rs
@@ -28,9 +28,9 @@
 
 /// Maximum number of instances of a small list. On any event, a small list is read whole,
 /// which also makes up for lost events. Of a larger list, only the instances named by events
-/// are read. The number of watches between reads of the whole list then grows by one for every
-/// [`SMALL_LIST_INSTANCES`] / [`WATCHES_PER_LIST`] instances, so that these reads take less
-/// than 1 KB per second at any size.
+/// are read. The number of watches between reads of the whole list then grows by
+/// [`WATCHES_PER_LIST`] for every [`SMALL_LIST_INSTANCES`] instances, so that these reads take
+/// less than 1 KB per second at any size.
 const SMALL_LIST_INSTANCES: usize = 90;
 
 /// Follows the list of a firm's upstream instances.
--- a/verbenaspool_transport/src/log/queue.rs
+++ b/verbenaspool_transport/src/log/queue.rs
@@ -75,7 +75,7 @@
             self.counters.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        // Can't be full: `queued` never exceeds the channel's capacity.
+        // The channel can't be full: its capacity is the limit of the lines counted above.
         let _ = self.queue.log(record, values);
         Ok(())
     }
