--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -20,7 +20,7 @@
     whole: usize,
     /// Requests that were reported as not run.
     not_run: usize,
-    /// Requests without a reported outcome.
+    /// Requests that may or may not have run, as far as their callers know.
     unknown: usize,
     /// Complete answers with another content than expected.
     wrong_answers: usize,
--- a/examples/demo/traffic.rs
+++ b/examples/demo/traffic.rs
@@ -38,7 +38,7 @@
     pub wrong_answer: bool,
     /// Body of a write, which identifies it.
     pub write: Option<String>,
-    /// Time until the answer was complete.
+    /// Time until the answer was complete or the request failed.
     pub duration: Duration,
 }
 
--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -70,7 +70,8 @@
 }
 
 /// Guards against overloading the platform as it comes back from an outage: an instance that has
-/// a thousand pieces to read must not read them all at once.
+/// a thousand pieces to read must not read them all at once. If every instance did, the platform
+/// would go down again.
 #[test]
 fn calls_stay_within_the_budget() {
     run(async {
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -32,9 +32,9 @@
     pub zone: Name,
     /// The instance that wrote it.
     pub writer: Name,
-    /// Number of writes by this writer, which makes each status differ from the one before.
-    /// If two reads some time apart return the same status, the zone isn't reporting.
-    /// Timestamps aren't compared, since clocks may step.
+    /// Number of writes by this writer, so that successive statuses differ. If two reads some
+    /// time apart return the same status, the zone isn't reporting. Timestamps aren't
+    /// compared, since clocks may step.
     pub count: u64,
     /// Number of live instances.
     pub alive: u32,
