--- a/verbenaspool_transport/src/config/bundle.rs
+++ b/verbenaspool_transport/src/config/bundle.rs
@@ -25,8 +25,9 @@
 /// Maximum size of the pieces in one bundle, with their hashes and escaped quotes. It
 /// keeps a bundle below the platform's limit of 1 MB.
 const MAX_BUNDLE_BYTES: usize = 700_000;
-/// Number of missing pieces from which the bundles are read. It is higher than the number
-/// that one level of the tree reveals below nodes that are present.
+/// Number of missing pieces from which the bundles are read: the number of children of a
+/// tree node. Missing pieces are found one level at a time, so that an instance without any
+/// pieces reaches it near the root, while a few changes leave fewer missing.
 pub const MIN_MISSING_PIECES: usize = 16;
 
 /// Writes a file's pieces as bundles if the version is due for it.
