--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -20,7 +20,7 @@
     whole: usize,
     /// Requests that were reported as not run.
     not_run: usize,
-    /// Requests without a reported outcome.
+    /// Requests that may or may not have run, as far as their callers know.
     unknown: usize,
     /// Complete answers with another content than expected.
     wrong_answers: usize,
@@ -38,7 +38,8 @@
     steps: usize,
     /// Changes of expert maps that became active.
     map_changes: usize,
-    /// Groups with a step whose ranks used different maps.
+    /// Groups whose ranks used different maps in a step, repeated a step or returned to an
+    /// older map.
     steps_on_mixed_maps: usize,
     /// Median time of complete answers in microseconds.
     p50_us: u64,
