--- a/verbenaspool/benches/capacity/change.rs
+++ b/verbenaspool/benches/capacity/change.rs
@@ -10,7 +10,7 @@
 use verbenaspool_coordination::{
     adoption::{Adoption, Settings},
     head::Head,
-    membership::{Member, MemberState},
+    membership::{self, Member},
     piece,
 };
 use verbenaspool_protocol::peer::{Offer, OfferAnswer};
@@ -146,7 +146,7 @@
         name: "entry-1".parse().expect("a name"),
         incarnation: 1 << 60,
         address: ([10, 0, 0, 1], 7000).into(),
-        state: MemberState::Live,
+        state: membership::State::Live,
     };
     for change in 0..CHANGES {
         let number = (change as usize * 7_919) % customer_count;
--- a/verbenaspool/benches/capacity/members.rs
+++ b/verbenaspool/benches/capacity/members.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use verbenaspool_coordination::membership::{Member, MemberState, Membership, Settings};
+use verbenaspool_coordination::membership::{Member, Membership, Settings, State};
 use verbenaspool_protocol::peer::{Heartbeat, HeartbeatAnswer};
 use verbenaspool_state::version::Version;
 
@@ -83,7 +83,7 @@
             name: format!("entry-{number}").parse().expect("a name"),
             incarnation: (1 << 60) + u64::from(number),
             address: ([10, 0, 0, 1], number).into(),
-            state: MemberState::Live,
+            state: State::Live,
         };
         let mut members = BTreeMap::new();
         for number in 0..count {
--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use verbenaspool_platform::header;
 use verbenaspool_policy::dispatch::{
-    AttemptOutcome, PlacementRequest, Rejection, Resumption, retry_budget::RetryLimits,
+    AttemptOutcome, PlacementRequest, Rejection, Resumption, retry_budget,
 };
 use verbenaspool_state::{
     fingerprint::Fingerprint,
@@ -161,7 +161,7 @@
     }
 
     /// The limits of the retry budget, and the number of entries that share it.
-    fn retry_limits(&self) -> (RetryLimits, usize) {
+    fn retry_limits(&self) -> (retry_budget::Limits, usize) {
         let now = self.gateway.clock.now();
         let limits = self.gateway.settings.borrow().bounds.retry_limits();
         (limits, self.gateway.sharing_entries(now))
--- a/verbenaspool/src/direct/queue.rs
+++ b/verbenaspool/src/direct/queue.rs
@@ -10,12 +10,8 @@
 use slog::{Logger, info};
 use tokio::sync::oneshot;
 use verbenaspool_policy::dispatch::{
-    AttemptOutcome, Dispatcher, PlacementRequest, Rejection, ServiceDiagnostics, Verdict,
-    customer_rate::CustomerRates,
-    retry_budget::{RetryBudget, RetryLimits},
-    retry_detection::RetryDetector,
-    slow::StallScope,
-    wait_queue::Ticket,
+    AttemptOutcome, Diagnostics, Dispatcher, PlacementRequest, Rejection, Verdict, customer_rate,
+    retry_budget, retry_detection::Detector, slow::StallScope, wait_queue::Ticket,
 };
 use verbenaspool_transport::clock::Clock;
 
@@ -27,9 +23,9 @@
     clock: Rc<dyn Clock>,
     log: Logger,
     dispatcher: RefCell<Dispatcher>,
-    retry_budget: RefCell<RetryBudget>,
-    retry_detector: RefCell<RetryDetector>,
-    customer_rates: RefCell<CustomerRates>,
+    retry_budget: RefCell<retry_budget::Budget>,
+    retry_detector: RefCell<Detector>,
+    customer_rates: RefCell<customer_rate::Rates>,
     /// Sends verdicts to waiting requests.
     verdict_senders: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     last_ticket: Cell<Ticket>,
@@ -258,7 +254,7 @@
     }
 
     /// Counts a request for the retry budget.
-    pub fn record_request(&self, limits: &RetryLimits) {
+    pub fn record_request(&self, limits: &retry_budget::Limits) {
         let now = self.clock.now();
         self.retry_budget.borrow_mut().record_request(now, limits);
     }
@@ -292,7 +288,7 @@
     }
 
     /// Whether the retry budget currently allows a retry. Doesn't count one.
-    pub fn allows_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
+    pub fn allows_retry(&self, limits: &retry_budget::Limits, entries: usize) -> bool {
         let now = self.clock.now();
         self.retry_budget
             .borrow_mut()
@@ -300,7 +296,7 @@
     }
 
     /// Counts a retry against the retry budget. Returns whether the budget allows it.
-    pub fn try_retry(&self, limits: &RetryLimits, entries: usize) -> bool {
+    pub fn try_retry(&self, limits: &retry_budget::Limits, entries: usize) -> bool {
         let now = self.clock.now();
         self.retry_budget
             .borrow_mut()
@@ -319,7 +315,7 @@
     }
 
     /// The current state of the service, for the log.
-    pub fn diagnostics(&self) -> ServiceDiagnostics {
+    pub fn diagnostics(&self) -> Diagnostics {
         let now = self.clock.now();
         self.dispatcher.borrow().diagnostics(now)
     }
--- a/verbenaspool/src/direct/record.rs
+++ b/verbenaspool/src/direct/record.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use slog::{info, o, warn};
-use verbenaspool_policy::dispatch::ServiceDiagnostics;
+use verbenaspool_policy::dispatch::Diagnostics;
 use verbenaspool_state::fingerprint::Fingerprint;
 
 use super::gateway::Gateway;
@@ -23,7 +23,7 @@
     fingerprint: Option<Fingerprint>,
     /// The state of the service when the request was placed or rejected, or when its stream
     /// had its longest pause.
-    diagnostics: ServiceDiagnostics,
+    diagnostics: Diagnostics,
     /// Each upstream that it was sent to, and with what result.
     attempts: Vec<String>,
     /// When the first event was forwarded.
@@ -89,7 +89,7 @@
     }
 
     /// Sets the state of the service at this point of the request.
-    pub fn set_diagnostics(&self, diagnostics: ServiceDiagnostics) {
+    pub fn set_diagnostics(&self, diagnostics: Diagnostics) {
         self.summary.borrow_mut().diagnostics = diagnostics;
     }
 
--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -92,8 +92,8 @@
     /// assert_eq!(bounds.retry_limits().window.as_secs(), 10);
     /// ```
     #[must_use]
-    pub fn retry_limits(&self) -> retry_budget::RetryLimits {
-        retry_budget::RetryLimits {
+    pub fn retry_limits(&self) -> retry_budget::Limits {
+        retry_budget::Limits {
             ratio: self.retry_ratio,
             window: Duration::from_secs_f64(self.retry_window_s.max(0.1)),
             slack: self.retry_slack,
--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use verbenaspool_coordination::{
     gather::{Round, RoundSums},
-    switch::{self, SwitchOutcome},
+    switch,
 };
 use verbenaspool_platform::{order, report::Report};
 use verbenaspool_policy::slots::Slots;
@@ -415,13 +415,13 @@
             None => return,
         };
         match ended {
-            Some(SwitchOutcome::Completed(version)) => {
+            Some(switch::Outcome::Completed(version)) => {
                 info!(self.log, "expert map in use"; "version" => version);
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
                     lead.record_completed(version);
                 }
             }
-            Some(SwitchOutcome::Abandoned(version)) => {
+            Some(switch::Outcome::Abandoned(version)) => {
                 let lead = self.lead.borrow();
                 let unprepared = lead.as_ref().map(|lead| lead.switch.unprepared_ranks());
                 warn!(self.log, "expert map change abandoned; some ranks haven't prepared the map";
--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -18,7 +18,7 @@
 use verbenaspool_state::{name::Name, version::Version};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use message::{Member, MemberState, OwnStanding, PeerStatus, ReceiveOutcome};
+pub use message::{Member, OwnStanding, ReceiveOutcome, State, Status};
 pub use summary::{LaggingInstance, SubtreeSummary, Summary};
 
 mod message;
@@ -69,7 +69,7 @@
     /// All known members, dead ones included.
     table: BTreeMap<Name, Member>,
     /// The last status received from each peer, and when.
-    statuses: BTreeMap<Name, (Duration, PeerStatus)>,
+    statuses: BTreeMap<Name, (Duration, Status)>,
     /// The time since which each neighbour is expected to send heartbeats.
     expected_since: BTreeMap<Name, Duration>,
     /// When the next heartbeat is due.
@@ -83,13 +83,13 @@
     /// Creates the membership of an instance that knows only itself.
     ///
     /// ```
-    /// use verbenaspool_coordination::membership::{Member, MemberState, Membership, Settings};
+    /// use verbenaspool_coordination::membership::{Member, State, Membership, Settings};
     ///
     /// let me = Member {
     ///     name: "entry-1".parse().unwrap(),
     ///     incarnation: 1,
     ///     address: ([127, 0, 0, 1], 7001).into(),
-    ///     state: MemberState::Live,
+    ///     state: State::Live,
     /// };
     /// let membership = Membership::new(me, Settings::default());
     /// assert!(membership.is_watcher());
@@ -130,7 +130,7 @@
     /// assert!(membership.last_status(&"entry-2".parse().unwrap()).is_none());
     /// ```
     #[must_use]
-    pub fn last_status(&self, neighbour: &Name) -> Option<&PeerStatus> {
+    pub fn last_status(&self, neighbour: &Name) -> Option<&Status> {
         self.statuses.get(neighbour).map(|(_, status)| status)
     }
 
@@ -169,7 +169,7 @@
     /// ```
     #[must_use]
     pub fn live_names(&self) -> Vec<Name> {
-        let live = self.table.values().filter(|m| m.state == MemberState::Live);
+        let live = self.table.values().filter(|m| m.state == State::Live);
         live.map(|member| member.name.clone()).collect()
     }
 
@@ -179,7 +179,7 @@
         let live = self
             .table
             .values()
-            .filter(|member| member.state != MemberState::Dead);
+            .filter(|member| member.state != State::Dead);
         let mut order: Vec<&Member> = live.collect();
         order.sort_by_cached_key(|member| (member.state, xxh3_64(member.name.as_str().as_bytes())));
         order
@@ -378,8 +378,8 @@
         held: Version,
         in_force: Version,
         reaches_platform: bool,
-    ) -> PeerStatus {
-        PeerStatus {
+    ) -> Status {
+        Status {
             from: self.own().clone(),
             digest: self.digest(),
             held,
@@ -439,7 +439,7 @@
     /// assert!(!membership.digest_differs(&status));
     /// ```
     #[must_use]
-    pub fn digest_differs(&self, status: &PeerStatus) -> bool {
+    pub fn digest_differs(&self, status: &Status) -> bool {
         status.digest != self.digest()
     }
 
@@ -454,7 +454,7 @@
     /// # let now = std::time::Duration::ZERO;
     /// let outcome = membership.receive(now, status);
     /// ```
-    pub fn receive(&mut self, now: Duration, status: PeerStatus) -> ReceiveOutcome {
+    pub fn receive(&mut self, now: Duration, status: Status) -> ReceiveOutcome {
         let name = status.from.name.clone();
         if let Some(known) = self.table.get(&name)
             && known.incarnation > status.from.incarnation
@@ -529,7 +529,7 @@
     pub fn leave(&mut self) {
         let me = self.own_name.clone();
         if let Some(own) = self.table.get_mut(&me) {
-            own.state = MemberState::Leaving;
+            own.state = State::Leaving;
         }
     }
 
@@ -556,7 +556,7 @@
             if now.saturating_sub(last) >= timeout
                 && let Some(member) = self.table.get_mut(&neighbour.name)
             {
-                member.state = MemberState::Dead;
+                member.state = State::Dead;
                 dead.push(neighbour.name);
             }
         }
--- a/verbenaspool_coordination/src/membership/message.rs
+++ b/verbenaspool_coordination/src/membership/message.rs
@@ -18,17 +18,17 @@
     /// Address at which the process serves calls of its peers.
     pub address: SocketAddr,
     /// State of the process.
-    pub state: MemberState,
+    pub state: State,
 }
 
 impl Member {
     /// Creates the entry of a live instance.
     ///
     /// ```
-    /// use verbenaspool_coordination::membership::{Member, MemberState};
+    /// use verbenaspool_coordination::membership::{Member, State};
     ///
     /// let me = Member::live("entry-1".parse().unwrap(), 1, ([127, 0, 0, 1], 7001).into());
-    /// assert_eq!(me.state, MemberState::Live);
+    /// assert_eq!(me.state, State::Live);
     /// ```
     #[must_use]
     pub fn live(name: Name, incarnation: u64, address: SocketAddr) -> Self {
@@ -36,7 +36,7 @@
             name,
             incarnation,
             address,
-            state: MemberState::Live,
+            state: State::Live,
         }
     }
 }
@@ -44,7 +44,7 @@
 /// State of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum MemberState {
+pub enum State {
     /// It is running.
     Live,
     /// It finishes its requests and shuts down.
@@ -56,7 +56,7 @@
 /// Status of the sender in a heartbeat and in its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PeerStatus {
+pub struct Status {
     /// The sender.
     pub from: Member,
     /// Digest of the sender's member table.
--- a/verbenaspool_coordination/src/membership/tests.rs
+++ b/verbenaspool_coordination/src/membership/tests.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use super::{Member, MemberState, Membership, OwnStanding, ReceiveOutcome, Settings};
+use super::{Member, Membership, OwnStanding, ReceiveOutcome, Settings, State};
 use verbenaspool_state::version::Version;
 
 /// Creates the member with this number.
@@ -9,7 +9,7 @@
         name: format!("entry-{number}").parse().unwrap(),
         incarnation,
         address: ([127, 0, 0, 1], 7000 + number).into(),
-        state: MemberState::Live,
+        state: State::Live,
     }
 }
 
--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -42,7 +42,7 @@
 
 use std::time::Duration;
 
-pub use self::order::{Order, RankOrder, Report, SwitchOutcome};
+pub use self::order::{Order, Outcome, RankOrder, Report};
 
 /// Number of passes between the latest reported one and the one to hold. Two leave
 /// one whole pass, some 60 ms, for the orders to arrive. With one, groups of 32 ranks
@@ -368,13 +368,13 @@
     /// Returns the orders to send now, and the outcome if the change has ended. A change has
     /// no outcome if the group re-formed, or if another agent released the pass while this
     /// one resolved it.
-    pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<SwitchOutcome>) {
+    pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<Outcome>) {
         let ended = self.advance(now);
         (self.orders(now), ended)
     }
 
     /// Moves on to the next phase if the reports allow it.
-    fn advance(&mut self, now: Duration) -> Option<SwitchOutcome> {
+    fn advance(&mut self, now: Duration) -> Option<Outcome> {
         match self.phase {
             Phase::Idle => {
                 self.detect_orphaned_hold(now);
@@ -395,7 +395,7 @@
                         |rank: &usize| !self.ranks[*rank].matches_recently(now, copied);
                     self.unprepared_ranks = (0..self.ranks.len()).filter(not_prepared).collect();
                     self.enter_phase(Phase::Idle);
-                    return Some(SwitchOutcome::Abandoned(version));
+                    return Some(Outcome::Abandoned(version));
                 }
                 None
             }
@@ -429,7 +429,7 @@
                 } else if self.began_on_other_map(now, version, step) {
                     // Another agent stood in and released the pass.
                     self.enter_phase(Phase::Idle);
-                    return Some(SwitchOutcome::Abandoned(version));
+                    return Some(Outcome::Abandoned(version));
                 } else if self.is_arming_blocked(step) {
                     self.enter_phase(Phase::BlockingArming { step });
                 }
@@ -440,9 +440,9 @@
                     self.enter_phase(Phase::Idle);
                     let missed = self.began_on_other_map(now, version, step);
                     return Some(if missed {
-                        SwitchOutcome::Abandoned(version)
+                        Outcome::Abandoned(version)
                     } else {
-                        SwitchOutcome::Completed(version)
+                        Outcome::Completed(version)
                     });
                 }
                 None
--- a/verbenaspool_coordination/src/switch/order.rs
+++ b/verbenaspool_coordination/src/switch/order.rs
@@ -75,7 +75,7 @@
 /// Outcome of a change. The version is 0 if a held pass was released with the old map
 /// because no rank was armed for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SwitchOutcome {
+pub enum Outcome {
     /// The group uses this version.
     Completed(u64),
     /// The group doesn't switch to this version.
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaspool_coordination::switch::{Order, RankOrder, Report, Switch, SwitchOutcome};
+use verbenaspool_coordination::switch::{Order, Outcome, RankOrder, Report, Switch};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -82,7 +82,7 @@
     report_all(&mut switch, ms(1_300), &reports);
     assert_eq!(
         switch.poll(ms(1_300)),
-        (Vec::new(), Some(SwitchOutcome::Completed(5)))
+        (Vec::new(), Some(Outcome::Completed(5)))
     );
 }
 
@@ -277,6 +277,6 @@
     reports[2].prepared = Some(5);
     report_all(&mut switch, ms(4_000), &reports);
     let (_, ended) = switch.poll(ms(4_000));
-    assert_eq!(ended, Some(SwitchOutcome::Abandoned(5)));
+    assert_eq!(ended, Some(Outcome::Abandoned(5)));
     assert_eq!(switch.unprepared_ranks(), [1]);
 }
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::{prelude::Rng, test_runner::TestRng};
-use verbenaspool_coordination::switch::{Order, Report, Switch, SwitchOutcome};
+use verbenaspool_coordination::switch::{Order, Outcome, Report, Switch};
 
 /// Duration of a pass.
 const PASS_MS: u64 = 60;
@@ -454,7 +454,7 @@
         let epoch = self.agents[number].switch.epoch();
         let own = self.agents[number].rank;
         let (orders, ended) = self.agents[number].switch.poll(now);
-        if matches!(ended, Some(SwitchOutcome::Completed(v)) if v > 0) {
+        if matches!(ended, Some(Outcome::Completed(v)) if v > 0) {
             self.changes += 1;
         }
         for send in orders {
--- a/verbenaspool_policy/src/dispatch/customer_rate.rs
+++ b/verbenaspool_policy/src/dispatch/customer_rate.rs
@@ -54,14 +54,14 @@
 
 /// The request rates of a service's customers.
 #[derive(Debug, Default)]
-pub struct CustomerRates {
-    rates: BTreeMap<Rc<str>, Rate>,
+pub struct Rates {
+    by_customer: BTreeMap<Rc<str>, Rate>,
     all: Rate,
     /// When the first request arrived.
     started_at: Option<Duration>,
 }
 
-impl CustomerRates {
+impl Rates {
     /// Records a request. Returns whether it exceeds its customer's usual rate.
     ///
     /// When another entry stops or a zone is left, its callers come to this entry, and all
@@ -71,9 +71,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::customer_rate::CustomerRates;
+    /// use verbenaspool_policy::dispatch::customer_rate::Rates;
     ///
-    /// let mut rates = CustomerRates::default();
+    /// let mut rates = Rates::default();
     /// let mut observe = |ms, name: &str| rates.observe(Duration::from_millis(ms), &name.into());
     /// for number in 0..100 {
     ///     assert!(!observe(number * 200, "a") && !observe(number * 200, "b"), "five a second");
@@ -90,10 +90,12 @@
         let observed_secs = USUAL_RATE_WINDOW.as_secs_f64()
             * (1.0 - (-observed_secs / USUAL_RATE_WINDOW.as_secs_f64()).exp());
         let all_usual = self.all.count(now, observed_secs);
-        if self.rates.len() >= MAX_TRACKED_CUSTOMERS && !self.rates.contains_key(customer) {
+        if self.by_customer.len() >= MAX_TRACKED_CUSTOMERS
+            && !self.by_customer.contains_key(customer)
+        {
             self.evict_oldest();
         }
-        let rate = self.rates.entry(customer.clone()).or_default();
+        let rate = self.by_customer.entry(customer.clone()).or_default();
         let usual = rate.count(now, observed_secs);
         let others = (all_usual - usual).max(1.0);
         let growth = ((self.all.recent - rate.recent) / others).max(1.0);
@@ -107,9 +109,12 @@
 
     /// Forgets the customer that hasn't sent a request for the longest time.
     fn evict_oldest(&mut self) {
-        let oldest = self.rates.iter().min_by_key(|(_, rate)| rate.updated_at);
+        let oldest = self
+            .by_customer
+            .iter()
+            .min_by_key(|(_, rate)| rate.updated_at);
         if let Some(customer) = oldest.map(|(customer, _)| customer.clone()) {
-            self.rates.remove(&customer);
+            self.by_customer.remove(&customer);
         }
     }
 }
--- a/verbenaspool_policy/src/dispatch/diagnostics.rs
+++ b/verbenaspool_policy/src/dispatch/diagnostics.rs
@@ -8,7 +8,7 @@
 
 /// The state of a service at the time of a request.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ServiceDiagnostics {
+pub struct Diagnostics {
     /// The longest pass time of any group, measured by events.
     pub longest_pass: Duration,
     /// The pace of the slowest available upstream.
--- a/verbenaspool_policy/src/dispatch/health.rs
+++ b/verbenaspool_policy/src/dispatch/health.rs
@@ -29,7 +29,7 @@
 
 /// Outcomes of attempts at one upstream.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UpstreamHealth {
+pub struct Health {
     /// The share of failed answers, with newer ones weighing more.
     failure_ratio: f64,
     /// Number of consecutive ejections.
@@ -38,7 +38,7 @@
     ejected_until: Duration,
 }
 
-impl UpstreamHealth {
+impl Health {
     /// The penalty for past failures, or nothing while the upstream is ejected.
     #[must_use]
     pub fn cost(&self, now: Duration) -> Option<f64> {
@@ -50,9 +50,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::{AttemptOutcome, health::UpstreamHealth};
+    /// use verbenaspool_policy::dispatch::{AttemptOutcome, health::Health};
     ///
-    /// let mut health = UpstreamHealth::default();
+    /// let mut health = Health::default();
     /// health.record(Duration::ZERO, AttemptOutcome::Silent);
     /// assert_eq!(health.cost(Duration::from_millis(10)), None);
     /// assert!(health.cost(Duration::from_secs(1)).is_some());
--- a/verbenaspool_policy/src/dispatch/mod.rs
+++ b/verbenaspool_policy/src/dispatch/mod.rs
@@ -34,7 +34,7 @@
 
 use self::{
     circuit::Circuit,
-    health::UpstreamHealth,
+    health::Health,
     outage::Outage,
     pass_pace::PassPace,
     service_time::ServiceTime,
@@ -43,7 +43,7 @@
     wait_queue::{QueuedRequest, Ticket, WaitQueue},
 };
 pub use self::{
-    diagnostics::{ServiceDiagnostics, Snapshot},
+    diagnostics::{Diagnostics, Snapshot},
     request::{AttemptOutcome, PlacementRequest, RejectReason, Rejection, Resumption, Verdict},
 };
 
@@ -249,7 +249,7 @@
         upstream.group_down_at = (!running).then_some(now);
         if running && !was_running {
             // Failures while the group was down say nothing about the upstream.
-            upstream.health = UpstreamHealth::default();
+            upstream.health = Health::default();
             if let Some(circuit) = self.circuits.get_mut(&group) {
                 circuit.close();
             }
@@ -509,8 +509,8 @@
 
     /// The state of the service, for the log line of a request.
     #[must_use]
-    pub fn diagnostics(&self, now: Duration) -> ServiceDiagnostics {
-        let mut diagnostics = ServiceDiagnostics::default();
+    pub fn diagnostics(&self, now: Duration) -> Diagnostics {
+        let mut diagnostics = Diagnostics::default();
         let down = self.down_groups(now);
         for (id, upstream) in &self.upstreams {
             diagnostics.longest_pass = diagnostics
--- a/verbenaspool_policy/src/dispatch/retry_budget.rs
+++ b/verbenaspool_policy/src/dispatch/retry_budget.rs
@@ -9,7 +9,7 @@
 
 /// The limits set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryLimits {
+pub struct Limits {
     /// Retries allowed as a share of requests.
     pub ratio: f64,
     /// The window in which requests and retries are counted.
@@ -24,23 +24,23 @@
 
 /// Requests and retries of one service at one entry.
 #[derive(Debug, Default)]
-pub struct RetryBudget {
+pub struct Budget {
     /// Times of requests.
     requests: VecDeque<Duration>,
     /// Times of retries.
     retries: VecDeque<Duration>,
 }
 
-impl RetryBudget {
+impl Budget {
     /// Records a request.
-    pub fn record_request(&mut self, now: Duration, limits: &RetryLimits) {
+    pub fn record_request(&mut self, now: Duration, limits: &Limits) {
         drop_expired(&mut self.requests, now, limits.window);
         self.requests.push_back(now);
     }
 
     /// Whether a request may be retried now. `entries` is the number of entries that share
     /// the slack.
-    pub fn allows_retry(&mut self, now: Duration, limits: &RetryLimits, entries: usize) -> bool {
+    pub fn allows_retry(&mut self, now: Duration, limits: &Limits, entries: usize) -> bool {
         drop_expired(&mut self.requests, now, limits.window);
         drop_expired(&mut self.retries, now, limits.window);
         #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^52.
@@ -57,14 +57,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::retry_budget::{RetryLimits, RetryBudget};
+    /// use verbenaspool_policy::dispatch::retry_budget::{Limits, Budget};
     ///
-    /// let limits = RetryLimits { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
-    /// let mut budget = RetryBudget::default();
+    /// let limits = Limits { ratio: 0.0, window: Duration::from_secs(10), slack: 2.0 };
+    /// let mut budget = Budget::default();
     /// assert!(budget.try_retry(Duration::ZERO, &limits, 1));
     /// assert!(!budget.try_retry(Duration::ZERO, &limits, 1));
     /// ```
-    pub fn try_retry(&mut self, now: Duration, limits: &RetryLimits, entries: usize) -> bool {
+    pub fn try_retry(&mut self, now: Duration, limits: &Limits, entries: usize) -> bool {
         let allowed = self.allows_retry(now, limits, entries);
         if allowed {
             self.retries.push_back(now);
--- a/verbenaspool_policy/src/dispatch/retry_detection.rs
+++ b/verbenaspool_policy/src/dispatch/retry_detection.rs
@@ -37,7 +37,7 @@
 
 /// A histogram of the waits that callers of one service recently announced.
 #[derive(Debug, Default)]
-pub struct RetryDetector {
+pub struct Detector {
     /// Number of requests by bucket, with older ones weighing less.
     weights: BTreeMap<i32, f64>,
     total_weight: f64,
@@ -59,7 +59,7 @@
     Duration::from_secs_f64(BUCKET_RATIO.powi(bucket))
 }
 
-impl RetryDetector {
+impl Detector {
     /// Records that a caller was rejected with a Retry-After.
     pub fn record_rejection(&mut self, now: Duration, retry_after: Duration) {
         self.retries_expected_until = self
@@ -73,9 +73,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
+    /// use verbenaspool_policy::dispatch::retry_detection::Detector;
     ///
-    /// let (mut detector, full) = (RetryDetector::default(), Duration::from_secs(8));
+    /// let (mut detector, full) = (Detector::default(), Duration::from_secs(8));
     /// for request in 0..60 {
     ///     detector.observe(Duration::from_millis(request * 10), full);
     /// }
@@ -127,9 +127,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use verbenaspool_policy::dispatch::retry_detection::RetryDetector;
+    /// use verbenaspool_policy::dispatch::retry_detection::Detector;
     ///
-    /// let mut detector = RetryDetector::default();
+    /// let mut detector = Detector::default();
     /// detector.set_hints([Duration::from_secs(8)].into_iter());
     /// let spent = detector.observe(Duration::ZERO, Duration::from_millis(5_500));
     /// assert!(spent > Duration::from_secs(2));
--- a/verbenaspool_policy/src/dispatch/upstream.rs
+++ b/verbenaspool_policy/src/dispatch/upstream.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_state::replica;
 
-use super::health::UpstreamHealth;
+use super::health::Health;
 
 /// How long an agent's report that its group is down or running stays valid. Agents report
 /// twice a second. An agent without recent reports may be cut off while its rank serves.
@@ -42,7 +42,7 @@
     /// The group whose ranks run passes in lock-step; 0 if unknown.
     pub group: u32,
     /// Outcomes of recent attempts.
-    pub health: UpstreamHealth,
+    pub health: Health,
     /// How many times longer than usual its work takes, by its agent's report.
     pub pace: f64,
     /// When its agent last reported group and pace.
@@ -111,7 +111,7 @@
             peer_requests: 0,
             pending_decrease: None,
             group: 0,
-            health: UpstreamHealth::default(),
+            health: Health::default(),
             pace: 1.0,
             status_at: Duration::ZERO,
             load_report: None,
--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -30,11 +30,7 @@
     rebalancing::Rebalancing,
 };
 
-use self::{
-    history::History,
-    placement::Placement,
-    sample::{Sample, SampleError},
-};
+use self::{history::History, placement::Placement, sample::Sample};
 
 /// Bandwidth of an accelerator's host link in bytes per second. Loading at a
 /// fraction of it slows steps by at most that fraction, less the idle fraction
@@ -140,7 +136,7 @@
     /// }
     /// let plan = rebalancer.decide(Duration::from_secs(2), &map).unwrap();
     /// assert!(plan.skew_after < 0.01 && plan.skew_before > 0.5);
-    /// # Ok::<(), verbenaspool_policy::rebalancer::sample::SampleError>(())
+    /// # Ok::<(), verbenaspool_policy::rebalancer::sample::Error>(())
     /// ```
     #[must_use]
     pub fn new(settings: Rebalancing, shape: Shape, expert_bytes: u64) -> Self {
@@ -162,7 +158,7 @@
     /// # Errors
     ///
     /// The reason for which the sample is ignored.
-    pub fn observe(&mut self, sample: &Sample) -> Result<(), SampleError> {
+    pub fn observe(&mut self, sample: &Sample) -> Result<(), sample::Error> {
         sample.check(self.shape, self.epoch, self.last_step)?;
         self.last_step = sample.step;
         self.spare_link_fraction = if sample.spare.is_finite() {
--- a/verbenaspool_policy/src/rebalancer/sample.rs
+++ b/verbenaspool_policy/src/rebalancer/sample.rs
@@ -31,28 +31,28 @@
     /// # Errors
     ///
     /// The reason for which the sample has to be ignored.
-    pub fn check(&self, shape: Shape, epoch: u64, last_step: u64) -> Result<(), SampleError> {
+    pub fn check(&self, shape: Shape, epoch: u64, last_step: u64) -> Result<(), Error> {
         let experts = usize::from(shape.experts);
         let layers_fit = self.layers.iter().all(|layer| layer.len() == experts);
         if !layers_fit || self.layers.len() != usize::from(shape.layers) {
-            return Err(SampleError::ShapeMismatch);
+            return Err(Error::ShapeMismatch);
         }
         if self.epoch < epoch {
             let sample = self.epoch;
-            return Err(SampleError::StaleEpoch { sample, epoch });
+            return Err(Error::StaleEpoch { sample, epoch });
         }
         if self.step <= last_step {
             let step = self.step;
-            return Err(SampleError::StaleStep { step, last_step });
+            return Err(Error::StaleStep { step, last_step });
         }
         let max_count = MAX_TOKENS_PER_STEP * u64::from(self.steps);
         let mut counts = self.layers.iter().flatten();
         if let Some(&count) = counts.find(|&&count| count > max_count) {
-            return Err(SampleError::ImplausibleCount { count });
+            return Err(Error::ImplausibleCount { count });
         }
         let is_empty = |layer: &Vec<u64>| layer.iter().all(|&count| count == 0);
         if self.steps == 0 || self.layers.iter().any(is_empty) {
-            return Err(SampleError::NoTokens);
+            return Err(Error::NoTokens);
         }
         Ok(())
     }
@@ -60,7 +60,7 @@
 
 /// Why a sample is ignored. The group keeps its map.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SampleError {
+pub enum Error {
     /// The sample's layers or experts don't match the group's shape.
     #[error("sample has other layers or experts than the group")]
     ShapeMismatch,
--- a/verbenaspool_policy/tests/dispatch/caller_retries.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -5,13 +5,13 @@
 
 use verbenaspool_policy::dispatch::{
     Dispatcher, PlacementRequest, RejectReason, Rejection, Resumption, Verdict,
-    retry_detection::RetryDetector, service_time::ServiceTime,
+    retry_detection::Detector, service_time::ServiceTime,
 };
 
 use crate::world::{engine, ms, replica, stream};
 
 /// Records first attempts whose waits are evenly spread from 6.8 to 8 s.
-fn observe_first_attempts(detector: &mut RetryDetector, from: u64, count: u64) {
+fn observe_first_attempts(detector: &mut Detector, from: u64, count: u64) {
     for number in 0..count {
         let wait = ms(6_800 + (number * 379) % 1_200);
         assert_eq!(
@@ -25,7 +25,7 @@
 /// to 5.5 s left were rejected again although their group was about to return.
 #[test]
 fn retries_are_detected_by_their_remaining_wait() {
-    let mut detector = RetryDetector::default();
+    let mut detector = Detector::default();
     observe_first_attempts(&mut detector, 0, 200);
     detector.record_rejection(ms(4_000), ms(2_500));
     for left in [4_500, 5_000, 5_500] {
@@ -39,7 +39,7 @@
 /// and 15 s here.
 #[test]
 fn first_attempts_may_have_different_waits() {
-    let mut detector = RetryDetector::default();
+    let mut detector = Detector::default();
     for number in 0..100 {
         let wait = if number % 4 == 0 { 3_000 } else { 15_000 };
         assert_eq!(detector.observe(ms(number * 20), ms(wait)), Duration::ZERO);
@@ -54,7 +54,7 @@
 /// all requests are retries.
 #[test]
 fn retries_dont_become_common_waits() {
-    let mut detector = RetryDetector::default();
+    let mut detector = Detector::default();
     observe_first_attempts(&mut detector, 0, 100);
     for number in 0..400 {
         let now = ms(2_000 + number * 20);
@@ -68,9 +68,9 @@
 /// attempts.
 #[test]
 fn a_starting_entry_detects_retries_by_hints_of_its_peers() {
-    let mut peer = RetryDetector::default();
+    let mut peer = Detector::default();
     observe_first_attempts(&mut peer, 0, 200);
-    let mut starting = RetryDetector::default();
+    let mut starting = Detector::default();
     assert_eq!(
         starting.observe(ms(0), ms(5_000)),
         Duration::ZERO,
@@ -85,7 +85,7 @@
 /// digest may contain.
 #[test]
 fn implausible_hints_are_ignored() {
-    let mut detector = RetryDetector::default();
+    let mut detector = Detector::default();
     detector.set_hints([Duration::ZERO, Duration::MAX].into_iter());
     assert_eq!(detector.observe(ms(0), ms(5_000)), Duration::ZERO);
     detector.set_hints((1..1_000).map(|number| ms(number * 1_000)));
--- a/verbenaspool_policy/tests/dispatch/retry_budget.rs
+++ b/verbenaspool_policy/tests/dispatch/retry_budget.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use verbenaspool_policy::dispatch::retry_budget::{RetryBudget, RetryLimits};
+use verbenaspool_policy::dispatch::retry_budget::{Budget, Limits};
 
-const LIMITS: RetryLimits = RetryLimits {
+const LIMITS: Limits = Limits {
     ratio: 0.2,
     window: Duration::from_secs(10),
     slack: 92.0,
@@ -14,7 +14,7 @@
 /// fail. They don't know of each other's retries.
 #[test]
 fn entries_together_stay_within_the_limits() {
-    let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::default()).collect();
+    let mut budgets: Vec<Budget> = (0..4).map(|_| Budget::default()).collect();
     let mut retries = 0;
     for request in 0..800_u64 {
         let now = Duration::from_millis(10 * request);
@@ -33,12 +33,12 @@
 /// Retries no longer count once they are older than the window.
 #[test]
 fn retries_expire_with_their_window() {
-    let mut budget = RetryBudget::default();
-    let slack_only = RetryLimits {
+    let mut budget = Budget::default();
+    let slack_only = Limits {
         ratio: 0.0,
         ..LIMITS
     };
-    let count_retries = |budget: &mut RetryBudget, now| {
+    let count_retries = |budget: &mut Budget, now| {
         (0..200)
             .filter(|_| budget.try_retry(now, &slack_only, 1))
             .count()
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/world.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use verbenaspool_policy::dispatch::{
-    AttemptOutcome, Dispatcher, PlacementRequest, Resumption, Verdict, customer_rate::CustomerRates,
+    AttemptOutcome, Dispatcher, PlacementRequest, Resumption, Verdict, customer_rate,
 };
 use verbenaspool_state::{
     engine::Engine,
@@ -112,7 +112,7 @@
     /// [`Self::run_customers`].
     customer_names: BTreeMap<u64, String>,
     pub customer_outcomes: BTreeMap<String, Outcomes>,
-    customer_rates: Vec<CustomerRates>,
+    customer_rates: Vec<customer_rate::Rates>,
     next_pass_at: u64,
     pass_ms: u64,
     last_ticket: u64,
@@ -155,7 +155,9 @@
             queued: BTreeMap::new(),
             customer_names: BTreeMap::new(),
             customer_outcomes: BTreeMap::new(),
-            customer_rates: (0..entries).map(|_| CustomerRates::default()).collect(),
+            customer_rates: (0..entries)
+                .map(|_| customer_rate::Rates::default())
+                .collect(),
             next_pass_at: 60,
             pass_ms: 60,
             last_ticket: 0,
--- a/verbenaspool_policy/tests/rebalancer.rs
+++ b/verbenaspool_policy/tests/rebalancer.rs
@@ -7,7 +7,7 @@
     Rebalancer,
     packing::{pack, repack},
     placement::Placement,
-    sample::{Sample, SampleError},
+    sample::{self, Sample},
 };
 use verbenaspool_state::{
     expert_map::{Layer, Map, Shape},
@@ -73,32 +73,32 @@
     let cases = [
         (
             with(|s| s.layers[0].truncate(7)),
-            SampleError::ShapeMismatch,
+            sample::Error::ShapeMismatch,
         ),
-        (with(|s| s.layers.clear()), SampleError::ShapeMismatch),
+        (with(|s| s.layers.clear()), sample::Error::ShapeMismatch),
         (
             with(|s| s.epoch = 0),
-            SampleError::StaleEpoch {
+            sample::Error::StaleEpoch {
                 sample: 0,
                 epoch: 1,
             },
         ),
         (
             with(|s| s.step = 5),
-            SampleError::StaleStep {
+            sample::Error::StaleStep {
                 step: 5,
                 last_step: 5,
             },
         ),
         (
             with(|s| s.layers[0][2] = u64::MAX),
-            SampleError::ImplausibleCount { count: u64::MAX },
+            sample::Error::ImplausibleCount { count: u64::MAX },
         ),
         (
             with(|s| s.steps = 0),
-            SampleError::ImplausibleCount { count: 9 },
+            sample::Error::ImplausibleCount { count: 9 },
         ),
-        (with(|s| s.layers[0].fill(0)), SampleError::NoTokens),
+        (with(|s| s.layers[0].fill(0)), sample::Error::NoTokens),
     ];
     let mut rebalancer = rebalancer(Rebalancing::default());
     let map = Map::spread(1, SHAPE);
--- a/verbenaspool_protocol/src/peer.rs
+++ b/verbenaspool_protocol/src/peer.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use verbenaspool_coordination::{
     head::Head,
-    membership::{Member, PeerStatus},
+    membership::{self, Member},
     piece::{Delta, Hash},
 };
 use verbenaspool_state::version::Version;
@@ -27,7 +27,7 @@
 pub struct Heartbeat {
     /// The sender's status.
     #[serde(rename = "word")]
-    pub status: PeerStatus,
+    pub status: membership::Status,
     /// The sender's member table, after a response that showed that the tables differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
@@ -39,7 +39,7 @@
 pub struct HeartbeatAnswer {
     /// The responder's status.
     #[serde(rename = "word")]
-    pub status: PeerStatus,
+    pub status: membership::Status,
     /// The responder's member table, if the digests differ.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub table: Vec<Member>,
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -5,7 +5,7 @@
 use verbenaspool_coordination::{
     adoption::Verdict,
     head::Head,
-    membership::{Member, OwnStanding, PeerStatus, ReceiveOutcome},
+    membership::{self, Member, OwnStanding, ReceiveOutcome},
     piece::Hash,
 };
 use verbenaspool_protocol::peer::{
@@ -79,7 +79,7 @@
 }
 
 /// The current status of this instance, as sent to peers.
-fn own_status(source: &Source) -> PeerStatus {
+fn own_status(source: &Source) -> membership::Status {
     let adoption = source.adoption.borrow();
     let held = adoption.complete_head().map(|head| head.version);
     let membership = source.membership.borrow();
@@ -151,7 +151,7 @@
 }
 
 /// The last status received from a peer, or the own status if there is none.
-fn peer_status(source: &Source, from: &Member) -> PeerStatus {
+fn peer_status(source: &Source, from: &Member) -> membership::Status {
     let membership = source.membership.borrow();
     membership
         .last_status(&from.name)
@@ -161,7 +161,7 @@
 
 /// Merges a peer's membership table and records its status. Returns whether the status is
 /// current rather than outdated.
-fn receive_status(source: &Source, members: &[Member], status: PeerStatus) -> bool {
+fn receive_status(source: &Source, members: &[Member], status: membership::Status) -> bool {
     let mut membership = source.membership.borrow_mut();
     if membership.merge(members) == OwnStanding::Replaced {
         source.replaced.set(true);
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -14,7 +14,7 @@
     adoption::{self, Adopted, Adoption, Verdict},
     head::Head,
     keys,
-    membership::{self, Member, MemberState, Membership, Summary},
+    membership::{self, Member, Membership, Summary},
 };
 use verbenaspool_state::{name::Name, version::Version};
 
@@ -141,7 +141,7 @@
             name: options.name.clone(),
             incarnation: options.seed,
             address: options.control,
-            state: MemberState::Live,
+            state: membership::State::Live,
         };
         let source = Rc::new(Self {
             adoption: RefCell::new(Adoption::new(options.firm.clone(), options.adoption)),
