--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -376,7 +376,7 @@
         &self,
         now: Duration,
         held: Version,
-        in_force: Version,
+        active: Version,
         reaches_platform: bool,
     ) -> Status {
         Status {
@@ -384,11 +384,11 @@
             digest: self.digest(),
             held,
             fresh: reaches_platform || self.has_fresh_parent(now),
-            summary: self.summary(now, in_force),
+            summary: self.summary(now, active),
         }
     }
 
-    /// Summary of the versions in force at this instance and below it in the tree.
+    /// Summary of the active versions at this instance and below it in the tree.
     ///
     /// ```
     /// # use verbenaspool_coordination::membership::{Member, Membership, Settings};
@@ -399,7 +399,7 @@
     /// let summary = membership.summary(now, Version(7));
     /// ```
     #[must_use]
-    pub fn summary(&self, now: Duration, in_force: Version) -> Summary {
+    pub fn summary(&self, now: Duration, active: Version) -> Summary {
         let children = self.children(&self.own_name);
         let status_of = |child: &Member| self.statuses.get_key_value(&child.name);
         let subtrees: Vec<SubtreeSummary> = children
@@ -411,7 +411,7 @@
                 age: now.saturating_sub(*at),
             })
             .collect();
-        Summary::aggregate(&self.own_name, in_force, &subtrees)
+        Summary::aggregate(&self.own_name, active, &subtrees)
     }
 
     /// Digest of the member table.
--- a/verbenaspool_coordination/src/membership/message.rs
+++ b/verbenaspool_coordination/src/membership/message.rs
@@ -66,7 +66,7 @@
     /// Whether the sender knows, from the platform or its parent, that the platform
     /// recently had no higher version.
     pub fresh: bool,
-    /// Summary of the versions in force at the sender and below it in the tree.
+    /// Summary of the active versions at the sender and below it in the tree.
     pub summary: Summary,
 }
 
--- a/verbenaspool_coordination/src/membership/summary.rs
+++ b/verbenaspool_coordination/src/membership/summary.rs
@@ -1,4 +1,4 @@
-//! Summary of the versions in force at many instances, of bounded size.
+//! Summary of the active versions at many instances, of bounded size.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 /// takes 60 bytes of every heartbeat on the way up the tree.
 const MAX_BEHIND: usize = 8;
 
-/// Summary of the versions in force at an instance and those below it in the tree.
+/// Summary of the active versions at an instance and those below it in the tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Summary {
     /// Number of instances in the summary.
     pub instances: u32,
-    /// The highest version in force at any of them.
+    /// The highest active version at any of them.
     pub highest: Version,
-    /// The lowest version in force at any of them, 0 for none.
+    /// The lowest active version at any of them, 0 for none.
     pub lowest: Version,
     /// Age of the oldest information in the summary, in milliseconds.
     pub age_ms: u64,
@@ -26,11 +26,11 @@
     pub behind: Vec<LaggingInstance>,
 }
 
-/// An instance whose version in force is below the highest.
+/// An instance whose active version is below the highest.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LaggingInstance {
-    /// The version in force there, 0 for none.
+    /// Its active version, 0 for none.
     pub version: Version,
     /// The instance.
     pub name: Name,
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -50,7 +50,7 @@
     ///
     /// ```no_run
     /// # fn example(status: verbenaspool_transport::config::status::Status) {
-    /// let in_force = status.is_active(verbenaspool_state::version::Version(7));
+    /// let is_active = status.is_active(verbenaspool_state::version::Version(7));
     /// # }
     /// ```
     #[must_use]
