--- a/verbenaspool/src/direct/follow.rs
+++ b/verbenaspool/src/direct/follow.rs
@@ -56,8 +56,8 @@
     /// The name of the kind in the store.
     fn object_kind(self) -> &'static str {
         match self {
-            Self::Configuration => configuration::KIND,
-            Self::Registry => wire::KIND,
+            Self::Configuration => configuration::OBJECT_KIND,
+            Self::Registry => wire::OBJECT_KIND,
         }
     }
 }
@@ -176,7 +176,7 @@
     fn publish(&self) {
         match self.kind {
             Kind::Configuration => {
-                if let Some(object) = self.objects.get(configuration::NAME) {
+                if let Some(object) = self.objects.get(configuration::OBJECT_NAME) {
                     self.gateway.observe_configuration(object);
                     self.gateway.apply_configuration(object, "store");
                 }
--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -105,7 +105,7 @@
         let Some((object, status)) = self.changed_status() else {
             return true;
         };
-        let (kind, name) = (configuration::KIND, configuration::NAME);
+        let (kind, name) = (configuration::OBJECT_KIND, configuration::OBJECT_NAME);
         let revision = object.revision;
         match self.store.set_status(kind, name, revision, &status).await {
             Ok(WriteOutcome::Written(object)) => {
--- a/verbenaspool/src/entry/caller.rs
+++ b/verbenaspool/src/entry/caller.rs
@@ -82,7 +82,7 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(text) = single_header(headers, header::DEADLINE)? else {
+    let Some(text) = single_header(headers, header::DEADLINE_MS)? else {
         return Ok(None);
     };
     match text.parse() {
--- a/verbenaspool/src/entry/exchange.rs
+++ b/verbenaspool/src/entry/exchange.rs
@@ -197,7 +197,7 @@
     }
     headers.insert(header::CUSTOMER, header_value(forward.customer.as_str()));
     let time_left_ms = u64::try_from(forward.time_left().as_millis()).unwrap_or(u64::MAX);
-    headers.insert(header::DEADLINE, time_left_ms.into());
+    headers.insert(header::DEADLINE_MS, time_left_ms.into());
     let priority = HeaderValue::from_static(priority_name(forward.priority));
     headers.insert(header::PRIORITY, priority);
     headers.insert(
--- a/verbenaspool_agent/src/direct/rank.rs
+++ b/verbenaspool_agent/src/direct/rank.rs
@@ -102,7 +102,10 @@
     /// Sends an order to the rank.
     pub async fn order(&self, order: &order::Order, epoch: u64, timeout: Duration) -> Outcome {
         let body = order::encode(order, epoch);
-        match self.call(Method::POST, order::PATH, body, timeout).await {
+        match self
+            .call(Method::POST, order::ORDER_PATH, body, timeout)
+            .await
+        {
             Some((status, _)) if status.is_success() => Outcome::Taken,
             Some((status, _)) => Outcome::Refused(status.as_u16()),
             None => Outcome::Unknown,
--- a/verbenaspool_agent/src/envelope.rs
+++ b/verbenaspool_agent/src/envelope.rs
@@ -52,7 +52,7 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(value) = headers.get(header::DEADLINE) else {
+    let Some(value) = headers.get(header::DEADLINE_MS) else {
         return Ok(None);
     };
     let time_left_ms = value
--- a/verbenaspool_agent/tests/agent/fault.rs
+++ b/verbenaspool_agent/tests/agent/fault.rs
@@ -165,7 +165,7 @@
         parts.batch.stall();
         let body = completion("Net", 5).replace("true", "false");
         let mut request = rig.request(rig.next_id(), "/v1/completions", &body);
-        let deadline = verbenaspool_protocol::header::DEADLINE;
+        let deadline = verbenaspool_protocol::header::DEADLINE_MS;
         request.headers_mut().insert(deadline, 50.into());
         let reply = rig.send(request).await.unwrap();
         assert_eq!(reply.code(), Some(Code::Deadline));
--- a/verbenaspool_agent/tests/agent/rejection.rs
+++ b/verbenaspool_agent/tests/agent/rejection.rs
@@ -24,8 +24,8 @@
                 Some("tidewater/loft-2"),
                 Code::StaleAttempt,
             ),
-            (header::DEADLINE, Some("soon"), Code::BadRequest),
-            (header::DEADLINE, Some("0"), Code::Deadline),
+            (header::DEADLINE_MS, Some("soon"), Code::BadRequest),
+            (header::DEADLINE_MS, Some("0"), Code::Deadline),
         ];
         for (name, value, code) in cases {
             let id = rig.next_id();
--- a/verbenaspool_coordination/benches/lead.rs
+++ b/verbenaspool_coordination/benches/lead.rs
@@ -16,7 +16,7 @@
 /// The duration of a step.
 const STEP_TIME: Duration = Duration::from_millis(25);
 /// The number of simulated steps.
-const STEPS: u64 = 40_000;
+const SIMULATED_STEPS: u64 = 40_000;
 /// The number of steps between two ticks of the lead.
 const STEPS_PER_TICK: usize = 2;
 
@@ -80,7 +80,7 @@
     let mut lead = Lead::new(settings, 3);
     let mut cost = Cost::default();
     let (mut first, mut done, mut ready) = (0, 0, false);
-    for step in (0..STEPS).step_by(STEPS_PER_TICK) {
+    for step in (0..SIMULATED_STEPS).step_by(STEPS_PER_TICK) {
         let now = STEP_TIME * u32::try_from(step).expect("a small number");
         let start = Instant::now();
         let mut outputs = lead.tick(now);
@@ -158,7 +158,7 @@
     let json = std::env::args().any(|argument| argument == "--json");
     for (ranks, window) in [(8, 256), (128, 256), (128, 1024), (128, 2048)] {
         let cost = run(ranks, window);
-        let steps = u32::try_from(STEPS).expect("a small number");
+        let steps = u32::try_from(SIMULATED_STEPS).expect("a small number");
         let seconds = (STEP_TIME * steps).as_secs_f64();
         #[allow(clippy::cast_precision_loss)] // Small counts.
         let (messages, bytes) = (cost.messages as f64 / seconds, cost.bytes as f64 / seconds);
--- a/verbenaspool_policy/benches/rebalance.rs
+++ b/verbenaspool_policy/benches/rebalance.rs
@@ -23,7 +23,7 @@
 /// Steps per interval.
 const STEPS_PER_INTERVAL: u32 = 200;
 /// Intervals per run: 20 minutes.
-const INTERVALS: u32 = 240;
+const INTERVALS_PER_RUN: u32 = 240;
 /// Steps per interval on which skew is measured.
 const MEASURED_STEPS_PER_INTERVAL: usize = 4;
 /// Layers that have experts.
@@ -193,8 +193,8 @@
     let mut staging: Option<Staging> = None;
     let mut outcome = Outcome::default();
     let mut delayed_sample: Option<Sample> = None;
-    for interval in 1..=INTERVALS {
-        let true_loads = workload.loads_at(f64::from(interval) / f64::from(INTERVALS));
+    for interval in 1..=INTERVALS_PER_RUN {
+        let true_loads = workload.loads_at(f64::from(interval) / f64::from(INTERVALS_PER_RUN));
         for _ in 0..MEASURED_STEPS_PER_INTERVAL {
             let step = sample_counts(&true_loads, 1.0, &mut rng);
             outcome.skews.push(skew(&map.layers, &step, shape));
--- a/verbenaspool_policy/benches/simulation/fleet.rs
+++ b/verbenaspool_policy/benches/simulation/fleet.rs
@@ -22,12 +22,12 @@
 pub const CUSTOMERS: usize = 16_000;
 pub const ENTRIES: usize = 1_000;
 pub const ZONES: usize = 11;
-const REQUESTS: u32 = 20_000;
+const MEASURED_REQUESTS: u32 = 20_000;
 /// The time between two requests: 34,000 per second over all entries.
 const ARRIVAL_INTERVAL: Duration = Duration::from_nanos(29_411_765);
 /// How long each request runs.
 const SERVICE_TIME: Duration = Duration::from_secs(4);
-const DEADLINE: Duration = Duration::from_secs(8);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Returns all upstreams of the fleet.
 pub fn members() -> Vec<Member> {
@@ -66,7 +66,7 @@
         running.push(Reverse((now + SERVICE_TIME, start.attempt)));
         answered += 1;
     };
-    for i in 0..REQUESTS {
+    for i in 0..MEASURED_REQUESTS {
         let now = ARRIVAL_INTERVAL * i / load_factor;
         while let Some(&Reverse((end, attempt))) = running.peek().filter(|r| r.0.0 <= now) {
             running.pop();
@@ -82,7 +82,7 @@
         let request = Request {
             customer,
             priority: 0,
-            deadline: now + DEADLINE,
+            deadline: now + REQUEST_TIMEOUT,
             idempotent: true,
             prompt_tokens: 100,
             max_tokens: 800,
@@ -108,7 +108,7 @@
         p99_ms: f64::NAN,
         goodput: f64::NAN,
         fairness: f64::NAN,
-        deadlines_met: answered as f64 / f64::from(REQUESTS),
+        deadlines_met: answered as f64 / f64::from(MEASURED_REQUESTS),
         ns_per_decision: decision_time.as_nanos() as f64 / decisions as f64,
         ..Score::default()
     }
--- a/verbenaspool_policy/src/hash.rs
+++ b/verbenaspool_policy/src/hash.rs
@@ -6,8 +6,9 @@
 
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// An odd multiplier that spreads the low bits over the high ones (Fibonacci hashing).
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// 2⁶⁴ divided by the golden ratio, which is odd: multiplying by it spreads the low bits
+/// over the high ones (Fibonacci hashing).
+const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Hashes an integer key.
 #[derive(Debug, Default, Clone, Copy)]
@@ -26,7 +27,7 @@
     }
 
     fn write_u64(&mut self, number: u64) {
-        self.0 = (self.0 ^ number).wrapping_mul(SPREAD);
+        self.0 = (self.0 ^ number).wrapping_mul(FIBONACCI_MULTIPLIER);
     }
 }
 
--- a/verbenaspool_policy/src/rebalancer/history.rs
+++ b/verbenaspool_policy/src/rebalancer/history.rs
@@ -11,7 +11,7 @@
 /// Weight of a sample relative to the next newer one: the fast decay is for
 /// load that shifts, where only the newest samples matter, the slow one for
 /// load that oscillates, where all do.
-const DECAYS: [f64; 2] = [0.5, 0.95];
+const DECAY_FACTORS: [f64; 2] = [0.5, 0.95];
 
 /// How many samples ahead forecasts are evaluated: about the shortest time that
 /// a map is in use before the next change.
@@ -86,7 +86,7 @@
             };
             forecasts.map(error).sum()
         };
-        let [fast, slow] = DECAYS;
+        let [fast, slow] = DECAY_FACTORS;
         let slow_is_better = error(slow) < SLOW_DECAY_ERROR_RATIO * error(fast);
         if slow_is_better { slow } else { fast }
     }
--- a/verbenaspool_protocol/src/header.rs
+++ b/verbenaspool_protocol/src/header.rs
@@ -12,7 +12,7 @@
 /// The request's fingerprint, if the entry has received the whole body.
 pub const FINGERPRINT: &str = "x-verbenaspool-fingerprint";
 /// How long the caller waits for the complete answer, in milliseconds.
-pub const DEADLINE: &str = "x-verbenaspool-deadline-ms";
+pub const DEADLINE_MS: &str = "x-verbenaspool-deadline-ms";
 /// The caller's priority: `high`, `normal` or `low`.
 pub const PRIORITY: &str = "x-verbenaspool-priority";
 /// The load of the agent's upstream in each answer, as JSON of [`crate::load::Load`].
