--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -209,10 +209,10 @@
             report: switch::Report {
                 epoch: member.epoch,
                 step: report.step,
-                map: report.map_version,
-                prepared: report.prepared_version,
-                armed: report.armed_version,
-                held: report.held_step,
+                map_version: report.map_version,
+                prepared_version: report.prepared_version,
+                armed_version: report.armed_version,
+                held_step: report.held_step,
                 arming_blocked_through: self.arming_blocked_through(member.epoch),
                 last_arm_step: self.last_arm_step(member.epoch),
             },
@@ -245,10 +245,10 @@
         let essentials = |state: &State| {
             let report = &state.report;
             (
-                report.map,
-                report.prepared,
-                report.armed,
-                report.held,
+                report.map_version,
+                report.prepared_version,
+                report.armed_version,
+                report.held_step,
                 state.pace,
             )
         };
--- a/verbenaspool_agent/src/direct/lookup.rs
+++ b/verbenaspool_agent/src/direct/lookup.rs
@@ -48,8 +48,8 @@
     /// Stores the service information, if it answers the last request.
     pub(super) fn handle_service_info(&self, entry: IpAddr, info: &ServiceInfo) {
         let now = self.clock.now();
-        let expected = |(asked, at): (IpAddr, Duration)| {
-            asked == entry && now.saturating_sub(at) < LOOKUP_TIMEOUT
+        let expected = |(asked_entry, at): (IpAddr, Duration)| {
+            asked_entry == entry && now.saturating_sub(at) < LOOKUP_TIMEOUT
         };
         if !self.last_lookup.get().is_some_and(expected) {
             return;
--- a/verbenaspool_agent/src/direct/reporting.rs
+++ b/verbenaspool_agent/src/direct/reporting.rs
@@ -118,24 +118,25 @@
         let (epoch, map, at) = self.last_experts_report.get();
         let Report {
             epoch: now_epoch,
-            map: now_map,
+            map_version: now_map,
             ..
         } = state.report;
         if (epoch, map) == (now_epoch, now_map) && now.saturating_sub(at) < interval {
             return;
         }
-        let Some(held) = self.rank.experts().await else {
+        let Some(experts) = self.rank.experts().await else {
             return;
         };
-        self.last_experts_report.set((now_epoch, held.version, now));
-        let held = RankExperts {
+        self.last_experts_report
+            .set((now_epoch, experts.version, now));
+        let report = RankExperts {
             group: state.group,
             epoch: now_epoch,
             rank: state.rank,
-            version: held.version,
-            experts: held.experts,
+            version: experts.version,
+            experts: experts.experts,
         };
-        self.send_to_lead(Message::RankExperts(held)).await;
+        self.send_to_lead(Message::RankExperts(report)).await;
     }
 
     /// Sends a message to the lead, which may be this agent itself.
--- a/verbenaspool_agent/src/direct/standin.rs
+++ b/verbenaspool_agent/src/direct/standin.rs
@@ -45,8 +45,8 @@
             received_at.is_none_or(|received_at| now.saturating_sub(received_at) > LEAD_TIMEOUT);
         let stalled_for = self.progress.get().time_without_pass(now);
         let timeout = STANDBY_TIMEOUT + STANDBY_TIMEOUT_PER_RANK * u32::from(state.rank - 1);
-        let held = state.report.held.is_some();
-        let timeout = if held { LEAD_TIMEOUT } else { timeout };
+        let holds_pass = state.report.held_step.is_some();
+        let timeout = if holds_pass { LEAD_TIMEOUT } else { timeout };
         if !silent || stalled_for < timeout {
             if self.lead.borrow_mut().take().is_some() {
                 info!(self.log, "no longer standing in for the lead");
--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -243,13 +243,15 @@
         let fresh = |rank: &RankState| match rank.report {
             Some((report, at)) => {
                 now.saturating_sub(at) <= STALE_REPORT_AGE
-                    && report.armed.is_none()
-                    && report.held.is_none()
+                    && report.armed_version.is_none()
+                    && report.held_step.is_none()
             }
             None => false,
         };
         let first = self.ranks.first().and_then(|rank| rank.report);
-        let same = |rank: &RankState| rank.report.map(|(r, _)| r.map) == first.map(|(r, _)| r.map);
+        let same = |rank: &RankState| {
+            rank.report.map(|(r, _)| r.map_version) == first.map(|(r, _)| r.map_version)
+        };
         self.is_idle() && self.ranks.iter().all(|rank| fresh(rank) && same(rank))
     }
 
@@ -262,13 +264,13 @@
     ///
     /// let mut switch = Switch::new(1);
     /// assert_eq!(switch.map_version(), None);
-    /// switch.report(Duration::ZERO, 0, Report { epoch: 1, map: 7, ..Report::default() });
+    /// switch.report(Duration::ZERO, 0, Report { epoch: 1, map_version: 7, ..Report::default() });
     /// assert_eq!(switch.map_version(), Some(7));
     /// ```
     #[must_use]
     pub fn map_version(&self) -> Option<u64> {
         let first = self.ranks.first()?.report;
-        first.map(|(report, _)| report.map)
+        first.map(|(report, _)| report.map_version)
     }
 
     /// The highest version that any rank uses, has prepared or is armed for, according to
@@ -276,7 +278,11 @@
     #[must_use]
     pub fn highest_version(&self) -> u64 {
         let versions = |(report, _): (Report, Duration)| {
-            let known = [Some(report.map), report.prepared, report.armed];
+            let known = [
+                Some(report.map_version),
+                report.prepared_version,
+                report.armed_version,
+            ];
             known.into_iter().flatten().max()
         };
         let highest = self.ranks.iter().filter_map(|rank| versions(rank.report?));
@@ -319,7 +325,9 @@
     /// age. A lead that froze after it armed its own rank and reported that isn't waited
     /// for.
     fn is_armed(&self, version: u64) -> bool {
-        let armed = |report: &Report| report.armed == Some(version) || report.map == version;
+        let armed = |report: &Report| {
+            report.armed_version == Some(version) || report.map_version == version
+        };
         (0..self.ranks.len()).all(|rank| self.last_report_matches(rank, armed))
     }
 
@@ -338,7 +346,7 @@
     fn held_step(&self, now: Duration) -> Option<u64> {
         let (report, at) = self.ranks.get(self.holder_rank())?.report?;
         report
-            .held
+            .held_step
             .filter(|_| now.saturating_sub(at) <= CONFIRMED_REPORT_AGE)
     }
 
@@ -349,7 +357,7 @@
             .get(self.holder_rank())
             .and_then(|rank| rank.report);
         holder.is_some_and(|(report, at)| {
-            now.saturating_sub(at) <= CONFIRMED_REPORT_AGE && report.held != Some(step)
+            now.saturating_sub(at) <= CONFIRMED_REPORT_AGE && report.held_step != Some(step)
         })
     }
 
@@ -361,7 +369,7 @@
             .any(|(report, at)| {
                 now.saturating_sub(at) <= STALE_REPORT_AGE
                     && report.step >= step
-                    && report.map != version
+                    && report.map_version != version
             })
     }
 
@@ -381,7 +389,7 @@
                 None
             }
             Phase::Preparing { version, until } => {
-                if self.all_match_recently(now, |report| report.prepared == Some(version)) {
+                if self.all_match_recently(now, |report| report.prepared_version == Some(version)) {
                     let step = self.pass_to_hold();
                     let until = now + HOLD_TIMEOUT;
                     self.enter_phase(Phase::Holding {
@@ -390,7 +398,7 @@
                         until,
                     });
                 } else if now >= until {
-                    let copied = |report: &Report| report.prepared == Some(version);
+                    let copied = |report: &Report| report.prepared_version == Some(version);
                     let not_prepared =
                         |rank: &usize| !self.ranks[*rank].matches_recently(now, copied);
                     self.unprepared_ranks = (0..self.ranks.len()).filter(not_prepared).collect();
@@ -488,15 +496,21 @@
     fn resolve_hold(&mut self, now: Duration, step: u64) {
         let version = self.highest_version();
         let copied = |report: &Report| {
-            [Some(report.map), report.prepared, report.armed].contains(&Some(version))
+            [
+                Some(report.map_version),
+                report.prepared_version,
+                report.armed_version,
+            ]
+            .contains(&Some(version))
         };
-        let not_armed = |report: &Report| report.last_arm_step < step && report.armed.is_none();
+        let not_armed =
+            |report: &Report| report.last_arm_step < step && report.armed_version.is_none();
         if self.others_match_recently(now, not_armed) {
             // The lead arms its own rank after another one, so it isn't armed either.
             self.enter_phase(Phase::Releasing { version: 0, step });
         } else if self.others_match_recently(now, copied) && self.last_report_matches(0, copied) {
             self.enter_phase(Phase::Finishing { version, step });
-        } else if self.all_match_recently(now, |report| report.armed.is_none()) {
+        } else if self.all_match_recently(now, |report| report.armed_version.is_none()) {
             // Ranks are armed only once all have prepared the map. Some haven't, so the
             // held pass is left from an earlier change, whose map can't be applied any
             // more.
@@ -512,7 +526,7 @@
                 .ranks
                 .get(self.holder_rank())
                 .and_then(|rank| rank.report)
-                .is_some_and(|(r, _)| r.held.is_none())
+                .is_some_and(|(r, _)| r.held_step.is_none())
             {
                 self.orphaned_hold = None;
             }
@@ -538,7 +552,9 @@
     /// wait for all others: if the lead freezes after another rank is armed and before its
     /// own is, nobody else can arm it, so this window is kept short.
     fn may_arm_first_rank(&self, version: u64) -> bool {
-        let armed = |report: &Report| report.armed == Some(version) || report.map == version;
+        let armed = |report: &Report| {
+            report.armed_version == Some(version) || report.map_version == version
+        };
         let mut others = 1..self.ranks.len();
         others.is_empty() || others.any(|rank| self.last_report_matches(rank, armed))
     }
@@ -565,12 +581,13 @@
             let order = match phase {
                 Phase::Idle => None,
                 Phase::Preparing { version, .. } => {
-                    (report.prepared != Some(version)).then_some(Order::Prepare { version })
+                    (report.prepared_version != Some(version)).then_some(Order::Prepare { version })
                 }
                 Phase::Holding { step, .. } => (rank == holder).then_some(Order::Hold { step }),
                 Phase::Arming { version, step } => {
                     let may_arm = rank > 0 || may_arm_first;
-                    let armed = report.armed == Some(version) || report.map == version;
+                    let armed =
+                        report.armed_version == Some(version) || report.map_version == version;
                     (hold_confirmed && may_arm && !armed).then_some(Order::Arm { version, step })
                 }
                 Phase::Releasing { step, .. } => (rank == holder).then_some(Order::Go { step }),
@@ -578,7 +595,8 @@
                     && report.arming_blocked_through < step)
                     .then_some(Order::BlockArming { step }),
                 Phase::Finishing { version, step } => {
-                    let armed = report.armed == Some(version) || report.map == version;
+                    let armed =
+                        report.armed_version == Some(version) || report.map_version == version;
                     (!armed).then_some(Order::Finish { version, step })
                 }
             };
--- a/verbenaspool_coordination/src/switch/order.rs
+++ b/verbenaspool_coordination/src/switch/order.rs
@@ -10,13 +10,13 @@
     /// The last pass that has begun.
     pub step: u64,
     /// The version of the map in use.
-    pub map: u64,
+    pub map_version: u64,
     /// The version whose experts are all copied.
-    pub prepared: Option<u64>,
+    pub prepared_version: Option<u64>,
     /// The version that the rank is armed for.
-    pub armed: Option<u64>,
+    pub armed_version: Option<u64>,
     /// The pass that the rank holds.
-    pub held: Option<u64>,
+    pub held_step: Option<u64>,
     /// The last pass for which the agent rejects arm orders of the lead.
     pub arming_blocked_through: u64,
     /// The last pass for which the agent has passed on an arm order, or may have done so
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -35,7 +35,7 @@
             .all(|send| send.order == Order::Prepare { version: 5 })
     );
     for report in &mut reports {
-        report.prepared = Some(5);
+        report.prepared_version = Some(5);
     }
     report_all(&mut switch, ms(1_200), &reports);
     let hold = RankOrder {
@@ -43,7 +43,7 @@
         order: Order::Hold { step: 9 },
     };
     assert_eq!(switch.poll(ms(1_200)).0, [hold]);
-    reports[1].held = Some(9);
+    reports[1].held_step = Some(9);
     report_all(&mut switch, ms(1_205), &reports);
     let arm = Order::Arm {
         version: 5,
@@ -52,7 +52,7 @@
     let arms = [1, 2].map(|rank| RankOrder { rank, order: arm });
     assert_eq!(switch.poll(ms(1_205)).0, arms);
     assert_eq!(switch.poll(ms(1_209)).0, []);
-    reports[2].armed = Some(5);
+    reports[2].armed_version = Some(5);
     report_all(&mut switch, ms(1_210), &reports);
     assert_eq!(
         switch.poll(ms(1_210)).0,
@@ -61,10 +61,10 @@
             order: arm
         }]
     );
-    reports[0].armed = Some(5);
+    reports[0].armed_version = Some(5);
     report_all(&mut switch, ms(1_215), &reports);
     assert_eq!(switch.poll(ms(1_215)).0, []);
-    reports[1].armed = Some(5);
+    reports[1].armed_version = Some(5);
     report_all(&mut switch, ms(1_265), &reports);
     let go = RankOrder {
         rank: 1,
@@ -75,7 +75,7 @@
         *report = Report {
             epoch: 1,
             step: 9,
-            map: 5,
+            map_version: 5,
             ..Report::default()
         };
     }
@@ -116,7 +116,7 @@
 /// A new lead that has found a pass held by a crashed lead and blocks arming for it.
 fn switch_with_orphaned_hold(reports: &mut [Report; 2]) -> Switch {
     let mut switch = Switch::new(2);
-    reports[1].held = Some(8);
+    reports[1].held_step = Some(8);
     for now in [0, 100] {
         report_all(&mut switch, ms(now), reports);
         assert_eq!(switch.poll(ms(now)).0, []);
@@ -138,7 +138,7 @@
     let copied = Report {
         epoch: 1,
         step: 7,
-        prepared: Some(5),
+        prepared_version: Some(5),
         ..Report::default()
     };
     let mut reports = [copied; 2];
@@ -156,7 +156,7 @@
     });
     assert_eq!(switch.poll(ms(310)).0, finishes);
     for report in &mut reports {
-        report.armed = Some(5);
+        report.armed_version = Some(5);
     }
     report_all(&mut switch, ms(320), &reports);
     let go = RankOrder {
@@ -173,7 +173,7 @@
     let copied = Report {
         epoch: 1,
         step: 7,
-        prepared: Some(5),
+        prepared_version: Some(5),
         ..Report::default()
     };
     let mut reports = [copied; 2];
@@ -193,8 +193,8 @@
     let armed = Report {
         epoch: 1,
         step: 7,
-        prepared: Some(5),
-        armed: Some(5),
+        prepared_version: Some(5),
+        armed_version: Some(5),
         last_arm_step: 8,
         ..Report::default()
     };
@@ -217,7 +217,7 @@
     let reports = [Report {
         epoch: 1,
         step: 7,
-        prepared: Some(5),
+        prepared_version: Some(5),
         ..Report::default()
     }; 2];
     report_all(&mut switch, ms(1_000), &reports);
@@ -250,7 +250,7 @@
         report_all(&mut switch, ms(1_000), &reports);
         switch.start(ms(1_000), 5, ms(150));
         for report in &mut reports {
-            report.prepared = Some(5);
+            report.prepared_version = Some(5);
         }
         report_all(&mut switch, ms(1_010), &reports);
         let hold = RankOrder {
@@ -273,8 +273,8 @@
     }; 3];
     report_all(&mut switch, ms(1_000), &reports);
     switch.start(ms(1_000), 5, ms(150));
-    reports[0].prepared = Some(5);
-    reports[2].prepared = Some(5);
+    reports[0].prepared_version = Some(5);
+    reports[2].prepared_version = Some(5);
     report_all(&mut switch, ms(4_000), &reports);
     let (_, ended) = switch.poll(ms(4_000));
     assert_eq!(ended, Some(Outcome::Abandoned(5)));
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/world.rs
@@ -387,10 +387,10 @@
         Report {
             epoch: self.epoch,
             step: self.step,
-            map: engine.map,
-            prepared: engine.prepared,
-            armed: engine.armed.map(|(version, _)| version),
-            held: engine.held,
+            map_version: engine.map,
+            prepared_version: engine.prepared,
+            armed_version: engine.armed.map(|(version, _)| version),
+            held_step: engine.held,
             arming_blocked_through: self.agent_states[rank].arming_blocked_through,
             last_arm_step: self.agent_states[rank].last_arm_step,
         }
