--- a/verbenaspool_coordination/src/group/lead.rs
+++ b/verbenaspool_coordination/src/group/lead.rs
@@ -14,7 +14,7 @@
 use verbenaspool_state::expert_map::{Layer, Map};
 
 use super::{
-    message::{Command, Refusal, Report, ReportBody, Request, StartId},
+    message::{Command, Rejection, Report, ReportBody, Request, StartId},
     schedule::{Schedule, Span},
 };
 
@@ -302,7 +302,7 @@
                 self.maps.entry(map.epoch).or_insert(map);
                 Vec::new()
             }
-            ReportBody::Refused(refusal) => self.handle_refusal(report.seat, &refusal),
+            ReportBody::Refused(rejection) => self.handle_rejection(report.seat, &rejection),
             ReportBody::Diverged { step, epoch, ran } if current => {
                 self.adopt_foreign_step(step, epoch);
                 let seat = report.seat;
@@ -315,29 +315,29 @@
         .collect()
     }
 
-    /// Handles a rank's refusal of a command.
-    fn handle_refusal(&mut self, seat: u16, refusal: &Refusal) -> Vec<Output> {
+    /// Handles a rank's rejection of a command.
+    fn handle_rejection(&mut self, seat: u16, rejection: &Rejection) -> Vec<Output> {
         let rank = &mut self.ranks[usize::from(seat)];
-        match *refusal {
-            Refusal::Fence { fence } if fence > self.fence => {
+        match *rejection {
+            Rejection::Fence { fence } if fence > self.fence => {
                 self.phase = Phase::Ended;
                 vec![Output::Deposed { fence }]
             }
             // The rank's schedule ends earlier than was assumed.
-            Refusal::Gap { top } => {
+            Rejection::Gap { top } => {
                 rank.acked_top = rank.acked_top.min(top);
                 Vec::new()
             }
             // The rank has to join again and report its state.
-            Refusal::Restarted | Refusal::Unjoined => {
+            Rejection::Restarted | Rejection::Unjoined => {
                 rank.joined = false;
                 Vec::new()
             }
-            Refusal::Conflict { step } => {
+            Rejection::Conflict { step } => {
                 let ran = false;
                 vec![Output::Diverged { seat, step, ran }]
             }
-            Refusal::Fence { .. } | Refusal::Learning | Refusal::Unknown => Vec::new(),
+            Rejection::Fence { .. } | Rejection::Learning | Rejection::Unknown => Vec::new(),
         }
     }
 
--- a/verbenaspool_coordination/src/group/message.rs
+++ b/verbenaspool_coordination/src/group/message.rs
@@ -135,7 +135,7 @@
         map: Map,
     },
     /// The command was rejected.
-    Refused(Refusal),
+    Refused(Rejection),
     /// The engine was given or has run a step on a map that wasn't granted.
     Diverged {
         /// The step.
@@ -150,7 +150,7 @@
 /// Why a rank rejected a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
-pub enum Refusal {
+pub enum Rejection {
     /// A higher fence is known.
     #[error("fence {fence} was seen")]
     Fence {
--- a/verbenaspool_coordination/src/group/rank.rs
+++ b/verbenaspool_coordination/src/group/rank.rs
@@ -16,7 +16,7 @@
 
 use super::{
     engine::{Action, Event},
-    message::{Command, PeerMessage, Refusal, Report, ReportBody, Request, StartId},
+    message::{Command, PeerMessage, Rejection, Report, ReportBody, Request, StartId},
     schedule::{Error, Schedule, Span},
 };
 
@@ -256,8 +256,8 @@
     /// Handles a command of the lead.
     fn handle_command(&mut self, now: Duration, command: Command) -> Vec<Output> {
         let lead = command.lead;
-        if let Err(refusal) = self.check_command(&command) {
-            let report = self.report(ReportBody::Refused(refusal));
+        if let Err(rejection) = self.check_command(&command) {
+            let report = self.report(ReportBody::Refused(rejection));
             return vec![Output::Report { lead, report }];
         }
         match command.request {
@@ -271,7 +271,7 @@
             Request::Drop { epoch, .. } => self.drop_map(epoch),
             Request::Fetch { epoch } => {
                 let map = self.maps.get(&epoch).cloned();
-                let unknown = ReportBody::Refused(Refusal::Unknown);
+                let unknown = ReportBody::Refused(Rejection::Unknown);
                 self.report_to_lead(map.map_or(unknown, |map| ReportBody::FetchedMap { map }))
             }
         }
@@ -282,12 +282,12 @@
     /// The fence identifies the commands of an old lead that resumes after a pause
     /// and those that were delayed in flight. The start identifies commands that
     /// have been in flight since before this agent or its engine restarted.
-    fn check_command(&self, command: &Command) -> Result<(), Refusal> {
+    fn check_command(&self, command: &Command) -> Result<(), Rejection> {
         if self.phase != Phase::Ready {
-            return Err(Refusal::Learning);
+            return Err(Rejection::Learning);
         }
         if command.fence < self.fence {
-            return Err(Refusal::Fence { fence: self.fence });
+            return Err(Rejection::Fence { fence: self.fence });
         }
         let intended = match command.request {
             Request::Collect { .. } => return Ok(()),
@@ -297,10 +297,10 @@
             | Request::Drop { start, .. } => start,
         };
         if intended != self.start_id() {
-            return Err(Refusal::Restarted);
+            return Err(Rejection::Restarted);
         }
         if command.fence > self.fence || !self.joined {
-            return Err(Refusal::Unjoined);
+            return Err(Rejection::Unjoined);
         }
         Ok(())
     }
@@ -321,18 +321,18 @@
 
     /// Adds a grant to the schedule and forwards it to the engine.
     fn handle_grant(&mut self, now: Duration, spans: &[Span]) -> Vec<Output> {
-        let refusal = match self.merge_grant(spans) {
+        let rejection = match self.merge_grant(spans) {
             Ok(()) => {
                 self.last_sent = now;
                 let mut outputs = self.report_progress();
                 outputs.extend(self.forward_grants());
                 return outputs;
             }
-            Err(Error::Conflict { step, .. }) => Refusal::Conflict { step },
-            Err(Error::Gap { top }) => Refusal::Gap { top },
-            Err(Error::Empty) => Refusal::Gap { top: self.top() },
+            Err(Error::Conflict { step, .. }) => Rejection::Conflict { step },
+            Err(Error::Gap { top }) => Rejection::Gap { top },
+            Err(Error::Empty) => Rejection::Gap { top: self.top() },
         };
-        self.report_to_lead(ReportBody::Refused(refusal))
+        self.report_to_lead(ReportBody::Refused(rejection))
     }
 
     /// Adds the granted steps that haven't run yet to the schedule.
--- a/verbenaspool_coordination/src/group/rank/snapshot.rs
+++ b/verbenaspool_coordination/src/group/rank/snapshot.rs
@@ -40,8 +40,8 @@
 
     /// Answers the pending collection round, if this state was read for it.
     fn finish_join(&mut self, snapshot: &Snapshot) -> Vec<Output> {
-        let refuses = snapshot.fence.is_some_and(|fence| fence >= self.fence);
-        let seen = snapshot.ticket == self.ticket && (refuses || !self.settings.checks_fences);
+        let rejects = snapshot.fence.is_some_and(|fence| fence >= self.fence);
+        let seen = snapshot.ticket == self.ticket && (rejects || !self.settings.checks_fences);
         let Some(round) = self.pending_round.take_if(|_| seen) else {
             return Vec::new();
         };
--- a/verbenaspool_coordination/tests/group/faults.rs
+++ b/verbenaspool_coordination/tests/group/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaspool_coordination::group::{engine::Action, lead, message::Refusal, schedule::Span};
+use verbenaspool_coordination::group::{engine::Action, lead, message::Rejection, schedule::Span};
 use verbenaspool_standin::history::steps::Violation;
 
 use crate::simulation::{
@@ -269,7 +269,7 @@
 /// Guards against a group that stops when the weight store is slow or rejects
 /// loads. The change has to wait or abort while steps go on with the current map.
 #[test]
-fn weight_store_slow_or_refusing() {
+fn weight_store_slow_or_rejecting() {
     run_case("rejecting permanently", FIRST_EPOCH, |simulation| {
         simulation.group.store().set_rejecting(true);
         assert!(simulation.propose_map(0, 1));
@@ -381,9 +381,9 @@
     ));
 }
 
-/// Guards against refusals whose text doesn't name the reason.
+/// Guards against rejections whose text doesn't name the reason.
 #[test]
-fn refusals_say_why() {
-    let refusal = Refusal::Fence { fence: 7 };
-    assert_eq!(refusal.to_string(), "fence 7 was seen");
+fn rejections_give_a_reason() {
+    let rejection = Rejection::Fence { fence: 7 };
+    assert_eq!(rejection.to_string(), "fence 7 was seen");
 }
--- a/verbenaspool_coordination/tests/group/interleavings.rs
+++ b/verbenaspool_coordination/tests/group/interleavings.rs
@@ -33,7 +33,7 @@
     /// An engine stalls for this many milliseconds.
     Stall(u16, u64),
     /// The weight store starts or stops rejecting loads.
-    Refuse(bool),
+    RejectLoads(bool),
     /// From now on, this percentage of messages is lost, delayed by up to minutes
     /// or duplicated, as the seed determines.
     Network { faulty_percent: u8, seed: u64 },
@@ -47,7 +47,7 @@
         4 => (SEATS, 0..3_u16).prop_map(|(seat, turn)| Event::ProposeMap(seat, turn)),
         2 => (SEATS, 10..5_000_u64).prop_map(|(seat, millis)| Event::Pause(seat, millis)),
         1 => (SEATS, 10..3_000_u64).prop_map(|(seat, millis)| Event::Stall(seat, millis)),
-        1 => any::<bool>().prop_map(Event::Refuse),
+        1 => any::<bool>().prop_map(Event::RejectLoads),
         3 => (0..60_u8, any::<u64>()).prop_map(|(faulty_percent, seed)| Event::Network { faulty_percent, seed }),
     ]
 }
@@ -98,7 +98,7 @@
             let until = simulation.now + Duration::from_millis(millis);
             simulation.group.stall(seat, until);
         }
-        Event::Refuse(refusing) => simulation.group.store().set_rejecting(refusing),
+        Event::RejectLoads(rejecting) => simulation.group.store().set_rejecting(rejecting),
         Event::Network {
             faulty_percent,
             seed,
