--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -357,8 +357,8 @@
 
     /// When a neighbour sent its last heartbeat, or was first expected to send one.
     fn last_heard(&self, neighbour: &Member) -> Option<Duration> {
-        let heard = self.statuses.get(&neighbour.name).map(|(at, _)| *at);
-        heard.max(self.expected_since.get(&neighbour.name).copied())
+        let received_at = self.statuses.get(&neighbour.name).map(|(at, _)| *at);
+        received_at.max(self.expected_since.get(&neighbour.name).copied())
     }
 
     /// The status that this instance sends with heartbeats and their answers.
@@ -375,14 +375,14 @@
     pub fn own_status(
         &self,
         now: Duration,
-        held: Version,
+        complete_version: Version,
         active: Version,
         reaches_platform: bool,
     ) -> Status {
         Status {
             from: self.own().clone(),
             digest: self.digest(),
-            held,
+            complete_version,
             fresh: reaches_platform || self.has_fresh_parent(now),
             summary: self.summary(now, active),
         }
--- a/verbenaspool_coordination/src/membership/message.rs
+++ b/verbenaspool_coordination/src/membership/message.rs
@@ -62,7 +62,8 @@
     /// Digest of the sender's member table.
     pub digest: u64,
     /// The highest version of which the sender has all pieces.
-    pub held: Version,
+    #[serde(rename = "held")]
+    pub complete_version: Version,
     /// Whether the sender knows, from the platform or its parent, that the platform
     /// recently had no higher version.
     pub fresh: bool,
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -81,12 +81,12 @@
 /// The current status of this instance, as sent to peers.
 fn own_status(source: &Source) -> membership::Status {
     let adoption = source.adoption.borrow();
-    let held = adoption.complete_head().map(|head| head.version);
+    let complete_version = adoption.complete_head().map(|head| head.version);
     let membership = source.membership.borrow();
     let reaches = source.reaches_platform();
     membership.own_status(
         source.now(),
-        held.unwrap_or_default(),
+        complete_version.unwrap_or_default(),
         source.version(),
         reaches,
     )
@@ -166,23 +166,29 @@
     if membership.merge(members) == OwnStanding::Replaced {
         source.replaced.set(true);
     }
-    let (name, held) = (status.from.name.clone(), status.held);
+    let (name, version) = (status.from.name.clone(), status.complete_version);
     let is_current = membership.receive(source.now(), status) == ReceiveOutcome::Current;
     drop(membership);
     if is_current {
-        source.adoption.borrow_mut().set_peer_version(&name, held);
+        source
+            .adoption
+            .borrow_mut()
+            .set_peer_version(&name, version);
     }
     is_current
 }
 
 /// Answers a heartbeat.
 fn answer_heartbeat(source: &Rc<Source>, heartbeat: Heartbeat) -> HeartbeatAnswer {
-    let peer_version = heartbeat.status.held;
+    let peer_version = heartbeat.status.complete_version;
     let status = heartbeat.status.clone();
     receive_status(source, &heartbeat.table, heartbeat.status);
     let differs = source.membership.borrow().digest_differs(&status);
-    let held = source.adoption.borrow().complete_head().cloned();
-    let own = held.as_ref().map(|head| head.version).unwrap_or_default();
+    let complete_head = source.adoption.borrow().complete_head().cloned();
+    let own = complete_head
+        .as_ref()
+        .map(|head| head.version)
+        .unwrap_or_default();
     if peer_version > own {
         // The peer sends its head in the answer to a heartbeat.
         monoio::spawn(send_heartbeat(
@@ -198,7 +204,7 @@
         } else {
             Vec::new()
         },
-        head: held.filter(|head| head.version > peer_version),
+        head: complete_head.filter(|head| head.version > peer_version),
     }
 }
 
@@ -294,9 +300,9 @@
         }
     }
     let adoption = source.adoption.borrow();
-    let held = adoption.complete_head().map(|head| head.version);
+    let complete_version = adoption.complete_head().map(|head| head.version);
     OfferAnswer {
-        version: held.unwrap_or_default(),
+        version: complete_version.unwrap_or_default(),
     }
 }
 
@@ -355,8 +361,8 @@
 /// children in the tree, so that a process that is dead but not yet detected as such doesn't
 /// cut them off.
 async fn offer_to(source: Rc<Source>, peer: Member, offer: Rc<Offer>) {
-    let held = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIMEOUT).await;
-    match held {
+    let answer = call::<_, OfferAnswer>(&source, peer.address, OFFER, &*offer, FETCH_TIMEOUT).await;
+    match answer {
         Ok(OfferAnswer { version }) => {
             source
                 .adoption
