--- a/verbenaspool/benches/capacity/agent.rs
+++ b/verbenaspool/benches/capacity/agent.rs
@@ -21,7 +21,7 @@
         let event = |number| Event {
             number,
             prefix: u64::MAX - number,
-            held: true,
+            added: true,
         };
         let report = Report {
             load: Load::default(),
--- a/verbenaspool/src/direct/attempt.rs
+++ b/verbenaspool/src/direct/attempt.rs
@@ -163,7 +163,7 @@
     /// The limits of the retry budget, and the number of entries that share it.
     fn retry_limits(&self) -> (retry_budget::Limits, usize) {
         let now = self.gateway.clock.now();
-        let limits = self.gateway.settings.borrow().bounds.retry_limits();
+        let limits = self.gateway.settings.borrow().limits.retry_limits();
         (limits, self.gateway.sharing_entries(now))
     }
 
--- a/verbenaspool/src/direct/gateway.rs
+++ b/verbenaspool/src/direct/gateway.rs
@@ -248,7 +248,7 @@
 
     /// What the agent on an instance needs to know about its upstream's service, or `None`
     /// if no rank of a group runs on the instance.
-    pub fn members_for_agent(&self, instance: IpAddr) -> Option<ServiceInfo> {
+    pub fn service_info_for_agent(&self, instance: IpAddr) -> Option<ServiceInfo> {
         let table = self.table()?;
         let registry = self.registry.borrow();
         let group_engine = |replica: &Replica| {
@@ -281,8 +281,8 @@
             if !dispatcher.record_load(now, &upstream.id, status.sequence, status.requests) {
                 return false;
             }
-            let (group, open, pace) = (status.group, status.group_complete, status.pace.into());
-            dispatcher.record_status(now, &upstream.id, group, open, pace)
+            let (group, running, pace) = (status.group, status.group_complete, status.pace.into());
+            dispatcher.record_status(now, &upstream.id, group, running, pace)
         });
         if changed {
             info!(self.log, "status of a rank's group changed";
--- a/verbenaspool/src/direct/peers.rs
+++ b/verbenaspool/src/direct/peers.rs
@@ -42,7 +42,7 @@
 const MIN_DIGEST_INTERVAL_PER_PEER: Duration = Duration::from_micros(12_500);
 
 /// How often peers get the usual initial waits of callers.
-const BUDGETS_INTERVAL: Duration = Duration::from_secs(1);
+const HINTS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the requests of a silent peer count at least. A partitioned peer still has them,
 /// and they end within a few seconds.
@@ -220,8 +220,8 @@
     fn peer_load(&self, now: Duration) -> HashMap<u32, u32> {
         let mut sums = HashMap::new();
         for (_, peer) in self.live_peers(now) {
-            for flight in &peer.digest.in_flight {
-                *sums.entry(flight.upstream).or_default() += flight.requests;
+            for load in &peer.digest.in_flight {
+                *sums.entry(load.upstream).or_default() += load.requests;
             }
         }
         sums
@@ -273,10 +273,10 @@
     fn digest(&self, incarnation: u64) -> Digest {
         let now = self.clock.now();
         let versions = self.versions();
-        let mut flights = Vec::new();
+        let mut in_flight = Vec::new();
         for queue in self.queues() {
             queue.with(|dispatcher, now| {
-                flights.extend(dispatcher.in_flight(now).map(|(id, requests)| InFlight {
+                in_flight.extend(dispatcher.in_flight(now).map(|(id, requests)| InFlight {
                     upstream: digest::hash(id),
                     requests,
                 }));
@@ -294,8 +294,8 @@
             registry_revision: versions.registry,
             leaving: self.leaving.get(),
             in_flight: {
-                flights.truncate(digest::MAX_UPSTREAMS);
-                flights
+                in_flight.truncate(digest::MAX_UPSTREAMS);
+                in_flight
             },
             peers: named,
         }
@@ -303,21 +303,21 @@
 
     /// The usual initial waits of callers, by service.
     fn common_waits(&self) -> Vec<Hint> {
-        let budgets = self.queues().into_iter().map(|queue| Hint {
+        let hints = self.queues().into_iter().map(|queue| Hint {
             service: digest::hash(&queue.service),
             waits_ms: queue.common_waits(),
         });
-        let known = budgets.filter(|budget| !budget.waits_ms.is_empty());
+        let known = hints.filter(|hint| !hint.waits_ms.is_empty());
         known.take(digest::MAX_HINTS).collect()
     }
 
     /// Sets the usual initial waits of callers as reported by a peer.
-    fn set_wait_hints(&self, budgets: &[Hint]) {
+    fn set_wait_hints(&self, hints: &[Hint]) {
         for queue in self.queues() {
             let service = digest::hash(&queue.service);
-            let budget = budgets.iter().find(|budget| budget.service == service);
-            if let Some(budget) = budget {
-                queue.set_wait_hints(&budget.waits_ms);
+            let hint = hints.iter().find(|hint| hint.service == service);
+            if let Some(hint) = hint {
+                queue.set_wait_hints(&hint.waits_ms);
             }
         }
     }
@@ -418,8 +418,8 @@
                     gateway.distribute_peer_load();
                 }
             }
-            Some(Message::WaitHints(budgets)) if is_peer(&gateway, from) => {
-                gateway.set_wait_hints(&budgets);
+            Some(Message::WaitHints(hints)) if is_peer(&gateway, from) => {
+                gateway.set_wait_hints(&hints);
             }
             Some(Message::Suspicions(suspicions)) if is_peer(&gateway, from) => {
                 gateway.record_suspicions(&suspicions);
@@ -429,9 +429,9 @@
                 gateway.record_status(&status);
             }
             Some(Message::Lookup) => {
-                if let Some(members) = gateway.members_for_agent(from) {
+                if let Some(info) = gateway.service_info_for_agent(from) {
                     let port = gateway.settings.borrow().peer_port;
-                    let message = Message::ServiceInfo(members).encode();
+                    let message = Message::ServiceInfo(info).encode();
                     // Best effort: the agent retries the lookup.
                     let _ = socket.send_to(message, SocketAddr::new(from, port)).await;
                 }
@@ -446,16 +446,16 @@
 
 /// Sends digests to all peers for as long as the process runs.
 pub async fn send_digests(gateway: Rc<Gateway>, socket: Rc<UdpSocket>, incarnation: u64) {
-    let mut budgets_sent_at = Duration::ZERO;
+    let mut hints_sent_at = Duration::ZERO;
     loop {
         let digest = Message::Digest(gateway.digest(incarnation));
         let peers = broadcast(&gateway, &socket, &digest).await;
         let now = gateway.clock.now();
-        if now.saturating_sub(budgets_sent_at) >= BUDGETS_INTERVAL {
-            budgets_sent_at = now;
-            let budgets = gateway.common_waits();
-            if !budgets.is_empty() {
-                broadcast(&gateway, &socket, &Message::WaitHints(budgets)).await;
+        if now.saturating_sub(hints_sent_at) >= HINTS_INTERVAL {
+            hints_sent_at = now;
+            let hints = gateway.common_waits();
+            if !hints.is_empty() {
+                broadcast(&gateway, &socket, &Message::WaitHints(hints)).await;
             }
         }
         gateway.clock.sleep(digest_interval(peers)).await;
@@ -495,10 +495,10 @@
         let ranks = gateway.group_ranks();
         // A starting entry should know the groups before its first requests.
         let has_ranks = !ranks.is_empty();
-        for (upstream, near) in ranks {
+        for (upstream, same_zone) in ranks {
             // Best effort: the next round makes up for a lost message.
-            if near || round % REMOTE_SUBSCRIBE_ROUNDS == 0 {
-                let message = Message::Subscribe(Subscription { same_zone: near }).encode();
+            if same_zone || round % REMOTE_SUBSCRIBE_ROUNDS == 0 {
+                let message = Message::Subscribe(Subscription { same_zone }).encode();
                 let agent = SocketAddr::new(upstream.ip(), port);
                 let _ = socket.send_to(message, agent).await;
             }
--- a/verbenaspool/src/direct/request.rs
+++ b/verbenaspool/src/direct/request.rs
@@ -103,7 +103,7 @@
         .ok_or(Failure::unavailable("no-service", UNREADY_RETRY_AFTER))?;
     record.set_route(&route.name, service, table.version);
     let queue = gateway.queue(service);
-    queue.record_request(&gateway.settings.borrow().bounds.retry_limits());
+    queue.record_request(&gateway.settings.borrow().limits.retry_limits());
     let mut headers = parts.headers;
     hop::strip(&mut headers);
     headers.remove(EXPECT);
--- a/verbenaspool/src/direct/run.rs
+++ b/verbenaspool/src/direct/run.rs
@@ -144,7 +144,7 @@
         closed,
     ));
     run_until_stopped(&gateway, &path, &signals, &relist).await;
-    let grace = Duration::from_secs_f64(gateway.settings.borrow().bounds.grace_s.max(1.0));
+    let grace = Duration::from_secs_f64(gateway.settings.borrow().limits.grace_s.max(1.0));
     let drain_deadline = clock.now() + grace.saturating_sub(SHUTDOWN_RESERVE);
     info!(log, "draining"; "connections" => open.count());
     gateway.leaving.set(true);
--- a/verbenaspool/src/direct/settings.rs
+++ b/verbenaspool/src/direct/settings.rs
@@ -41,8 +41,8 @@
     #[serde(default = "default_descriptors")]
     pub descriptors: usize,
     /// Limits on shutdown and retries.
-    #[serde(default)]
-    pub bounds: Bounds,
+    #[serde(default, rename = "bounds")]
+    pub limits: Limits,
     /// When requests that crash upstreams are rejected.
     #[serde(default)]
     pub quarantine: Quarantine,
@@ -62,7 +62,7 @@
 /// Limits on shutdown and retries, set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Bounds {
+pub struct Limits {
     /// How long a process may take to stop before it is killed, in seconds.
     pub grace_s: f64,
     /// The share of requests that may be retried at another upstream.
@@ -73,7 +73,7 @@
     pub retry_slack: f64,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             grace_s: 8.0,
@@ -84,12 +84,12 @@
     }
 }
 
-impl Bounds {
+impl Limits {
     /// The limits of the retry budget.
     ///
     /// ```
-    /// let bounds = verbenaspool::direct::settings::Bounds::default();
-    /// assert_eq!(bounds.retry_limits().window.as_secs(), 10);
+    /// let limits = verbenaspool::direct::settings::Limits::default();
+    /// assert_eq!(limits.retry_limits().window.as_secs(), 10);
     /// ```
     #[must_use]
     pub fn retry_limits(&self) -> retry_budget::Limits {
--- a/verbenaspool/src/direct/standing.rs
+++ b/verbenaspool/src/direct/standing.rs
@@ -44,7 +44,8 @@
     pub upstreams: u32,
     /// Number of available upstreams that are ejected: they get no requests for now, because
     /// they failed.
-    pub shunned: u32,
+    #[serde(rename = "shunned")]
+    pub ejected: u32,
     /// Requests in flight from all entries, as far as known.
     pub busy: u32,
     /// Requests queued at this entry.
@@ -62,7 +63,7 @@
             Service {
                 name: queue.service.to_string(),
                 upstreams: snapshot.upstreams,
-                shunned: snapshot.ejected,
+                ejected: snapshot.ejected,
                 busy: snapshot.in_flight,
                 waiting: snapshot.waiting,
                 pace: snapshot.pace,
--- a/verbenaspool/src/entry/reports.rs
+++ b/verbenaspool/src/entry/reports.rs
@@ -86,7 +86,7 @@
                 balancer.cache_event(now, name, CacheEvent::Reset);
             }
             for event in &cache.events {
-                let change = if event.held {
+                let change = if event.added {
                     CacheEvent::Added(event.prefix)
                 } else {
                     CacheEvent::Dropped(event.prefix)
--- a/verbenaspool/src/operate/entries.rs
+++ b/verbenaspool/src/operate/entries.rs
@@ -103,7 +103,7 @@
                 "  {}: {} upstreams ({} ejected), {} in flight, {} queued, pace {:.2}",
                 service.name,
                 service.upstreams,
-                service.shunned,
+                service.ejected,
                 service.busy,
                 service.waiting,
                 service.pace
--- a/verbenaspool_agent/src/direct/agent_state.rs
+++ b/verbenaspool_agent/src/direct/agent_state.rs
@@ -407,14 +407,14 @@
     /// As the lead, advances the map change under way.
     pub async fn advance_change(self: &Rc<Self>) {
         let now = self.clock.now();
-        let (orders, ended, epoch) = match &mut *self.lead.borrow_mut() {
+        let (orders, outcome, epoch) = match &mut *self.lead.borrow_mut() {
             Some(lead) => {
-                let (orders, ended) = lead.switch.poll(now);
-                (orders, ended, lead.switch.epoch())
+                let (orders, outcome) = lead.switch.poll(now);
+                (orders, outcome, lead.switch.epoch())
             }
             None => return,
         };
-        match ended {
+        match outcome {
             Some(switch::Outcome::Completed(version)) => {
                 info!(self.log, "expert map in use"; "version" => version);
                 if let Some(lead) = &mut *self.lead.borrow_mut() {
@@ -430,12 +430,12 @@
             None => {}
         }
         let mut preparing = Vec::new();
-        for send in orders {
-            match send.order {
-                switch::Order::Prepare { version } if send.rank > 0 => {
-                    preparing.push((version, send.rank));
+        for rank_order in orders {
+            match rank_order.order {
+                switch::Order::Prepare { version } if rank_order.rank > 0 => {
+                    preparing.push((version, rank_order.rank));
                 }
-                _ => self.send_order(send, epoch).await,
+                _ => self.send_order(rank_order, epoch).await,
             }
         }
         self.distribute_map(&preparing, epoch);
--- a/verbenaspool_policy/src/rebalancer/layer_search.rs
+++ b/verbenaspool_policy/src/rebalancer/layer_search.rs
@@ -338,7 +338,7 @@
     }
 
     fn remove_holder(&mut self, expert: u16, rank: usize) {
-        self.ranks[rank].retain(|held| *held != expert);
+        self.ranks[rank].retain(|other| *other != expert);
         self.holders[usize::from(expert)].retain(|holder| *holder != rank);
     }
 }
--- a/verbenaspool_protocol/src/report.rs
+++ b/verbenaspool_protocol/src/report.rs
@@ -72,5 +72,6 @@
     /// The hash of the prefix.
     pub prefix: u64,
     /// Whether the prefix was added to the cache; otherwise it was evicted.
-    pub held: bool,
+    #[serde(rename = "held")]
+    pub added: bool,
 }
--- a/verbenaspool_standin/src/engine/cache.rs
+++ b/verbenaspool_standin/src/engine/cache.rs
@@ -112,7 +112,7 @@
         let event = Event {
             number,
             prefix,
-            held: added,
+            added,
         };
         let mut events = self.events.borrow_mut();
         events.push_back((self.clock.now(), event));
