--- a/verbenaspool/src/direct/status.rs
+++ b/verbenaspool/src/direct/status.rs
@@ -71,8 +71,8 @@
     fn changed_status(&self) -> Option<(Object, String)> {
         let object = self.stored_configuration.borrow().clone()?;
         let (now, unix_now) = (self.clock.now(), unix_time());
-        let rejected = self.quarantine.borrow();
-        let wanted: Vec<(Fingerprint, Term)> = rejected.quarantined(now).collect();
+        let quarantine = self.quarantine.borrow();
+        let wanted: Vec<(Fingerprint, Term)> = quarantine.quarantined(now).collect();
         let stored = quarantine::decode(&object.status);
         let stored_requests: HashSet<Fingerprint> =
             stored.iter().map(|entry| entry.request).collect();
--- a/verbenaspool_agent/src/direct/choices.rs
+++ b/verbenaspool_agent/src/direct/choices.rs
@@ -150,8 +150,10 @@
     fn aggregation_group(&self, state: &State) -> Vec<u16> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
-        let zones = membership.iter(now);
-        let zones: Vec<(u16, u32)> = zones.map(|s| (s.state.rank, s.state.zone)).collect();
+        let members = membership.iter(now);
+        let zones: Vec<(u16, u32)> = members
+            .map(|member| (member.state.rank, member.state.zone))
+            .collect();
         gather::aggregation_group(&zones, state.rank)
     }
 
--- a/verbenaspool_coordination/src/switch.rs
+++ b/verbenaspool_coordination/src/switch.rs
@@ -377,8 +377,8 @@
     /// no outcome if the group re-formed, or if another agent released the pass while this
     /// one resolved it.
     pub fn poll(&mut self, now: Duration) -> (Vec<RankOrder>, Option<Outcome>) {
-        let ended = self.advance(now);
-        (self.orders(now), ended)
+        let outcome = self.advance(now);
+        (self.orders(now), outcome)
     }
 
     /// Moves on to the next phase if the reports allow it.
--- a/verbenaspool_coordination/tests/switch/steps.rs
+++ b/verbenaspool_coordination/tests/switch/steps.rs
@@ -276,7 +276,7 @@
     reports[0].prepared_version = Some(5);
     reports[2].prepared_version = Some(5);
     report_all(&mut switch, ms(4_000), &reports);
-    let (_, ended) = switch.poll(ms(4_000));
-    assert_eq!(ended, Some(Outcome::Abandoned(5)));
+    let (_, outcome) = switch.poll(ms(4_000));
+    assert_eq!(outcome, Some(Outcome::Abandoned(5)));
     assert_eq!(switch.unprepared_ranks(), [1]);
 }
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/world.rs
@@ -453,8 +453,8 @@
         }
         let epoch = self.agents[number].switch.epoch();
         let own = self.agents[number].rank;
-        let (orders, ended) = self.agents[number].switch.poll(now);
-        if matches!(ended, Some(Outcome::Completed(v)) if v > 0) {
+        let (orders, outcome) = self.agents[number].switch.poll(now);
+        if matches!(outcome, Some(Outcome::Completed(v)) if v > 0) {
             self.changes += 1;
         }
         for send in orders {
