--- a/verbenaspool_agent/src/direct/lead.rs
+++ b/verbenaspool_agent/src/direct/lead.rs
@@ -331,8 +331,9 @@
             hash: placement_hash(&after),
             placement: after,
         });
-        let longest = u32::try_from(change.max_rank_copies).unwrap_or(u32::MAX);
-        self.switch.start(now, version, experts.copy_time * longest);
+        let max_copies = u32::try_from(change.max_rank_copies).unwrap_or(u32::MAX);
+        self.switch
+            .start(now, version, experts.copy_time * max_copies);
         Some(change)
     }
 
--- a/verbenaspool_coordination/tests/switch/explore.rs
+++ b/verbenaspool_coordination/tests/switch/explore.rs
@@ -3,7 +3,7 @@
 
 use proptest::test_runner::{RngAlgorithm, TestRng};
 
-use crate::world::{DisabledGuard, FaultRates, World};
+use crate::simulation::{DisabledGuard, FaultRates, Simulation};
 
 /// All kinds of faults at once.
 const ALL_FAULTS: FaultRates = FaultRates {
@@ -45,12 +45,12 @@
 ) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
-        let mut world = World::new(ranks, faults, disabled_guard, rng(seed));
-        let run = world.run(40_000);
-        outcome.changes += world.changes;
-        outcome.longest_stall_ms = outcome.longest_stall_ms.max(world.longest_stall_ms);
-        outcome.passes_awaiting_lead += world.passes_awaiting_lead.len();
-        outcome.freezes += world.freezes;
+        let mut simulation = Simulation::new(ranks, faults, disabled_guard, rng(seed));
+        let run = simulation.run(40_000);
+        outcome.changes += simulation.changes;
+        outcome.longest_stall_ms = outcome.longest_stall_ms.max(simulation.longest_stall_ms);
+        outcome.passes_awaiting_lead += simulation.passes_awaiting_lead.len();
+        outcome.freezes += simulation.freezes;
         if let Err(why) = run {
             outcome.failure = Some(format!("seed {seed}: {why}"));
             break;
--- a/verbenaspool_coordination/tests/switch/main.rs
+++ b/verbenaspool_coordination/tests/switch/main.rs
@@ -2,5 +2,5 @@
 //! that freeze and resume and agents that stand in for them.
 
 mod explore;
+mod simulation;
 mod steps;
-mod world;
--- a/verbenaspool_coordination/tests/switch/world.rs
+++ b/verbenaspool_coordination/tests/switch/simulation.rs
@@ -83,7 +83,7 @@
 }
 
 /// The group, its agents and the orders in flight.
-pub struct World {
+pub struct Simulation {
     now: u64,
     epoch: u64,
     step: u64,
@@ -109,7 +109,7 @@
     pub freezes: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         ranks: usize,
         faults: FaultRates,
@@ -457,15 +457,15 @@
         if matches!(outcome, Some(Outcome::Completed(v)) if v > 0) {
             self.changes += 1;
         }
-        for send in orders {
-            let bypasses_agent = matches!(send.order, Order::Hold { .. } | Order::Go { .. });
-            if send.rank != own && !bypasses_agent && self.chance(self.faults.lost_messages) {
+        for rank_order in orders {
+            let bypasses_agent = matches!(rank_order.order, Order::Hold { .. } | Order::Go { .. });
+            if rank_order.rank != own && !bypasses_agent && self.chance(self.faults.lost_messages) {
                 continue;
             }
             let pending = PendingOrder {
                 due_at: self.now + 1 + self.random_below(8),
-                rank: send.rank,
-                order: send.order,
+                rank: rank_order.rank,
+                order: rank_order.order,
                 epoch,
                 at_engine: false,
             };
--- a/verbenaspool_policy/src/dispatch/capacity.rs
+++ b/verbenaspool_policy/src/dispatch/capacity.rs
@@ -147,8 +147,8 @@
         } else {
             MAX_REQUESTS_PER_SLOT
         };
-        let room = busy < slots * max_requests_per_slot;
-        return room.then_some(busy / slots + health_penalty);
+        let has_room = busy < slots * max_requests_per_slot;
+        return has_room.then_some(busy / slots + health_penalty);
     };
     let on_time = group.pass_ratio <= 1.0 && group.tolerates_shift;
     let below_min_use = group.used_ratio < MIN_USED_SLOTS_RATIO;
@@ -157,7 +157,7 @@
     let none_on_time = below_min_use && group.min_pass_ratio > 1.0;
     let spare_capacity =
         group.recovering && on_time && !group.shortage && group.pass_ratio <= LATE_PASS_RATIO;
-    let room = busy < slots
+    let has_room = busy < slots
         && match class {
             AdmissionClass::OnTime => on_time,
             AdmissionClass::OverUsualRate => {
@@ -169,5 +169,5 @@
             AdmissionClass::Late => late_allowed || none_on_time || spare_capacity,
             AdmissionClass::Moved => true,
         };
-    room.then_some(group.pass_ratio + busy / slots + health_penalty)
+    has_room.then_some(group.pass_ratio + busy / slots + health_penalty)
 }
--- a/verbenaspool_policy/src/rebalancer/mod.rs
+++ b/verbenaspool_policy/src/rebalancer/mod.rs
@@ -206,8 +206,8 @@
         let epoch_since = *self.epoch_since.get_or_insert(now);
         if epoch > self.epoch {
             if self.epoch > 0 {
-                let lasted = now.saturating_sub(epoch_since).min(MAX_MAP_LIFETIME);
-                self.map_lifetime = (self.map_lifetime * 3 + lasted) / 4;
+                let lifetime = now.saturating_sub(epoch_since).min(MAX_MAP_LIFETIME);
+                self.map_lifetime = (self.map_lifetime * 3 + lifetime) / 4;
             }
             self.epoch = epoch;
             self.epoch_since = Some(now);
--- a/verbenaspool_policy/tests/dispatch/agent_reports.rs
+++ b/verbenaspool_policy/tests/dispatch/agent_reports.rs
@@ -5,7 +5,7 @@
     slots::Slots,
 };
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// A dispatcher with one upstream of six slots.
 fn dispatcher() -> Dispatcher {
--- a/verbenaspool_policy/tests/dispatch/caller_retries.rs
+++ b/verbenaspool_policy/tests/dispatch/caller_retries.rs
@@ -8,7 +8,7 @@
     retry_detection::Detector, service_time::ServiceTime,
 };
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// Records first attempts whose waits are evenly spread from 6.8 to 8 s.
 fn observe_first_attempts(detector: &mut Detector, from: u64, count: u64) {
--- a/verbenaspool_policy/tests/dispatch/circuit.rs
+++ b/verbenaspool_policy/tests/dispatch/circuit.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_policy::dispatch::{AttemptOutcome, Dispatcher, RejectReason, Verdict};
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// A dispatcher with `count` ranks of one group.
 fn group(count: u32) -> Dispatcher {
--- a/verbenaspool_policy/tests/dispatch/crash.rs
+++ b/verbenaspool_policy/tests/dispatch/crash.rs
@@ -4,7 +4,7 @@
 
 use verbenaspool_policy::dispatch::{Dispatcher, Verdict};
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// Number of ranks of each group.
 const RANKS: u32 = 4;
--- a/verbenaspool_policy/tests/dispatch/customer.rs
+++ b/verbenaspool_policy/tests/dispatch/customer.rs
@@ -1,6 +1,6 @@
 //! Customers that send more than their usual rate.
 
-use crate::world::{Customer, Outcomes, World};
+use crate::simulation::{Customer, Outcomes, Simulation};
 
 /// Twenty customers with a rate of 0.4 each, except for `hot`.
 fn customers(hot_rate: f64) -> Vec<Customer<'static>> {
@@ -13,8 +13,8 @@
 }
 
 /// The outcomes of the streams of all customers except `hot`.
-fn other_outcomes(world: &World) -> Outcomes {
-    let others = world
+fn other_outcomes(simulation: &Simulation) -> Outcomes {
+    let others = simulation
         .customer_outcomes
         .iter()
         .filter(|(name, _)| *name != "hot");
@@ -31,11 +31,14 @@
 /// customer's usual part is still served.
 #[test]
 fn other_customers_are_served_while_one_exceeds_its_usual_rate() {
-    let mut world = World::new(4, 12);
-    world.run_customers(&customers(1.2), 12_000);
-    world.customer_outcomes.clear();
-    world.run_customers(&customers(30.0), 6_000);
-    let (hot, others) = (world.customer_outcomes["hot"], other_outcomes(&world));
+    let mut simulation = Simulation::new(4, 12);
+    simulation.run_customers(&customers(1.2), 12_000);
+    simulation.customer_outcomes.clear();
+    simulation.run_customers(&customers(30.0), 6_000);
+    let (hot, others) = (
+        simulation.customer_outcomes["hot"],
+        other_outcomes(&simulation),
+    );
     let total = others.on_time + others.late + others.rejected;
     assert!(others.on_time * 100 >= total * 90, "{others:?}");
     // Its usual part is 28 streams in this time.
@@ -52,16 +55,16 @@
         .iter()
         .map(|(name, rate)| (*name, rate * 1.4))
         .collect();
-    let mut world = World::new(4, 12);
-    world.run_customers(&usual, 12_000);
-    world.customer_outcomes.clear();
-    world.run_customers(&more, 4_000);
-    let rejected: u32 = world
+    let mut simulation = Simulation::new(4, 12);
+    simulation.run_customers(&usual, 12_000);
+    simulation.customer_outcomes.clear();
+    simulation.run_customers(&more, 4_000);
+    let rejected: u32 = simulation
         .customer_outcomes
         .values()
         .map(|outcomes| outcomes.rejected)
         .sum();
-    let on_time: u32 = world
+    let on_time: u32 = simulation
         .customer_outcomes
         .values()
         .map(|outcomes| outcomes.on_time)
--- a/verbenaspool_policy/tests/dispatch/fleet.rs
+++ b/verbenaspool_policy/tests/dispatch/fleet.rs
@@ -12,7 +12,7 @@
 };
 use verbenaspool_state::{engine::Engine, replica::Replica};
 
-use crate::world::{ms, replica, stream};
+use crate::simulation::{ms, replica, stream};
 
 const ENTRIES: usize = 60;
 const UPSTREAMS: u32 = 200;
--- a/verbenaspool_policy/tests/dispatch/group.rs
+++ b/verbenaspool_policy/tests/dispatch/group.rs
@@ -2,7 +2,7 @@
 
 use verbenaspool_policy::dispatch::{Dispatcher, RejectReason, Verdict};
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// A dispatcher with two groups of four ranks, all of which were reported to run.
 fn entry() -> Dispatcher {
--- a/verbenaspool_policy/tests/dispatch/load.rs
+++ b/verbenaspool_policy/tests/dispatch/load.rs
@@ -6,26 +6,26 @@
     AttemptOutcome, Dispatcher, PlacementRequest, RejectReason, Rejection, Verdict,
 };
 
-use crate::world::{Outcomes, World, engine, ms, replica, stream};
+use crate::simulation::{Outcomes, Simulation, engine, ms, replica, stream};
 
 /// Guards against saturated engines that use all their slots, which makes every pass take
 /// longer than the longest gap on time. With a limit on streams nearly all admitted ones
 /// are on time, and the others are rejected immediately.
 #[test]
 fn saturated_engines_serve_admitted_streams_on_time() {
-    let mut world = World::new(4, 8);
-    world.pace = 2.5;
-    world.run(&[15.0, 15.0, 15.0, 15.0], 20_000);
+    let mut simulation = Simulation::new(4, 8);
+    simulation.pace = 2.5;
+    simulation.run(&[15.0, 15.0, 15.0, 15.0], 20_000);
     let Outcomes {
         on_time,
         late,
         rejected,
-    } = world.outcomes;
+    } = simulation.outcomes;
     assert!(
         on_time > 200,
         "{:?}, at most {} streams per upstream",
-        world.outcomes,
-        world.max_streams
+        simulation.outcomes,
+        simulation.max_streams
     );
     assert!(late * 10 < on_time, "{late} late and {on_time} on time");
     assert!(rejected > 100, "{rejected} rejected");
@@ -34,9 +34,9 @@
 /// Guards against capacity that stays unused because most requests arrive at one entry.
 #[test]
 fn a_busy_entry_uses_the_capacity_left_by_others() {
-    let mut even = World::new(4, 8);
+    let mut even = Simulation::new(4, 8);
     even.run(&[9.0; 4], 15_000);
-    let mut uneven = World::new(4, 8);
+    let mut uneven = Simulation::new(4, 8);
     uneven.run(&[33.0, 1.0, 1.0, 1.0], 15_000);
     let (even, uneven) = (even.outcomes.on_time, uneven.outcomes.on_time);
     assert!(
@@ -50,18 +50,18 @@
 /// would by itself.
 #[test]
 fn entries_without_digests_still_serve() {
-    let mut world = World::new(4, 8);
-    world.exchanges_digests = false;
-    world.run(&[9.0; 4], 15_000);
+    let mut simulation = Simulation::new(4, 8);
+    simulation.exchanges_digests = false;
+    simulation.run(&[9.0; 4], 15_000);
     let Outcomes {
         on_time,
         late,
         rejected,
-    } = world.outcomes;
+    } = simulation.outcomes;
     assert!(
         (on_time + late) * 10 > rejected * 90,
         "{:?}",
-        world.outcomes
+        simulation.outcomes
     );
 }
 
@@ -69,13 +69,13 @@
 /// the demand, hardly any stream is rejected.
 #[test]
 fn a_burst_leaves_no_backlog() {
-    let mut world = World::new(4, 8);
-    world.run(&[7.0; 4], 5_000);
-    world.run(&[28.0; 4], 3_000);
-    world.run(&[7.0; 4], 2_000);
-    let before = world.outcomes;
-    world.run(&[7.0; 4], 5_000);
-    let rejected = world.outcomes.rejected - before.rejected;
+    let mut simulation = Simulation::new(4, 8);
+    simulation.run(&[7.0; 4], 5_000);
+    simulation.run(&[28.0; 4], 3_000);
+    simulation.run(&[7.0; 4], 2_000);
+    let before = simulation.outcomes;
+    simulation.run(&[7.0; 4], 5_000);
+    let rejected = simulation.outcomes.rejected - before.rejected;
     assert!(rejected <= 3, "{rejected} rejected after the burst");
 }
 
@@ -84,14 +84,14 @@
 /// four.
 #[test]
 fn slower_passes_reduce_admission() {
-    let mut world = World::new(2, 8);
-    world.run(&[16.0; 2], 6_000);
-    world.pace = 2.2;
-    world.run(&[16.0; 2], 4_000);
-    let before = world.outcomes;
-    world.run(&[16.0; 2], 8_000);
-    let late = world.outcomes.late - before.late;
-    let on_time = world.outcomes.on_time - before.on_time;
+    let mut simulation = Simulation::new(2, 8);
+    simulation.run(&[16.0; 2], 6_000);
+    simulation.pace = 2.2;
+    simulation.run(&[16.0; 2], 4_000);
+    let before = simulation.outcomes;
+    simulation.run(&[16.0; 2], 8_000);
+    let late = simulation.outcomes.late - before.late;
+    let on_time = simulation.outcomes.on_time - before.on_time;
     assert!(late * 3 < on_time, "{late} late, {on_time} on time");
 }
 
--- a/verbenaspool_policy/tests/dispatch/main.rs
+++ b/verbenaspool_policy/tests/dispatch/main.rs
@@ -12,5 +12,5 @@
 mod outage;
 mod retry_budget;
 mod shift;
+mod simulation;
 mod slow;
-mod world;
--- a/verbenaspool_policy/tests/dispatch/outage.rs
+++ b/verbenaspool_policy/tests/dispatch/outage.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::dispatch::{Dispatcher, PlacementRequest, Verdict};
 use verbenaspool_state::engine::Engine;
 
-use crate::world::{engine, ms, replica, stream};
+use crate::simulation::{engine, ms, replica, stream};
 
 /// The longest time between two events that is still on time.
 const MAX_GAP: Duration = Duration::from_millis(150);
--- a/verbenaspool_policy/tests/dispatch/shift.rs
+++ b/verbenaspool_policy/tests/dispatch/shift.rs
@@ -5,7 +5,7 @@
 use verbenaspool_policy::dispatch::{Dispatcher, PlacementRequest, Resumption, Verdict};
 use verbenaspool_state::engine::Engine;
 
-use crate::world::{Outcomes, World, engine, ms, replica, stream};
+use crate::simulation::{Outcomes, Simulation, engine, ms, replica, stream};
 
 /// Guards against a group filled to the capacity of its usual passes, with more streams
 /// than it can serve. Every 4 s expert popularity shifts, and passes take nearly twice as
@@ -20,17 +20,17 @@
         step_time_per_request: Duration::from_micros(1_200),
         ..engine()
     };
-    let mut world = World::with_engine(&load_sensitive, 4, 12);
-    world.shared_load_ratio = 0.85;
-    world.run(&[12.0; 4], 4_000);
-    let start = world.outcomes;
+    let mut simulation = Simulation::with_engine(&load_sensitive, 4, 12);
+    simulation.shared_load_ratio = 0.85;
+    simulation.run(&[12.0; 4], 4_000);
+    let start = simulation.outcomes;
     for _ in 0..6 {
-        world.pace = 1.7;
-        world.run(&[12.0; 4], 900);
-        world.pace = 1.0;
-        world.run(&[12.0; 4], 3_100);
+        simulation.pace = 1.7;
+        simulation.run(&[12.0; 4], 900);
+        simulation.pace = 1.0;
+        simulation.run(&[12.0; 4], 3_100);
     }
-    let Outcomes { on_time, late, .. } = world.outcomes - start;
+    let Outcomes { on_time, late, .. } = simulation.outcomes - start;
     assert!(on_time > 3 * late, "{on_time} on time, {late} late");
     assert!(on_time > 528, "{on_time} on time");
 }
--- a/verbenaspool_policy/tests/dispatch/world.rs
+++ b/verbenaspool_policy/tests/dispatch/simulation.rs
@@ -97,7 +97,7 @@
 const STATUS_DELAY_MS: u64 = 100;
 
 /// Entries and one group of upstreams.
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     engine: Engine,
     pub entries: Vec<Dispatcher>,
@@ -128,7 +128,7 @@
     moves: BTreeMap<u64, u64>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(entries: usize, upstreams: usize) -> Self {
         Self::with_engine(&engine(), entries, upstreams)
     }
--- a/verbenaspool_policy/tests/dispatch/slow.rs
+++ b/verbenaspool_policy/tests/dispatch/slow.rs
@@ -2,7 +2,7 @@
 
 use verbenaspool_policy::dispatch::{Dispatcher, Verdict, slow::StallScope};
 
-use crate::world::{Outcomes, World, engine, ms, replica, stream};
+use crate::simulation::{Outcomes, Simulation, engine, ms, replica, stream};
 
 /// A dispatcher with `count` ranks of one group.
 fn group(count: u32) -> Dispatcher {
@@ -21,17 +21,17 @@
 /// new streams and its streams are moved, streams are late for about a second.
 #[test]
 fn callers_are_late_for_about_a_second_when_a_rank_slows_down() {
-    let mut world = World::new(4, 12);
-    world.run(&[10.0; 4], 4_000);
-    world.set_pace(3, 12.0);
-    world.run(&[10.0; 4], 2_500);
-    let onset = world.outcomes;
-    world.run(&[10.0; 4], 5_500);
+    let mut simulation = Simulation::new(4, 12);
+    simulation.run(&[10.0; 4], 4_000);
+    simulation.set_pace(3, 12.0);
+    simulation.run(&[10.0; 4], 2_500);
+    let onset = simulation.outcomes;
+    simulation.run(&[10.0; 4], 5_500);
     let Outcomes {
         on_time,
         late,
         rejected,
-    } = world.outcomes - onset;
+    } = simulation.outcomes - onset;
     assert!(
         on_time > 180,
         "{on_time} on time, {late} late, {rejected} rejected"
@@ -46,13 +46,13 @@
 /// A rank that is no longer slow gets its share of new streams.
 #[test]
 fn a_recovered_rank_gets_streams() {
-    let mut world = World::new(4, 12);
-    world.set_pace(3, 5.0);
-    world.run(&[10.0; 4], 3_000);
-    assert_eq!(world.stream_count(3), 0);
-    world.set_pace(3, 1.0);
-    world.run(&[10.0; 4], 3_000);
-    assert!(world.stream_count(3) > 0);
+    let mut simulation = Simulation::new(4, 12);
+    simulation.set_pace(3, 5.0);
+    simulation.run(&[10.0; 4], 3_000);
+    assert_eq!(simulation.stream_count(3), 0);
+    simulation.set_pace(3, 1.0);
+    simulation.run(&[10.0; 4], 3_000);
+    assert!(simulation.stream_count(3) > 0);
 }
 
 /// Guards against requests that are rejected because all ranks are slow. None of them
--- a/verbenaspool_transport/src/config/peers.rs
+++ b/verbenaspool_transport/src/config/peers.rs
@@ -110,8 +110,8 @@
     P: serde::Serialize,
     R: serde::de::DeserializeOwned,
 {
-    match source.calls.call(address, method, params, timeout).await {
-        Err(rpc::Error::Io(_)) => source.calls.call(address, method, params, timeout).await,
+    match source.rpc.call(address, method, params, timeout).await {
+        Err(rpc::Error::Io(_)) => source.rpc.call(address, method, params, timeout).await,
         result => result,
     }
 }
--- a/verbenaspool_transport/src/config/source.rs
+++ b/verbenaspool_transport/src/config/source.rs
@@ -97,7 +97,7 @@
     /// The zone's members.
     pub(super) membership: RefCell<Membership>,
     /// The RPC client for calls to peers.
-    pub(super) calls: rpc::Client,
+    pub(super) rpc: rpc::Client,
     /// Tasks that wait for the next version.
     wakers: RefCell<Vec<Waker>>,
     /// The time of the platform's last answer; `None` after a failed call.
@@ -149,7 +149,7 @@
             options,
             store,
             clock,
-            calls: rpc::Client::default(),
+            rpc: rpc::Client::default(),
             wakers: RefCell::default(),
             answered_at: Cell::default(),
             last_error: RefCell::default(),
