--- a/examples/demo/events.rs
+++ b/examples/demo/events.rs
@@ -60,7 +60,7 @@
             let version = report.accepted;
             println!("{name}: version {version} is accepted.");
             for zone in &report.zones {
-                let status = zone.status.as_ref().filter(|_| zone.heard);
+                let status = zone.status.as_ref().filter(|_| zone.is_reporting);
                 let state = match status {
                     Some(status) if status.is_active(version) => "has it in force everywhere",
                     Some(_) => "has instances that lag",
--- a/verbenaspool/src/operate/status.rs
+++ b/verbenaspool/src/operate/status.rs
@@ -50,7 +50,7 @@
     }];
     lines.push(format!(
         "active on all instances: {}",
-        if report.in_force { "yes" } else { "no" }
+        if report.is_active { "yes" } else { "no" }
     ));
     lines.push(format!(
         "{:<20} {:>9} {:>9}  {}",
@@ -77,7 +77,7 @@
         format!("{lowest}-{}", summary.highest)
     };
     let mut notes = Vec::new();
-    if !zone.heard {
+    if !zone.is_reporting {
         notes.push("status not updated".to_owned());
     }
     notes.push(format!("data up to {} ms old", summary.age_ms));
@@ -86,7 +86,7 @@
             .behind(accepted)
             .map(|seen| format!("{} at {}", seen.name, seen.version)),
     );
-    notes.extend(status.trouble.iter().cloned());
+    notes.extend(status.last_error.iter().cloned());
     format!(
         "{name:<20} {instances:>9} {versions:>9}  {}",
         notes.join("; ")
--- a/verbenaspool_coordination/src/membership.rs
+++ b/verbenaspool_coordination/src/membership.rs
@@ -376,7 +376,7 @@
         &self,
         now: Duration,
         complete_version: Version,
-        active: Version,
+        active_version: Version,
         reaches_platform: bool,
     ) -> Status {
         Status {
@@ -384,7 +384,7 @@
             digest: self.digest(),
             complete_version,
             fresh: reaches_platform || self.has_fresh_parent(now),
-            summary: self.summary(now, active),
+            summary: self.summary(now, active_version),
         }
     }
 
@@ -399,7 +399,7 @@
     /// let summary = membership.summary(now, Version(7));
     /// ```
     #[must_use]
-    pub fn summary(&self, now: Duration, active: Version) -> Summary {
+    pub fn summary(&self, now: Duration, active_version: Version) -> Summary {
         let children = self.children(&self.own_name);
         let status_of = |child: &Member| self.statuses.get_key_value(&child.name);
         let subtrees: Vec<SubtreeSummary> = children
@@ -411,7 +411,7 @@
                 age: now.saturating_sub(*at),
             })
             .collect();
-        Summary::aggregate(&self.own_name, active, &subtrees)
+        Summary::aggregate(&self.own_name, active_version, &subtrees)
     }
 
     /// Digest of the member table.
--- a/verbenaspool_standin/tests/config/limits.rs
+++ b/verbenaspool_standin/tests/config/limits.rs
@@ -119,14 +119,14 @@
         let firm = name(FIRM);
         let max_age = status::WRITE_INTERVAL * 3 / 2;
         let report = status::read(&*store, &firm, max_age).await.unwrap();
-        assert_eq!((report.accepted, report.in_force), (Version(1), true));
-        assert!(report.zones[0].heard);
+        assert_eq!((report.accepted, report.is_active), (Version(1), true));
+        assert!(report.zones[0].is_reporting);
         // After a crash, the last status remains in the store and is reported as outdated.
         let [instance] = instances;
         instance.crash();
         monoio::time::sleep(status::WRITE_INTERVAL).await;
         let report = status::read(&*store, &firm, max_age).await.unwrap();
-        assert!(!report.zones[0].heard && !report.in_force);
+        assert!(!report.zones[0].is_reporting && !report.is_active);
     });
 }
 
--- a/verbenaspool_transport/src/config/status.rs
+++ b/verbenaspool_transport/src/config/status.rs
@@ -41,8 +41,8 @@
     /// The active versions.
     pub summary: Summary,
     /// Why the zone can't read anything newer from the platform, if so.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trouble: Option<String>,
+    #[serde(default, rename = "trouble", skip_serializing_if = "Option::is_none")]
+    pub last_error: Option<String>,
 }
 
 impl Status {
@@ -98,7 +98,7 @@
             count,
             alive: u32::try_from(source.alive_count()).unwrap_or(u32::MAX),
             summary: source.summary(),
-            trouble: source.last_error(),
+            last_error: source.last_error(),
         };
         let Ok(text) = serde_json::to_vec(&status) else {
             continue;
@@ -121,7 +121,8 @@
     pub apply: Option<String>,
     /// Whether the accepted version is active at every live instance of every zone. It is
     /// false while any zone isn't reporting.
-    pub in_force: bool,
+    #[serde(rename = "in_force")]
+    pub is_active: bool,
     /// The zones of the accepted file and any other zone with a stored status.
     pub zones: Vec<Zone>,
 }
@@ -132,7 +133,8 @@
     /// The availability zone.
     pub zone: Name,
     /// Whether the zone wrote a status between the two reads.
-    pub heard: bool,
+    #[serde(rename = "heard")]
+    pub is_reporting: bool,
     /// The status from the second read.
     pub status: Option<Status>,
 }
@@ -174,13 +176,13 @@
     let accepted = head.as_ref().map(|head| head.version).unwrap_or_default();
     let is_current = |zone: &Zone| {
         let status = zone.status.as_ref();
-        zone.heard && status.is_some_and(|status| status.is_active(accepted))
+        zone.is_reporting && status.is_some_and(|status| status.is_active(accepted))
     };
     Ok(Report {
         firm: firm.clone(),
         accepted,
         apply: head.map(|head| head.apply),
-        in_force: !zones.is_empty() && zones.iter().all(is_current),
+        is_active: !zones.is_empty() && zones.iter().all(is_current),
         zones,
     })
 }
@@ -190,7 +192,7 @@
     let of = |statuses: &[Status]| statuses.iter().find(|s| s.zone == zone).cloned();
     let (first, last) = (of(before), of(after));
     Zone {
-        heard: last.is_some() && first != last,
+        is_reporting: last.is_some() && first != last,
         status: last,
         zone,
     }
